--- a/examples/toy.py
+++ b/examples/toy.py
@@ -32,8 +32,19 @@
             self.changed.notify_all()
 
     def told(self) -> bytes:
-        servers = [{"id": name, "addr": f"{HOST}:{PORTS[name]}", "zone": "here", "kind": "toy", "cell": 0, "state": state,
-                    "weight": 1.0, "started_ms": 0} for name, state in self.states.items()]
+        servers = [
+            {
+                "id": name,
+                "addr": f"{HOST}:{PORTS[name]}",
+                "zone": "here",
+                "kind": "toy",
+                "cell": 0,
+                "state": state,
+                "weight": 1.0,
+                "started_ms": 0,
+            }
+            for name, state in self.states.items()
+        ]
         return json.dumps({"version": self.version, "full": True, "servers": servers}).encode() + b"\n"
 
 
@@ -94,7 +105,10 @@
     for name, port in PORTS.items():
         kind = type(name, (Backend,), {"name": name})
         threading.Thread(target=ThreadingHTTPServer((HOST, port), kind).serve_forever, daemon=True).start()
-    print(f"backends at {HOST}:{', '.join(map(str, PORTS.values()))}, discovery at {HOST}:{DISCOVERY}; Ctrl-C ends", flush=True)
+    print(
+        f"backends at {HOST}:{', '.join(map(str, PORTS.values()))}, discovery at {HOST}:{DISCOVERY}; Ctrl-C ends",
+        flush=True,
+    )
     try:
         ThreadingHTTPServer((HOST, DISCOVERY), Discovery).serve_forever()
     except KeyboardInterrupt:
--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -17,13 +17,27 @@
 
 REPORTED_BY = {BY_NOBODY: "nobody", BY_ANSWERS: "answers", BY_PROBES: "probes, which are not sent"}
 # Commands that live in packages of their own, loaded when they are asked for: `serve` must not grow by them.
-LATER = {**{name: ("pepperusher.rehearsal.commands", "rehearsal")
-            for name in ("emulate", "load", "rehearse", "experiment", "report", "group-figures", "askers",
-                         "cold-figures", "soak")},
-         **{name: ("pepperusher.own.commands", "own") for name in ("explain", "schema")},
-         "capacity": ("pepperusher.capacity.commands", "rehearsal"),
-         "control": ("pepperusher.distribution.commands", "own"),
-         "ctl": ("pepperusher.control.commands", "own"), "store": ("pepperusher.store.commands", "store")}
+LATER = {
+    **{
+        name: ("pepperusher.rehearsal.commands", "rehearsal")
+        for name in (
+            "emulate",
+            "load",
+            "rehearse",
+            "experiment",
+            "report",
+            "group-figures",
+            "askers",
+            "cold-figures",
+            "soak",
+        )
+    },
+    **{name: ("pepperusher.own.commands", "own") for name in ("explain", "schema")},
+    "capacity": ("pepperusher.capacity.commands", "rehearsal"),
+    "control": ("pepperusher.distribution.commands", "own"),
+    "ctl": ("pepperusher.control.commands", "own"),
+    "store": ("pepperusher.store.commands", "store"),
+}
 
 
 def later(module: str, extra: str) -> ModuleType:
@@ -69,8 +83,15 @@
 @click.option("--console", envvar="BALANCER_CONSOLE", help="Where operators connect, address:port.")
 @click.option("--own", envvar="PEPPERUSHER_OWN", help="The proxy's own file, TOML: routes, limits, changes, control.")
 @click.option("--set", "given", multiple=True, metavar="KEY=VALUE", help="A value in place of the own file's.")
-def serve(config: str, name: str | None, listen: str | None, discovery: str | None, console: str | None,
-          own: str | None, given: tuple[str, ...]) -> None:
+def serve(
+    config: str,
+    name: str | None,
+    listen: str | None,
+    discovery: str | None,
+    console: str | None,
+    own: str | None,
+    given: tuple[str, ...],
+) -> None:
     """Serve until SIGTERM or SIGINT, then answer what is in hand and end.
 
     SIGHUP reads the configuration anew, goes over to the discovery that stands in it, and proposes the own
@@ -103,17 +124,23 @@
 
 @main.command()
 @click.argument("config")
-@click.option("--own", envvar="PEPPERUSHER_OWN", help="The proxy's own file: all in force and where it came from, or all that is wrong.")
+@click.option(
+    "--own",
+    envvar="PEPPERUSHER_OWN",
+    help="The proxy's own file: all in force and where it came from, or all that is wrong.",
+)
 @click.option("--set", "values", multiple=True, metavar="KEY=VALUE", help="A value in place of the own file's.")
 def check(config: str, own: str | None, values: tuple[str, ...]) -> None:
     """Read a configuration as serve would, and say what it holds."""
     given = _read(config)
     ground = given.ground
-    click.echo(f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {ground.stage + 1},"
-               f" {ground.ordinal + 1} of {ground.group_size}; {len(ground.use_cases)} use cases,"
-               f" {len(ground.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
-               f" {'beside its client' if ground.beside_client else 'one of a pool'}, load reported by"
-               f" {REPORTED_BY[ground.reported_by]}")
+    click.echo(
+        f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {ground.stage + 1},"
+        f" {ground.ordinal + 1} of {ground.group_size}; {len(ground.use_cases)} use cases,"
+        f" {len(ground.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
+        f" {'beside its client' if ground.beside_client else 'one of a pool'}, load reported by"
+        f" {REPORTED_BY[ground.reported_by]}"
+    )
     if own is not None:
         later("pepperusher.own.commands", "own").checked(own, ground, values)
 
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -47,7 +47,7 @@
         promised: float = 500.0) -> None:  # fmt: skip
         self.depth = depth
         self.failing, self.share = 0, 0.0
-        self._hung: dict[int, str] = {}   # by level, the address of the one server that answers none
+        self._hung: dict[int, str] = {}  # by level, the address of the one server that answers none
         self.work, self._waits = WORK, waits
         self._passed = passed
         self._chance = Random(seed).random
--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_play.py
@@ -52,7 +52,7 @@
     """A configuration to be shared; another `most` makes it another, by one route."""
     text = stage.routes(routes)
     head, _, last = text.rpartition("most = ")
-    return f"{head}most = {most + 100}{last[last.index(','):]}".encode()
+    return f"{head}most = {most + 100}{last[last.index(',') :]}".encode()
 
 
 def framed(message: Message) -> int:
@@ -87,7 +87,11 @@
         with open(folder / f"control-{number}.log", "wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-O", "-m", "pepperusher", "control", "--config", str(file)],
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=environment(), preexec_fn=with_parent,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=environment(),
+                preexec_fn=with_parent,
             )
 
     def spent(self) -> float:
@@ -106,7 +110,7 @@
             try:
                 held += not os.readlink(one).startswith(str(self._state))
             except FileNotFoundError:
-                pass   # closed meanwhile
+                pass  # closed meanwhile
         return float(held)
 
     def end(self) -> None:
@@ -179,7 +183,7 @@
         now = read()
         last, alike = now, alike + 1 if now == last else 1
         if alike == 2:
-            since = spent()   # not with the first look: a process may be about to lose the processor then
+            since = spent()  # not with the first look: a process may be about to lose the processor then
     return last
 
 
@@ -358,9 +362,7 @@
     return _between(before, after, "rest", (after.at - before.at) / 1e6)
 
 
-async def _play(
-    proxies: int, machines: int, routes: int, seed: int, some: int | None, beats: int
-) -> Spent:
+async def _play(proxies: int, machines: int, routes: int, seed: int, some: int | None, beats: int) -> Spent:
     made: dict[str, float] = {}
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), machines, proxies, seed, some)
@@ -401,9 +403,7 @@
 _PLAYED: dict[tuple[int, int, int, int, int | None, int], Spent] = {}
 
 
-def played(
-    proxies: int, machines: int, routes: int, seed: int, some: int | None = None, beats: int = BEATS
-) -> Spent:
+def played(proxies: int, machines: int, routes: int, seed: int, some: int | None = None, beats: int = BEATS) -> Spent:
     """Raises ProcessError."""
     key = proxies, machines, routes, seed, some, beats
     if key not in _PLAYED:
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -61,7 +61,10 @@
     machines = t.control_machines
     uneven = load / (t.proxies / machines)
     yield Occasion(
-        "release", load, of.released / machines * uneven, of.released / machines * uneven * harsh,
+        "release",
+        load,
+        of.released / machines * uneven,
+        of.released / machines * uneven * harsh,
         "each proxy that is replaced connects anew",
     )
     for when, gone, with_it in (
@@ -74,9 +77,11 @@
         moved = (t.proxies - gone) * away / machines / left * uneven
         back = gone / left * uneven
         yield Occasion(
-            when, stay + back, moved + back, back if harsh else 0.0,
-            "and back at one moment"
-            + (f", {with_it} of the nine lost with it in the harsh case" if with_it else ""),
+            when,
+            stay + back,
+            moved + back,
+            back if harsh else 0.0,
+            "and back at one moment" + (f", {with_it} of the nine lost with it in the harsh case" if with_it else ""),
         )
     # A region's proxies have both upstreams within it while they are cut off, the others none there.
     inside, theirs = t.proxies * 4 // t.zones, 3
@@ -86,11 +91,17 @@
     comes = (foreign if harsh else home) * uneven
     stale = of.apart_s * t.changes_a_day / DAY > BASES
     yield Occasion(
-        "healing of a cut", load, comes, comes if stale else 0.0,
+        "healing of a cut",
+        load,
+        comes,
+        comes if stale else 0.0,
         "mild: a machine outside, after 60 s; harsh: one within the region, after 300 s",
     )
     yield Occasion(
-        "a control machine lost", lost, t.proxies / machines / (machines - 1) * uneven, 0.0,
+        "a control machine lost",
+        lost,
+        t.proxies / machines / (machines - 1) * uneven,
+        0.0,
         "one in eight of its connections",
     )
     yield Occasion("all control machines restarted", load, load, 0.0, "all hold what is newest")
@@ -133,39 +144,59 @@
         ("always", connections, "fullest of nine"), ("a control machine lost", when_lost, "fullest of eight"),
     ):  # fmt: skip
         yield row(
-            when, "proxies connected to it", "connections", held,
+            when,
+            "proxies connected to it",
+            "connections",
+            held,
             Budget(SUBSCRIBERS, "the code: `subscribers` where its file names none"),
-            "rendezvous hashing (`subscriber.rank`)", "control.fullest", "control.fullest_lost",
+            "rendezvous hashing (`subscriber.rank`)",
+            "control.fullest",
+            "control.fullest_lost",
             note=f"harsh: the {said}",
         )
         yield row(
-            when, "descriptors of its process", "descriptors",
+            when,
+            "descriptors of its process",
+            "descriptors",
             lambda of, hard, held=held: plus(  # type: ignore[misc]
                 of_connections("control.descriptors", held(of, hard)), peers
             ),
             Budget(4_096, "own choice: a usual hard limit, to which it raises its own"),
-            "`distribution/commands.py` raised", "control.descriptors", "control.fullest",
+            "`distribution/commands.py` raised",
+            "control.descriptors",
+            "control.fullest",
         )
         yield row(
-            when, "memory of its process", "bytes",
+            when,
+            "memory of its process",
+            "bytes",
             lambda of, hard, held=held: of_connections(  # type: ignore[misc]
                 "control.memory", held(of, hard)
             ),
-            Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"), SERVER, "control.memory",
+            Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+            SERVER,
+            "control.memory",
             note="one resource; the resources and what is subscribed to are rows of their own",
         )
     yield row(
-        "always", "state: subscribers, one resource each", "bytes",
+        "always",
+        "state: subscribers, one resource each",
+        "bytes",
         lambda of, hard: of_connections("control.state.subscriber", connections(of, hard)),
-        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Subscriber, Proxy",
-        "control.state.subscriber", note="without the kernel's and asyncio's part of a connection",
+        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+        "`publisher.py` Subscriber, Proxy",
+        "control.state.subscriber",
+        note="without the kernel's and asyncio's part of a connection",
     )
     each = (at("control.state.subscription", 2), at("control.state.subscription", 1))
     further = None if each[0] is None or each[1] is None else (each[0] - each[1]) / 100
     yield row(
-        "always", "state: subscriptions beyond the first", "bytes",
+        "always",
+        "state: subscriptions beyond the first",
+        "bytes",
         lambda of, hard: times(connections(of, hard), further, 6.0 if hard else 0.0),
-        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Subscriber, Proxy",
+        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+        "`publisher.py` Subscriber, Proxy",
         "control.state.subscription",
         note="mild: the one configuration; harsh: six further, as in the hollow runs",
     )
@@ -208,8 +239,16 @@
         ("cpu", "processor time a second", "us/s", core, False),
     ):
         yield row(
-            "ordinary day", said, unit, day(what, relay), budget, SERVER, f"control.rest.{what}",
-            f"control.change.{what}", f"control.resume.{what}", f"control.start.{what}",
+            "ordinary day",
+            said,
+            unit,
+            day(what, relay),
+            budget,
+            SERVER,
+            f"control.rest.{what}",
+            f"control.change.{what}",
+            f"control.resume.{what}",
+            f"control.start.{what}",
             note="beats, the day's changes and restarts" + ("; as the origin" if relay else ""),
         )
     for what, said, unit, one in (
@@ -220,13 +259,18 @@
         ("cpu", "processor time for one change, of 12 s", "us", core_12),
     ):
         yield row(
-            "ordinary day", said, unit,
+            "ordinary day",
+            said,
+            unit,
             lambda of, hard, what=what: plus(  # type: ignore[misc]
                 at(f"control.change.{what}", loads(at, t, hard)[0] * of.concerned),
                 at("control.relay.change", t.control_machines) if what == "out_bytes" else 0.0,
             ),
-            one, f"{SERVER}: one delta for all that have the same base", f"control.change.{what}",
-            "control.some.out_bytes", note="mild: to the proxies of one service's callers; harsh: to all",
+            one,
+            f"{SERVER}: one delta for all that have the same base",
+            f"control.change.{what}",
+            "control.some.out_bytes",
+            note="mild: to the proxies of one service's callers; harsh: to all",
         )
     yield from _by_occasion(at, t, mild, harsh, line, line_12, core, core_12)
 
@@ -242,7 +286,7 @@
     core_12: Budget,
 ) -> Iterator[Row]:  # fmt: skip
     pairs = zip(occasions(at, t, mild, False), occasions(at, t, harsh, True))
-    for (easy, hard) in pairs:
+    for easy, hard in pairs:
         release = easy.when == "release"
         known = at("control.fullest", t.proxies) is not None
         spans = (mild.release_s, harsh.release_s) if release else (t.in_force_s, t.in_force_s)
@@ -251,10 +295,15 @@
         if not release:
             seconds = [max(0.0, 2 * one.comes - ADMITTED_AT_ONCE) / ADMITTED for one in (easy, hard)]
             yield Row(
-                MACHINE, easy.when, "seconds until all that connect are admitted", "s",
-                seconds[0] if known else None, seconds[1] if known else None,
+                MACHINE,
+                easy.when,
+                "seconds until all that connect are admitted",
+                "s",
+                seconds[0] if known else None,
+                seconds[1] if known else None,
                 Budget(t.in_force_s, "target: in force everywhere within 12 s"),
-                "`admission.py` ADMITTED_A_SECOND, ADMITTED_AT_ONCE", ("control.fullest",),
+                "`admission.py` ADMITTED_A_SECOND, ADMITTED_AT_ONCE",
+                ("control.fullest",),
                 f"by the code's rates; {easy.note}",
             )
         for what, said, unit in (
@@ -308,20 +357,43 @@
         return at("client.whole.change_cpu", of.routes)
 
     yield Row(
-        role, "always", "state: what it has of control machines", "bytes", at("client.state", mild.routes),
-        at("client.state", harsh.routes), memory, f"{CLIENT}, `keeping.py`", ("client.state",), also,
+        role,
+        "always",
+        "state: what it has of control machines",
+        "bytes",
+        at("client.state", mild.routes),
+        at("client.state", harsh.routes),
+        memory,
+        f"{CLIENT}, `keeping.py`",
+        ("client.state",),
+        also,
     )
     yield Row(
-        role, "always", "processor time a second of an idle process that control machines tell", "us/s",
-        at("client.whole.rest_cpu", mild.routes), at("client.whole.rest_cpu", harsh.routes), cpu,
-        f"{CLIENT}, `net/distributed.py`, timers of what is in force", ("client.whole.rest_cpu",),
-        _said("24 listed; most of what 200 routes add is one sweep that looks through all routes for each"
-            " (docs/results.md)", also),
+        role,
+        "always",
+        "processor time a second of an idle process that control machines tell",
+        "us/s",
+        at("client.whole.rest_cpu", mild.routes),
+        at("client.whole.rest_cpu", harsh.routes),
+        cpu,
+        f"{CLIENT}, `net/distributed.py`, timers of what is in force",
+        ("client.whole.rest_cpu",),
+        _said(
+            "24 listed; most of what 200 routes add is one sweep that looks through all routes for each"
+            " (docs/results.md)",
+            also,
+        ),
     )
     yield Row(
-        role, "always", "memory of an idle process that control machines tell", "bytes",
-        at("client.whole.memory", mild.routes), at("client.whole.memory", harsh.routes), memory,
-        f"{CLIENT}, `net/distributed.py`", ("client.whole.memory",),
+        role,
+        "always",
+        "memory of an idle process that control machines tell",
+        "bytes",
+        at("client.whole.memory", mild.routes),
+        at("client.whole.memory", harsh.routes),
+        memory,
+        f"{CLIENT}, `net/distributed.py`",
+        ("client.whole.memory",),
         _said("24 listed; what is listed adds as in the row without control machines", also),
     )
     for way, said, unit, budget in (
@@ -337,10 +409,20 @@
                 parts.append(times(rate, applying(of)))
             made.append(plus(*parts))
         yield Row(
-            role, "ordinary day", said, unit, made[0], made[1], budget, CLIENT,
+            role,
+            "ordinary day",
+            said,
+            unit,
+            made[0],
+            made[1],
+            budget,
+            CLIENT,
             (*names("rest", way), *names("change", way), *(["client.whole.change_cpu"] * (way == "cpu"))),
-            _said("beats and the day's changes; a release, a rack, a zone or a region lost bring no more of"
-                " it, since lists do not come this way", also),
+            _said(
+                "beats and the day's changes; a release, a rack, a zone or a region lost bring no more of"
+                " it, since lists do not come this way",
+                also,
+            ),
         )
     for way, said, unit, budget in (
         ("bytes", "bytes in and out for one change, of 12 s", "bytes", wire_12),
@@ -348,23 +430,32 @@
     ):
         made = [
             plus(
-                mean("change", way), times(t.in_force_s, mean("rest", way)),
+                mean("change", way),
+                times(t.in_force_s, mean("rest", way)),
                 applying(of) if way == "cpu" else 0.0,
             )
             for of in (mild, harsh)
         ]
         yield Row(
-            role, "ordinary day", said, unit, made[0], made[1], budget,
+            role,
+            "ordinary day",
+            said,
+            unit,
+            made[0],
+            made[1],
+            budget,
             CLIENT + (", `net/distributed.py`, `changes/`, `own/reading.py`" if way == "cpu" else ""),
             (*names("change", way), *names("rest", way), *(["client.whole.change_cpu"] * (way == "cpu"))),
             also,
         )
     # How much of connecting twice befalls it, and whether it is sent the whole configuration.
     for when, both, note in (
-        ("healing of a cut", ((0.5, False), (1.0, True)),
-            "harsh: both upstreams anew, and what it has is too old for a delta"),
-        ("a control machine lost", ((0.0, False), (0.5, False)),
-            "mild: not one of its two; harsh: one of them"),
+        (
+            "healing of a cut",
+            ((0.5, False), (1.0, True)),
+            "harsh: both upstreams anew, and what it has is too old for a delta",
+        ),
+        ("a control machine lost", ((0.0, False), (0.5, False)), "mild: not one of its two; harsh: one of them"),
         ("all control machines restarted", ((1.0, False), (1.0, False)), "with nothing newer"),
         ("every proxy started", ((1.0, False), (1.0, True)), "mild: from what it kept; harsh: nothing kept"),
     ):
@@ -381,11 +472,16 @@
                         "cpu": applying(of)}[way]  # fmt: skip
                 elif way == "cpu" and when == "every proxy started":
                     more = applying(of)  # what it kept is read and checked as well
-                made.append(
-                    plus(times(part, mean("resume", way)), times(t.in_force_s, mean("rest", way)), more)
-                )
+                made.append(plus(times(part, mean("resume", way)), times(t.in_force_s, mean("rest", way)), more))
             yield Row(
-                role, when, said, unit, made[0], made[1], budget, CLIENT,
+                role,
+                when,
+                said,
+                unit,
+                made[0],
+                made[1],
+                budget,
+                CLIENT,
                 (*names("resume", way), *names("rest", way)),
                 _said(note, also),
             )
@@ -404,7 +500,13 @@
         spent = plus(publish, at("control.change.cpu", loads(at, t, hard)[0] * of.concerned))
         made.append(None if spent is None else spent / SECOND + WAVE_S * WAVES_BEFORE * hard)
     yield Row(
-        "operator", "ordinary day", before.in_force, "s", made[0], made[1], within,
+        "operator",
+        "ordinary day",
+        before.in_force,
+        "s",
+        made[0],
+        made[1],
+        within,
         "`distribution` (9 control machines): `ctl publish`, waves, acknowledgements",
         ("operator.publish", "control.change.cpu"),
         "after: the processor time of `ctl publish` and of one control machine for it, one after the other;"
@@ -414,8 +516,15 @@
     )
     day = publish / SECOND * t.changes_a_day
     yield Row(
-        "operator", "ordinary day", before.whole_day, "s", day, day, Budget(DAY, "a day"),
-        "`distribution`: one `ctl publish` a change, however many take it", ("operator.publish",),
+        "operator",
+        "ordinary day",
+        before.whole_day,
+        "s",
+        day,
+        day,
+        Budget(DAY, "a day"),
+        "`distribution`: one `ctl publish` a change, however many take it",
+        ("operator.publish",),
         "after: processor time of `ctl publish`; before, mild: each change concerns one service",
         (None if before.day is None else before.day / t.services, before.day),
     )
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -172,9 +172,7 @@
     return [one.address for one in balancer._backends if one.near]
 
 
-def callers_at(
-    backends: int, zones: list[str] | None = None, sampled: int = 400
-) -> Callable[[int, int], float]:
+def callers_at(backends: int, zones: list[str] | None = None, sampled: int = 400) -> Callable[[int, int], float]:
     """Proxies that keep a connection to the backend that has most, by the number of proxies that call its
     service. Of more than `sampled` proxies so many are laid out and the rest counted like them."""
 
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -20,8 +20,9 @@
 def rows(at: At, t: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
     both = mild, harsh
     arc = "arc.zone", "arc.zones"
-    sockets = Budget(1_024, "own choice: `net/told.py` SOCKETS, a proxy's descriptors where its"
-        " configuration names none")
+    sockets = Budget(
+        1_024, "own choice: `net/told.py` SOCKETS, a proxy's descriptors where its configuration names none"
+    )
     memory = Budget(t.proxy_bytes, "target: 256 MB")
     core = Budget(SECOND, "own choice: one core, since a proxy is one process")
     cpu = Budget(t.proxy_cpu_us, "target: 1.4% of a core for control")
@@ -29,8 +30,15 @@
     wire_12 = Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s")
     kept = [at(arc[of.zoned], of.front_listed) for of in both]
     yield Row(
-        FRONT, "always", "backends it keeps connections to", "connections", *kept, sockets,
-        "arcs (`policy.py` REACH, HEARD)", arc, "its list is longer: see the assumptions",
+        FRONT,
+        "always",
+        "backends it keeps connections to",
+        "connections",
+        *kept,
+        sockets,
+        "arcs (`policy.py` REACH, HEARD)",
+        arc,
+        "its list is longer: see the assumptions",
     )
     yield Row(
         FRONT, "always", f"memory with {CLIENTS:,} connections of clients", "bytes",
@@ -51,14 +59,27 @@
     )  # fmt: skip
     calls = [t.calls * of.entering / of.fronts for of in both]
     yield Row(
-        FRONT, "ordinary day", "calls a second of one front proxy", "calls/s", calls[0], calls[1], None,
-        "one process; nothing shares its calls with another", (),
+        FRONT,
+        "ordinary day",
+        "calls a second of one front proxy",
+        "calls/s",
+        calls[0],
+        calls[1],
+        None,
+        "one process; nothing shares its calls with another",
+        (),
         "own choice, see the assumptions; beside a backend 72 a second",
     )
     each = [at("added.calm.cpu", 1_000)] * 2
     yield Row(
-        FRONT, "ordinary day", "processor time a second for its calls", "us/s",
-        times(calls[0], each[0]), times(calls[1], each[1]), core, "the whole proxy, on one core",
+        FRONT,
+        "ordinary day",
+        "processor time a second for its calls",
+        "us/s",
+        times(calls[0], each[0]),
+        times(calls[1], each[1]),
+        core,
+        "the whole proxy, on one core",
         ("added.calm.cpu",),
         "by the processor time of a call at 72 calls a second, load beside the slope",
     )
--- a/pepperusher/capacity/latency.py
+++ b/pepperusher/capacity/latency.py
@@ -151,15 +151,23 @@
     sound = [one for one in made if all(100 * told.failed <= told.calls for told in one)]
     if not sound:
         raise Failing([two for _, two in made])
-    return Added(median(two.p50 - one.p50 for one, two in sound),
-        median(two.p99 - one.p99 for one, two in sound), _over([one for one, _ in sound]),
-        _over([two for _, two in sound]), spent)
+    return Added(
+        median(two.p50 - one.p50 for one, two in sound),
+        median(two.p99 - one.p99 for one, two in sound),
+        _over([one for one, _ in sound]),
+        _over([two for _, two in sound]),
+        spent,
+    )
 
 
 def _over(rounds: list[Told]) -> Told:
     """The medians of several rounds, and all their calls."""
-    return Told(median(one.p50 for one in rounds), median(one.p99 for one in rounds),
-        sum(one.calls for one in rounds), sum(one.failed for one in rounds))
+    return Told(
+        median(one.p50 for one in rounds),
+        median(one.p99 for one in rounds),
+        sum(one.calls for one in rounds),
+        sum(one.failed for one in rounds),
+    )
 
 
 def through_one(
@@ -174,7 +182,10 @@
             asyncio.run(_load(HOST, one.port, RATE, lasts / 2, seed, 1))
             return _rounds(
                 lambda place: load(BARE, service, place, lasts=lasts),
-                lambda place: load(HOST, one.port, place, lasts=lasts), one.spent, seed + 1, rounds
+                lambda place: load(HOST, one.port, place, lasts=lasts),
+                one.spent,
+                seed + 1,
+                rounds,
             )
 
 
@@ -217,8 +228,10 @@
     with chain(depth, listed, group, changes, most) as (bare, proxies):
         return _rounds(
             lambda place: load(BARE, bare, place, rate, lasts),
-            lambda place: load(HOST, proxies[0].port, place, rate, lasts), proxies[-1].spent,
-            seed + 1, rounds,
+            lambda place: load(HOST, proxies[0].port, place, rate, lasts),
+            proxies[-1].spent,
+            seed + 1,
+            rounds,
         )
 
 
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -27,9 +27,16 @@
 def said(number: int) -> Said:
     """One proxy's own word, with a name as fleets have them."""
     return Said(
-        f"service-{number // 24:03d}-{number:05d}", f"10.{number >> 14}.{number >> 6 & 255}.{number & 63}",
-        7946, START,
-        Random(number).getrandbits(62), 3, SERVING, False, 0, number,
+        f"service-{number // 24:03d}-{number:05d}",
+        f"10.{number >> 14}.{number >> 6 & 255}.{number & 63}",
+        7946,
+        START,
+        Random(number).getrandbits(62),
+        3,
+        SERVING,
+        False,
+        0,
+        number,
     )
 
 
@@ -86,8 +93,7 @@
 
 def sync(size: int, seed: int) -> float:
     """Bytes that a newcomer is sent."""
-    swim = Swim(said(0), Terms(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"),
-        Random(seed), START)
+    swim = Swim(said(0), Terms(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"), Random(seed), START)
     for number in range(1, size):
         swim.roll.take(said(number), START)
     return float(sum(map(len, swim.whole())))
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -15,12 +15,17 @@
 AFTER, AFTER_END = "<!-- after: begin -->", "<!-- after: end -->"
 NOTHING_YET = "not measured yet"
 OCCASIONS = (
-    "ordinary day", "release", "a rack lost", "a zone lost", "a region lost", "healing of a cut",
+    "ordinary day",
+    "release",
+    "a rack lost",
+    "a zone lost",
+    "a region lost",
+    "healing of a cut",
     "a control machine lost",
-    "all control machines restarted", "every proxy started",
+    "all control machines restarted",
+    "every proxy started",
 )
-ROLES = ("proxy beside a backend", "front proxy", "control machine", "discovery", "backend and its callers",
-    "operator")
+ROLES = ("proxy beside a backend", "front proxy", "control machine", "discovery", "backend and its callers", "operator")
 
 
 def figure(value: float | None, unit: str = "") -> str:
@@ -67,8 +72,7 @@
     ]
 
 
-HEAD = ("role", "when", "what", "mild", "harsh", "budget", "ratio mild, harsh", "mechanism that carries it",
-    "from")
+HEAD = ("role", "when", "what", "mild", "harsh", "budget", "ratio mild, harsh", "mechanism that carries it", "from")
 
 
 def slope_of(one: Measured, cores: int) -> list[str]:
@@ -86,8 +90,7 @@
         one.what,
         f"{_short(fit.base)} + {fit.slope:.3g} ({fit.low:.3g} to {fit.high:.3g}) {one.unit} by {curve}",
         f"{fit.residual:.1%}",
-        f"{check.size:,.0f}: {_short(check.said)} said, {_short(check.measured)} measured,"
-        f" **{check.error:+.1%}**",
+        f"{check.size:,.0f}: {_short(check.said)} said, {_short(check.measured)} measured, **{check.error:+.1%}**",
         f"`{one.command}` at {one.commit}: {', '.join(f'{size:,.0f}' for size, _ in one.points)};"
         f" {one.worth}, {one.repeats} each{load}",
     ]
@@ -113,18 +116,33 @@
     )
     yield ""
     yield from _table(
-        ("role", "when", "what", "budget", "before: mild, harsh", "ratio", "after: mild, harsh", "ratio",
-            "mechanism that carries it", "from"),
+        (
+            "role",
+            "when",
+            "what",
+            "budget",
+            "before: mild, harsh",
+            "ratio",
+            "after: mild, harsh",
+            "ratio",
+            "mechanism that carries it",
+            "from",
+        ),
         (
             [
-                row.role, row.when, row.what, figure(row.budget.value if row.budget else None, row.unit),
+                row.role,
+                row.when,
+                row.what,
+                figure(row.budget.value if row.budget else None, row.unit),
                 f"{figure(before[0], row.unit)}, {figure(before[1], row.unit)}",
                 f"{_ratio(row.ratio(before[0]))}, **{_ratio(row.ratio(before[1]))}**",
                 f"{figure(row.mild, row.unit)}, {figure(row.harsh, row.unit)}",
-                f"{_ratio(row.ratio(row.mild))}, **{_ratio(row.ratio(row.harsh))}**", row.mechanism,
+                f"{_ratio(row.ratio(row.mild))}, **{_ratio(row.ratio(row.harsh))}**",
+                row.mechanism,
                 ", ".join(row.from_) + f". {row.note}",
             ]
-            for row in rows if (before := row.before) is not None
+            for row in rows
+            if (before := row.before) is not None
         ),
     )
     yield ""
@@ -162,14 +180,18 @@
     "listed": "backends on the list of one proxy (mild: of the services that it calls; harsh: all, since"
     " nothing is sent by name)",
     "group": "group size in a proxy's settings",
-    "callers": "proxies that call the service that most call", "zoned": "settings name all 13 zones",
-    "released": "backends replaced in one release", "release_s": "within so many seconds",
+    "callers": "proxies that call the service that most call",
+    "zoned": "settings name all 13 zones",
+    "released": "backends replaced in one release",
+    "release_s": "within so many seconds",
     "members": "members of one group of proxies",
-    "routes": "routes in an own file", "concerned": "part of the changes of configuration that concern one"
-    " proxy",
+    "routes": "routes in an own file",
+    "concerned": "part of the changes of configuration that concern one proxy",
     "marked": "backends banned or drained by hand at once",
-    "failing": "levels of a chain that fail at once", "share": "part of their calls that they fail",
-    "fronts": "front proxies", "entering": "part of all calls that come in by way of front proxies",
+    "failing": "levels of a chain that fail at once",
+    "share": "part of their calls that they fail",
+    "fronts": "front proxies",
+    "entering": "part of all calls that come in by way of front proxies",
     "front_listed": "backends on the list of a front proxy",
     "apart_s": "seconds for which regions lose each other",
 }
@@ -199,12 +221,17 @@
 
 def _at_all(book: Book) -> Iterator[str]:
     yield from _table(
-        ("attempts along 30 levels", "a call, the first 20", "a call, later", "the worst call",
-            "at the last level", "calls done"),
+        (
+            "attempts along 30 levels",
+            "a call, the first 20",
+            "a call, later",
+            "the worst call",
+            "at the last level",
+            "calls done",
+        ),
         (
             [
-                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, passed up as"
-                f" {passed}",
+                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, passed up as {passed}",
                 *(
                     "not measured"
                     if (one := book.single(f"attempts.{passed}.{share}.{failing}.{which}")) is None
@@ -212,7 +239,9 @@
                     for which in ("first", "after", "most", "last", "done")
                 ),
             ]
-            for passed in ("error", "full") for share in (30, 100) for failing in (1, 2, 3)
+            for passed in ("error", "full")
+            for share in (30, 100)
+            for failing in (1, 2, 3)
         ),
     )
     yield ""
@@ -252,25 +281,58 @@
 
 def _chain(book: Book) -> Iterator[str]:
     rows = []
-    keys = [(f"{depth}.24.at{rate}{once}", f"{depth} in a row, {rate} calls a second, 24 listed"
-        + (", one attempt each" if once else "")) for depth in (1, 5, 10, 20, 30) for rate in (2, 4, 8, 24)
-        for once in ("", ".once") if book.single(f"chain.{depth}.24.at{rate}{once}.failed")]
+    keys = [
+        (
+            f"{depth}.24.at{rate}{once}",
+            f"{depth} in a row, {rate} calls a second, 24 listed" + (", one attempt each" if once else ""),
+        )
+        for depth in (1, 5, 10, 20, 30)
+        for rate in (2, 4, 8, 24)
+        for once in ("", ".once")
+        if book.single(f"chain.{depth}.24.at{rate}{once}.failed")
+    ]
     keys += [("30.24.once", "30 in a row, 24 calls a second, 24 listed, one attempt each")] * (
-        book.single("chain.30.24.once.failed") is not None)
-    for key, said in (*_one_proxy(book), *keys, ("30.24", "24 listed"), ("30.250", "250 listed"),
-        ("30.1000", "1,000 listed"), ("30.250.release", "250 listed, a release's changes")):
+        book.single("chain.30.24.once.failed") is not None
+    )
+    for key, said in (
+        *_one_proxy(book),
+        *keys,
+        ("30.24", "24 listed"),
+        ("30.250", "250 listed"),
+        ("30.1000", "1,000 listed"),
+        ("30.250.release", "250 listed, a release's changes"),
+    ):
         said = said if "row" in said else f"30 in a row, 24 calls a second, {said}"
-        found = [book.single(f"chain.{key}.{which}")
-            for which in ("bare99", "through99", "added99", "added50", "cpu", "failed")]
+        found = [
+            book.single(f"chain.{key}.{which}")
+            for which in ("bare99", "through99", "added99", "added50", "cpu", "failed")
+        ]
         load = next((f"{one.load:g}" for one in found if one is not None and one.load is not None), "-")
         failed = "not measured" if found[-1] is None else f"{found[-1].value:.0%}"
         calls = book.single(f"chain.{key}.calls")
-        rows.append([said, *(figure(one.value if one else None, "us") for one in found[:-1]), failed,
-            "-" if calls is None else f"{calls.value:,.0f}", load])
+        rows.append(
+            [
+                said,
+                *(figure(one.value if one else None, "us") for one in found[:-1]),
+                failed,
+                "-" if calls is None else f"{calls.value:,.0f}",
+                load,
+            ]
+        )
     yield from _table(
-        ("chain", "99th without proxies", "99th with them", "added at the 99th",
-            "added at the middle", "processor time of the last proxy, a call",
-            "calls failed", "calls", "load beside it"), rows)
+        (
+            "chain",
+            "99th without proxies",
+            "99th with them",
+            "added at the 99th",
+            "added at the middle",
+            "processor time of the last proxy, a call",
+            "calls failed",
+            "calls",
+            "load beside it",
+        ),
+        rows,
+    )
 
 
 def printed(of: Projection, book: Book, after: str = NOTHING_YET) -> str:
@@ -396,16 +458,24 @@
         "first_missing": None if first is None else first.what,
         "rows": [
             {
-                **row._asdict(), "budget": None if row.budget is None else row.budget._asdict(),
+                **row._asdict(),
+                "budget": None if row.budget is None else row.budget._asdict(),
                 "ratio_mild": row.ratio(row.mild),
-                "ratio_harsh": row.ratio(row.harsh), "missing": row.missing,
+                "ratio_harsh": row.ratio(row.harsh),
+                "missing": row.missing,
             }
             for row in of.rows()
         ],
         "slopes": {
-            one.name: {"curve": (fit := one.fit()).curve, "base": fit.base, "slope": fit.slope,
-                "low": fit.low, "high": fit.high,
-                       "unit": one.unit, "error_at_held_out": one.check().error}
+            one.name: {
+                "curve": (fit := one.fit()).curve,
+                "base": fit.base,
+                "slope": fit.slope,
+                "low": fit.low,
+                "high": fit.high,
+                "unit": one.unit,
+                "error_at_held_out": one.check().error,
+            }
             for one in book.measured
         },
     }
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -131,7 +131,11 @@
         with open(folder / "log", "wb") as log:
             process = subprocess.Popen(
                 [sys.executable, "-O", "-m", "pepperusher", "serve", *words],
-                stdin=subprocess.DEVNULL, stdout=log, stderr=log, env=environment(), preexec_fn=with_parent,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                env=environment(),
+                preexec_fn=with_parent,
             )
         made = Proxied(process, port, folder)
         try:
@@ -163,7 +167,11 @@
 def standins() -> Iterator[StandIns]:
     process = subprocess.Popen(
         [sys.executable, "-O", "-m", "pepperusher.capacity.standins"],
-        stdin=subprocess.PIPE, stdout=subprocess.PIPE, env=environment(), preexec_fn=with_parent, text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        env=environment(),
+        preexec_fn=with_parent,
+        text=True,
     )
     try:
         yield StandIns(process)
--- a/pepperusher/capacity/scenes.py
+++ b/pepperusher/capacity/scenes.py
@@ -74,9 +74,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--quick", is_flag=True, help="Shorter spans, the same checks.")
 @click.option("--json", "as_json", is_flag=True, help="A line of JSON for each scene as it ends.")
-@click.option(
-    "--report", type=click.Path(dir_okay=False, path_type=Path), help="A page with plots, to be written."
-)
+@click.option("--report", type=click.Path(dir_okay=False, path_type=Path), help="A page with plots, to be written.")
 def scene(
     names: tuple[str, ...],
     size: int,
@@ -105,9 +103,7 @@
             return
         click.echo(f"{told['scene']}: {told['verdict']}, {told.get('seconds', '')} s")
         for one in told.get("checks", ()):
-            click.echo(
-                f"  {'holds' if one['holds'] else 'DOES NOT HOLD'}: {one['what']}: {json.dumps(one['seen'])}"
-            )
+            click.echo(f"  {'holds' if one['holds'] else 'DOES NOT HOLD'}: {one['what']}: {json.dumps(one['seen'])}")
 
     async def run(work: Path) -> dict[str, Any]:
         made: list[dict[str, Any]] = []
--- a/pepperusher/capacity/stage.py
+++ b/pepperusher/capacity/stage.py
@@ -96,8 +96,7 @@
     }
 
 
-def change(size: int, number: int, state: str, version: int, zones: list[str] | None = None) -> dict[str,
-    Any]:
+def change(size: int, number: int, state: str, version: int, zones: list[str] | None = None) -> dict[str, Any]:
     """One line of a watch about one backend."""
     one = listing(size, zones)["servers"][number]
     return {"version": version, "full": False, "servers": [{**one, "state": state}]}
--- a/pepperusher/capacity/standins.py
+++ b/pepperusher/capacity/standins.py
@@ -66,8 +66,7 @@
         self.idle: list[Onward] = []  # emptied by use, and as they are closed
 
     async def open(self) -> int:
-        server = await asyncio.get_running_loop().create_server(lambda: Served(self), "127.0.0.1", 0,
-            backlog=1024)
+        server = await asyncio.get_running_loop().create_server(lambda: Served(self), "127.0.0.1", 0, backlog=1024)
         port: int = server.sockets[0].getsockname()[1]
         return port
 
@@ -136,8 +135,7 @@
         await discovery.open()
         self._discoveries.append(discovery)
         if order["changes"] > 0:
-            self._changing.append(
-                asyncio.create_task(_changes(discovery, order["entries"], order["changes"])))
+            self._changing.append(asyncio.create_task(_changes(discovery, order["entries"], order["changes"])))
         return {"port": discovery.port}
 
 
--- a/pepperusher/capacity/storms.py
+++ b/pepperusher/capacity/storms.py
@@ -34,8 +34,7 @@
     once.
     """
     chance = Random(seed)
-    facades = [Facade(stage.ground_of(1_000, seed * 10_007 + number), NOW, quiet)
-        for number in range(proxies)]
+    facades = [Facade(stage.ground_of(1_000, seed * 10_007 + number), NOW, quiet) for number in range(proxies)]
     opens = NOW + AWAY if back else NOW
     due: list[tuple[int, int]] = []  # when, and whose turn to ask it is
     for number, facade in enumerate(facades):
--- a/pepperusher/capacity/watching.py
+++ b/pepperusher/capacity/watching.py
@@ -166,8 +166,13 @@
         await discovery.open()
         await _until(lambda: discovery.watching == watchers)
         return Played(
-            start_calls, start_bytes, change_bytes, discovery.calls, discovery.bytes, discovery.refused,
-            loop.time() - began
+            start_calls,
+            start_bytes,
+            change_bytes,
+            discovery.calls,
+            discovery.bytes,
+            discovery.refused,
+            loop.time() - began,
         )
     finally:
         for one in watches:
--- a/pepperusher/changes/ledger.py
+++ b/pepperusher/changes/ledger.py
@@ -110,9 +110,7 @@
         if state not in FOLLOWS[change.state]:
             raise LedgerError(f"change {change.number} is {change.state} and can't become {state}")
         if change is not self.open and state != UNDONE:
-            raise LedgerError(
-                f"change {change.number} waits for change {self.open.number if self.open else 0}"
-            )
+            raise LedgerError(f"change {change.number} waits for change {self.open.number if self.open else 0}")
         change.steps.append(Step(state, now, who, why))
         if not change.over:
             return
@@ -130,9 +128,7 @@
         return None
 
 
-def verdict(
-    change: Change, by_itself: bool, watch: int, harm: object | None, now: int
-) -> tuple[str, str] | None:
+def verdict(change: Change, by_itself: bool, watch: int, harm: object | None, now: int) -> tuple[str, str] | None:
     """What becomes of an applied change now: (CONFIRMED or UNDONE, why), or None while it is watched."""
     if change.state != APPLIED:
         return None
--- a/pepperusher/changes/overlay.py
+++ b/pepperusher/changes/overlay.py
@@ -28,6 +28,7 @@
 
     def turn(self, marks: Mapping[str, Mark]) -> list[Entry]:
         """Other marks from now on; the lines that change by it."""
+
         def turn() -> None:
             self._marks = marks
 
--- a/pepperusher/changes/standing.py
+++ b/pepperusher/changes/standing.py
@@ -246,9 +246,7 @@
             elif held.gate is None:
                 held.gate = Gate(_limit(route.concurrency, None), route.concurrency.queue, own.weights)
             else:
-                held.gate.change(
-                    _limit(route.concurrency, held.gate), route.concurrency.queue, own.weights, now
-                )
+                held.gate.change(_limit(route.concurrency, held.gate), route.concurrency.queue, own.weights, now)
             if route.rate is None:
                 held.buckets = None
             elif held.buckets is None:
@@ -332,9 +330,7 @@
 
     def _said(self, change: Change) -> None:
         step = change.steps[-1]
-        self._say(
-            "change", number=change.number, name=change.name, state=step.state, who=step.who, why=step.why
-        )
+        self._say("change", number=change.number, name=change.name, state=step.state, who=step.who, why=step.why)
 
     def due(self, now: int) -> tuple[str, str] | None:
         """What is to become of the open change now, and why; None while it is watched or none is open."""
--- a/pepperusher/console/desk.py
+++ b/pepperusher/console/desk.py
@@ -54,14 +54,14 @@
         self.held: Callable[[], Awaitable[tuple[int, int] | None]] | None = None
         self._token = f"{os.getpid()}-{clock.now()}"
         self._serves = False
-        self._seen = ""          # the next process, once it has been noticed
+        self._seen = ""  # the next process, once it has been noticed
         self._next_serves = False
-        self._sits = False       # whether this process reigns
+        self._sits = False  # whether this process reigns
         self._looking: asyncio.Task[None] | None = None
-        self._pulse = Pulse()    # of the other process, where that one leaves marks
+        self._pulse = Pulse()  # of the other process, where that one leaves marks
         self._beats = False
         self._other_serves = False
-        self._took = False       # whether this one has all new connections, since the other stands still
+        self._took = False  # whether this one has all new connections, since the other stands still
 
     # --- the places ---------------------------------------------------------------------------------
 
@@ -76,7 +76,9 @@
         try:
             self._first, self._next = seats(folder, host.name)
         except OSError as error:
-            self._log.say(f"{folder}: {error.strerror or error}: bans end with this process, and none can take its place")
+            self._log.say(
+                f"{folder}: {error.strerror or error}: bans end with this process, and none can take its place"
+            )
             return
         self._sits = self._first.take()
         if self._sits:
@@ -90,7 +92,9 @@
         if left is not None:
             self._merge(left)
         self._proxy.follow(left.passed_on if left is not None else PassedOn())
-        self._log.say("taking the place of a process that serves" + ("" if left is not None else ", which tells nothing"))
+        self._log.say(
+            "taking the place of a process that serves" + ("" if left is not None else ", which tells nothing")
+        )
 
     async def _told(self) -> State | None:
         """What the process before tells once it has noticed this one; what it told last where it does not."""
@@ -102,7 +106,7 @@
             if left is not None and left.seen == self._token or loop.time() >= until:
                 return left
             if self._next is not None and not self._next.held:
-                self._kept()   # another may be ending in that place
+                self._kept()  # another may be ending in that place
             await asyncio.sleep(LOOK_EVERY / 5)
 
     def _read(self, seat: Seat) -> State | None:
@@ -187,8 +191,11 @@
             # Not where it is on its way out: a connection handed to it again would be reset as it closes.
             self._proxy.steer(None)
         self._took = still
-        self._log.say("the other process stands still: new connections come here" if still
-                      else "the other process goes on: it has its part of new connections again")
+        self._log.say(
+            "the other process stands still: new connections come here"
+            if still
+            else "the other process goes on: it has its part of new connections again"
+        )
 
     def _alone(self) -> None:
         """Nobody sits beside this process: a filter that stayed would keep connections from whoever comes
@@ -211,7 +218,7 @@
             await asyncio.sleep(LOOK_EVERY)
             try:
                 self.look()
-            except Exception as error:   # what it sees nobody else does: it goes on
+            except Exception as error:  # what it sees nobody else does: it goes on
                 self._log.say(f"a look at the other process ended by {type(error).__name__}: {error}")
 
     @property
--- a/pepperusher/console/door.py
+++ b/pepperusher/console/door.py
@@ -31,7 +31,7 @@
         self._pool = Pool(1)
         # No whole call yet, the oldest first; emptied as calls come and lines end.
         self._asking: dict[Line, None] = {}
-        self._open: set[asyncio.Task[None]] = set()   # PLACES at the most, and those that just lost theirs
+        self._open: set[asyncio.Task[None]] = set()  # PLACES at the most, and those that just lost theirs
         self._server: asyncio.Server
 
     async def listen(self, address: tuple[str, int]) -> int:
@@ -76,7 +76,7 @@
                 answer = plain(bad.status, str(bad))
             except TimeoutError:
                 pass
-            except Exception as error:   # ends this call alone, with an answer
+            except Exception as error:  # ends this call alone, with an answer
                 self._log.say(f"a call at the console ended by {type(error).__name__}: {error}")
                 answer = BROKEN
             self._asking.pop(line, None)
@@ -88,7 +88,7 @@
                         pass
         except TimeoutError:
             pass
-        except Exception as error:   # this connection's trouble, and nobody else's
+        except Exception as error:  # this connection's trouble, and nobody else's
             self._log.say(f"a connection at the console ended: {type(error).__name__}: {error}")
         finally:
             self._asking.pop(line, None)
--- a/pepperusher/console/orders.py
+++ b/pepperusher/console/orders.py
@@ -26,7 +26,7 @@
 
     def __init__(self, kept: int) -> None:
         self._kept = kept
-        self.bans: dict[str, Order] = {}   # one in force stays till it is lifted, a lifted one for `kept`
+        self.bans: dict[str, Order] = {}  # one in force stays till it is lifted, a lifted one for `kept`
         self.drain = NEVER
         self._narrowed = Narrowed(self._marked)
         self.lines = self._narrowed.lines
@@ -55,6 +55,7 @@
 
     def merge(self, bans: Mapping[str, Order], drain: Order) -> list[Entry]:
         """Another's orders beside these. The lines that change by it."""
+
         def turn() -> None:
             for backend, order in bans.items():
                 if order.at > self.bans.get(backend, NEVER).at:
--- a/pepperusher/console/place.py
+++ b/pepperusher/console/place.py
@@ -44,7 +44,7 @@
         try:
             os.utime(self._lock)
         except OSError:
-            pass   # nobody is told, and whoever looks sees marks end as those of one that stands still
+            pass  # nobody is told, and whoever looks sees marks end as those of one that stands still
 
     def mark(self) -> int:
         """The last one; 0 where it can't be seen."""
--- a/pepperusher/console/pulse.py
+++ b/pepperusher/console/pulse.py
@@ -22,7 +22,7 @@
     def anew(self) -> None:
         """Another process may sit there from here on."""
         self._mark = 0
-        self._since = 0      # when this mark was first seen, or the looking began anew
+        self._since = 0  # when this mark was first seen, or the looking began anew
         self._looked = 0
         self._still = False
 
--- a/pepperusher/console/state.py
+++ b/pepperusher/console/state.py
@@ -47,8 +47,14 @@
 
 
 def _order(told: Any, of: str) -> Order:
-    if (not isinstance(told, list) or len(told) != 2 or not isinstance(told[0], bool) or isinstance(told[1], bool)
-            or not isinstance(told[1], int) or not 0 <= told[1] <= LATEST):
+    if (
+        not isinstance(told, list)
+        or len(told) != 2
+        or not isinstance(told[0], bool)
+        or isinstance(told[1], bool)
+        or not isinstance(told[1], int)
+        or not 0 <= told[1] <= LATEST
+    ):
         raise BadState(f"{of} is no order")
     return Order(told[0], told[1])
 
@@ -72,8 +78,19 @@
         if part is not None and not isinstance(part, dict):
             raise BadState("listed or learned is no object")
     expires_at = told.get("expires_at")
-    if expires_at is not None and (isinstance(expires_at, bool) or not isinstance(expires_at, int)
-                                   or not 0 <= expires_at <= LATEST):
+    if expires_at is not None and (
+        isinstance(expires_at, bool) or not isinstance(expires_at, int) or not 0 <= expires_at <= LATEST
+    ):
         raise BadState("expires_at is no time")
-    return State(made, _order(told.get("drain", list(NEVER)), "drain"), words[0], told.get("serves") is True,
-                 words[1], listed, learned, told.get("beats") is True, told.get("told_by_source") is not False, expires_at)
+    return State(
+        made,
+        _order(told.get("drain", list(NEVER)), "drain"),
+        words[0],
+        told.get("serves") is True,
+        words[1],
+        listed,
+        learned,
+        told.get("beats") is True,
+        told.get("told_by_source") is not False,
+        expires_at,
+    )
--- a/pepperusher/control/client.py
+++ b/pepperusher/control/client.py
@@ -16,8 +16,7 @@
 def ask(path: str, do: str, **said: Any) -> dict[str, Any]:
     """The whole answer, its parts put together. Raises Refused."""
     question = (
-        json.dumps({"do": do, **{key: value for key, value in said.items() if value is not None}}).encode()
-        + b"\n"
+        json.dumps({"do": do, **{key: value for key, value in said.items() if value is not None}}).encode() + b"\n"
     )
     taken = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     taken.settimeout(WITHIN)
--- a/pepperusher/control/commands.py
+++ b/pepperusher/control/commands.py
@@ -117,8 +117,15 @@
         f"{cut[reach['word']]}: {reach['here']} here, {reach['silent']} silent, {reach['gone']} gone, {reach['never']}"
         f" never met; shares as one of {answer['sharers']} (the settings say {answer['told']});"
         f" doubts itself by {answer['doubt']}",
-        client.table([{key: row[key] for key in ("name", "is", "found", "since_s", "answered_s", "orders", "list", "place", "at")}
-                      for row in answer["members"]]),
+        client.table(
+            [
+                {
+                    key: row[key]
+                    for key in ("name", "is", "found", "since_s", "answered_s", "orders", "list", "place", "at")
+                }
+                for row in answer["members"]
+            ]
+        ),
     ]
     lines += [f"{kind} {key} {'on' if on else 'off'} since {_time(at)}" for kind, key, on, at in orders]
     return "\n".join(lines)
@@ -207,12 +214,8 @@
     _changed(context, "drain", id=id, undo=lift, why=why)
 
 
-MACHINE = click.option(
-    "--machine", required=True, metavar="HOST:PORT", help="A control machine."
-)
-KEY_FILE = click.option(
-    "--key-file", required=True, help="The file with the key of control machines."
-)
+MACHINE = click.option("--machine", required=True, metavar="HOST:PORT", help="A control machine.")
+KEY_FILE = click.option("--key-file", required=True, help="The file with the key of control machines.")
 KIND = click.option("--kind", default="config", help="config, or endpoints.")
 
 
@@ -290,7 +293,9 @@
 @MACHINE
 @KEY_FILE
 @KIND
-@click.option("--watch", is_flag=True, help="Once a second, until all that can be reached have answered or it is halted.")
+@click.option(
+    "--watch", is_flag=True, help="Once a second, until all that can be reached have answered or it is halted."
+)
 @click.option("--json", "here_json", is_flag=True, help="As JSON, a line each time.")
 @click.pass_context
 def rollout(
--- a/pepperusher/control/socket.py
+++ b/pepperusher/control/socket.py
@@ -26,9 +26,7 @@
     """`answers` gives the parts of an answer. What a client says or leaves unsaid costs its own connection
     alone."""
 
-    def __init__(
-        self, path: str, most: int, within: float, answers: Answers, say: Callable[..., None]
-    ) -> None:
+    def __init__(self, path: str, most: int, within: float, answers: Answers, say: Callable[..., None]) -> None:
         self._path = path
         self._most = most
         self._within = within
--- a/pepperusher/control/words.py
+++ b/pepperusher/control/words.py
@@ -46,9 +46,7 @@
     for key, value in asked.items():
         if key not in COMMANDS[command]:
             raise BadQuestion(f"{key[:40]!r} is no word of {command}")
-        if value is not None and (
-            not isinstance(value, FORMS[key]) or isinstance(value, bool) != (FORMS[key] is bool)
-        ):
+        if value is not None and (not isinstance(value, FORMS[key]) or isinstance(value, bool) != (FORMS[key] is bool)):
             raise BadQuestion(f"{key} has the wrong form")
     return command, asked
 
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -99,7 +99,9 @@
                     self.in_force[one.key] = one.version
                     self._lasting[one.key] = one
                 else:
-                    self._say("what was kept is not taken", resource="/".join(one.key), version=str(one.version), why=reason)
+                    self._say(
+                        "what was kept is not taken", resource="/".join(one.key), version=str(one.version), why=reason
+                    )
         now = clock.now()
         self._subscriber = Subscriber(
             self._name, int.from_bytes(os.urandom(8)) >> 1, self._region, self._zone, list(self._addresses),
--- a/pepperusher/distribution/keeping.py
+++ b/pepperusher/distribution/keeping.py
@@ -60,9 +60,7 @@
 
 def write(path: Path, held: list[Resource], confirmed_at: int) -> str:
     """Whole or not at all; what is wrong, or nothing. Blocks."""
-    data = msgspec.msgpack.encode(
-        _Kept(FORM, [_One(one.kind, one.name, mark_of(one), one.body) for one in held])
-    )
+    data = msgspec.msgpack.encode(_Kept(FORM, [_One(one.kind, one.name, mark_of(one), one.body) for one in held]))
     beside = path.with_name(f"{path.name}.new")
     try:
         with open(beside, "wb") as file:
--- a/pepperusher/distribution/publisher.py
+++ b/pepperusher/distribution/publisher.py
@@ -351,9 +351,7 @@
             proxy.connection, proxy.heard_at, proxy.region = id, now, hello.region
             assert sub.names is not None
             proxy.in_force = {key: mark.version for key, mark in sub.known.items() if key in sub.names}
-            proxy.refused = {
-                one.key: (one.version, one.reason) for one in hello.refused if one.key in sub.names
-            }
+            proxy.refused = {one.key: (one.version, one.reason) for one in hello.refused if one.key in sub.names}
         elif hello.role == RELAY:
             self.compared.add(hello.name)
         for key, mark in sub.known.items():
@@ -585,9 +583,7 @@
     def forget(self, now: int) -> None:
         """Now and then: who has been gone for long."""
         for name in [
-            name
-            for name, one in self.proxies.items()
-            if one.connection is None and now - one.heard_at >= GONE_KEPT
+            name for name, one in self.proxies.items() if one.connection is None and now - one.heard_at >= GONE_KEPT
         ]:
             del self.proxies[name]
 
--- a/pepperusher/distribution/reading.py
+++ b/pepperusher/distribution/reading.py
@@ -79,8 +79,16 @@
         tell("relay.discovery", "form", str(error))
     if not file.owns_facts:
         tell("relay", "one owner", "is for the machine that owns its region's facts (owns_facts)")
-    if not said.endpoints.startswith(f"{file.region}/") or not 1 < len(said.endpoints) <= 100 or not said.endpoints.isprintable():
-        tell("relay.endpoints", "form", f"{said.endpoints[:100]!r} is no name of a fact of {file.region}, as {file.region}/NAME")
+    if (
+        not said.endpoints.startswith(f"{file.region}/")
+        or not 1 < len(said.endpoints) <= 100
+        or not said.endpoints.isprintable()
+    ):
+        tell(
+            "relay.endpoints",
+            "form",
+            f"{said.endpoints[:100]!r} is no name of a fact of {file.region}, as {file.region}/NAME",
+        )
 
 
 def read(path: str | Path) -> Read:
--- a/pepperusher/distribution/records.py
+++ b/pepperusher/distribution/records.py
@@ -31,7 +31,6 @@
 _decode = msgspec.msgpack.Decoder(_Kept).decode
 
 
-
 def _file(kind: str, name: str) -> str:
     return hashlib.blake2b(f"{kind} {name}".encode(), digest_size=16).hexdigest() + SUFFIX
 
@@ -55,9 +54,7 @@
         newest = Resource(kept.kind, kept.name, kept.newest.version, kept.newest.digest, kept.body, fact)
         steady = None
         if kept.steady is not None:
-            steady = Resource(
-                kept.kind, kept.name, kept.steady.version, kept.steady.digest, kept.steady_body, fact
-            )
+            steady = Resource(kept.kind, kept.name, kept.steady.version, kept.steady.digest, kept.steady_body, fact)
         made.append((newest, steady, kept.halted))
     return made, wrong
 
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -130,9 +130,7 @@
     def __init__(self, terms: Terms, key: bytes, disk: Disk, say: Callable[..., None], seed: int) -> None:
         self._terms, self._key, self._disk, self._say = terms, key, disk, say
         now = clock.now()
-        self.publisher = Publisher(
-            terms.name, terms.region, terms.epoch, terms.owner, len(terms.peers), now
-        )
+        self.publisher = Publisher(terms.name, terms.region, terms.epoch, terms.owner, len(terms.peers), now)
         self.counts: Counter[str] = Counter()
         self._ids = count(1)
         self._connections: dict[int, _Connection] = {}  # emptied as they end
@@ -198,7 +196,9 @@
         if self._terms.relay is not None:
             from pepperusher.distribution.relay import Relay
 
-            self._relay = Relay(*self._terms.relay, self._write_fact, self._own_word, self._say, self._chance.getrandbits(32))
+            self._relay = Relay(
+                *self._terms.relay, self._write_fact, self._own_word, self._say, self._chance.getrandbits(32)
+            )
             self._relay.start()
         port: int = made.getsockname()[1]
         return port
@@ -640,7 +640,9 @@
             if self._subscriber is not None:
                 self._subscriber.held[made.key] = made
         name = one.hello.name if one.hello else "?"
-        self._say("published", resource=f"{made.kind}/{made.name}", version=str(made.version), digest=made.digest, by=name)
+        self._say(
+            "published", resource=f"{made.kind}/{made.name}", version=str(made.version), digest=made.digest, by=name
+        )
         self._say_to(one, Published(*made.version))
         self._pump_soon()
 
@@ -720,7 +722,12 @@
             return
         why = self.publisher.take(one, now, effect.halted, effect.steady)
         if why:
-            self._say("a version of another control machine is not taken", resource="/".join(one.key), version=str(one.version), why=why)
+            self._say(
+                "a version of another control machine is not taken",
+                resource="/".join(one.key),
+                version=str(one.version),
+                why=why,
+            )
         if not effect.steady:
             self._subscriber.applied(one, why, now)
 
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -417,7 +417,9 @@
         elif isinstance(message, Delta):
             self._delta(one, message, now)
         elif isinstance(message, Refused):
-            self.out.append(Say("a control machine ended the connection", {"upstream": one.name, "why": one_line(message.why)}))
+            self.out.append(
+                Say("a control machine ended the connection", {"upstream": one.name, "why": one_line(message.why)})
+            )
             self._close(one, "refused there", now, self._chance.randrange(REFUSED_AGAIN, 2 * REFUSED_AGAIN))
             self._settle(now)
         else:
@@ -551,7 +553,11 @@
         base = next(
             (
                 there
-                for there in (self.held.get(said.key), self._applying.get(said.key), self._next.get(said.key, (None,))[0])
+                for there in (
+                    self.held.get(said.key),
+                    self._applying.get(said.key),
+                    self._next.get(said.key, (None,))[0],
+                )
                 if there is not None and mark_of(there) == said.base
             ),
             None,
@@ -578,7 +584,9 @@
             if held is not None and held.version == made.version and held.digest != made.digest:
                 self.counts["forked"] += 1
                 self.out.append(
-                    Say("two contents under one version", {"resource": "/".join(made.key), "version": str(made.version)})
+                    Say(
+                        "two contents under one version", {"resource": "/".join(made.key), "version": str(made.version)}
+                    )
                 )
             self.counts["older left"] += 1
             return
--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -79,10 +79,7 @@
             raise BadPacket(f"of form {data[len(MARK)]}, not {FORM}")
         theirs = data[len(MARK) + 1 :]
         both = self._chance + theirs if self._calls else theirs + self._chance
-        keys = {
-            side: hashlib.blake2b(side + both, key=self._key, digest_size=32).digest()
-            for side in (CALLER, CALLED)
-        }
+        keys = {side: hashlib.blake2b(side + both, key=self._key, digest_size=32).digest() for side in (CALLER, CALLED)}
         mine, other = (CALLER, CALLED) if self._calls else (CALLED, CALLER)
         self._out, self._in = Seal(keys[mine], MARK, FORM), Seal(keys[other], MARK, FORM)
 
@@ -90,9 +87,7 @@
         """The next frame of a message, and where the rest begins; its length at the end."""
         assert self._out is not None
         end = min(at + PART, len(message))
-        sealed = self._out.seal(
-            (LAST if end == len(message) else MORE) + message[at:end], COUNT.pack(self._written)
-        )
+        sealed = self._out.seal((LAST if end == len(message) else MORE) + message[at:end], COUNT.pack(self._written))
         self._written += 1
         return LENGTH.pack(len(sealed)) + sealed, end
 
--- a/pepperusher/duties/agree.py
+++ b/pepperusher/duties/agree.py
@@ -95,9 +95,7 @@
         self._started = started
         self._number = 0
         self._flushed = 0
-        self._ends: list[tuple[int, int]] = (
-            []
-        )  # of each write that is out: its number, the last place after it
+        self._ends: list[tuple[int, int]] = []  # of each write that is out: its number, the last place after it
         self._on_disk = self.last  # how far the log is on disk
         # A leader may hold a lease on what it heard before it was restarted: it gives no vote before that is
         # over.
@@ -108,14 +106,10 @@
         self._votes: set[str] = set()
         self._vote_write = 0
         self._round = 0
-        self._sent_at: dict[int, int] = (
-            {}
-        )  # rounds whose answers may still come; emptied as a majority has answered
+        self._sent_at: dict[int, int] = {}  # rounds whose answers may still come; emptied as a majority has answered
         self._heard_round = 0
         self._progress: dict[str, Progress] = {}  # of voters and those to be; emptied when it leads no more
-        self._blank: dict[str, tuple[int, int]] = (
-            {}
-        )  # who said that it has nothing, when it started, when it said so
+        self._blank: dict[str, tuple[int, int]] = {}  # who said that it has nothing, when it started, when it said so
         self._wait_anew(now)
 
     # --- the log --------------------------------------------------------------------------------------
@@ -217,8 +211,7 @@
         return max(now + 1, self._elect_at)
 
     def _greet(self, now: int) -> int:
-        """It has nothing. All that are named hear so; the first named founds once all of them have nothing.
-        """
+        """It has nothing. All that are named hear so; the first named founds once all of them have nothing."""
         if now >= self._hello_at:
             self._hello_at = now + self.bounds.beat
             for name in self.named:
@@ -368,19 +361,13 @@
             progress.next = self.base.index + 1
             return
         entries = tuple(self.between(progress.next, min(self.last, before + BATCH)))
-        self._send(
-            other, Append(self.kept.term, self.me, before, before_term, entries, self.commit, self._round)
-        )
+        self._send(other, Append(self.kept.term, self.me, before, before_term, entries, self.commit, self._round))
 
     def _count_commit(self) -> None:
         voters = self.voters
         reached = sorted(
             (
-                (
-                    self._on_disk
-                    if voter == self.me
-                    else self._progress[voter].match if voter in self._progress else 0
-                )
+                (self._on_disk if voter == self.me else self._progress[voter].match if voter in self._progress else 0)
                 for voter in voters
             ),
             reverse=True,
@@ -395,11 +382,7 @@
         voters = self.voters
         heard = sorted(
             (
-                (
-                    self._round
-                    if voter == self.me
-                    else self._progress[voter].round if voter in self._progress else 0
-                )
+                (self._round if voter == self.me else self._progress[voter].round if voter in self._progress else 0)
                 for voter in voters
             ),
             reverse=True,
@@ -468,12 +451,7 @@
             # Its leader counts on that: no term rises and no vote is given while one is heard.
             return
         self._later_term(ask.term, now)
-        yes = (
-            ask.term == self.kept.term
-            and as_new
-            and self.kept.vote in ("", ask.by)
-            and self.me in self.voters
-        )
+        yes = ask.term == self.kept.term and as_new and self.kept.vote in ("", ask.by) and self.me in self.voters
         if yes and not self.kept.vote:
             self._keep(ask.term, ask.by)
             self._wait_anew(now)
@@ -511,9 +489,7 @@
             skipped = self.base.index - before
             before, entries = self.base.index, entries[skipped:]
         elif self.term_at(before) != append.before_term:
-            self._send(
-                append.by, Appended(self.kept.term, self.me, False, min(self.last, before - 1), append.round)
-            )
+            self._send(append.by, Appended(self.kept.term, self.me, False, min(self.last, before - 1), append.round))
             return
         for place, entry in enumerate(entries):
             at = before + 1 + place
--- a/pepperusher/duties/words.py
+++ b/pepperusher/duties/words.py
@@ -26,8 +26,7 @@
 
 
 class Base(NamedTuple):
-    """What stands in place of all entries up to `index`: its term, who voted there, and the table as it was.
-    """
+    """What stands in place of all entries up to `index`: its term, who voted there, and the table as it was."""
 
     index: int
     term: int
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -18,9 +18,18 @@
 # What to do next with a ticket.
 SEND, HOLD, BOUNCE, SCRAP, NOTHING = "send", "hold", "bounce", "scrap", "nothing"
 # How an attempt ended.
-HOW = {"done": terms.DONE, "error": terms.ERROR, "full": terms.FULL, "timed out": terms.TIMED_OUT,
-       "unreached": terms.UNREACHED, "reset": terms.RESET, "called off": terms.CALLED_OFF, "moot": terms.MOOT,
-       "turned away": terms.MOOT, "unknown": terms.UNKNOWN}
+HOW = {
+    "done": terms.DONE,
+    "error": terms.ERROR,
+    "full": terms.FULL,
+    "timed out": terms.TIMED_OUT,
+    "unreached": terms.UNREACHED,
+    "reset": terms.RESET,
+    "called off": terms.CALLED_OFF,
+    "moot": terms.MOOT,
+    "turned away": terms.MOOT,
+    "unknown": terms.UNKNOWN,
+}
 # While a trial is set aside it is not overdue.
 FOR_NOW = 3600 * 1_000_000
 # Calls for the list that fail are at the most half of this apart, so that one after discovery is back has time
@@ -53,10 +62,10 @@
         self._balancer = Balancer(ground, now, say)
         self._take_up(ground)
         self._sharers: int | None = None
-        self._backends: dict[str, Backend] = {}     # emptied by endpoint updates, long after they left it
-        self._unlisted: dict[str, int] = {}         # since when; emptied likewise, and when they come back
+        self._backends: dict[str, Backend] = {}  # emptied by endpoint updates, long after they left it
+        self._unlisted: dict[str, int] = {}  # since when; emptied likewise, and when they come back
         self._latest: int | None = None
-        self._tickets: set[Ticket] = set()          # in hand; emptied as they are settled
+        self._tickets: set[Ticket] = set()  # in hand; emptied as they are settled
 
     def _on_sockets(self, ground: Ground) -> None:
         """Nobody pushes the list there: a watch has to be asked for, whatever the settings call it. Where they call it pushed,
@@ -273,8 +282,9 @@
                 self._unlisted.pop(entry.id, None)
             else:
                 self._unlisted.setdefault(entry.id, now)
-            lines.append(Listing(backend, entry.zone, entry.cell, entry.weight, entry.born, entry.ready, entry.kind,
-                                 entry.gone))
+            lines.append(
+                Listing(backend, entry.zone, entry.cell, entry.weight, entry.born, entry.ready, entry.kind, entry.gone)
+            )
         if whole:
             for name in self._backends:
                 if name not in seen:
@@ -287,13 +297,17 @@
 
     def learned(self, now: int) -> dict[str, object]:
         """What another process of the same proxy can go on from, in plain values: `taught` reads it there."""
-        open_for = {name: max(0, one.open_until - now) if one.state == terms.OPEN else 0
-                    for name, one in self._backends.items() if one.state != terms.CLOSED}
+        open_for = {
+            name: max(0, one.open_until - now) if one.state == terms.OPEN else 0
+            for name, one in self._backends.items()
+            if one.state != terms.CLOSED
+        }
         times = {name: [use.usual, use.spread] for name, use in self._use_cases.items() if use.usual}
         return {"open_for": open_for, "times": times, "flow": list(self._balancer.learned(now))}
 
     def taught(self, told: Mapping[str, object], now: int) -> None:
         """Raises ValueError where that is not what `learned` gives; nothing of it is taken then."""
+
         def whole(value: object) -> int:
             if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < 1e12:
                 raise ValueError(f"{value!r} is no figure")
@@ -326,18 +340,36 @@
 
     def backends(self) -> list[dict[str, object]]:
         """Each known one as it stands, for those who ask; the words are plain."""
-        return [{"id": name, "state": STATES[one.state], "ready": name not in self._unlisted, "weight": one.weight,
-                 "zone": one.zone, "cell": one.cell, "in_flight": one.in_flight, "failed": one.failures,
-                 "of": len(one.results), "run_failed": one.run_failed, "open_until": one.open_until}
-                for name, one in self._backends.items()]
+        return [
+            {
+                "id": name,
+                "state": STATES[one.state],
+                "ready": name not in self._unlisted,
+                "weight": one.weight,
+                "zone": one.zone,
+                "cell": one.cell,
+                "in_flight": one.in_flight,
+                "failed": one.failures,
+                "of": len(one.results),
+                "run_failed": one.run_failed,
+                "open_until": one.open_until,
+            }
+            for name, one in self._backends.items()
+        ]
 
     def tickets(self, now: int) -> list[dict[str, object]]:
         """Each in hand, the oldest first."""
-        return [{"use_case": one.use_case.name, "customer": one.customer.name if one.customer else "",
-                 "age_ms": (now - one.came) // 1000, "left_ms": (one.until - now) // 1000,
-                 "attempts": len(one.attempts),
-                 "at": next((sent.backend.address for sent in one.attempts if sent.ended is None), "")}
-                for one in sorted(self._tickets, key=lambda one: one.came)]
+        return [
+            {
+                "use_case": one.use_case.name,
+                "customer": one.customer.name if one.customer else "",
+                "age_ms": (now - one.came) // 1000,
+                "left_ms": (one.until - now) // 1000,
+                "attempts": len(one.attempts),
+                "at": next((sent.backend.address for sent in one.attempts if sent.ended is None), ""),
+            }
+            for one in sorted(self._tickets, key=lambda one: one.came)
+        ]
 
     def list_failed(self, now: int) -> None:
         self._balancer.list_failed(now)
--- a/pepperusher/ground.py
+++ b/pepperusher/ground.py
@@ -26,7 +26,7 @@
     value = of.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise GroundError(f"{name} is {'missing' if value is None else 'not a number'}")
-    if not abs(value) < 1e15:   # json reads NaN and Infinity, and neither is a figure
+    if not abs(value) < 1e15:  # json reads NaN and Infinity, and neither is a figure
         raise GroundError(f"{name} is out of any range")
     return value
 
@@ -101,15 +101,25 @@
     made.seed = seed
     made.zones = [str(zone) for zone in part(told, "zones", list)]
     made.use_cases = [
-        UseCase(_named(use, "use-cases"), span(use, "promised-time"), span(use, "outer-limit"),
-                figure(use, "importance", 1.0), figure(use, "overdue-importance", 0.0),
-                # A kind that is not known is held to the strictest.
-                REPEAT.get(use.get("effect"), terms.SINGLE_USE), SCOPE.get(use.get("key-scope"), terms.SCOPE_CELL),
-                span(use, "window", 0.0), figure(use, "aim-stretch", 0.0),
-                _only(use, "zones-allowed", made.zones), _only(use, "runs-on"))
-        for use in part(told, "use-cases", list)]
-    made.customers = [Customer(_named(one, "customers"), figure(one, "quota-rps", 0.0))
-                      for one in part(told, "customers", list)]
+        UseCase(
+            _named(use, "use-cases"),
+            span(use, "promised-time"),
+            span(use, "outer-limit"),
+            figure(use, "importance", 1.0),
+            figure(use, "overdue-importance", 0.0),
+            # A kind that is not known is held to the strictest.
+            REPEAT.get(use.get("effect"), terms.SINGLE_USE),
+            SCOPE.get(use.get("key-scope"), terms.SCOPE_CELL),
+            span(use, "window", 0.0),
+            figure(use, "aim-stretch", 0.0),
+            _only(use, "zones-allowed", made.zones),
+            _only(use, "runs-on"),
+        )
+        for use in part(told, "use-cases", list)
+    ]
+    made.customers = [
+        Customer(_named(one, "customers"), figure(one, "quota-rps", 0.0)) for one in part(told, "customers", list)
+    ]
     made.group_size = int(figure(told, "group-size", 1))
     made.ordinal = int(figure(told, "ordinal", 0))
     made.stage = int(figure(told, "stage", 0))
--- a/pepperusher/group/roll.py
+++ b/pepperusher/group/roll.py
@@ -85,9 +85,7 @@
         """Whether a packet of this number has not been read; it has from here on."""
         if number > self.newest:
             self.came = (
-                (self.came << (number - self.newest) | 1) & (1 << WINDOW) - 1
-                if number - self.newest < WINDOW
-                else 1
+                (self.came << (number - self.newest) | 1) & (1 << WINDOW) - 1 if number - self.newest < WINDOW else 1
             )
             self.newest = number
             return True
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -289,9 +289,7 @@
         self._due = now
         self._count("stood still")
         if late >= UNHEARD * self.terms.period:
-            self.changes.append(
-                Change("stood still, so its own doubts count for less", self.me.name, {"us": late})
-            )
+            self.changes.append(Change("stood still, so its own doubts count for less", self.me.name, {"us": late}))
 
     def _say_reach(self, now: int) -> None:
         """A walk over the whole roll, so only where something that it hangs on is other than it was."""
@@ -320,9 +318,7 @@
         if one is None:
             self._probe = None
             return
-        probe = Probe(
-            one.said.name, self._next_seq(), now + self.health.stretched(self.terms.within), now + period
-        )
+        probe = Probe(one.said.name, self._next_seq(), now + self.health.stretched(self.terms.within), now + period)
         self._probe = probe
         self._ping(one, now, probe.seq, probe.end)
 
@@ -347,9 +343,7 @@
         if seq is None:
             seq = self._next_seq()
         if len(self._awaited) < AWAITED_MOST:
-            self._awaited[seq] = Awaited(
-                one.said.name, until or now + 2 * self.health.stretched(self.terms.within)
-            )
+            self._awaited[seq] = Awaited(one.said.name, until or now + 2 * self.health.stretched(self.terms.within))
         self._send(PING, one.said.address, seq, one.said.name)
 
     def _look_at_probe(self, now: int) -> None:
@@ -442,9 +436,7 @@
         known = self._parts.get(said.name)
         if known is None or known[0] is not said:
             if len(self._parts) > 2 * len(self.roll) + 16:
-                self._parts = {
-                    name: kept for name, kept in self._parts.items() if self.roll.get(name) is not None
-                }
+                self._parts = {name: kept for name, kept in self._parts.items() if self.roll.get(name) is not None}
             known = self._parts[said.name] = said, self._wire.part(said)
         return known[1]
 
@@ -473,9 +465,7 @@
             # It is told before all others, so that it can answer.
             said = known.said
             for doubter in sorted(known.doubters)[:2]:
-                words.append(
-                    (CHARGE, self._wire.part(Charge(said.name, said.number, said.token, said.turn, doubter)))
-                )
+                words.append((CHARGE, self._wire.part(Charge(said.name, said.number, said.token, said.turn, doubter))))
         words += owed
         room -= sum(len(one) for _, one in words)
         for one in self._rumours.pick(room, 24, len(self.roll)):
@@ -501,16 +491,12 @@
                 room -= len(part)
         self.out.append((address, self._packet(kind, seq, to, aim, words)))
 
-    def _packet(
-        self, kind: int, seq: int, to: str, aim: bytes | None, words: Sequence[tuple[int, bytes]]
-    ) -> bytes:
+    def _packet(self, kind: int, seq: int, to: str, aim: bytes | None, words: Sequence[tuple[int, bytes]]) -> bytes:
         self._number += 1
         by_sort: tuple[list[bytes], list[bytes], list[bytes]] = ([], [], [])
         for sort, part in words:
             by_sort[sort].append(part)
-        made = self._wire.pack(
-            kind, self._number, seq, self._part, to, self.notices.digest, aim, *by_sort, self.list
-        )
+        made = self._wire.pack(kind, self._number, seq, self._part, to, self.notices.digest, aim, *by_sort, self.list)
         must_hold(len(made) <= DATAGRAM, "a packet fits one datagram")
         return made
 
@@ -563,9 +549,7 @@
             # A life that is over, or one whose clock is behind: told of the later one, the living raises
             # itself. In an answer, for it reads nobody who has not answered it.
             if packet.kind == PING:
-                self._send(
-                    ACK, sender.address, packet.seq, sender.name, None, [(SAID, self._packed(member))], 0
-                )
+                self._send(ACK, sender.address, packet.seq, sender.name, None, [(SAID, self._packed(member))], 0)
             return None
         awaited = self._awaited.get(packet.seq) if packet.kind == ACK else None
         if awaited is not None and awaited.name in ("", sender.name) and packet.target is None:
@@ -626,11 +610,7 @@
                 self._charged(charge)
                 continue
             known = self.roll.get(charge.of)
-            if (
-                known is not None
-                and (charge.number, charge.token, charge.turn) < known.said.key
-                and len(owed) < FILL
-            ):
+            if known is not None and (charge.number, charge.token, charge.turn) < known.said.key and len(owed) < FILL:
                 owed.append((SAID, self._packed(known)))
             self._charge(charge, now)
         for notice in packet.notices:
--- a/pepperusher/holds.py
+++ b/pepperusher/holds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-broken: dict[str, int] = {}   # keyed by the texts in the code, so it grows with the code alone
+broken: dict[str, int] = {}  # keyed by the texts in the code, so it grows with the code alone
 
 
 def must_hold(truth: bool, what: str) -> None:
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -192,9 +192,7 @@
 
     def sweep(self, now: int) -> int:
         """Drops those that can no longer be in time; how many."""
-        late = [
-            one for share in self._shares.values() for one in share.queue if now + self._usual >= one.until
-        ]
+        late = [one for share in self._shares.values() for one in share.queue if now + self._usual >= one.until]
         for one in late:
             self.withdraw(one)
             self._told(one, LATE)
--- a/pepperusher/limits/gradient.py
+++ b/pepperusher/limits/gradient.py
@@ -57,9 +57,7 @@
     @property
     def limit(self) -> float:
         # Not at the first: nothing waits yet that would have to go.
-        return (
-            max(float(self._least), self._limit / 2.0) if self._dips and self._seen >= SPELL else self._limit
-        )
+        return max(float(self._least), self._limit / 2.0) if self._dips and self._seen >= SPELL else self._limit
 
     def heard(self, took: int, in_use: int) -> None:
         """One that was let through took so long (us), while `in_use` were."""
@@ -79,9 +77,7 @@
         without = min(self._before, self._dip)
         gradient = max(0.5, min(1.0, self._tolerance * without / max(1.0, self._short)))
         wanted = self._limit * gradient + sqrt(self._limit)
-        self._limit = min(
-            float(self._most), max(float(self._least), (1.0 - SMOOTH) * self._limit + SMOOTH * wanted)
-        )
+        self._limit = min(float(self._most), max(float(self._least), (1.0 - SMOOTH) * self._limit + SMOOTH * wanted))
 
 
 class Fixed:
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -120,9 +120,7 @@
             return await house.undo(said.get("number"), who, why)
         if command == "propose":
             text = said.get("text")
-            return await (
-                house.propose_file(who, why) if text is None else house.propose_text(text, who, why)
-            )
+            return await (house.propose_file(who, why) if text is None else house.propose_text(text, who, why))
         return await house.drain(said.get("id") or "", bool(said.get("undo")), who, why)
 
     def _read(self, command: str) -> Iterable[dict[str, Any]]:
@@ -157,8 +155,5 @@
         else:
             yield from _rows(
                 "breakers",
-                (
-                    {key: one[key] for key in ("id", "state", "failed", "of", "run_failed")}
-                    for one in facade.backends()
-                ),
+                ({key: one[key] for key in ("id", "state", "failed", "of", "run_failed")} for one in facade.backends()),
             )
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -35,7 +35,7 @@
     def __init__(self, line: Line, address: tuple[str, int]) -> None:
         self.line = line
         self.address = address
-        self.answered = False   # it has carried a ticket
+        self.answered = False  # it has carried a ticket
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD)
         self.idle_since = 0
 
@@ -47,10 +47,10 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.idle: list[Link] = []   # emptied by use, by age, when the other side leaves, and with the list
+        self.idle: list[Link] = []  # emptied by use, by age, when the other side leaves, and with the list
         self.listed = True
         self.heard_at = 0
-        self.out: set[Attempt] = set()   # under way there; emptied as they end
+        self.out: set[Attempt] = set()  # under way there; emptied as they end
 
 
 class Backends:
@@ -64,7 +64,7 @@
         # ticket.
         self._kept_most = self._idle_most
         self._settles = SETTLES
-        self._doors: dict[str, Door] = {}   # emptied by the list, once nothing is out there
+        self._doors: dict[str, Door] = {}  # emptied by the list, once nothing is out there
         budget.may_close_idle(self._close_oldest)
 
     def retuned(self, connect_within: int, idle_most: int) -> None:
@@ -119,8 +119,9 @@
         link.line.abort()
 
     def _close_oldest(self, needed: bool = False) -> bool:
-        door = min((door for door in self._doors.values() if door.idle), default=None,
-                   key=lambda one: one.idle[0].idle_since)
+        door = min(
+            (door for door in self._doors.values() if door.idle), default=None, key=lambda one: one.idle[0].idle_since
+        )
         if door is None:
             return False
         self._drop(door, door.idle[0])
@@ -213,8 +214,9 @@
 
     # --- one attempt -------------------------------------------------------------------------
 
-    async def attempt(self, backend: str, request: Request, out: Attempt, patience: int, placed: Placed,
-                       onward: Onward | None = None) -> tuple[str, Answer | None]:
+    async def attempt(
+        self, backend: str, request: Request, out: Attempt, patience: int, placed: Placed, onward: Onward | None = None
+    ) -> tuple[str, Answer | None]:
         """How it ended, and the answer if a whole one came and was not passed on. Never sends a second
         time. The backend is told what is left of `patience`, in microseconds, when the request is written."""
         door = self._doors.get(backend)
@@ -233,8 +235,9 @@
             self._close_idle(door)
         return how, answer
 
-    async def _attempt(self, door: Door, request: Request, out: Attempt, patience: int, placed: Placed,
-                        onward: Onward | None) -> tuple[str, Answer | None]:
+    async def _attempt(
+        self, door: Door, request: Request, out: Attempt, patience: int, placed: Placed, onward: Onward | None
+    ) -> tuple[str, Answer | None]:
         until = clock.now() + patience
         link = self._latest(door)
         stood = None if link is None else clock.now() - link.idle_since
@@ -266,8 +269,13 @@
                 door.heard_at = clock.now()
                 if stood is not None:
                     self._learn(stood, True)
-            elif stood is not None and how == "reset" and out.how is None and link.line.heard_at < began \
-                    and clock.now() - began < self._connect_within * 1e6:
+            elif (
+                stood is not None
+                and how == "reset"
+                and out.how is None
+                and link.line.heard_at < began
+                and clock.now() - began < self._connect_within * 1e6
+            ):
                 # At once and without a word: an answer that broke off, or work that ended in a crash, tells
                 # nothing of it.
                 self._learn(stood, False)
--- a/pepperusher/net/budget.py
+++ b/pepperusher/net/budget.py
@@ -27,7 +27,7 @@
         self.share(1.0)
         self.open = 0
         self._closing = 0
-        self._makers: list[Callable[[bool], bool]] = []   # one for each side, as the proxy is put together
+        self._makers: list[Callable[[bool], bool]] = []  # one for each side, as the proxy is put together
         self._freed = Event()
 
     def share(self, part: float) -> None:
--- a/pepperusher/net/buffers.py
+++ b/pepperusher/net/buffers.py
@@ -32,19 +32,19 @@
             at = self.length % SIZE
             if not at:
                 self._buffers.append(self._pool.take())
-            part = data[:SIZE - at]
-            self._buffers[-1][at:at + len(part)] = part
+            part = data[: SIZE - at]
+            self._buffers[-1][at : at + len(part)] = part
             self.length += len(part)
-            data = data[len(part):]
+            data = data[len(part) :]
 
     def whole(self) -> memoryview | bytes:
         """Once all of it has come. Copied only where it is in several, in place of them: many tickets may be
         in hand. Good
         until it is given back."""
         if len(self._buffers) == 1:
-            return memoryview(self._buffers[0])[:self.length]
+            return memoryview(self._buffers[0])[: self.length]
         if self._buffers:
-            self._joined = b"".join(self._buffers)[:self.length]
+            self._joined = b"".join(self._buffers)[: self.length]
             self._pool.count(len(self._buffers))
             while self._buffers:
                 self._pool.give(self._buffers.pop())
@@ -54,7 +54,7 @@
         while self._buffers:
             self._pool.give(self._buffers.pop())
         if self._joined:
-            self._pool.count(-len(self._joined) // SIZE)   # as many as it took, rounded up
+            self._pool.count(-len(self._joined) // SIZE)  # as many as it took, rounded up
             self._joined = b""
         self.length = 0
 
@@ -63,7 +63,7 @@
     """`most` is the bound in bytes on what is lent; beyond it bodies take one buffer each."""
 
     def __init__(self, most_spare: int, most: int = 64 * 1024 * 1024) -> None:
-        self._spare: list[bytearray] = []   # emptied by take; holds most_spare at the most
+        self._spare: list[bytearray] = []  # emptied by take; holds most_spare at the most
         self._most_spare = most_spare
         self._most = most // SIZE
         self._lent = 0
--- a/pepperusher/net/call_schedule.py
+++ b/pepperusher/net/call_schedule.py
@@ -52,20 +52,20 @@
     def __init__(self, chance: Random, backoff: Callable[[], float]) -> None:
         self._chance = chance
         self._backoff = backoff
-        self._due_at = 0.0          # what the list lacks may count from then on
-        self._soon_till = 0.0       # failed calls are made again soon
-        self._call_owed = False     # no call of this term was made yet, and no word has come in it
-        self._beside_soon = False   # the first call of a term is out alone: lost, it would be missed past the term
-        self._cut_short = False     # the newest call was, while others are out without an answer
+        self._due_at = 0.0  # what the list lacks may count from then on
+        self._soon_till = 0.0  # failed calls are made again soon
+        self._call_owed = False  # no call of this term was made yet, and no word has come in it
+        self._beside_soon = False  # the first call of a term is out alone: lost, it would be missed past the term
+        self._cut_short = False  # the newest call was, while others are out without an answer
         self._retry = RETRY_FIRST
-        self.asked_at = 0.0     # when the newest call went out
-        self.silent = False     # since the last word silence ended a watch, and no call was refused, reset or failed
+        self.asked_at = 0.0  # when the newest call went out
+        self.silent = False  # since the last word silence ended a watch, and no call was refused, reset or failed
         self.paused_till = 0.0  # no call before
 
     def begin_term(self, now: float, term: float) -> None:
         """Discovery's word has to have come within so many seconds."""
         self._soon_till = now + PACE_HELD * term
-        self._due_at = 0.0   # a term has a pace of its own
+        self._due_at = 0.0  # a term has a pace of its own
         self._call_owed = True
         self._beside_soon = True
         self._retry = RETRY_FIRST
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -18,7 +18,17 @@
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
 from pepperusher.net.flows import Inflow, Onward
 from pepperusher.net.message import (
-    HEAD, MOST, Answer, BadMessage, Request, framed_answer, length_of, plain, read_head, read_held)
+    HEAD,
+    MOST,
+    Answer,
+    BadMessage,
+    Request,
+    framed_answer,
+    length_of,
+    plain,
+    read_head,
+    read_held,
+)
 
 # Connections let in one after another before others have their turn.
 BATCH = 16
@@ -89,8 +99,9 @@
 
     __slots__ = ("request", "came", "onward", "on_leave", "left", "bad", "ticket", "_away")
 
-    def __init__(self, request: Request, came: int, onward: Onward | None = None,
-                 away: Callable[[], bool] = bool) -> None:
+    def __init__(
+        self, request: Request, came: int, onward: Onward | None = None, away: Callable[[], bool] = bool
+    ) -> None:
         self._away = away
         self.request = request
         self.came = came
@@ -135,9 +146,9 @@
         # for it.
         self.waiting_since: int | None = clock.now()
         self.answered = False
-        self.useful = False   # it has sent a ticket, and may send more
-        self.before = 0       # what it had sent when this message began
-        self.spent = 0        # how long this message was waited for before it was sent on
+        self.useful = False  # it has sent a ticket, and may send more
+        self.before = 0  # what it had sent when this message began
+        self.spent = 0  # how long this message was waited for before it was sent on
 
     def waits(self, on: bool) -> None:
         """Whether it is the caller's turn, within a message that is under way."""
@@ -157,8 +168,9 @@
 
 
 class Callers:
-    def __init__(self, handle: Callable[[Call], Awaitable[Answer]], budget: Budget, pool: Pool,
-                 log: Log, longest_wait: int) -> None:
+    def __init__(
+        self, handle: Callable[[Call], Awaitable[Answer]], budget: Budget, pool: Pool, log: Log, longest_wait: int
+    ) -> None:
         self._handle = handle
         # As long as any client waits for an answer: one that takes longer to take it, or to ask again, has
         # left.
@@ -166,8 +178,8 @@
         self._budget = budget
         self._pool = pool
         self._log = log
-        self._serving: set[asyncio.Task[None]] = set()   # emptied as connections end
-        self._callers: dict[Caller, None] = {}           # likewise; in the order in which they came
+        self._serving: set[asyncio.Task[None]] = set()  # emptied as connections end
+        self._callers: dict[Caller, None] = {}  # likewise; in the order in which they came
         # Standing between tickets, the longest first; emptied by a ticket's first byte and as connections
         # end.
         self._idle: dict[Caller, None] = {}
@@ -259,7 +271,7 @@
     async def _serve(self, taken: socket.socket) -> None:
         try:
             line = await adopt(taken)
-        except Exception as error:   # this connection's trouble, and nobody else's
+        except Exception as error:  # this connection's trouble, and nobody else's
             taken.close()
             self._budget.give()
             self._log.say(f"a connection was not taken: {error}")
@@ -274,7 +286,7 @@
                 body.give_back()
             body.give_back()
             await line.dropped(LINGER)
-        except Exception as error:   # this connection's trouble, and nobody else's
+        except Exception as error:  # this connection's trouble, and nobody else's
             self._log.say(f"connection ended: {type(error).__name__}: {error}")
         finally:
             body.give_back()
@@ -302,10 +314,10 @@
             head = await read_head(parser, line)
             if head is not None:
                 whole = await read_held(parser, line, body)
-                if whole:   # else what is behind is of its own body, which is passed on as it comes
+                if whole:  # else what is behind is of its own body, which is passed on as it comes
                     await line.looked_ahead()
         except BadMessage as bad:
-            caller.waiting_since = None   # it has a limit of its own
+            caller.waiting_since = None  # it has a limit of its own
             await self._turn_away(caller, bad)
             return False
         finally:
@@ -331,13 +343,13 @@
         call.over()
         caller.waiting_since, caller.spent = None, 0
         if onward.begun and not onward.ended:
-            line.reset()   # broken off: it must not look like an end
+            line.reset()  # broken off: it must not look like an end
         # Whoever ended its sending alone, and reads on, is told; nobody else is there to be.
         if line.closing or onward.begun and not onward.ended:
             return False
         if not onward.begun:
             if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-                return False   # its time was up, and it has been told
+                return False  # its time was up, and it has been told
             line.send(framed_answer(parser, answer, self._closes(caller, call)))
         caller.answered = True
         caller.useful = caller.useful or call.ticket
@@ -363,7 +375,12 @@
         """Whether the connection ends with this answer."""
         line, parser = caller.line, caller.parser
         # Whoever sends what is no ticket and more behind it is not read to the end.
-        close = call.left or parser.their_state is not h11.DONE or call.bad and bool(parser.trailing_data[0] or not line.quiet())
+        close = (
+            call.left
+            or parser.their_state is not h11.DONE
+            or call.bad
+            and bool(parser.trailing_data[0] or not line.quiet())
+        )
         if self._closing or self._budget.above(SHORT):
             # What a client has sent ahead is taken as well: it is answered before the connection ends.
             close = close or line.quiet() and not parser.trailing_data[0]
@@ -422,27 +439,41 @@
         # given time.
         shy = [caller for caller in self._idle if not caller.answered]
         if needed:
-            return any(self._closed(caller) for caller in chain(
-                (one for one in shy if stood(one, JUST_NOW)), (one for one in self._idle if one.answered)))
+            return any(
+                self._closed(caller)
+                for caller in chain(
+                    (one for one in shy if stood(one, JUST_NOW)), (one for one in self._idle if one.answered)
+                )
+            )
         # While most are silent, their time is waited for: whoever asked of late asks again, and opens one for
         # it.
         spared = BEGUN if 2 * len(shy) > len(self._idle) else 0
-        return any(self._closed(caller) for caller in chain(
-            (one for one in shy if stood(one, SHY)),
-            (one for one in self._idle if one.answered and not one.useful),
-            (one for one in self._idle if one.useful and stood(one, spared)))) or self._close_half(now)
+        return any(
+            self._closed(caller)
+            for caller in chain(
+                (one for one in shy if stood(one, SHY)),
+                (one for one in self._idle if one.answered and not one.useful),
+                (one for one in self._idle if one.useful and stood(one, spared)),
+            )
+        ) or self._close_half(now)
 
     def _close_half(self, now: int) -> bool:
         """The oldest that began a message and says no more. An honest one goes on; of a crowd that stops half way each kept
         its place for as long as a message may take, and all others stood in the kernel's queue."""
         for caller in self._callers:
             line = caller.line
-            if (caller.waiting_since is not None and caller not in self._idle and now - line.heard_at >= STOPPED
-                    and line.on_end is None and caller.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE) and line.quiet()):
+            if (
+                caller.waiting_since is not None
+                and caller not in self._idle
+                and now - line.heard_at >= STOPPED
+                and line.on_end is None
+                and caller.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE)
+                and line.quiet()
+            ):
                 if line.send(framed_answer(caller.parser, LATE, True)):
                     line.close()
                 else:
-                    line.abort()   # its descriptor is wanted now, and it takes nothing
+                    line.abort()  # its descriptor is wanted now, and it takes nothing
                 return True
         return False
 
@@ -490,7 +521,9 @@
         ends with the answer to it."""
         now = clock.now()
         for caller in list(self._idle):
-            if caller.waiting_since is None or now - caller.waiting_since >= (least if caller.answered else max(least, SHY)):
+            if caller.waiting_since is None or now - caller.waiting_since >= (
+                least if caller.answered else max(least, SHY)
+            ):
                 self._closed(caller)
 
     def over(self) -> None:
--- a/pepperusher/net/disconnect_watcher.py
+++ b/pepperusher/net/disconnect_watcher.py
@@ -30,9 +30,9 @@
 
     def __init__(self, most: int) -> None:
         self._most = most
-        self.held = 0   # read ahead, in bytes: counted down as it is used and as connections end
+        self.held = 0  # read ahead, in bytes: counted down as it is used and as connections end
         self._poll: select.epoll | None = None
-        self._watched: dict[int, Watched] = {}   # emptied by their ends, and as they are read from again
+        self._watched: dict[int, Watched] = {}  # emptied by their ends, and as they are read from again
 
     def room(self, held: int) -> bool:
         """Whether a connection that has read `held` bytes ahead may go on."""
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -16,8 +16,7 @@
 from pepperusher.net.endpoint_table import Decides, EndpointTable, Reaches
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of, merged, text_of_address
 from pepperusher.net.line import Line, reach
-from pepperusher.net.list_confirmation import (
-    LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation)
+from pepperusher.net.list_confirmation import LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation
 from pepperusher.net.log import Log
 from pepperusher.net.watch_stream import WatchStream
 
@@ -37,12 +36,19 @@
 
 
 class Discovery:
-    def __init__(self, address: tuple[str, int], facade: Decides, backends: Reaches, log: Log,
-                 narrows: Sequence[Narrow] = (), seed: int = 0) -> None:
+    def __init__(
+        self,
+        address: tuple[str, int],
+        facade: Decides,
+        backends: Reaches,
+        log: Log,
+        narrows: Sequence[Narrow] = (),
+        seed: int = 0,
+    ) -> None:
         self._chance = Random(seed)
         self._spread = call_schedule.SPREAD * self._chance.random()
-        self._heard = asyncio.Event()   # once any watch has spoken
-        self._lost = False              # since a watch ended, until another speaks
+        self._heard = asyncio.Event()  # once any watch has spoken
+        self._lost = False  # since a watch ended, until another speaks
         self._table = EndpointTable(facade, backends, log, narrows)
         self._facade = facade
         self._source = Source(address, 0, self._schedule())
@@ -59,9 +65,9 @@
         self._asks: asyncio.Event | None = None
         self.metrics = EndpointMetrics()
         self.confirmation = ListConfirmation(self.metrics, log)
-        self._took_over = False   # another process's place
-        self._taken_over_due_at: float | None = None   # when the list expires that it passed on
-        self.on_word: Callable[[], None] | None = None   # a watch has spoken; what it told stands in the list
+        self._took_over = False  # another process's place
+        self._taken_over_due_at: float | None = None  # when the list expires that it passed on
+        self.on_word: Callable[[], None] | None = None  # a watch has spoken; what it told stands in the list
 
     def _schedule(self) -> CallSchedule:
         return CallSchedule(self._chance, self._backoff)
@@ -228,7 +234,7 @@
         self._source.schedule.begin_term(now, RECONFIGURED_TERM)
         if self._source.watch is not None:
             self.confirmation.keep_term(RECONFIGURED_TERM, now - waited)
-        elif not self._rests:   # whoever tells the list of that address then has terms of its own
+        elif not self._rests:  # whoever tells the list of that address then has terms of its own
             self.confirmation.expect(Cause.RECONFIGURED, RECONFIGURED_TERM, now - waited)
 
     def _turn_to(self, address: tuple[str, int], now: float) -> None:
@@ -275,7 +281,7 @@
         while True:
             try:
                 return await self._watch_on(source, at_once)
-            except Exception as error:   # without it no drain would be heard of again
+            except Exception as error:  # without it no drain would be heard of again
                 self._log.say(f"the watch of the list ended by {type(error).__name__}: {error}")
                 await asyncio.sleep(FOLLOW_AGAIN)
 
@@ -298,7 +304,9 @@
                 if not source.calls:
                     await asyncio.sleep(wait or 0.0)
                     continue
-                await asyncio.wait([call.task for call in source.calls], timeout=wait, return_when=asyncio.FIRST_COMPLETED)
+                await asyncio.wait(
+                    [call.task for call in source.calls], timeout=wait, return_when=asyncio.FIRST_COMPLETED
+                )
                 for call in [call for call in source.calls if call.task.done()]:
                     source.over(call)
                     at_once = self._ended(call, source)
@@ -309,7 +317,7 @@
     def _call(self, source: Source) -> None:
         if source.calls:
             self._log.say(f"no word of the watch, calls out: {len(source.calls)}")
-        oldest = source.calls[:max(0, len(source.calls) - ABREAST + 1)]
+        oldest = source.calls[: max(0, len(source.calls) - ABREAST + 1)]
         for old in oldest:
             source.over(old)
         self._give_up(oldest, "too many calls out", at_once=True)
--- a/pepperusher/net/discovery_source.py
+++ b/pepperusher/net/discovery_source.py
@@ -39,9 +39,9 @@
         self.number = number
         self.address = address
         self.asked_at = asked_at
-        self.line: Line | None = None   # once the connection is up
+        self.line: Line | None = None  # once the connection is up
         self.spoken = False
-        self.leaving = False            # another has its place; what still comes may be newer than the list
+        self.leaving = False  # another has its place; what still comes may be newer than the list
         self.task: asyncio.Task[str]
 
     def described(self, now: float) -> str:
@@ -80,7 +80,7 @@
     def __init__(self, address: tuple[str, int], version: int | None, schedule: CallSchedule) -> None:
         self.address = address
         self.version = version
-        self.begun_anew = False   # its versions start again: what came after ours means nothing there
+        self.begun_anew = False  # its versions start again: what came after ours means nothing there
         self.following: asyncio.Task[None]
         # Out and not over, the oldest first, `ABREAST` at the most; several only while none has spoken, and
         # then that one is the watch.
--- a/pepperusher/net/endpoint_metrics.py
+++ b/pepperusher/net/endpoint_metrics.py
@@ -35,8 +35,10 @@
 
     def line(self) -> str:
         """For the log, in words that docs/on-call.md explains."""
-        return (f"list: {self.calls} calls, {self.refused} refused ({self.refused_at_once} at once, {self.refused_late} after a wait,"
-                f" {self.unconnected} without a connection), {self.given_up} given up ({self.taken_late} updates taken from these),"
-                f" {self.lost} watches lost, {self.longest_unconfirmed:.1f} s unconfirmed at the longest,"
-                f" {self.overdue} times overdue, {self.sent_overdue} requests sent meanwhile,"
-                f" {self.expired} times expired, {self.refused_expired} requests refused for that")
+        return (
+            f"list: {self.calls} calls, {self.refused} refused ({self.refused_at_once} at once, {self.refused_late} after a wait,"
+            f" {self.unconnected} without a connection), {self.given_up} given up ({self.taken_late} updates taken from these),"
+            f" {self.lost} watches lost, {self.longest_unconfirmed:.1f} s unconfirmed at the longest,"
+            f" {self.overdue} times overdue, {self.sent_overdue} requests sent meanwhile,"
+            f" {self.expired} times expired, {self.refused_expired} requests refused for that"
+        )
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -59,9 +59,18 @@
     def servers(self) -> list[dict[str, Any]]:
         """In discovery's own form."""
         return [
-            {"id": entry.id, "addr": text_of_address(address), "zone": entry.zone, "cell": entry.cell, "weight": entry.weight,
-             "kind": entry.kind, "state": "ready" if entry.ready else "draining", "started_ms": entry.born / 1000}
-            for entry, address in self._told.values()]
+            {
+                "id": entry.id,
+                "addr": text_of_address(address),
+                "zone": entry.zone,
+                "cell": entry.cell,
+                "weight": entry.weight,
+                "kind": entry.kind,
+                "state": "ready" if entry.ready else "draining",
+                "started_ms": entry.born / 1000,
+            }
+            for entry, address in self._told.values()
+        ]
 
     def apply(self, update: EndpointUpdate, by: tuple[str, int]) -> None:
         """An update that discovery told at the address `by`."""
@@ -116,10 +125,16 @@
     def changes_to(self, update: EndpointUpdate) -> EndpointUpdate:
         """What of a whole list is different here, as an update of changes."""
         there = {entry.id for entry in update.entries}
-        changed = [(entry, address) for entry, address in zip(update.entries, update.addresses)
-                   if self._told.get(entry.id) != (entry, address)]
-        changed += [(entry._replace(ready=False, gone=True), GONE)
-                    for name, (entry, _) in self._told.items() if name not in there]
+        changed = [
+            (entry, address)
+            for entry, address in zip(update.entries, update.addresses)
+            if self._told.get(entry.id) != (entry, address)
+        ]
+        changed += [
+            (entry._replace(ready=False, gone=True), GONE)
+            for name, (entry, _) in self._told.items()
+            if name not in there
+        ]
         return EndpointUpdate(update.version, False, [one for one, _ in changed], [one for _, one in changed])
 
     def lifted_by(self, update: EndpointUpdate) -> set[str]:
--- a/pepperusher/net/endpoint_update.py
+++ b/pepperusher/net/endpoint_update.py
@@ -49,8 +49,18 @@
                 raise BadList(f"{name}: {value!r} is not a number")
         gone = one.get("state") == "gone"
         addresses.append(GONE if gone else address_of(one.get("addr")))
-        entries.append(Entry(name, str(one.get("zone", "")), cell, weight if weight > 0 else 1.0,
-                             round(started * 1000), one.get("state") == "ready", str(one.get("kind", "")), gone))
+        entries.append(
+            Entry(
+                name,
+                str(one.get("zone", "")),
+                cell,
+                weight if weight > 0 else 1.0,
+                round(started * 1000),
+                one.get("state") == "ready",
+                str(one.get("kind", "")),
+                gone,
+            )
+        )
     version = told.get("version", 0)
     if not isinstance(version, int):
         raise BadList("has a version that is not a number")
@@ -64,8 +74,9 @@
     try:
         for update in lines:
             if held is not None and not update.whole and update.version >= held.version:
-                held = EndpointUpdate(update.version, held.whole, [*held.entries, *update.entries],
-                                      [*held.addresses, *update.addresses])
+                held = EndpointUpdate(
+                    update.version, held.whole, [*held.entries, *update.entries], [*held.addresses, *update.addresses]
+                )
                 continue
             if held is not None:
                 yield held
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -12,7 +12,16 @@
 from pepperusher.net.flows import Onward
 from pepperusher.net.line import Line
 from pepperusher.net.message import (
-    INTERIM, Answer, BadMessage, Request, check_framing, framed_request, length_of, read_data, read_head)
+    INTERIM,
+    Answer,
+    BadMessage,
+    Request,
+    check_framing,
+    framed_request,
+    length_of,
+    read_data,
+    read_head,
+)
 
 # Once it has begun, an answer takes the network's time and not the work's: silent for so many times what a
 # new connection may
@@ -64,24 +73,40 @@
 
     __slots__ = ("stands", "left", "aside", "back", "remaining", "list_read", "stood", "expired")
 
-    def __init__(self, stands: Callable[[], bool], left: Callable[[], bool], aside: Callable[[], None],
-                 back: Callable[[], None], remaining: Callable[[], int], list_read: Callable[[], Awaitable[None]],
-                 stood: Callable[[], bool], expired: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        stands: Callable[[], bool],
+        left: Callable[[], bool],
+        aside: Callable[[], None],
+        back: Callable[[], None],
+        remaining: Callable[[], int],
+        list_read: Callable[[], Awaitable[None]],
+        stood: Callable[[], bool],
+        expired: Callable[[], bool],
+    ) -> None:
         self.stands = stands
-        self.left = left     # whether its client has
+        self.left = left  # whether its client has
         self.aside = aside
         self.back = back
-        self.remaining = remaining   # how long its client waits yet, in microseconds
-        self.stood = stood           # whether the process stood still, and the list was not read since
-        self.expired = expired       # whether the list has: nothing may be written by it
-        self.list_read = list_read   # returns once the list is as discovery has written it, also after a process pause
+        self.remaining = remaining  # how long its client waits yet, in microseconds
+        self.stood = stood  # whether the process stood still, and the list was not read since
+        self.expired = expired  # whether the list has: nothing may be written by it
+        self.list_read = list_read  # returns once the list is as discovery has written it, also after a process pause
 
 
 class Exchange:
     """`patience` starts with it, or with the body's last byte where that is still to come."""
 
-    def __init__(self, line: Line, parser: h11.Connection, pool: Pool, out: Attempt, patience: int,
-                 connect_within: float, placed: Placed) -> None:
+    def __init__(
+        self,
+        line: Line,
+        parser: h11.Connection,
+        pool: Pool,
+        out: Attempt,
+        patience: int,
+        connect_within: float,
+        placed: Placed,
+    ) -> None:
         self._placed = placed
         self._line = line
         self._parser = parser
@@ -92,7 +117,7 @@
         self._overdue: asyncio.Handle | None = None
         self._silent: asyncio.Handle | None = None
         self.heard = False
-        self._head: h11.Request | h11.Response | None = None   # where it came before the body was written
+        self._head: h11.Request | h11.Response | None = None  # where it came before the body was written
         self._ahead = 0
 
     async def run(self, request: Request, onward: Onward | None) -> tuple[str, Answer | None]:
@@ -107,11 +132,13 @@
                 return how, None
             how, answer = await self._receive(onward)
             # Whatever it answered before its last byte was written, it has not run it.
-            return (how, answer) if self._out.written or how in (*PASSED_ON, "full", "called off") else ("unreached", None)
+            return (
+                (how, answer) if self._out.written or how in (*PASSED_ON, "full", "called off") else ("unreached", None)
+            )
         except h11.RemoteProtocolError:
-            return out.how or "unreached", None   # what it said before it had the whole body is no HTTP
+            return out.how or "unreached", None  # what it said before it had the whole body is no HTTP
         except h11.LocalProtocolError:
-            return "moot", None   # it can't be framed, so nothing was written: no fault of the backend's
+            return "moot", None  # it can't be framed, so nothing was written: no fault of the backend's
         except BadMessage:
             return out.how or ("reset" if self._out.written else "unreached"), None
         except TimeoutError:
@@ -127,8 +154,14 @@
     def clean(self) -> bool:
         """Whether the connection may serve the next. What came after the answer would be taken for the answer
         to that."""
-        return (self._parser.our_state is h11.DONE and self._parser.their_state is h11.DONE and not self._line.ended
-                and self._out.how is None and not self._line.unread and not self._parser.trailing_data[0])
+        return (
+            self._parser.our_state is h11.DONE
+            and self._parser.their_state is h11.DONE
+            and not self._line.ended
+            and self._out.how is None
+            and not self._line.unread
+            and not self._parser.trailing_data[0]
+        )
 
     # --- the request ------------------------------------------------------------------------------
 
@@ -137,7 +170,7 @@
         line, rest = self._line, request.rest
         framed = framed_request(self._parser, request)
         if self._placed.expired():
-            return "moot"   # chosen before its term ended
+            return "moot"  # chosen before its term ended
         if self._placed.stood():
             return "unreached"
         sent = line.send(framed) or await line.sent()
@@ -149,9 +182,9 @@
                 try:
                     data = await rest.read()
                 except BadMessage:
-                    return "moot"   # no fault of the backend's
+                    return "moot"  # no fault of the backend's
                 if await self._answers():
-                    self._due()   # it has its patience still, and no more of the body
+                    self._due()  # it has its patience still, and no more of the body
                     return None
                 event = h11.Data(data=data) if data else h11.EndOfMessage()
                 if not line.send(self._parser.send(event) or b""):
@@ -224,8 +257,7 @@
             self._body.add(data)
         return False
 
-    async def _pass_on(self, how: str, answer: Answer, length: int | None,
-                       onward: Onward) -> tuple[str, Answer | None]:
+    async def _pass_on(self, how: str, answer: Answer, length: int | None, onward: Onward) -> tuple[str, Answer | None]:
         for timer in (self._overdue, self._silent):
             if timer is not None:
                 timer.cancel()
--- a/pepperusher/net/flows.py
+++ b/pepperusher/net/flows.py
@@ -60,8 +60,9 @@
 
     __slots__ = ("_parser", "_line", "_waits", "_closes", "dress", "begun", "ended")
 
-    def __init__(self, parser: h11.Connection, line: Line, waits: Callable[[bool], None],
-                 closes: Callable[[], bool]) -> None:
+    def __init__(
+        self, parser: h11.Connection, line: Line, waits: Callable[[bool], None], closes: Callable[[], bool]
+    ) -> None:
         self._parser = parser
         self._line = line
         self._waits = waits
--- a/pepperusher/net/formed.py
+++ b/pepperusher/net/formed.py
@@ -16,9 +16,7 @@
     """A breaker's change has its counts by name: the decisions say them in one line of text."""
     read = BREAKER.match(str(told["event"]))
     if read:
-        told.update(
-            event="breaker", id=read[1], state=read[2], failed=int(read[3]), of=int(read[4]), run=int(read[5])
-        )
+        told.update(event="breaker", id=read[1], state=read[2], failed=int(read[3]), of=int(read[4]), run=int(read[5]))
     return told
 
 
--- a/pepperusher/net/house.py
+++ b/pepperusher/net/house.py
@@ -209,9 +209,7 @@
         return self.standing.ask(
             request.method.decode("latin-1"),
             request.target.decode("latin-1"),
-            host.rpartition(b":")[0].decode("latin-1").lower()
-            if b":" in host
-            else host.decode("latin-1").lower(),
+            host.rpartition(b":")[0].decode("latin-1").lower() if b":" in host else host.decode("latin-1").lower(),
             headers,
             use_case,
             customer,
@@ -382,9 +380,7 @@
         change = self.standing.ledger.find(number)
         async with self._turn:
             if change.state != APPLIED:
-                raise LedgerError(
-                    f"change {change.number} is {change.state}, and only an applied one can be confirmed"
-                )
+                raise LedgerError(f"change {change.number} is {change.state}, and only an applied one can be confirmed")
             if self._kept is not None:
                 try:
                     await asyncio.to_thread(self._kept.confirm, change.what.text)
--- a/pepperusher/net/line.py
+++ b/pepperusher/net/line.py
@@ -28,7 +28,7 @@
         self.writer: asyncio.StreamWriter
         self.heard_at = 0
         self.ended = False
-        self.ended_in_order = False   # by the other side's end, not by a reset or by us
+        self.ended_in_order = False  # by the other side's end, not by a reset or by us
         self.received = 0
         self.on_end: Callable[[], None] | None = None
         self.on_data: Callable[[], None] | None = None
@@ -51,7 +51,7 @@
         self._dropped_all: asyncio.Future[None] | None = None
         self._droppable = 0
 
-    def connection_made(self, transport: asyncio.Transport) -> None:   # type: ignore[override]
+    def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         super().connection_made(transport)
         self.transport = transport
         # Written is what the kernel has: by it an attempt is known to have gone or not.
@@ -63,7 +63,7 @@
         super().pause_writing()
 
     def resume_writing(self) -> None:
-        self._unwritten = False   # the mark is at nothing: all of it is with the kernel
+        self._unwritten = False  # the mark is at nothing: all of it is with the kernel
         super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
@@ -82,8 +82,11 @@
             super().data_received(data)
         if self.on_data is not None:
             self.on_data()
-        if (self.disconnect_watcher is not None and not self._minded
-                and (self._reads_ahead or not self.transport.is_reading())):
+        if (
+            self.disconnect_watcher is not None
+            and not self._minded
+            and (self._reads_ahead or not self.transport.is_reading())
+        ):
             self._go_on(self.disconnect_watcher)
 
     def _go_on(self, disconnect_watcher: DisconnectWatcher) -> None:
@@ -112,7 +115,7 @@
                     self.transport.resume_reading()
         if self._minded and self.transport.is_reading():
             if self._reads_ahead:
-                self.transport.pause_reading()   # the reader knows nothing of the bound, and has had it go on
+                self.transport.pause_reading()  # the reader knows nothing of the bound, and has had it go on
             else:
                 self._unminded()
 
--- a/pepperusher/net/list_confirmation.py
+++ b/pepperusher/net/list_confirmation.py
@@ -53,17 +53,19 @@
     def __init__(self, metrics: EndpointMetrics, log: Log) -> None:
         self._metrics = metrics
         self._log = log
-        self._missing_since: float | None = None   # None while the list is confirmed
-        self._lost_due_at: float | None = None     # None while the list is confirmed
+        self._missing_since: float | None = None  # None while the list is confirmed
+        self._lost_due_at: float | None = None  # None while the list is confirmed
         # The end of the last binding term. It outlasts a confirmation until then: a word that came before its end need not
         # have told all that counts there.
         self._binding_due_at: float | None = None
-        self._row_began_at: float | None = None    # the first binding term since the list was confirmed
+        self._row_began_at: float | None = None  # the first binding term since the list was confirmed
         # Since then, at whichever address: what nobody could have been told does not count.
         self._was_reached = False
         self._unconfirmed_said = self._overdue_said = self._expired_said = False
-        self._refused = 0   # requests, since it has expired
-        self._said_of: set[str] = set()   # endpoints named in the log since it is overdue; emptied with each confirmation
+        self._refused = 0  # requests, since it has expired
+        self._said_of: set[str] = (
+            set()
+        )  # endpoints named in the log since it is overdue; emptied with each confirmation
 
     @staticmethod
     def _now() -> float:
@@ -106,14 +108,14 @@
         if self._missing_since is None:
             self._missing_since = since
         if cause is Cause.STARTED:
-            return   # as with every start, so not worth a line before its term is over
+            return  # as with every start, so not worth a line before its term is over
         self._unconfirmed_said = True
         due = min(due for due in (self._lost_due_at, self._binding_due_at) if due is not None)
         self._log.say(f"list unconfirmed: {cause.value}; what it lacks counts in {due - self._now():.2f} s")
 
     def _begin_lost_term(self, within: float, since: float) -> None:
         if self._binding_due_at is not None and self._binding_due_at <= since:
-            self._binding_due_at = None   # confirmed to its end
+            self._binding_due_at = None  # confirmed to its end
         due = since + within
         self._lost_due_at = due if self._lost_due_at is None else min(self._lost_due_at, due)
 
@@ -140,10 +142,10 @@
         running = self._binding_due_at
         if running is not None and self._missing_since is not None and self._now() > running:
             if self._now() <= running + EXPIRED_MOST:
-                return   # expired already: nothing but a confirmation ends that
+                return  # expired already: nothing but a confirmation ends that
             self._row_began_at = running = None
         if running is not None and running <= since:
-            running = None   # confirmed to its end
+            running = None  # confirmed to its end
         if self._row_began_at is None:
             self._row_began_at = since
             self._was_reached = self._was_reached and running is not None and not supersedes
--- a/pepperusher/net/listening.py
+++ b/pepperusher/net/listening.py
@@ -42,7 +42,7 @@
     A listener that closes resets what is queued for it. Which is which holds for two; with more in the group, or where the
     kernel has no such filter, it may come to nothing.
     """
-    import ctypes   # here alone, and seldom: it would be a megabyte of each small proxy
+    import ctypes  # here alone, and seldom: it would be a megabyte of each small proxy
 
     one = ctypes.create_string_buffer(INSTRUCTION.pack(RETURN, 0, 0, to))
     try:
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -8,9 +8,9 @@
 
 from pepperusher.net import clock
 
-RATE = 5          # lines a second in the long run
-SAVED = 40        # lines at once
-LONGEST = 400     # characters a line
+RATE = 5  # lines a second in the long run
+SAVED = 40  # lines at once
+LONGEST = 400  # characters a line
 LONGEST_FORMED = 4000
 
 
@@ -58,4 +58,4 @@
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
-            pass   # whoever read the log has gone; that is no reason to stop serving
+            pass  # whoever read the log has gone; that is no reason to stop serving
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -18,8 +18,21 @@
 # Answers 1xx ahead of one; more never come to an end.
 INTERIM = 16
 BODILESS = (204, 304)
-HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate", b"proxy-authorization",
-                 b"te", b"trailer", b"transfer-encoding", b"upgrade", b"content-length", b"expect"))
+HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"expect",
+    )
+)
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -46,16 +59,16 @@
     method: bytes
     target: bytes
     headers: Headers
-    body: memoryview | bytes        # as far as it is held
-    rest: Rest | None = None      # what comes behind that
-    length: int | None = None       # of all of it, where there is a rest and its head says so
+    body: memoryview | bytes  # as far as it is held
+    rest: Rest | None = None  # what comes behind that
+    length: int | None = None  # of all of it, where there is a rest and its head says so
 
 
 class Answer(NamedTuple):
     status: int
     headers: Headers
     body: bytes
-    length: int | None = None   # where it has a length and no body, as the answer to HEAD
+    length: int | None = None  # where it has a length and no body, as the answer to HEAD
 
 
 def plain(status: int, text: str, *more: tuple[bytes, bytes]) -> Answer:
@@ -65,8 +78,9 @@
 
 def end_to_end(headers: Headers) -> Headers:
     """What a proxy passes on: neither the connection's own headers nor those it names as such."""
-    named = frozenset(name.strip().lower() for key, value in headers if key == b"connection"
-                      for name in value.split(b","))
+    named = frozenset(
+        name.strip().lower() for key, value in headers if key == b"connection" for name in value.split(b",")
+    )
     return [pair for pair in headers if pair[0] not in HOP and pair[0] not in named]
 
 
@@ -86,8 +100,9 @@
         raise BadMessage(413, "the body is too large")
 
 
-async def read_head(parser: h11.Connection, line: Line,
-                    came: Callable[[], None] | None = None) -> h11.Request | h11.Response | None:
+async def read_head(
+    parser: h11.Connection, line: Line, came: Callable[[], None] | None = None
+) -> h11.Request | h11.Response | None:
     """The next message's head; None where the line ended before one began. `came` is told when a part of it
     has."""
     interim = 0
@@ -181,8 +196,9 @@
     return _framed(parser, h11.Response(status_code=answer.status, headers=headers), answer.body)
 
 
-def _framed(parser: h11.Connection, head: h11.Request | h11.Response, body: memoryview | bytes,
-            whole: bool = True) -> bytes:
+def _framed(
+    parser: h11.Connection, head: h11.Request | h11.Response, body: memoryview | bytes, whole: bool = True
+) -> bytes:
     parts = [parser.send(head)]
     if body:
         parts.append(parser.send(h11.Data(data=body)))
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -145,11 +145,7 @@
             return False
         self._socket = made
         now = clock.now()
-        address = (
-            (self._listen[0], port)
-            if self._said.advertise is None
-            else rules.address_of(self._said.advertise)
-        )
+        address = (self._listen[0], port) if self._said.advertise is None else rules.address_of(self._said.advertise)
         me = Said(
             self._name,
             *address,
@@ -351,9 +347,7 @@
         lent = self._host.lent()
         if lent is None:
             return []
-        text = json.dumps(
-            {"age": max(0, clock.now() - lent[0]), "listed": lent[1]}, separators=(",", ":")
-        ).encode()
+        text = json.dumps({"age": max(0, clock.now() - lent[0]), "listed": lent[1]}, separators=(",", ":")).encode()
         return [self._wire.seal(text[at : at + PART]) for at in range(0, len(text), PART)]
 
     async def _lists(self) -> None:
@@ -437,9 +431,7 @@
             if more:
                 self._told_at = now
                 self._counted = dict(self.swim.counts)
-                self._say(
-                    "group: not believed", **{what.replace(" ", "_"): many for what, many in more.items()}
-                )
+                self._say("group: not believed", **{what.replace(" ", "_"): many for what, many in more.items()})
 
     def _phase(self) -> int:
         if not self._host.sent_away():
--- a/pepperusher/net/process_pause.py
+++ b/pepperusher/net/process_pause.py
@@ -30,10 +30,10 @@
         self._unread = unread
         self._noticed = noticed
         self._looked_at = clock.now()
-        self._reading: asyncio.Event | None = None   # while what waited is read
+        self._reading: asyncio.Event | None = None  # while what waited is read
         self._reader: asyncio.Task[None] | None = None
-        self.count = 0   # how often it stood still
-        self.late = 0    # how late timers have run of late, in microseconds
+        self.count = 0  # how often it stood still
+        self.late = 0  # how late timers have run of late, in microseconds
 
     @property
     def unnoticed(self) -> bool:
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -89,16 +89,24 @@
         # Callers first: where descriptors run out, it is theirs that are closed first, since they cost least.
         self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.ground.longest_wait)
         self._backends = Backends(self._budget, self._pool, told.connect_within, told.idle_most)
-        self._discovery = Discovery(told.discovery, self._facade, self._backends, self._log,
-                                    [one.narrow for one in self._company if one.narrow is not None], told.ground.seed)
-        self._names: set[bytes] = set()   # of the tickets in hand; emptied as they end
+        self._discovery = Discovery(
+            told.discovery,
+            self._facade,
+            self._backends,
+            self._log,
+            [one.narrow for one in self._company if one.narrow is not None],
+            told.ground.seed,
+        )
+        self._names: set[bytes] = set()  # of the tickets in hand; emptied as they end
         self._stopping = asyncio.Event()
-        self._sent_away_at: int | None = None   # since when the operators have clients sent away
-        self._succeeded = False                 # at its end: whether another process serves on
-        self._served = False                    # whether backends have been known
+        self._sent_away_at: int | None = None  # since when the operators have clients sent away
+        self._succeeded = False  # at its end: whether another process serves on
+        self._served = False  # whether backends have been known
         self.port = 0
-        self._process_pause = ProcessPause(lambda: self._discovery.unread, lambda: self._tell("woke", lambda one: one.woke()))
-        self._counts: dict[str, int] = {}   # by the words of facade and pages here, so it grows with the code alone
+        self._process_pause = ProcessPause(
+            lambda: self._discovery.unread, lambda: self._tell("woke", lambda one: one.woke())
+        )
+        self._counts: dict[str, int] = {}  # by the words of facade and pages here, so it grows with the code alone
 
     # --- one ticket -------------------------------------------------------------------------------
 
@@ -127,14 +135,15 @@
                 answer = await self._ticket(call, told)
             finally:
                 self._names.discard(name)
-            holds.must_hold(answer is not None or call.left or call.begun,
-                            "a ticket ends with an answer unless its client left")
+            holds.must_hold(
+                answer is not None or call.left or call.begun, "a ticket ends with an answer unless its client left"
+            )
             return answer or (LEFT if call.left and not call.begun else BROKEN)
         except BadRequest as bad:
             call.bad = True
             self._count("bad calls")
             return plain(bad.status, str(bad))
-        except Exception as error:   # ends this ticket alone, with an answer
+        except Exception as error:  # ends this ticket alone, with an answer
             self._count("exceptions")
             self._log.say(f"a ticket ended by {type(error).__name__}: {error}")
             return BROKEN
@@ -152,8 +161,11 @@
         if repeat is None:
             raise BadRequest("the use case is not known here")
         # Backends turn the rest away, which would count as their failing.
-        if method not in ((b"GET", b"HEAD") if repeat == REPLAYABLE else (b"POST",)) \
-                or repeat == REPLAYABLE and (body or rest is not None):
+        if (
+            method not in ((b"GET", b"HEAD") if repeat == REPLAYABLE else (b"POST",))
+            or repeat == REPLAYABLE
+            and (body or rest is not None)
+        ):
             raise BadRequest("the method or a body is not this use case's")
         if repeat == REFERENCED and not told.get(b"idempotency-key"):
             raise BadRequest("Idempotency-Key is missing")
@@ -216,10 +228,16 @@
 
         if call.onward is not None:
             call.onward.dress = dress
-        placed = Placed(lambda: not call.gone() and self._facade.stands(ticket, clock.now()), lambda: call.left,
-                        lambda: self._facade.aside(ticket, clock.now()), lambda: self._facade.back(ticket, clock.now()),
-                        lambda: self._facade.remaining(ticket, clock.now()), self._process_pause.list_read,
-                        lambda: self._process_pause.unnoticed, lambda: self._discovery.confirmation.expired)
+        placed = Placed(
+            lambda: not call.gone() and self._facade.stands(ticket, clock.now()),
+            lambda: call.left,
+            lambda: self._facade.aside(ticket, clock.now()),
+            lambda: self._facade.back(ticket, clock.now()),
+            lambda: self._facade.remaining(ticket, clock.now()),
+            self._process_pause.list_read,
+            lambda: self._process_pause.unnoticed,
+            lambda: self._discovery.confirmation.expired,
+        )
         how, answer, end, attempts = "", None, "left", 0
         try:
             await self._process_pause.list_read()
@@ -238,8 +256,13 @@
                     continue
                 kept = None
                 if shelf is not None and shelf.on:
-                    kept = await shelf.sending(use_case, mark, step.backend, self._facade.cell_of(step.backend),
-                                               self._facade.remembered(use_case))
+                    kept = await shelf.sending(
+                        use_case,
+                        mark,
+                        step.backend,
+                        self._facade.cell_of(step.backend),
+                        self._facade.remembered(use_case),
+                    )
                     await self._process_pause.list_read()
                     if kept is None or not placed.stands():
                         how = "moot"
@@ -264,8 +287,13 @@
                 if passed is not None and self._gate is not None:
                     patience = self._gate.goes(passed, step.wait)
                 how, answer = await self._backends.attempt(
-                    step.backend, Request(method, target, onward, body, rest, length), out, patience, placed,
-                    call.onward)
+                    step.backend,
+                    Request(method, target, onward, body, rest, length),
+                    out,
+                    patience,
+                    placed,
+                    call.onward,
+                )
                 self._count(how)
                 if answer is not None:
                     answer = heard(answer)
@@ -323,8 +351,7 @@
     @property
     def _takes_clients(self) -> bool:
         """Or another process of this proxy does, which answers at the same address."""
-        return (self._backends.known and self._sent_away_at is None
-                and (not self._stopping.is_set() or self._succeeded))
+        return self._backends.known and self._sent_away_at is None and (not self._stopping.is_set() or self._succeeded)
 
     @property
     def name(self) -> str:
@@ -354,8 +381,13 @@
         """For the next process."""
         listed, told_by_source = self._discovery.list_in_use()
         due = self._discovery.confirmation.binding_due_at
-        return PassedOn(self._discovery.source, listed, self._facade.learned(clock.now()), told_by_source,
-                        None if due is None else round(due * 1e6))
+        return PassedOn(
+            self._discovery.source,
+            listed,
+            self._facade.learned(clock.now()),
+            told_by_source,
+            None if due is None else round(due * 1e6),
+        )
 
     def follow(self, passed: PassedOn) -> None:
         """Goes on from what the process before passed on, as far as it can be read."""
@@ -363,8 +395,11 @@
         try:
             if passed.listed is not None:
                 known = passed.source in (self._discovery.source, self._newest_discovery())
-                self._discovery.go_on(address_of(passed.source) if known else address_of(self._discovery.source),
-                                      endpoint_update_of(passed.listed), known and passed.told_by_source)
+                self._discovery.go_on(
+                    address_of(passed.source) if known else address_of(self._discovery.source),
+                    endpoint_update_of(passed.listed),
+                    known and passed.told_by_source,
+                )
             if passed.learned is not None:
                 self._facade.taught(passed.learned, clock.now())
         except ValueError as error:
@@ -434,8 +469,9 @@
             self._discovery.take(self._told.known)
         loop = asyncio.get_running_loop()
         # What the loop trips over is a line in the log, not a traceback.
-        loop.set_exception_handler(lambda _, trouble: self._log.say(
-            f"loop: {trouble.get('message')}: {trouble.get('exception')!r}"))
+        loop.set_exception_handler(
+            lambda _, trouble: self._log.say(f"loop: {trouble.get('message')}: {trouble.get('exception')!r}")
+        )
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         # Without a handler it ends the process, and with it every ticket in hand.
@@ -484,8 +520,10 @@
             self._discovery.reconfigured(None, self._process_pause.unwatched_for)
             return
         before = self._told
-        self._log.say(f"configuration read anew, discovery at {text_of_address(told.discovery)},"
-                      f" use cases {', '.join(use.name for use in told.ground.use_cases)}")
+        self._log.say(
+            f"configuration read anew, discovery at {text_of_address(told.discovery)},"
+            f" use cases {', '.join(use.name for use in told.ground.use_cases)}"
+        )
         if stays := [name for name in AT_A_START if getattr(told, name) != getattr(before, name)]:
             self._log.say(f"not before the next start: {', '.join(stays)}")
         self._told = told
@@ -504,8 +542,10 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         killed = min(self._told.ground.longest_wait / 1e6, LONGEST_GRACE) + MOMENT
-        self._log.say(f"stopping, {self._facade.in_hand} tickets in hand"
-                      + (", another process serves on" if self._succeeded else ""))
+        self._log.say(
+            f"stopping, {self._facade.in_hand} tickets in hand"
+            + (", another process serves on" if self._succeeded else "")
+        )
         last = killed - GIVEN_UP
         self._facade.close_at(clock.now() + round(last * 1e6))
         self._tell("leaving", lambda one: one.leaving(clock.now() + round(last * 1e6)))
@@ -538,17 +578,19 @@
                     self._callers.close_idle(SHY)
                 self._budget.trim()
                 self._tell("sweep", lambda one: one.sweep())
-            except Exception as error:   # what it closes nobody else does: it goes on
+            except Exception as error:  # what it closes nobody else does: it goes on
                 self._log.say(f"a sweep ended by {type(error).__name__}: {error}")
             if rounds % COUNTS_EVERY == 0:
                 self._say_counts()
 
     def _say_counts(self) -> None:
         said = ", ".join(f"{what} {count}" for what, count in sorted(self._counts.items()))
-        self._log.say(f"since the start: {said or 'nothing yet'}; {self._callers.open} callers,"
-                      f" {self._facade.in_hand} tickets in hand, {self._budget.open} connections,"
-                      f" timers {self._process_pause.late} us late"
-                      + (f", paused {self._process_pause.count} times" if self._process_pause.count else ""))
+        self._log.say(
+            f"since the start: {said or 'nothing yet'}; {self._callers.open} callers,"
+            f" {self._facade.in_hand} tickets in hand, {self._budget.open} connections,"
+            f" timers {self._process_pause.late} us late"
+            + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
+        )
         self._log.say(self._discovery.metrics.line())
         for what, times in holds.broken.items():
             self._log.say(f"did not hold {times} times: {what}")
--- a/pepperusher/net/reports.py
+++ b/pepperusher/net/reports.py
@@ -18,8 +18,12 @@
 
 def pairs_of(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, Any]]:
     """Names and values as they stand there, for `ground.load` to read; none for none."""
-    return [pair for name, value in headers if name.lower() == HEADER and len(value) <= LONGEST
-            for pair in _pairs(value.decode("latin-1"))]
+    return [
+        pair
+        for name, value in headers
+        if name.lower() == HEADER and len(value) <= LONGEST
+        for pair in _pairs(value.decode("latin-1"))
+    ]
 
 
 def without(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
--- a/pepperusher/net/request_headers.py
+++ b/pepperusher/net/request_headers.py
@@ -10,8 +10,9 @@
 LONGEST_WAIT = 3600 * 1_000_000
 MICROSECONDS_OF = {b"m": 1000, b"u": 1}
 NUMBER = re.compile(rb"[0-9]{1,16}(\.[0-9]{1,16})?")
-READ = frozenset((b"host", b"request-id", b"request-class", b"tenant", b"request-timeout", b"work-hint",
-                  b"idempotency-key"))
+READ = frozenset(
+    (b"host", b"request-id", b"request-class", b"tenant", b"request-timeout", b"work-hint", b"idempotency-key")
+)
 
 
 class BadRequest(Exception):
--- a/pepperusher/net/stopped_endpoints.py
+++ b/pepperusher/net/stopped_endpoints.py
@@ -22,7 +22,7 @@
     """Times are microseconds of the proxy's clock."""
 
     def __init__(self) -> None:
-        self._stops: dict[str, _Stop] = {}   # emptied by age, and as endpoints come back
+        self._stops: dict[str, _Stop] = {}  # emptied by age, and as endpoints come back
 
     def note(self, update: EndpointUpdate, unlisted: list[Entry], now: int) -> None:
         """An update that is taken; `unlisted` are those known before that it leaves out as a whole list."""
--- a/pepperusher/net/told.py
+++ b/pepperusher/net/told.py
@@ -16,8 +16,15 @@
 
 
 # Objects of the file whose keys are fixed, and lists whose entries' keys are.
-FIXED = ((), ("limits",), ("settings",), ("settings", "policy-limits"), ("settings", "rules"), ("settings", "family-info"),
-         ("settings", "reporting"))
+FIXED = (
+    (),
+    ("limits",),
+    ("settings",),
+    ("settings", "policy-limits"),
+    ("settings", "rules"),
+    ("settings", "family-info"),
+    ("settings", "reporting"),
+)
 EACH = (("settings", "use-cases"), ("settings", "customers"))
 
 
@@ -26,8 +33,19 @@
 
 
 class Told:
-    __slots__ = ("name", "listen", "discovery", "sockets", "known", "ground", "connect_within", "idle_most",
-                 "console", "keys", "memory")
+    __slots__ = (
+        "name",
+        "listen",
+        "discovery",
+        "sockets",
+        "known",
+        "ground",
+        "connect_within",
+        "idle_most",
+        "console",
+        "keys",
+        "memory",
+    )
 
     name: str
     listen: tuple[str, int]
@@ -37,9 +55,9 @@
     ground: Ground
     connect_within: int
     idle_most: int
-    console: tuple[str, int] | None   # None where operators have no address of their own
-    memory: int   # bytes that the process may take
-    keys: dict[str, frozenset[str]]   # which each object of the file has, for the next file to be held against
+    console: tuple[str, int] | None  # None where operators have no address of their own
+    memory: int  # bytes that the process may take
+    keys: dict[str, frozenset[str]]  # which each object of the file has, for the next file to be held against
 
 
 def _address(given: str | None, of: dict[str, Any], name: str) -> tuple[str, int]:
@@ -81,8 +99,14 @@
         raise ToldError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
 
 
-def read(path: str, name: str | None = None, listen: str | None = None, discovery: str | None = None,
-         console: str | None = None, before: Told | None = None) -> Told:
+def read(
+    path: str,
+    name: str | None = None,
+    listen: str | None = None,
+    discovery: str | None = None,
+    console: str | None = None,
+    before: Told | None = None,
+) -> Told:
     """The file at `path`; what is given beside it goes before it.
 
     `before` is what a file that was replaced under way had told: the discovery that the new one names is the newer word, and
--- a/pepperusher/net/watch_stream.py
+++ b/pepperusher/net/watch_stream.py
@@ -39,8 +39,8 @@
         self._silence = silence
         self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD)
         self._text = bytearray()
-        self._until: float | None = None   # a call waits its turn till it is given up for another
-        self._spoke_at = 0.0               # its head or last line
+        self._until: float | None = None  # a call waits its turn till it is given up for another
+        self._spoke_at = 0.0  # its head or last line
 
     def ask(self, address: tuple[str, int], after: int | None) -> None:
         """For what came after that version, or for the whole list."""
--- a/pepperusher/own/commands.py
+++ b/pepperusher/own/commands.py
@@ -15,9 +15,7 @@
 def checked(path: str, ground: Ground, values: tuple[str, ...]) -> None:
     """Prints what is in force and where each value came from; ends with 1 and all that is wrong."""
     try:
-        read = reading.read(
-            path, ground, reading.from_environment(os.environ), reading.from_command_line(values)
-        )
+        read = reading.read(path, ground, reading.from_environment(os.environ), reading.from_command_line(values))
     except OwnError as error:
         for fault in error.faults:
             click.echo(str(fault), err=True)
--- a/pepperusher/own/lines.py
+++ b/pepperusher/own/lines.py
@@ -10,9 +10,7 @@
 import re
 
 HEADER = re.compile(r"\s*(\[\[?)\s*([^\]#]+?)\s*\]\]?\s*(#.*)?$")
-KEY = re.compile(
-    r"\s*((?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*')(?:\s*\.\s*(?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*'))*)\s*="
-)
+KEY = re.compile(r"\s*((?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*')(?:\s*\.\s*(?:[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*'))*)\s*=")
 PART = re.compile(r"[A-Za-z0-9_-]+|\"[^\"]*\"|'[^']*'")
 TOKEN = re.compile(
     r"\"\"\".*?\"\"\"|'''.*?'''|\"(?:[^\"\\]|\\.)*\"|'[^']*'|#[^\n]*|[\[\]{},=\n]|[^\s\[\]{},=#\"']+", re.S
@@ -93,11 +91,7 @@
                 continue
             within = stack[-1] if stack else ("", path, 0)
             here = (
-                f"{within[1]}[{within[2]}]"
-                if within[0] == "["
-                else f"{within[1]}.{name}"
-                if within[0] == "{"
-                else path
+                f"{within[1]}[{within[2]}]" if within[0] == "[" else f"{within[1]}.{name}" if within[0] == "{" else path
             )
             if token in "[{":
                 self._note(here, line + ends)
--- a/pepperusher/own/reading.py
+++ b/pepperusher/own/reading.py
@@ -142,11 +142,7 @@
         origin = next((origins[near] for near in _ups(key) if near in origins), None) or next(
             (origin for below, origin in origins.items() if below.startswith((f"{key}.", f"{key}["))), FILE
         )
-        return (
-            Fault(source, lines.at(key), key, rule, what)
-            if origin == FILE
-            else Fault(origin, 0, key, rule, what)
-        )
+        return Fault(source, lines.at(key), key, rule, what) if origin == FILE else Fault(origin, 0, key, rule, what)
 
     own, wrong_values = typed.converted(raw, Own)
     faults += [fault(one.key, "known key" if one.unknown else "form", one.what) for one in wrong_values]
@@ -155,9 +151,7 @@
     if faults:
         raise OwnError(sorted(faults, key=lambda one: (one.source != source, one.line, one.key)))
     assert own is not None
-    digest = hashlib.sha256(msgspec.json.encode(own, enc_hook=typed.hook, order="deterministic")).hexdigest()[
-        :12
-    ]
+    digest = hashlib.sha256(msgspec.json.encode(own, enc_hook=typed.hook, order="deterministic")).hexdigest()[:12]
     return Read(own, text, digest, origins)
 
 
@@ -223,11 +217,7 @@
     for step in key.replace("[", ".[").split("."):
         if step.startswith("[") or step.isdecimal():
             continue
-        field = (
-            next((one for one in msgspec.structs.fields(table) if one.encode_name == step), None)
-            if table
-            else None
-        )
+        field = next((one for one in msgspec.structs.fields(table) if one.encode_name == step), None) if table else None
         if field is None:
             return None
         found = (field.type, field)
--- a/pepperusher/own/rules.py
+++ b/pepperusher/own/rules.py
@@ -147,23 +147,17 @@
         and route.retry_on is not None
         and set(route.retry_on) - {"unreached", "full"}
     ):
-        tell(
-            f"{at}.retry_on", "single-use once", f"{use.name} is single-use, and after these it may have run"
-        )
+        tell(f"{at}.retry_on", "single-use once", f"{use.name} is single-use, and after these it may have run")
     budget = route.retry_budget
     if budget is not None:
         if not 0 <= budget.share <= 2 or not 0 <= budget.floor <= 10_000:
-            tell(
-                f"{at}.retry_budget", "sound limits", "share is not from 0 to 2, or floor not from 0 to 10000"
-            )
+            tell(f"{at}.retry_budget", "sound limits", "share is not from 0 to 2, or floor not from 0 to 10000")
         if not 1_000_000 <= budget.span <= 600_000_000:
             tell(f"{at}.retry_budget.span", "sound limits", "is not from 1s to 10m")
 
 
 def _times(route: Route, at: str, use: UseCase | None, uses: dict[str, UseCase] | None, tell: Tell) -> None:
-    limits = (
-        [use.outer_limit] if use is not None else [one.outer_limit for one in uses.values()] if uses else []
-    )
+    limits = [use.outer_limit] if use is not None else [one.outer_limit for one in uses.values()] if uses else []
     client = min(limits, default=None)
     whose = use.name if use is not None else "some use case it could match"
     for key in ("time_out", "outer", "patience"):
@@ -250,8 +244,11 @@
         if group.seeds or group.advertise is not None or group.key:
             tell("group.listen", "sound group", "is missing, and without it there is no group")
         return
-    for key, text, least in (("listen", group.listen, 0), ("advertise", group.advertise, 1),
-                             *((f"seeds[{number}]", seed, 1) for number, seed in enumerate(group.seeds))):
+    for key, text, least in (
+        ("listen", group.listen, 0),
+        ("advertise", group.advertise, 1),
+        *((f"seeds[{number}]", seed, 1) for number, seed in enumerate(group.seeds)),
+    ):
         if text is None:
             continue
         try:
@@ -279,7 +276,9 @@
     for number, text in enumerate(said.machines):
         try:
             if address_of(text)[1] < 1:
-                tell(f"distribution.machines[{number}]", "sound distribution", f"{text!r} is where nobody can be reached")
+                tell(
+                    f"distribution.machines[{number}]", "sound distribution", f"{text!r} is where nobody can be reached"
+                )
         except ValueError as error:
             tell(f"distribution.machines[{number}]", "sound distribution", str(error))
     if len(said.machines) > MOST_SEEDS:
@@ -292,7 +291,11 @@
     if said.near and not said.region:
         tell("distribution.region", "sound distribution", "is missing, and machines are near to it")
     if said.key_file is None:
-        tell("distribution.key_file", "sound distribution", "is missing: whoever answers there could say what is in force")
+        tell(
+            "distribution.key_file",
+            "sound distribution",
+            "is missing: whoever answers there could say what is in force",
+        )
     if said.endpoints is not None:
         region, _, name = said.endpoints.partition("/")
         if not region or not name or len(said.endpoints) > 100 or not said.endpoints.isprintable():
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -19,9 +19,37 @@
 from random import Random
 
 from pepperusher.terms import (
-    AGAIN, BOUNCE, CALLED_OFF, CLOSED, DONE, ERROR, FULL, HALF_OPEN, HELD, MOOT, NEVER_RAN, NOTHING, OPEN,
-    REFERENCED, REPLAYABLE, SCOPE_ALL, SCOPE_CELL, SCOPE_ZONE, SCRAP, SINGLE_USE, TIMED_OUT, WAITING,
-    Attempt, Backend, Customer, Ground, Listing, Side, Ticket, UseCase)
+    AGAIN,
+    BOUNCE,
+    CALLED_OFF,
+    CLOSED,
+    DONE,
+    ERROR,
+    FULL,
+    HALF_OPEN,
+    HELD,
+    MOOT,
+    NEVER_RAN,
+    NOTHING,
+    OPEN,
+    REFERENCED,
+    REPLAYABLE,
+    SCOPE_ALL,
+    SCOPE_CELL,
+    SCOPE_ZONE,
+    SCRAP,
+    SINGLE_USE,
+    TIMED_OUT,
+    WAITING,
+    Attempt,
+    Backend,
+    Customer,
+    Ground,
+    Listing,
+    Side,
+    Ticket,
+    UseCase,
+)
 
 SECOND = 1_000_000
 # The breaker's figures; docs/design.md says what was tried for each.
@@ -37,7 +65,7 @@
 FLOW_LEAST = 8
 # A customer's share saves up so many tickets at the least: chance brings several at once.
 SHARE_LEAST = 4.0
-ASKED_SPAN = 4 * SECOND   # and what the others ask for is counted over about so long
+ASKED_SPAN = 4 * SECOND  # and what the others ask for is counted over about so long
 # Further attempts for tickets that may have run, as a part of the tickets taken, and the most saved up.
 SPARE_PART = 0.2
 SPARE_MOST = 10.0
@@ -64,10 +92,10 @@
         self._usual, self._unheard, self._list_lost = 0, 0, False
         self._must_ask, self._asked = ground.must_ask, not ground.must_ask
         self._ask_step, self._ask_at = 0, now
-        self._backends: list[Backend] = []   # emptied by the list: holds what it names as ready
+        self._backends: list[Backend] = []  # emptied by the list: holds what it names as ready
         # By location, this proxy's own first; emptied by the list, but for that.
         self._sides = {self._home: Side(now, FLOW_SPAN, FLOW_SPAN // FLOW_LEAST)}
-        self._young: list[Backend] = []      # emptied by age
+        self._young: list[Backend] = []  # emptied by age
         self._started, self._spare, self._counted_at = now, SPARE_MOST, now
 
     def _tune(self, ground: Ground) -> None:
@@ -133,9 +161,14 @@
         if first:
             self._spare = min(SPARE_MOST, self._spare + SPARE_PART)
         if anchor is not None:
-            choice = [b for b in self._backends
-                      if _drops_repeats(anchor.backend, b, use.scope) and _may_run(use, b)
-                      and (b.state == CLOSED or self._admits(b, now)) and self._has_room(b, now)]
+            choice = [
+                b
+                for b in self._backends
+                if _drops_repeats(anchor.backend, b, use.scope)
+                and _may_run(use, b)
+                and (b.state == CLOSED or self._admits(b, now))
+                and self._has_room(b, now)
+            ]
         tried = [sent.backend for sent in ticket.attempts]
         choice = [b for b in choice if b not in tried] or choice
         if ticket.cost and self._first_tier and self._last_tier:
@@ -227,8 +260,14 @@
     def _last_resort(self, ticket: Ticket, anchor: Attempt | None, now: int) -> Backend | None:
         """No breaker admits: a trial to the server whose open period ends first, as the design has it."""
         use = ticket.use_case
-        shut = [b for b in self._backends if b.state == OPEN and self._has_room(b, now) and _may_run(use, b)
-                and (anchor is None or _drops_repeats(anchor.backend, b, use.scope))]
+        shut = [
+            b
+            for b in self._backends
+            if b.state == OPEN
+            and self._has_room(b, now)
+            and _may_run(use, b)
+            and (anchor is None or _drops_repeats(anchor.backend, b, use.scope))
+        ]
         best = min(shut, key=attrgetter("open_until"), default=None)
         if best is not None:
             self._change(best, HALF_OPEN, now)
@@ -246,8 +285,7 @@
         if backend.cold:
             backend.allowance -= 1.0
 
-    def _in_time(self, ticket: Ticket, side: Side, within: bool, in_flight: int, admitting: int,
-                 now: int) -> bool:
+    def _in_time(self, ticket: Ticket, side: Side, within: bool, in_flight: int, admitting: int, now: int) -> bool:
         """The operators' carry-over: a ticket is taken only if predicted in time. Calls in flight over those
         done a second is the time one now takes on average; each use case keeps its proportion to that. The
         tightest use case sets the pressure for all, and what is of least importance for its time goes first,
@@ -281,8 +319,11 @@
         # Work that takes a good part of the promised time with nothing to wait for is no sign of a jam.
         bound *= max(1.0, 4 * max((one.work / one.promised for one in self._use_cases), default=0.0))
         # Late by its own times is late, however little the others are pressed.
-        return (pressure * stretch < bound and stretch * (use.usual + use.spread) <= use.promised
-                and stretch * use.usual < ticket.until - now)
+        return (
+            pressure * stretch < bound
+            and stretch * (use.usual + use.spread) <= use.promised
+            and stretch * use.usual < ticket.until - now
+        )
 
     def _value(self, use: UseCase) -> float:
         """Importance for the time a ticket takes; where it is counted by work, that time is in it already."""
@@ -361,7 +402,7 @@
             side.done_at = now
             side.span = max(FLOW_SPAN, FLOW_LEAST * side.gap)
             side.flow += SECOND / side.span
-            if backend.near:   # Not those that have gone and finish what they hold.
+            if backend.near:  # Not those that have gone and finish what they hold.
                 side.grown_then += (side.grown / side.sharing - side.grown_then) * side.gap / side.span
                 side.took = self._took_now(side, now) + SECOND / self._warm_after / side.grown * side.sharing
                 side.took_at = now
@@ -538,7 +579,7 @@
         for side in self._sides.values():
             side.flow, side.took, side.started = flow, took, min(self._started, now - 9 * self._warm_after)
             side.flow_at = side.took_at = side.done_at = now
-            flow = took = 0.0   # the first is the home's, whose they are
+            flow = took = 0.0  # the first is the home's, whose they are
 
     # --- the breaker ------------------------------------------------------------------------------
 
@@ -586,8 +627,10 @@
     def _change(self, backend: Backend, state: int, now: int) -> None:
         if backend.state != state and CLOSED in (backend.state, state):
             word = "open" if state == OPEN else "closed"
-            self._say(f"{backend.address} {word}: {backend.failures} of {len(backend.results)} failed,"
-                      f" run {backend.run_failed}")
+            self._say(
+                f"{backend.address} {word}: {backend.failures} of {len(backend.results)} failed,"
+                f" run {backend.run_failed}"
+            )
         backend.state = state
         backend.generation += 1
         backend.results.clear()
@@ -659,5 +702,4 @@
 
 def _may_run(use: UseCase, backend: Backend) -> bool:
     """Placement: kept at each attempt, a trial's and a last resort's too."""
-    return ((use.zones is None or backend.zone in use.zones)
-            and (use.kinds is None or backend.kind in use.kinds))
+    return (use.zones is None or backend.zone in use.zones) and (use.kinds is None or backend.kind in use.kinds)
--- a/pepperusher/rehearsal/agreemodel.py
+++ b/pepperusher/rehearsal/agreemodel.py
@@ -152,9 +152,7 @@
         if voter.role == LEADS:
             if world.proposed < limits.entries:
                 what = f"x{world.proposed}"
-                yield f"{name} proposes {what}", name, lambda one, what=what: one.propose(what), {
-                    "proposed": 1
-                }
+                yield f"{name} proposes {what}", name, lambda one, what=what: one.propose(what), {"proposed": 1}
             if world.rounds < limits.rounds:
                 yield f"{name} speaks", name, lambda one: one._speak(0), {"rounds": 1}
     for to, message in world.sent:
--- a/pepperusher/rehearsal/askers.py
+++ b/pepperusher/rehearsal/askers.py
@@ -40,14 +40,33 @@
 # Seconds after which a call in the queue is refused, in the scene of that name.
 PATIENCE = 2.0
 SETTINGS: dict[str, Any] = {
-    "group-size": 1, "ordinal": 0, "stage": 0, "zone": "here", "zones": ["here"], "tiers": ["only"],
-    "policy-limits": {"cancel": True, "connect-timeout": 500.0, "keepalive": 10_000.0,
-                      "most-transmissions": 3, "retry-after": True, "max-retry-after": 1000.0},
-    "rules": {"ask-within": 10_000.0, "cold-share": 0.2, "warm-after": 5000.0, "tip-multiple": 3.0,
-              "overload-for": 2000.0, "stop-sending-within": 250.0},
+    "group-size": 1,
+    "ordinal": 0,
+    "stage": 0,
+    "zone": "here",
+    "zones": ["here"],
+    "tiers": ["only"],
+    "policy-limits": {
+        "cancel": True,
+        "connect-timeout": 500.0,
+        "keepalive": 10_000.0,
+        "most-transmissions": 3,
+        "retry-after": True,
+        "max-retry-after": 1000.0,
+    },
+    "rules": {
+        "ask-within": 10_000.0,
+        "cold-share": 0.2,
+        "warm-after": 5000.0,
+        "tip-multiple": 3.0,
+        "overload-for": 2000.0,
+        "stop-sending-within": 250.0,
+    },
     "family-info": {"passes-deadline": True},
-    "use-cases": [{"name": "look", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 1.0,
-                   "effect": "pure"}]}
+    "use-cases": [
+        {"name": "look", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 1.0, "effect": "pure"}
+    ],
+}
 
 
 class Figures(NamedTuple):
@@ -56,7 +75,7 @@
 
     scene: str
     lags: list[float]
-    unheard: int     # within the span of the scene
+    unheard: int  # within the span of the scene
     calls: int
     worst_second: int
     refused: int
@@ -66,23 +85,31 @@
         lags = sorted(self.lags)
         parts = (0.5, 0.9, 0.99, 1.0)
         at = [lags[min(len(lags) - 1, int(part * len(lags)))] if lags else float("nan") for part in parts]
-        return (f"| {self.scene} | {len(lags)} | {' | '.join(f'{one:.2f}' for one in at)} | {self.unheard}"
-                f" | {self.calls} | {self.worst_second} | {self.refused} | {self.in_vain} |")
+        return (
+            f"| {self.scene} | {len(lags)} | {' | '.join(f'{one:.2f}' for one in at)} | {self.unheard}"
+            f" | {self.calls} | {self.worst_second} | {self.refused} | {self.in_vain} |"
+        )
 
 
-HEAD = ("| scene | heard | p50 s | p90 s | p99 s | most s | never | calls | worst second | 503 | in vain |\n"
-        "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+HEAD = (
+    "| scene | heard | p50 s | p90 s | p99 s | most s | never | calls | worst second | 503 | in vain |\n"
+    "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |"
+)
 
 
 class Asker:
     """One hollow proxy: a list, and nobody who sends it a ticket."""
 
     def __init__(self, number: int, of: int, address: tuple[str, int], seed: int, ask_within: float) -> None:
-        settings = {**SETTINGS, "group-size": of, "ordinal": number,
-                    "rules": {**SETTINGS["rules"], "ask-within": 1000 * ask_within}}
+        settings = {
+            **SETTINGS,
+            "group-size": of,
+            "ordinal": number,
+            "rules": {**SETTINGS["rules"], "ask-within": 1000 * ask_within},
+        }
         log = Log(f"asker{number}")
-        log.say = lambda line, figures=None: None   # type: ignore[method-assign]
-        self.heard_at: dict[int, float] = {}   # by version, by the loop's clock; one measurement long
+        log.say = lambda line, figures=None: None  # type: ignore[method-assign]
+        self.heard_at: dict[int, float] = {}  # by version, by the loop's clock; one measurement long
         told = ground(settings, seed * 1000 + number)
         self.facade = Facade(told, clock.now(), log.say)
         backends = Backends(Budget(1024), Pool(4, 1024 * 1024), 500_000, 10_000_000)
@@ -136,17 +163,20 @@
 
 # What befalls discovery, and whether it lasts; otherwise discovery is well at once.
 SCENES: dict[str, tuple[Callable[[Turns], None], bool]] = {
-    "down": (_down, True), "refusing": (_refusing, True), "silent": (_silent, True),
+    "down": (_down, True),
+    "refusing": (_refusing, True),
+    "silent": (_silent, True),
     "unreachable": (Turns.unreachable, True),
-    "watches-end": (_ended, False), "watches-silent": (_hushed, False)}
+    "watches-end": (_ended, False),
+    "watches-silent": (_hushed, False),
+}
 # The same, where more is asked of discovery than it can work through while anybody waits.
 TROUBLES = {**SCENES, "keeping": (_keeping, True)}
 STARTS = ("start-slow", "start-full", "start-back")
 
 
 @asynccontextmanager
-async def _crowd(askers: int, turns: Turns, seed: int,
-                 ask_within: float = 10.0) -> AsyncIterator[list[Asker]]:
+async def _crowd(askers: int, turns: Turns, seed: int, ask_within: float = 10.0) -> AsyncIterator[list[Asker]]:
     await turns.open()
     those = [Asker(number, askers, turns.address, seed, ask_within) for number in range(askers)]
     try:
@@ -162,13 +192,23 @@
 def _figures(scene: str, turns: Turns, lags: list[float], unheard: int) -> Figures:
     first = min(turns.calls, default=0.0)
     seconds = Counter(int(at - first) for at in turns.calls)
-    return Figures(scene, lags, unheard, len(turns.calls), max(seconds.values(), default=0), turns.refused,
-                   turns.in_vain)
-
-
-async def lags(scene: str, askers: int, each: float, queue: int, trials: int, seed: int,
-               ask_within: float = 10.0, spans: tuple[float, float] = (3.0, 20.0),
-               most: float = MOST, patience: float | None = None) -> Figures:
+    return Figures(
+        scene, lags, unheard, len(turns.calls), max(seconds.values(), default=0), turns.refused, turns.in_vain
+    )
+
+
+async def lags(
+    scene: str,
+    askers: int,
+    each: float,
+    queue: int,
+    trials: int,
+    seed: int,
+    ask_within: float = 10.0,
+    spans: tuple[float, float] = (3.0, 20.0),
+    most: float = MOST,
+    patience: float | None = None,
+) -> Figures:
     """A change in the time of the trouble, told so much later than discovery had it and could be reached: for
     each asker and each of `trials` troubles of a length by chance. `each`, `ask_within` (the settings' time
     for asking) and `patience` (after which a call in the queue is refused) are seconds."""
@@ -185,8 +225,8 @@
         for _ in range(trials):
             if not await until(lambda: all(turns.version in one.heard_at for one in those)):
                 raise TimeoutError("the crowd was not told of the list as it is")
-            await asyncio.sleep(3.0)   # calls beside the one that spoke are over
-            turns.patience = patience   # not at the start, where all are to be told
+            await asyncio.sleep(3.0)  # calls beside the one that spoke are over
+            turns.patience = patience  # not at the start, where all are to be told
             if _ == 0:
                 turns.calls.clear()
                 turns.refused = turns.in_vain = 0
@@ -210,16 +250,32 @@
         self._path = folder / f"{number}.json"
         self._python = python
         self._port = _free()
-        self._path.write_text(json.dumps({
-            "name": f"p{number}", "listen": f"127.0.0.1:{self._port}",
-            "discovery": f"{discovery[0]}:{discovery[1]}", "seed": f"{number:x}", "limits": {"sockets": 256},
-            "settings": {**SETTINGS, "group-size": of, "ordinal": number}}))
+        self._path.write_text(
+            json.dumps(
+                {
+                    "name": f"p{number}",
+                    "listen": f"127.0.0.1:{self._port}",
+                    "discovery": f"{discovery[0]}:{discovery[1]}",
+                    "seed": f"{number:x}",
+                    "limits": {"sockets": 256},
+                    "settings": {**SETTINGS, "group-size": of, "ordinal": number},
+                }
+            )
+        )
 
     async def ready(self) -> None:
         process = await asyncio.create_subprocess_exec(
-            self._python, "-m", "pepperusher", "serve", "--config", str(self._path),
-            stdin=asyncio.subprocess.DEVNULL, stdout=asyncio.subprocess.DEVNULL,
-            stderr=asyncio.subprocess.DEVNULL, env=dict(os.environ))
+            self._python,
+            "-m",
+            "pepperusher",
+            "serve",
+            "--config",
+            str(self._path),
+            stdin=asyncio.subprocess.DEVNULL,
+            stdout=asyncio.subprocess.DEVNULL,
+            stderr=asyncio.subprocess.DEVNULL,
+            env=dict(os.environ),
+        )
         try:
             while not await self._is_ready():
                 if process.returncode is not None:
@@ -270,8 +326,7 @@
         if scene == "start-back":
             turns.down()
         with tempfile.TemporaryDirectory() as folder:
-            started = [Whole(Path(folder), number, askers, turns.address, sys.executable)
-                       for number in range(whole)]
+            started = [Whole(Path(folder), number, askers, turns.address, sys.executable) for number in range(whole)]
             for one in those:
                 one.discovery.start()
             tasks = [loop.create_task(timed(one.ready())) for one in started]
@@ -287,8 +342,9 @@
             return _figures(scene, turns, took, len(missing))
 
 
-def played(scenes: list[str], askers: int, whole: int, each: float, queue: int, trials: int, seed: int,
-           ask_within: float) -> Iterator[Figures]:
+def played(
+    scenes: list[str], askers: int, whole: int, each: float, queue: int, trials: int, seed: int, ask_within: float
+) -> Iterator[Figures]:
     for scene in scenes:
         if scene in TROUBLES:
             yield steadily(lags(scene, askers, each, queue, trials, seed, ask_within))
--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -44,9 +44,7 @@
         "waited_for",
     )
 
-    def __init__(
-        self, at: Backend, peer: Peer, record: Sent, job: Job, calls: int, info: int, limit: int
-    ) -> None:
+    def __init__(self, at: Backend, peer: Peer, record: Sent, job: Job, calls: int, info: int, limit: int) -> None:
         self.at = at
         self.peer = peer
         self.record = record
@@ -179,12 +177,7 @@
                 if not await self._take(peer, message):
                     break
         except Broken as broken:
-            if (
-                broken.begun
-                and self._peers.get(peer) is None
-                and not self._ended
-                and not writer.transport.is_closing()
-            ):
+            if broken.begun and self._peers.get(peer) is None and not self._ended and not writer.transport.is_closing():
                 writer.write(b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
         except asyncio.CancelledError:
             pass  # the process ends
@@ -451,9 +444,7 @@
         elif fate == weathers.LOST:
             pass
         elif fate == weathers.HALF:
-            peer.writer.write(
-                b"HTTP/1.1 200 OK\r\ncontent-length: 64\r\n\r\n" + answer_body(record.name)[:HALF_AT]
-            )
+            peer.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 64\r\n\r\n" + answer_body(record.name)[:HALF_AT])
         else:
             self._plain(peer, 200, answer_body(record.name))
             record.answered = not peer.writer.transport.is_closing()
--- a/pepperusher/rehearsal/books.py
+++ b/pepperusher/rehearsal/books.py
@@ -143,16 +143,12 @@
             _wrong(one, sent_of, book)
             continue
         if one.how == DONE and not any(sent.effect >= 0 or sent.repeat for sent in sent_of.get(one.name, ())):
-            book.against(
-                LOST_TICKET, one.name, one.ended, "", "done with an answer that no backend made for it"
-            )
+            book.against(LOST_TICKET, one.name, one.ended, "", "done with an answer that no backend made for it")
             continue
         if one.crossed >= 0 and any(0 <= sent.first < one.crossed for sent in sent_of.get(one.name, ())):
             # It had been read: its proxy sent it on, and ended its connection with no answer.
             if not _killed(stays[one.proxy], one):
-                book.against(
-                    LOST_TICKET, one.name, one.crossed, "", "its connection ended without an answer, sent on"
-                )
+                book.against(LOST_TICKET, one.name, one.crossed, "", "its connection ended without an answer, sent on")
             continue
         if one.how not in (LOST, LEFT) or one.written < 0:
             continue
@@ -161,9 +157,7 @@
         still = stills[one.proxy]
         if one.how == LOST:
             if not _end_seen_late(one, one.name in sent_of, still):
-                book.against(
-                    LOST_TICKET, one.name, one.ended, "", "its connection ended without a whole answer"
-                )
+                book.against(LOST_TICKET, one.name, one.ended, "", "its connection ended without a whole answer")
         elif one.parent == "" and _waited(one, still) >= slack:
             book.against(
                 LOST_TICKET,
@@ -239,9 +233,7 @@
         (name, part) for name, those in sent_of.items() for part in _asked(those, crossed.get(name, -1))
     ):
         if len(those) > most:
-            book.against(
-                TWICE, name, those[most].first, those[most].id, f"{len(those)} attempts, {most} allowed"
-            )
+            book.against(TWICE, name, those[most].first, those[most].id, f"{len(those)} attempts, {most} allowed")
         for before, after in zip(those, those[1:]):
             over = before.ended if before.gone < 0 else before.gone
             if over < 0 or after.first < over - script.rules.slack:
@@ -294,9 +286,7 @@
                 f"had begun at {begun[0].id}, whose group alone drops its repeats",
             )
         elif one.last - begun[0].begun > use.remembered + script.rules.slack:
-            book.against(
-                TWICE, one.name, one.first, one.id, f"had begun at {begun[0].id}, longer ago than is known"
-            )
+            book.against(TWICE, one.name, one.first, one.id, f"had begun at {begun[0].id}, longer ago than is known")
     effects = [one for one in those if one.effect >= 0]
     for one in effects[1:]:
         book.against(TWICE, one.name, one.effect, one.id, f"took effect before at {effects[0].id}")
@@ -315,8 +305,10 @@
     for held in sorted(records.held, key=lambda one: one.at):
         for (proxy, _), those in told.items():
             if proxy == held.proxy:
-                those[:] = [Told(one.proxy, one.id, one.state, held.until) if held.at <= one.at < held.until else one
-                            for one in those]
+                those[:] = [
+                    Told(one.proxy, one.id, one.state, held.until) if held.at <= one.at < held.until else one
+                    for one in those
+                ]
     for those in told.values():
         those.sort(key=lambda one: one.at)
     proxy_of = {one.name: one.proxy for one in records.tries}
