--- a/pepperusher/rehearsal/coldsum.py
+++ b/pepperusher/rehearsal/coldsum.py
@@ -20,8 +20,7 @@
 from pepperusher.policy import Balancer
 from pepperusher.rehearsal.books import Records
 from pepperusher.rehearsal.script import Script
-from pepperusher.terms import (
-    AGAIN, DONE, FULL, TIMED_OUT, UNREACHED, Backend, Ground, Listing, Ticket, UseCase)
+from pepperusher.terms import AGAIN, DONE, FULL, TIMED_OUT, UNREACHED, Backend, Ground, Listing, Ticket, UseCase
 
 SECOND = 1_000_000
 STEP = 5_000
@@ -59,18 +58,18 @@
     uneven about the proxies."""
 
     name: str
-    cold: float                 # the part of the backends; 0 is a single one
+    cold: float  # the part of the backends; 0 is a single one
     spread: float = 0.0
     zones: int = 1
     uneven: bool = False
     late: bool = False
-    stale: int = 0              # proxies that are told neither of the end nor of the start till much later
+    stale: int = 0  # proxies that are told neither of the end nor of the start till much later
     restarted: int = 0
     burst: float = 1.0
-    load: float = 0.7           # of what the warm backends can do
-    away: float = 3.0           # from the end to the start (s); 0 where others take their places
-    slow: float = 1.0           # the speed of those that start cold, where no list tells it
-    lost: float = 0.0           # the part of the others that is gone for good, 1.5 s after the start
+    load: float = 0.7  # of what the warm backends can do
+    away: float = 3.0  # from the end to the start (s); 0 where others take their places
+    slow: float = 1.0  # the speed of those that start cold, where no list tells it
+    lost: float = 0.0  # the part of the others that is gone for good, 1.5 s after the start
 
 
 class Reading(NamedTuple):
@@ -130,7 +129,7 @@
         self.chance.shuffle(self.weights)
         self.out: dict[Ticket, tuple[Proxy, Server, int]] = {}
         self.tally: Counter[str] = Counter()
-        self.due: list[tuple[int, int, Callable[[], None]]] = []   # a heap; emptied as the times come
+        self.due: list[tuple[int, int, Callable[[], None]]] = []  # a heap; emptied as the times come
         self.order = count()
         self.rate = case.load * deployment.backends / deployment.work
         for proxy in self.proxies:
@@ -140,15 +139,33 @@
         told, deployment = Ground(), self.deployment
         most = round(20 * deployment.work * SECOND)
         given = {
-            "seed": self.seed * 1000 + number + self.now, "customers": [], "group_size": size,
-            "ordinal": number, "stage": 0, "last_tier": True, "zone": self.zones[number % len(self.zones)],
-            "zones": self.zones, "most_attempts": 3, "may_call_off": True, "may_advise": False,
-            "longest_advice": 0, "must_ask": False, "ask_within": 10 * SECOND,
-            "cold_share": deployment.share, "warm_after": round(deployment.warm * SECOND),
-            "tip_multiple": deployment.multiple, "overload_for": round(deployment.window * SECOND),
-            "passes_limit": True, "importance_by_work": False, "reported_by": terms.BY_NOBODY,
-            "beside_client": False, "drain_binds_alone": False, "pushed": False, "drain_within": SECOND // 2,
-            "use_cases": [UseCase("look", most, 2 * most, 1.0)]}
+            "seed": self.seed * 1000 + number + self.now,
+            "customers": [],
+            "group_size": size,
+            "ordinal": number,
+            "stage": 0,
+            "last_tier": True,
+            "zone": self.zones[number % len(self.zones)],
+            "zones": self.zones,
+            "most_attempts": 3,
+            "may_call_off": True,
+            "may_advise": False,
+            "longest_advice": 0,
+            "must_ask": False,
+            "ask_within": 10 * SECOND,
+            "cold_share": deployment.share,
+            "warm_after": round(deployment.warm * SECOND),
+            "tip_multiple": deployment.multiple,
+            "overload_for": round(deployment.window * SECOND),
+            "passes_limit": True,
+            "importance_by_work": False,
+            "reported_by": terms.BY_NOBODY,
+            "beside_client": False,
+            "drain_binds_alone": False,
+            "pushed": False,
+            "drain_within": SECOND // 2,
+            "use_cases": [UseCase("look", most, 2 * most, 1.0)],
+        }
         for name, value in given.items():
             setattr(told, name, value)
         return Proxy(number, told, self.now)
@@ -159,17 +176,17 @@
         heappush(self.due, (when, next(self.order), what))
 
     def _tell(self, proxy: Proxy, servers: list[Server]) -> None:
-        lines = [Listing(proxy.known.setdefault(one.name, Backend(one.name)), one.zone, 0, 1.0, one.born,
-                         one.ready) for one in servers]
+        lines = [
+            Listing(proxy.known.setdefault(one.name, Backend(one.name)), one.zone, 0, 1.0, one.born, one.ready)
+            for one in servers
+        ]
         proxy.balancer.listed(lines, False, self.now)
 
     def _spoken(self, server: Server, stale: set[int]) -> None:
         """Every proxy is told how it stands now, each in its own time."""
         for proxy in self.proxies:
-            wait = STALE_FOR if proxy.number in stale else \
-                self.chance.random() * TOLD_LATEST if self.case.late else 0
-            self.at(self.now + int(wait),
-                    lambda number=proxy.number: self._tell(self.proxies[number], [server]))
+            wait = STALE_FOR if proxy.number in stale else self.chance.random() * TOLD_LATEST if self.case.late else 0
+            self.at(self.now + int(wait), lambda number=proxy.number: self._tell(self.proxies[number], [server]))
 
     def _ends(self, server: Server, stale: set[int]) -> None:
         server.up = server.ready = False
@@ -207,7 +224,7 @@
         if case.zones > 1:
             cold = [one for one in cold if one.zone == self.zones[0]]
         else:
-            cold = cold[:max(1, ceil(case.cold * len(cold)))]
+            cold = cold[: max(1, ceil(case.cold * len(cold)))]
         stale = set(self.chance.sample(range(self.size), case.stale))
         start = self.now + BEFORE
         for place, server in enumerate(cold):
@@ -225,7 +242,7 @@
                 one.up = one.ready = False
                 self.servers[one.name] = one
         others = [one for one in self.servers.values() if one.ready and one not in cold]
-        for server in others[:round(case.lost * len(others))]:
+        for server in others[: round(case.lost * len(others))]:
             self.at(start + AWAY + 3 * SECOND // 2, lambda one=server: self._ends(one, stale))
         for number in self.chance.sample(range(self.size), case.restarted):
             self.at(start + AWAY + self.chance.randrange(3 * SECOND), lambda one=number: self._restart(one))
@@ -302,9 +319,7 @@
         return joined([read(self.deployment, one.sent, one.born, one.speed, served) for one in cold])
 
 
-def read(
-    deployment: Deployment, sent: list[Arrived], born: int, speed: float = 1.0, served: float = 0.0
-) -> Reading:
+def read(deployment: Deployment, sent: list[Arrived], born: int, speed: float = 1.0, served: float = 0.0) -> Reading:
     """What came to one backend from its start on, in order of time, window by window; `born` in us."""
     span = deployment.window * SECOND
     windows = over = over_by_work = most_sent = ends = 0
@@ -335,8 +350,15 @@
     script has one tier, one kind of backend, and one mean work."""
     kind, rules = script.tiers[0].kinds[0], script.rules
     speed = kind.speed * kind.cores
-    deployment = Deployment(script.title, kind.cold_from, kind.warm_for / SECOND, rules.tip_multiple,
-                            rules.tip_for / SECOND, script.use_cases[0].work.mean / SECOND, kind.count)
+    deployment = Deployment(
+        script.title,
+        kind.cold_from,
+        kind.warm_for / SECOND,
+        rules.tip_multiple,
+        rules.tip_for / SECOND,
+        script.use_cases[0].work.mean / SECOND,
+        kind.count,
+    )
     proxy = {one.name: one.proxy for one in records.tries}
     readings = []
     for stood in records.stood:
@@ -348,9 +370,11 @@
                 told[word.proxy] = min(word.at, told.get(word.proxy, word.at))
         ends = stood.ends if stood.ends >= 0 else script.span + SECOND
         never = script.span * 2
-        sent = sorted((one.first, one.first >= told.get(proxy.get(one.name, -1), never), deployment.work)
-                      for one in records.sent if one.id == stood.id and one.place == stood.place
-                      and stood.born <= one.first < ends)
+        sent = sorted(
+            (one.first, one.first >= told.get(proxy.get(one.name, -1), never), deployment.work)
+            for one in records.sent
+            if one.id == stood.id and one.place == stood.place and stood.born <= one.first < ends
+        )
         readings.append(read(deployment, sent, stood.born, speed))
     return readings
 
@@ -404,15 +428,19 @@
     """Several runs as one."""
     worst = max(readings, key=lambda one: one.worst)
     return Reading(
-        sum(one.windows for one in readings), sum(one.over for one in readings), worst.worst, worst.count,
-        worst.allowed, sum(one.over_by_work for one in readings), max(one.worst_by_work for one in readings),
+        sum(one.windows for one in readings),
+        sum(one.over for one in readings),
+        worst.worst,
+        worst.count,
+        worst.allowed,
+        sum(one.over_by_work for one in readings),
+        max(one.worst_by_work for one in readings),
         sum(one.first for one in readings) / len(readings),
-        sum(one.served for one in readings) / len(readings))
+        sum(one.served for one in readings) / len(readings),
+    )
 
 
-def rows(
-    proxies: int, seeds: Iterable[int], names: Sequence[str]
-) -> Iterator[tuple[Deployment, Case, Reading]]:
+def rows(proxies: int, seeds: Iterable[int], names: Sequence[str]) -> Iterator[tuple[Deployment, Case, Reading]]:
     """Each case at each of the deployments named, as it is read."""
     for deployment in (one for one in DEPLOYMENTS if one.name in names):
         for case in CASES:
@@ -421,11 +449,15 @@
                 yield deployment, case, joined(runs)
 
 
-HEAD = ("| deployment | case | windows | over | worst, of N + 2 x root of N + 2 | by work"
-        " | first window, of N | served |\n| --- | --- | --- | --- | --- | --- | --- | --- |")
+HEAD = (
+    "| deployment | case | windows | over | worst, of N + 2 x root of N + 2 | by work"
+    " | first window, of N | served |\n| --- | --- | --- | --- | --- | --- | --- | --- |"
+)
 
 
 def line(deployment: Deployment, case: Case, got: Reading) -> str:
-    return (f"| {deployment.name} | {case.name} | {got.windows} | {got.over}"
-            f" | {got.worst:.2f} ({got.count} of N {got.allowed:.1f})"
-            f" | {got.over_by_work} over, {got.worst_by_work:.2f} | {got.first:.2f} | {got.served:.3f} |")
+    return (
+        f"| {deployment.name} | {case.name} | {got.windows} | {got.over}"
+        f" | {got.worst:.2f} ({got.count} of N {got.allowed:.1f})"
+        f" | {got.over_by_work} over, {got.worst_by_work:.2f} | {got.first:.2f} | {got.served:.3f} |"
+    )
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -202,23 +202,41 @@
     if not all(one.isdecimal() and 2 <= int(one) <= 2000 for one in sizes.split(",")) or plays < 1:
         raise click.ClickException("--sizes are whole numbers from 2 to 2000, and --plays is 1 or more")
     with one_line():
-        made = list(groupfigures.rows([int(one) for one in sizes.split(",")], plays, lambda line: click.echo(line, err=True)))
+        made = list(
+            groupfigures.rows([int(one) for one in sizes.split(",")], plays, lambda line: click.echo(line, err=True))
+        )
         click.echo(groupfigures.table(made))
 
 
 @click.command("askers")
-@click.option("--scene", "scenes", default="down,refusing,silent,unreachable,watches-end,watches-silent", show_default=True,
-              help="Several by commas; start-slow, start-full and start-back time new processes.")
+@click.option(
+    "--scene",
+    "scenes",
+    default="down,refusing,silent,unreachable,watches-end,watches-silent",
+    show_default=True,
+    help="Several by commas; start-slow, start-full and start-back time new processes.",
+)
 @click.option("--askers", "crowd", default=200, show_default=True, help="How many ask the one discovery.")
 @click.option("--whole", default=24, show_default=True, help="How many of these are processes, where starts are timed.")
 @click.option("--each", default=14.0, show_default=True, help="Milliseconds that discovery works on a call.")
-@click.option("--queue", default=1_000_000, help="Calls that may wait there; it answers 503 to those beyond.  [default: no end]")
+@click.option(
+    "--queue", default=1_000_000, help="Calls that may wait there; it answers 503 to those beyond.  [default: no end]"
+)
 @click.option("--ask-within", default=10.0, show_default=True, help="Seconds that the settings give for asking.")
 @click.option("--trials", default=5, show_default=True, help="Troubles in a scene, of 3 to 20 s by chance.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="One object a scene, in place of a table.")
-def askers(scenes: str, crowd: int, whole: int, each: float, queue: int, ask_within: float, trials: int, seed: int,
-           as_json: bool) -> None:
+def askers(
+    scenes: str,
+    crowd: int,
+    whole: int,
+    each: float,
+    queue: int,
+    ask_within: float,
+    trials: int,
+    seed: int,
+    as_json: bool,
+) -> None:
     """Measure a crowd of proxies at one discovery: how late they hear of a change after it is back, and the calls it took."""
     import json
 
--- a/pepperusher/rehearsal/compare.py
+++ b/pepperusher/rehearsal/compare.py
@@ -81,6 +81,4 @@
             verdict = "noise"
         else:
             verdict = "better" if (mean > 0) == more_is_better else "worse"
-    return Difference(
-        measure, sum(base) / len(base), sum(other) / len(other), mean, low, high, len(pairs), verdict
-    )
+    return Difference(measure, sum(base) / len(base), sum(other) / len(other), mean, low, high, len(pairs), verdict)
--- a/pepperusher/rehearsal/deemed.py
+++ b/pepperusher/rehearsal/deemed.py
@@ -54,7 +54,9 @@
     return not any(strike.at <= at and strike.until > at - WATCHED_AFTER for strike in unreached)
 
 
-def _terms(change: Change, signals: list[int], silences: list[int], unreached: list[Strike]) -> Iterator[tuple[int, int]]:
+def _terms(
+    change: Change, signals: list[int], silences: list[int], unreached: list[Strike]
+) -> Iterator[tuple[int, int]]:
     """When each term that ends with this change began, and its end."""
     for signal, following in zip(signals, [*signals[1:], None]):
         # Of a row the last counts.
--- a/pepperusher/rehearsal/director.py
+++ b/pepperusher/rehearsal/director.py
@@ -28,8 +28,20 @@
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
 # Struck here, and not by the fleet itself.
-BY_DIRECTOR = OF_LINKS | {"proxy-kill", "proxy-term", "proxy-hup", "proxy-stop", "proxy-starve", "proxy-twin",
-                          "proxy-hand", "disk-full", "disk-gone", "disk-old", "discovery-moved", "pause-generator"}
+BY_DIRECTOR = OF_LINKS | {
+    "proxy-kill",
+    "proxy-term",
+    "proxy-hup",
+    "proxy-stop",
+    "proxy-starve",
+    "proxy-twin",
+    "proxy-hand",
+    "disk-full",
+    "disk-gone",
+    "disk-old",
+    "discovery-moved",
+    "pause-generator",
+}
 # From all being ready to the first ticket.
 LEAD = 400_000
 # A backend's own proxy is started so long before it, and is ready when it is.
@@ -58,9 +70,7 @@
         self._line = troubles.timeline(script, self.plan)
         self._start = Start()
         self._writer = Writer(work / "director.records")
-        self.listing = Listing(
-            self.plan, self._line, Roster(script, self.plan, self._line), self._writer, self._start
-        )
+        self.listing = Listing(self.plan, self._line, Roster(script, self.plan, self._line), self._writer, self._start)
         self._script_file = work / "script.json"
         self._script_file.write_bytes(scripts.encoded(script))
         self.grouping: Grouping | None = None
@@ -81,8 +91,18 @@
         self._ended = False
 
     def _runner(self, gate: Gate, twin: bool, writer: Writer) -> Runner:
-        return Runner(self._script, gate, self._work, self._build, writer, self._start, self.listing.known,
-                      self.listing.address, self.grouping, twin)
+        return Runner(
+            self._script,
+            gate,
+            self._work,
+            self._build,
+            writer,
+            self._start,
+            self.listing.known,
+            self.listing.address,
+            self.grouping,
+            twin,
+        )
 
     def _now(self) -> int:
         return clock() - self._start.at
@@ -176,9 +196,7 @@
             worker.tell(start=self._start.at)
         loop = asyncio.get_running_loop()
         self._tasks = [
-            loop.create_task(self._strike(strike))
-            for strike in self._line.strikes
-            if strike.what in BY_DIRECTOR
+            loop.create_task(self._strike(strike)) for strike in self._line.strikes if strike.what in BY_DIRECTOR
         ]
         self._tasks += [
             loop.create_task(self._own_proxy(life.place, life.born, life.ends))
@@ -278,6 +296,7 @@
 
     async def _stop_for(self, number: int, until: int) -> None:
         """It stands still; the front notices after a while, and when it goes on."""
+
         async def noticed() -> None:
             await asyncio.sleep(min(self._script.load.notice, max(0, until - self._now())) / 1e6)
             self._out(number)
--- a/pepperusher/rehearsal/engine.py
+++ b/pepperusher/rehearsal/engine.py
@@ -68,9 +68,7 @@
         self._tip_bins = max(1, tip_for // BIN)
         self._at = now
         self._share = 0.0
-        self._on_core: list[
-            tuple[float, int, Job]
-        ] = []  # a heap; emptied as parts end, stopped ones as they surface
+        self._on_core: list[tuple[float, int, Job]] = []  # a heap; emptied as parts end, stopped ones as they surface
         self._running = 0
         self._slots = 0
         self._queue: deque[Job] = deque()  # emptied as slots come free
@@ -132,9 +130,7 @@
             self._share += rate * passed
             self.worked += rate * passed * self._running
             # Frozen or not: a freeze is not what pushes it over, and neither is having had nothing to do.
-            self._bins[-1][1] += (
-                self._kind.speed * self.warmth(self._at) / self.slower * self._kind.cores * passed
-            )
+            self._bins[-1][1] += self._kind.speed * self.warmth(self._at) / self.slower * self._kind.cores * passed
             self._at = step
             while self._on_core and self._on_core[0][0] <= self._share + 1e-6:
                 job = heappop(self._on_core)[2]
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -39,9 +39,7 @@
     seeds: list[int]
     arms: list[Arm]
     vary: dict[str, list[Any]] = {}
-    measures: list[str] = msgspec.field(
-        default_factory=lambda: ["goodput", "worst window", "p50", "p99", "tries"]
-    )
+    measures: list[str] = msgspec.field(default_factory=lambda: ["goodput", "worst window", "p50", "p99", "tries"])
     order_seed: int = 1
     folder: str = "."
 
@@ -80,9 +78,7 @@
         if names.count(arm.name) > 1:
             raise ScriptError(f"arms[{number}].name: {arm.name} stands twice")
         if arm.build is not None and not (Path(experiment.folder) / arm.build / "pepperusher").is_dir():
-            raise ScriptError(
-                f"arms[{number}].build: {arm.build} is no checkout: it has no folder pepperusher"
-            )
+            raise ScriptError(f"arms[{number}].build: {arm.build} is no checkout: it has no folder pepperusher")
     for key in experiment.vary:
         if not experiment.vary[key]:
             raise ScriptError(f"vary.{key}: has no values")
@@ -170,9 +166,7 @@
             results.write(path, result)
             word = "played"
         rules = "" if result.kept else ", A RULE BROKEN"
-        say(
-            f"{number} of {len(plays)} {word}: {one.arm.name}, {one.pair}: goodput {result.figures.goodput:.4f}{rules}"
-        )
+        say(f"{number} of {len(plays)} {word}: {one.arm.name}, {one.pair}: goodput {result.figures.goodput:.4f}{rules}")
         played.append((one, result))
     return played
 
--- a/pepperusher/rehearsal/fleet.py
+++ b/pepperusher/rehearsal/fleet.py
@@ -33,9 +33,7 @@
         self._writer = writer
         self._start = Start()
         self._mine = [place for place in plan.places if plan.process_of(place, script.processes) == process]
-        self._memories: dict[
-            object, Memory
-        ] = {}  # one for each group that shares one, so as many as the script has
+        self._memories: dict[object, Memory] = {}  # one for each group that shares one, so as many as the script has
         self._standing: dict[int, Backend] = {}  # by place; emptied as stays end
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -55,9 +53,7 @@
                 await self._arrive(life, place)
 
     async def _arrive(self, life: Life, place: Place) -> None:
-        backend = Backend(
-            self._script, place, life.id, life.born, self._memory(place), self._writer, self._start
-        )
+        backend = Backend(self._script, place, life.id, life.born, self._memory(place), self._writer, self._start)
         self._standing[place.number] = backend
         await backend.listen()
 
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -42,7 +42,9 @@
     """Deals tickets out among the proxies of a client's zone that are in, in turn; those kept open go
     first. One of ONE_OF gets `uneven` times the mean."""
 
-    def __init__(self, clients: list[tuple[str, Client]], uneven: float = 1.0, seed: int = 0, stays: float = 0.0) -> None:
+    def __init__(
+        self, clients: list[tuple[str, Client]], uneven: float = 1.0, seed: int = 0, stays: float = 0.0
+    ) -> None:
         self._clients = clients
         self._stays = stays
         self._staying = Random(f"{seed}:stays")
@@ -156,9 +158,7 @@
             nth > 0,
         )
         client = self._front.next(zone)
-        reply = (
-            Reply(NOBODY) if client is None else await client.ask(asked, wish.stays(self._script.rules.slack))
-        )
+        reply = Reply(NOBODY) if client is None else await client.ask(asked, wish.stays(self._script.rules.slack))
         ended = clock()
         start = self._start.at
         self._writer.add(
@@ -210,10 +210,7 @@
                 await self._wish(arrival, due)
 
         await asyncio.gather(
-            *(
-                user(number)
-                for number in range(self._process, self._script.load.users, self._script.load.processes)
-            )
+            *(user(number) for number in range(self._process, self._script.load.users, self._script.load.processes))
         )
 
     async def beat(self) -> None:
--- a/pepperusher/rehearsal/groupfigures.py
+++ b/pepperusher/rehearsal/groupfigures.py
@@ -147,12 +147,8 @@
         yield row(f"40, {lost:.0%} lost", 40, plays, Manner(lost=lost), span=60 * SECOND)
     say("losses are played")
     for starved in (1, 4, 10):
-        yield row(
-            f"40, {starved} with 5% of a processor", 40, plays, starved=starved, duty=0.05, span=60 * SECOND
-        )
-    yield row(
-        "40, 4 with 5% and 10% lost", 40, plays, Manner(lost=0.1), starved=4, duty=0.05, span=60 * SECOND
-    )
+        yield row(f"40, {starved} with 5% of a processor", 40, plays, starved=starved, duty=0.05, span=60 * SECOND)
+    yield row("40, 4 with 5% and 10% lost", 40, plays, Manner(lost=0.1), starved=4, duty=0.05, span=60 * SECOND)
 
 
 def table(made: list[Row]) -> str:
--- a/pepperusher/rehearsal/grouping.py
+++ b/pepperusher/rehearsal/grouping.py
@@ -24,9 +24,7 @@
 
 
 def manner_of(link: Link) -> Manner:
-    return Manner(
-        link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate
-    )
+    return Manner(link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate)
 
 
 def twin_of(gate: Gate, net: int) -> Gate:
--- a/pepperusher/rehearsal/groupmodel.py
+++ b/pepperusher/rehearsal/groupmodel.py
@@ -57,9 +57,7 @@
 
 
 class Model:
-    def __init__(
-        self, seed: int, period: int = 200_000, within: int = 60_000, manner: Manner = Manner()
-    ) -> None:
+    def __init__(self, seed: int, period: int = 200_000, within: int = 60_000, manner: Manner = Manner()) -> None:
         self.chance = Random(seed)
         self.now = 1_700_000_000 * SECOND
         self.manner = manner
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -142,9 +142,7 @@
             [one.narrow for one in self._company if one.narrow is not None],
             told.ground.seed,
         )
-        self._lists: dict[str, dict[str, Entry]] = (
-            {}
-        )  # by service, what distribution told last; replaced with each
+        self._lists: dict[str, dict[str, Entry]] = {}  # by service, what distribution told last; replaced with each
         self._parts: dict[str, str] = {}  # by name, the texts that make up its own file
         self._told_version = 0
         self.client: Client | None = None
@@ -267,9 +265,7 @@
             for entry, address in zip(update.entries, update.addresses)
             if before.get(entry.id) != entry
         ]
-        gone = [
-            (entry._replace(ready=False, gone=True), GONE) for id, entry in before.items() if id not in fresh
-        ]
+        gone = [(entry._replace(ready=False, gone=True), GONE) for id, entry in before.items() if id not in fresh]
         self._lists[service] = fresh
         self._told_version += 1
         Discovery.take(
@@ -329,9 +325,7 @@
     made.keys = {}
     made.name, made.listen, made.discovery, made.console = name, NOWHERE, discovery, None
     made.sockets, made.memory = 1024, 256 * 1024 * 1024
-    made.ground = ground(
-        {**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number
-    )
+    made.ground = ground({**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number)
     made.connect_within, made.idle_most = 500_000, 10_000_000
     made.known = endpoint_update_of(known) if known is not None else None
     return made
@@ -474,8 +468,7 @@
     async def configure(self, order: dict[str, Any]) -> dict[str, Any]:
         """A text handed over by hand, as `ctl propose` does at a whole one."""
         refused = [
-            self._hollows[index].take_configuration(order["name"], order["text"])
-            for index in self._meant(order)
+            self._hollows[index].take_configuration(order["name"], order["text"]) for index in self._meant(order)
         ]
         return {"refused": [why for why in refused if why is not None]}
 
--- a/pepperusher/rehearsal/hollow_books.py
+++ b/pepperusher/rehearsal/hollow_books.py
@@ -36,9 +36,7 @@
         if wanted is None or meant is not None and index not in meant:
             continue
         of += 1
-        first = next(
-            (when for key, version, when in books if key == what and version >= wanted and when >= at), None
-        )
+        first = next((when for key, version, when in books if key == what and version >= wanted and when >= at), None)
         if first is not None:
             times.append((first - at) / 1e6)
     times.sort()
@@ -99,8 +97,6 @@
         for role, megabytes in held.items():
             memory[role] = max(memory[role], megabytes)
     return {
-        role: Use(
-            round(sum(all_) / len(all_), 4), round(max(all_), 4), len(named[role]), round(memory[role], 1)
-        )
+        role: Use(round(sum(all_) / len(all_), 4), round(max(all_), 4), len(named[role]), round(memory[role], 1))
         for role, all_ in rates.items()
     }
--- a/pepperusher/rehearsal/hollow_fidelity.py
+++ b/pepperusher/rehearsal/hollow_fidelity.py
@@ -51,9 +51,7 @@
 class Whole:
     """One `serve` process; of a group of `group` where there is one, and with a console if asked for."""
 
-    def __init__(
-        self, work: Path, index: int, group: int = 0, console: str = "", listen: str = ""
-    ) -> None:
+    def __init__(self, work: Path, index: int, group: int = 0, console: str = "", listen: str = "") -> None:
         self._work, self._index = work, index
         self._listen = listen or f"127.0.3.{index + 1}:7070"
         self._size = {"group-size": group} if group else {}
@@ -304,9 +302,7 @@
             raise RuntimeError(f"the changes took longer than {COUNTED:g} s: nothing to compare")
         await asyncio.sleep(left)
         after = await controls.sums()
-        return Counter(
-            {kind: after[kind] - (before if kind in AT_START else connected)[kind] for kind in after}
-        )
+        return Counter({kind: after[kind] - (before if kind in AT_START else connected)[kind] for kind in after})
     finally:
         await asyncio.gather(*(one.end() for one in whole))
         await play.end()
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -132,8 +132,7 @@
         """Whether each that runs finds this one so."""
         views = await self.views()
         return len(views) == self._size - len(self.away) and all(
-            any(row["name"] == f"w{number}" and row["found"] == how for row in view["members"])
-            for view in views
+            any(row["name"] == f"w{number}" and row["found"] == how for row in view["members"]) for view in views
         )
 
     async def all_there(self) -> bool:
@@ -281,9 +280,7 @@
     )
     await asyncio.sleep(settles)
     views, (hollow, kept) = await whole.views(), await play.kinds(finds=True)
-    whole_all, hollow_all = await asyncio.gather(
-        play.counts_of(play.whole_ways), play.counts_of(play.ways[0])
-    )
+    whole_all, hollow_all = await asyncio.gather(play.counts_of(play.whole_ways), play.counts_of(play.ways[0]))
     own, longest, _ = await play.group_traffic()
     finds: Counter[str] = Counter()
     for view in views:
@@ -332,8 +329,8 @@
     """By all others, and it finds them as they are."""
     views = await whole.views()
     return len(views) == len(whole.ones) - len(whole.away) and all(
-        row["found"] == "alive" for view in views for row in view["members"] if row["name"] == f"w{number}"
-        and row["found"] != "itself"
+        row["found"] == "alive"
+        for view in views
+        for row in view["members"]
+        if row["name"] == f"w{number}" and row["found"] != "itself"
     )
-
-
--- a/pepperusher/rehearsal/hollow_group_links.py
+++ b/pepperusher/rehearsal/hollow_group_links.py
@@ -38,9 +38,7 @@
 
     async def shape(self, order: dict[str, Any]) -> dict[str, Any]:
         """From these sides to those."""
-        manner = Manner(
-            lost=order.get("lost", 0.0), delay=order.get("delay", 0.0), jitter=order.get("jitter", 0.0)
-        )
+        manner = Manner(lost=order.get("lost", 0.0), delay=order.get("delay", 0.0), jitter=order.get("jitter", 0.0))
         self._links.shape(manner, order["senders"], order["receivers"])
         return {}
 
--- a/pepperusher/rehearsal/hollow_group_play.py
+++ b/pepperusher/rehearsal/hollow_group_play.py
@@ -76,9 +76,7 @@
             await asyncio.gather(*(self._ask(worker, "senders", hosts=part) for worker in self.ways))
         for zone, worker in enumerate(self.ways):
             those = {
-                str(one.number): [host_of(self._net, one.number), PORT]
-                for one in self.plan.places
-                if one.zone == zone
+                str(one.number): [host_of(self._net, one.number), PORT] for one in self.plan.places if one.zone == zone
             }
             names = list(those)
             for start in range(0, len(names), NAMES_AT_ONCE):
@@ -112,9 +110,7 @@
         """Nothing passes between members there and all others."""
         inner = [side_of(zone) for zone in zones]
         outer = [side_of(zone) for zone in range(len(self.ways)) if zone not in zones]
-        await asyncio.gather(
-            *(self._ask(worker, "cut", sides=inner, others=outer) for worker in self.ways)
-        )
+        await asyncio.gather(*(self._ask(worker, "cut", sides=inner, others=outer) for worker in self.ways))
 
     async def heal_ways(self) -> None:
         await asyncio.gather(*(self._ask(worker, "heal") for worker in self.ways))
@@ -168,9 +164,7 @@
                 return False
             await asyncio.sleep(LOOK_EVERY)
 
-    async def found(
-        self, names: Iterable[str], how: str, within: float, by: Iterable[int] | None = None
-    ) -> bool:
+    async def found(self, names: Iterable[str], how: str, within: float, by: Iterable[int] | None = None) -> bool:
         """Until all those asked find all named so: "alive", "suspected", "lost" or "gone"."""
         return await self.until(
             "finds", within, "finds", names=list(names), how=how, by=None if by is None else list(by)
--- a/pepperusher/rehearsal/hollow_group_scenes.py
+++ b/pepperusher/rehearsal/hollow_group_scenes.py
@@ -43,9 +43,7 @@
 class GroupGround:
     """One stand, and the checks of a scene on it."""
 
-    def __init__(
-        self, play: GroupPlay, period: int, quick: bool, say: Callable[[str], None], slack: float
-    ) -> None:
+    def __init__(self, play: GroupPlay, period: int, quick: bool, say: Callable[[str], None], slack: float) -> None:
         self.play, self.quick, self.say = play, quick, say
         self.size = play.size
         self.period = period
--- a/pepperusher/rehearsal/hollow_list.py
+++ b/pepperusher/rehearsal/hollow_list.py
@@ -53,9 +53,7 @@
         ):
             rows, full = list(self.servers.values()), True
         else:
-            rows, full = [
-                row for one in range(after + 1, self.version + 1) for row in self.changes[one]
-            ], False
+            rows, full = [row for one in range(after + 1, self.version + 1) for row in self.changes[one]], False
         return json.dumps({"version": self.version, "full": full, "servers": rows}).encode() + b"\n"
 
 
@@ -125,9 +123,7 @@
         while True:
             await asyncio.sleep(LOOK_EVERY)
             now = time.monotonic()
-            for number, watch in enumerate(
-                [one for view in self.views for one in view.watches if one.due <= now]
-            ):
+            for number, watch in enumerate([one for view in self.views for one in view.watches if one.due <= now]):
                 watch.tell(b"\n")
                 if number % BATCH == BATCH - 1:
                     await asyncio.sleep(0)
@@ -151,9 +147,7 @@
                     view.servers.pop(row["id"], None)
                 else:
                     view.servers[row["id"]] = row
-            lines.append(
-                (view, json.dumps({"version": view.version, "full": False, "servers": mine}).encode() + b"\n")
-            )
+            lines.append((view, json.dumps({"version": view.version, "full": False, "servers": mine}).encode() + b"\n"))
         told = 0
         for view, line in lines:
             for watch in list(view.watches):
--- a/pepperusher/rehearsal/hollow_plan.py
+++ b/pepperusher/rehearsal/hollow_plan.py
@@ -132,9 +132,7 @@
         )
         for index in range(size)
     ]
-    return Plan(
-        services, called, places, [one // workers_per_zone for one in range(zones * workers_per_zone)]
-    )
+    return Plan(services, called, places, [one // workers_per_zone for one in range(zones * workers_per_zone)])
 
 
 TEAMS = 100
--- a/pepperusher/rehearsal/hollow_play.py
+++ b/pepperusher/rehearsal/hollow_play.py
@@ -123,8 +123,7 @@
         listening = (await self.discovery.said("listening", STAND_WITHIN))["listening"]
         count = max(self.plan.workers) + 1
         self.zones = [
-            await self._start("hollow_links", f"links {zone}", str(self._seed * 1000 + zone))
-            for zone in range(count)
+            await self._start("hollow_links", f"links {zone}", str(self._seed * 1000 + zone)) for zone in range(count)
         ]
         names = {f"view {view}": address for view, address in enumerate(listening)}
         for zone, worker in enumerate(self.zones):
@@ -167,12 +166,8 @@
         controls = self.controls
         await controls.can_write()
         rows = [("config", "common", (self._own or "").encode())]
-        rows += [
-            ("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))
-        ]
-        rows += [
-            ("endpoints", name, body_of(those)) for name, those in lists_of(self.plan, self.parts).items()
-        ]
+        rows += [("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))]
+        rows += [("endpoints", name, body_of(those)) for name, those in lists_of(self.plan, self.parts).items()]
         for start in range(0, len(rows), PUBLISHED_AT_ONCE):
             await asyncio.gather(*(controls.publish(*one) for one in rows[start : start + PUBLISHED_AT_ONCE]))
         self._say(f"{len(rows)} resources are written")
@@ -279,9 +274,7 @@
         """Until all that run and can answer have these views' versions, but for `spare` of them; False where
         they have not in time.
         """
-        return await self._until(
-            {"versions": {str(view): one for view, one in versions.items()}}, within, spare
-        )
+        return await self._until({"versions": {str(view): one for view, one in versions.items()}}, within, spare)
 
     async def until_resources(self, versions: dict[str, int], within: float, spare: int = 0) -> bool:
         """The same for resources by kind/name."""
@@ -321,9 +314,7 @@
         }
 
     def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Reached:
-        return hollow_books.reached(
-            rows, what, {place.view: version for place in self.plan.places}, at, meant
-        )
+        return hollow_books.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
         """At discovery; when, and what version each view has of it."""
@@ -334,9 +325,7 @@
         """Since they were last asked for, of all that can answer."""
         self._books += 1
         asked = [
-            (number, worker)
-            for number, worker in enumerate(self.workers)
-            if number not in self.stopped | self.gone
+            (number, worker) for number, worker in enumerate(self.workers) if number not in self.stopped | self.gone
         ]
         told = await asyncio.gather(
             *(
@@ -401,8 +390,7 @@
     def machines(self, zone: int) -> list[str]:
         """Where the control machines are."""
         fronts = [
-            self._fronts[zone][f"control {number}"]
-            for number in range(self.controls.count if self.controls else 0)
+            self._fronts[zone][f"control {number}"] for number in range(self.controls.count if self.controls else 0)
         ]
         return [f"{host}:{port}" for host, port in fronts]
 
@@ -433,9 +421,7 @@
 
     async def cut_control(self, number: int, way: str) -> None:
         """One control machine from every zone: what they say ("out") or what they hear ("in") is lost."""
-        await asyncio.gather(
-            *(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zones)
-        )
+        await asyncio.gather(*(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zones))
 
     async def heal(self) -> None:
         """Every cut, and the links as they are without trouble."""
@@ -444,9 +430,7 @@
 
     async def slow(self, numbers: Iterable[int], part: float, seconds: float) -> None:
         """Processes of proxies have their loop for a part of the time."""
-        await asyncio.gather(
-            *(self._ask(self.workers[one], "slow", part=part, seconds=seconds) for one in numbers)
-        )
+        await asyncio.gather(*(self._ask(self.workers[one], "slow", part=part, seconds=seconds) for one in numbers))
 
     def freeze(self, numbers: Iterable[int], on: bool) -> None:
         """Processes of proxies stand still, or go on."""
--- a/pepperusher/rehearsal/hollow_report.py
+++ b/pepperusher/rehearsal/hollow_report.py
@@ -42,12 +42,11 @@
     word = "kept" if told["verdict"] == "passed" else "broken"
     parts = [
         f'<h2>{escape(told["scene"])}: <span class="{word}">{escape(told["verdict"])}</span></h2>',
-        f'<p>{told.get("size", "")} proxies, seed {told.get("seed", "")}, {told.get("seconds", "")} s.</p>',
+        f"<p>{told.get('size', '')} proxies, seed {told.get('seed', '')}, {told.get('seconds', '')} s.</p>",
     ]
     if checks := told.get("checks"):
         rows = [
-            (one["what"], "holds" if one["holds"] else "DOES NOT HOLD", json.dumps(one["seen"])[:300])
-            for one in checks
+            (one["what"], "holds" if one["holds"] else "DOES NOT HOLD", json.dumps(one["seen"])[:300]) for one in checks
         ]
         parts.append(table(("what must hold", "", "seen"), rows))
     found = list(spreads(told.get("figures") or {}))
--- a/pepperusher/rehearsal/hollow_scenes.py
+++ b/pepperusher/rehearsal/hollow_scenes.py
@@ -47,9 +47,7 @@
         zones = ZONES if size > SMALL or controls > SMALL_ZONES else SMALL_ZONES
         self.size, self.seed, self.quick, self.say = size, seed, quick, say
         self.play = Play(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
-        self.play.lacking = {
-            place.number for place in self.play.plan.places if place.number % LACKS_EVERY == 0
-        }
+        self.play.lacking = {place.number for place in self.play.plan.places if place.number % LACKS_EVERY == 0}
         self.chance = Random(seed)
         self.text = OWN
         self._number = 0
@@ -108,9 +106,7 @@
             told.all is not None and told.all <= within,
             told.row(),
         )
-        self.check(
-            f"{label}: nothing older after something newer", hollow_books.backwards(rows) == 0, len(rows)
-        )
+        self.check(f"{label}: nothing older after something newer", hollow_books.backwards(rows) == 0, len(rows))
         return told.row()
 
     async def rested(self) -> dict[str, int]:
@@ -138,9 +134,7 @@
             "proxy_cores": round(proxies.get("cores_mean", 0.0) / self.size, 6),
             "proxy_cores_worst_second": round(proxies.get("cores_worst_s", 0.0) / self.size, 6),
             "proxy_memory_mb": round(proxies.get("memory_mb", 0.0) / self.size, 3),
-            "control_cores_each": round(
-                use.get("control", {}).get("cores_mean", 0.0) / max(1, self.controls.count), 4
-            ),
+            "control_cores_each": round(use.get("control", {}).get("cores_mean", 0.0) / max(1, self.controls.count), 4),
             "control_cores_worst_second_all": use.get("control", {}).get("cores_worst_s"),
             "control_memory_mb_all": use.get("control", {}).get("memory_mb"),
             "connects": traffic.get("connects", 0),
@@ -209,11 +203,7 @@
     while (passed := time.monotonic() - began) < span:
         for _ in range(int(passed * factor * CHANGES_A_DAY / 86400) - len(changes)):
             # One in twenty is for all, the others for a team.
-            name = (
-                "common"
-                if ground.chance.random() < 0.05
-                else f"t{ground.chance.randrange(min(TEAMS, ground.size))}"
-            )
+            name = "common" if ground.chance.random() < 0.05 else f"t{ground.chance.randrange(min(TEAMS, ground.size))}"
             changes.append(await ground.publish(name))
         for _ in range(int(passed * factor * RESTARTS_A_DAY / 86400) - restarts):
             those = [ground.chance.randrange(ground.size)]
@@ -247,9 +237,7 @@
     ground.check("day: processor of a proxy", costs["proxy_cores"] <= CORES, costs["proxy_cores"])
     after = await ground.rested()
     for kind in ("running", "told", "backends", "versions", "subscribed", "tasks"):
-        ground.check(
-            f"day: {kind} does not grow", after[kind] <= before[kind] * 1.01 + 2, [before[kind], after[kind]]
-        )
+        ground.check(f"day: {kind} does not grow", after[kind] <= before[kind] * 1.01 + 2, [before[kind], after[kind]])
     ends = [told.all for told in slowest if told.all is not None]
     mosts = [told.most for told in slowest if told.most is not None]
     return {
@@ -297,9 +285,7 @@
         storm["snapshots"] <= 0.02 * 7 * ground.size,
         storm["snapshots"],
     )
-    ground.check(
-        "all restarted: calls of the storm", storm["connects"] <= 12 * ground.size, storm["connects"]
-    )
+    ground.check("all restarted: calls of the storm", storm["connects"] <= 12 * ground.size, storm["connects"])
     return made
 
 
@@ -316,9 +302,7 @@
 async def _apart(ground: Ground, span: float, rounds: int) -> dict[str, Any]:
     cut = ground.play.parts - 1
     inside = {place.number for place in ground.play.plan.places if place.region == cut}
-    owned = next(
-        service for service in range(len(ground.play.plan.services)) if service % ground.play.parts == cut
-    )
+    owned = next(service for service in range(len(ground.play.plan.services)) if service % ground.play.parts == cut)
     name = list_of(owned, ground.play.parts)
     rows_ = list(ground.play.plan.services[owned])
     await ground.play.cut({cut}, True)
@@ -519,9 +503,7 @@
         rollout = await ground.controls.rollout("config", "common")
     stopped_after = round((clock() - at) / 1e6, 2)
     # It is halted everywhere once every control machine says so.
-    while time.monotonic() < until and not all(
-        one.get("halted") == 1 for one in await ground.controls.figures()
-    ):
+    while time.monotonic() < until and not all(one.get("halted") == 1 for one in await ground.controls.figures()):
         await asyncio.sleep(LOOK_EVERY)
     rows = await ground.play.books()
     told = ground.play.reached_resource(rows, what, version, at, ground.everyone())
@@ -533,9 +515,7 @@
         dict(list(rollout.refused.items())[:2]),
     )
     lacking = {f"p{number}" for number in ground.play.lacking}
-    ground.check(
-        "refused by a fifth: nobody else refused", set(rollout.refused) <= lacking, len(rollout.refused)
-    )
+    ground.check("refused by a fifth: nobody else refused", set(rollout.refused) <= lacking, len(rollout.refused))
     after = await ground.taken(await ground.publish(), "the change after a refused one")
     return {
         "stopped_after_s": stopped_after,
@@ -559,9 +539,7 @@
         if control is not None and control < ground.controls.count and control != ORIGIN:
             await ground.controls.kill(control)
         others = ground.everyone(set(gone))
-        made[f"{label}_lost"] = await ground.taken(
-            await ground.publish(), f"{label} lost: the others", others
-        )
+        made[f"{label}_lost"] = await ground.taken(await ground.publish(), f"{label} lost: the others", others)
         back = clock()
         if control is not None and control < ground.controls.count and control != ORIGIN:
             await ground.play.start_control(control)
--- a/pepperusher/rehearsal/links.py
+++ b/pepperusher/rehearsal/links.py
@@ -184,11 +184,7 @@
         if manner.damaged and chance() < manner.damaged:
             self.counts["damaged"] += 1
             at = self._chance.randrange(len(data) or 1)
-            data = (
-                data[:at] + bytes([data[at] ^ 1 << self._chance.randrange(8)]) + data[at + 1 :]
-                if data
-                else data
-            )
+            data = data[:at] + bytes([data[at] ^ 1 << self._chance.randrange(8)]) + data[at + 1 :] if data else data
         if manner.size:
             data = data[: manner.size]
         copies = 2 if manner.twice and chance() < manner.twice else 1
--- a/pepperusher/rehearsal/listing.py
+++ b/pepperusher/rehearsal/listing.py
@@ -55,9 +55,7 @@
                     await self._serve(Peer(reader, writer, h11.SERVER), gate, turn)
 
                 self._servers.append(
-                    await asyncio.start_server(
-                        serve, gate.discovery[0], gate.discovery[1] + turn, reuse_address=True
-                    )
+                    await asyncio.start_server(serve, gate.discovery[0], gate.discovery[1] + turn, reuse_address=True)
                 )
 
     def begin(self) -> None:
@@ -110,9 +108,7 @@
                     break
                 else:
                     body = self._line(gate, self._roster.version(self._heard(gate)), None)
-                    peer.send(
-                        h11.Response(status_code=200, headers=[(b"content-length", b"%d" % len(body))]), body
-                    )
+                    peer.send(h11.Response(status_code=200, headers=[(b"content-length", b"%d" % len(body))]), body)
                 if not peer.again():
                     break
         except (Broken, OSError, asyncio.CancelledError):
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -22,9 +22,7 @@
 def table(head: Iterable[str], rows: Iterable[Iterable[object]]) -> str:
     """As HTML; whatever stands in the cells is escaped."""
     top = "".join(f"<th>{escape(one)}</th>" for one in head)
-    body = "".join(
-        "<tr>" + "".join(f"<td>{escape(str(one))}</td>" for one in row) + "</tr>\n" for row in rows
-    )
+    body = "".join("<tr>" + "".join(f"<td>{escape(str(one))}</td>" for one in row) + "</tr>\n" for row in rows)
     return f"<table><tr>{top}</tr>\n{body}</table>\n"
 
 
@@ -54,9 +52,7 @@
         return "<p>No books were kept on the other side.</p>"
     lines = []
     for rule, count in result.rules.items():
-        word = (
-            f'<span class="broken">broken {count} times</span>' if count else '<span class="kept">kept</span>'
-        )
+        word = f'<span class="broken">broken {count} times</span>' if count else '<span class="kept">kept</span>'
         lines.append(f"<li>{escape(rule)}: {word}</li>")
     rows = [(one.rule, one.ticket, said(one.at), one.backend, one.what) for one in result.entries]
     entries = table(("rule", "ticket", "at", "backend", "what"), rows) if rows else ""
@@ -117,9 +113,7 @@
         )
         parts.append(
             f"<h2>{escape(each.other)} against {escape(each.base)}</h2><p>{escape(each.where)}</p>"
-            + table(
-                ("measure", each.base, each.other, "difference", "95% interval", "pairs", "verdict"), rows
-            )
+            + table(("measure", each.base, each.other, "difference", "95% interval", "pairs", "verdict"), rows)
         )
     return "\n".join(parts)
 
--- a/pepperusher/rehearsal/plots.py
+++ b/pepperusher/rehearsal/plots.py
@@ -100,9 +100,7 @@
     return _svg(figure)
 
 
-def bars(
-    title: str, x: str, parts: Sequence[str], rows: Sequence[tuple[str, Sequence[float | None]]]
-) -> str:
+def bars(title: str, x: str, parts: Sequence[str], rows: Sequence[tuple[str, Sequence[float | None]]]) -> str:
     """A row of bars for each name, one for each part; none where there is no figure."""
     figure, axes = _axes(title, x, "", (8.0, 0.8 + 0.12 * max(1, len(rows)) * (len(parts) + 1)))
     high = 0.9 / max(1, len(parts))
@@ -169,12 +167,19 @@
     for proxy, of in list(since):
         end(proxy, of, result.span)
     names = [name for name in result.proxies if any(of == name for of, _ in spans)][:MOST_ROWS]
-    figure, axes = _axes("Members as the others find them, darker where more do", "s", "",
-                         (8.0, 0.8 + 0.2 * max(1, len(names))))
+    figure, axes = _axes(
+        "Members as the others find them, darker where more do", "s", "", (8.0, 0.8 + 0.2 * max(1, len(names)))
+    )
     for row, name in enumerate(names):
         for what, colour in FOUND_COLOURS.items():
-            axes.broken_barh(spans[name, what], (row - 0.4, 0.8), color=colour, alpha=min(1.0, 2 / len(result.proxies)), linewidth=0)
-        held = [(max(0, at) / 1e6, (until - at) / 1e6) for proxy, at, until in result.figures.held if result.proxies[proxy] == name]
+            axes.broken_barh(
+                spans[name, what], (row - 0.4, 0.8), color=colour, alpha=min(1.0, 2 / len(result.proxies)), linewidth=0
+            )
+        held = [
+            (max(0, at) / 1e6, (until - at) / 1e6)
+            for proxy, at, until in result.figures.held
+            if result.proxies[proxy] == name
+        ]
         axes.broken_barh(held, (row - 0.1, 0.2), color="black", linewidth=0)
     axes.set_yticks(range(len(names)), names, fontsize=7)
     axes.set_xlim(0, result.span / 1e6)
--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -65,9 +65,7 @@
             }
             for use in script.use_cases
         ],
-        "customers": [
-            {"name": one.name, "quota-rps": one.quota or one.share * offered} for one in script.customers
-        ],
+        "customers": [{"name": one.name, "quota-rps": one.quota or one.share * offered} for one in script.customers],
         "policy-limits": {
             "cancel": rules.cancel,
             "connect-timeout": rules.connect_within / 1000,
@@ -120,7 +118,7 @@
         self.gate = gate
         self._grouping = grouping
         self.seat = grouping.seat(gate, twin) if grouping is not None else gate.name
-        self.believed: list[Believed] = []   # what it said that it finds, the oldest first
+        self.believed: list[Believed] = []  # what it said that it finds, the oldest first
         self._script = script
         self._work = work
         self._build = build
@@ -130,7 +128,7 @@
         self._found = found
         self._process: asyncio.subprocess.Process | None = None
         self._reading: asyncio.Task[None] | None = None
-        self._times: dict[str, int] = {}   # on the clock: the rehearsal's start may be still to come
+        self._times: dict[str, int] = {}  # on the clock: the rehearsal's start may be still to come
         self._stays = 0
         self.ready = False
 
@@ -216,17 +214,9 @@
         except OSError:
             return False
         try:
-            peer.send(
-                h11.Request(
-                    method="GET", target="/ready", headers=[("host", "proxy"), ("connection", "close")]
-                )
-            )
+            peer.send(h11.Request(method="GET", target="/ready", headers=[("host", "proxy"), ("connection", "close")]))
             answer = await peer.receive()
-            return (
-                answer is not None
-                and isinstance(answer.head, h11.Response)
-                and answer.head.status_code == 200
-            )
+            return answer is not None and isinstance(answer.head, h11.Response) and answer.head.status_code == 200
         except (Broken, OSError):
             return False
         finally:
@@ -248,8 +238,7 @@
             Ran(
                 self.gate.number,
                 process.pid,
-                *(since(times.get(what, -1), self._start.at)
-                  for what in ("started", "ready", "told", "killed")),
+                *(since(times.get(what, -1), self._start.at) for what in ("started", "ready", "told", "killed")),
                 self._now(),
                 status,
             )
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -261,8 +261,20 @@
         "new-ids",
     )
 )
-OF_PROXIES = frozenset(("proxy-term", "proxy-kill", "proxy-hup", "proxy-stop", "proxy-starve", "proxy-twin",
-                        "proxy-hand", "disk-full", "disk-gone", "disk-old"))
+OF_PROXIES = frozenset(
+    (
+        "proxy-term",
+        "proxy-kill",
+        "proxy-hup",
+        "proxy-stop",
+        "proxy-starve",
+        "proxy-twin",
+        "proxy-hand",
+        "disk-full",
+        "disk-gone",
+        "disk-old",
+    )
+)
 OF_LINKS = frozenset(("link-part", "link-cut", "link-bad"))
 
 
@@ -483,9 +495,7 @@
         last = number == len(script.tiers) - 1
         _need(tier.calls >= 0, f"{key}.calls", "is under 0")
         _need(not last or tier.calls == 0, f"{key}.calls", "the last tier has none to call")
-        _need(
-            last or tier.calls > 0, f"{key}.calls", "missing: without calls the next tier has nothing to do"
-        )
+        _need(last or tier.calls > 0, f"{key}.calls", "missing: without calls the next tier has nothing to do")
         _need(0 <= tier.proxies <= MOST_PROXIES, f"{key}.proxies", f"is not from 0 to {MOST_PROXIES}")
         for place, kind in enumerate(tier.kinds):
             at = f"{key}.kinds[{place}]"
@@ -547,11 +557,13 @@
     linked = fault.what in OF_LINKS
     _need(
         script.proxies.group is not None or fault.what != "proxy-twin",
-        f"{key}.what", "needs proxies.group: else no proxy has a name to another",
+        f"{key}.what",
+        "needs proxies.group: else no proxy has a name to another",
     )
     _need(
         fault.what != "proxy-hand" or script.proxies.console or script.proxies.group is not None,
-        f"{key}.what", "needs proxies.console: clients are sent away by a call there",
+        f"{key}.what",
+        "needs proxies.console: clients are sent away by a call there",
     )
     _need(linked or not fault.sides and fault.link is None, f"{key}.sides", f"is not for {fault.what}")
     if fault.what == "proxy-starve":
@@ -562,9 +574,11 @@
     _need(sides >= 2 if fault.what == "link-part" else sides == 2, f"{key}.sides", "are not two (link-part: or more)")
     first = [f"p{number + 1}" for number in range(script.tiers[0].proxies)]
     for name in (name for side in fault.sides for name in side):
-        if not name.startswith("p-"):   # those of lower tiers are called by their backends
+        if not name.startswith("p-"):  # those of lower tiers are called by their backends
             _known(name, first, f"{key}.sides")
-    _need((fault.what == "link-bad") == (fault.link is not None), f"{key}.link", "stands with link-bad, and there alone")
+    _need(
+        (fault.what == "link-bad") == (fault.link is not None), f"{key}.link", "stands with link-bad, and there alone"
+    )
 
 
 def _check_faults(script: Script) -> None:
@@ -592,7 +606,12 @@
             "is not over 0 and up to 1",
         )
         _need(fault.what != "slow" or (fault.by or 2) >= 1, f"{key}.by", "is under 1, which is no slowing")
-        lasts = OF_BACKENDS - {"kill", "restart", "drain", "new-ids"} | {"discovery-down", "discovery-late", "discovery-full", "discovery-silent"}
+        lasts = OF_BACKENDS - {"kill", "restart", "drain", "new-ids"} | {
+            "discovery-down",
+            "discovery-late",
+            "discovery-full",
+            "discovery-silent",
+        }
         lasts |= {"proxy-stop", "proxy-starve", "proxy-twin", "proxy-hand", "disk-full", "disk-gone"} | OF_LINKS
         _check_group_fault(script, fault, key)
         _need(fault.what not in lasts or fault.span > 0, f"{key}.span", "missing: it lasts for a while")
@@ -604,6 +623,4 @@
         _need(chance.every > 0, f"{key}.every", "is 0")
         _need(bool(chance.of), f"{key}.of", "names none")
         _need(0 < chance.part <= 1, f"{key}.part", "is not over 0 and up to 1")
-        _need(
-            "pause-generator" not in chance.of, f"{key}.of", "a pause of the generator is not left to chance"
-        )
+        _need("pause-generator" not in chance.of, f"{key}.of", "a pause of the generator is not left to chance")
--- a/pepperusher/rehearsal/soak.py
+++ b/pepperusher/rehearsal/soak.py
@@ -46,7 +46,7 @@
         self.proxies = self.chance.randint(*PROXIES)
         self.backends = self.chance.randint(*BACKENDS)
         self.faults: list[Fault] = []
-        self._restarted: set[str] = set()   # proxies: each ends and starts once, or two processes would take one place
+        self._restarted: set[str] = set()  # proxies: each ends and starts once, or two processes would take one place
 
     def between(self, least: float, most: float) -> float:
         return self.chance.uniform(least, most)
@@ -118,7 +118,9 @@
 
 
 def _same_address(draw: _Draw, at: float) -> None:
-    draw.add("proxy-hup", at, names=draw.proxy(), times=draw.chance.randint(1, 4), every=_seconds(draw.between(0.1, 0.6)))
+    draw.add(
+        "proxy-hup", at, names=draw.proxy(), times=draw.chance.randint(1, 4), every=_seconds(draw.between(0.1, 0.6))
+    )
     if draw.chance.random() < 0.5:
         draw.add("discovery-down", at + 0.1, draw.between(0.3, 2.0))
     draw.drain(at)
@@ -154,7 +156,9 @@
 
 def _bad_backends(draw: _Draw, at: float) -> None:
     for _ in range(draw.chance.randint(1, 2)):
-        what = draw.chance.choice(("freeze", "silent", "slow", "errors", "reset", "garble", "lost", "half-answer", "refuse"))
+        what = draw.chance.choice(
+            ("freeze", "silent", "slow", "errors", "reset", "garble", "lost", "half-answer", "refuse")
+        )
         more = {"by": draw.between(0.3, 1.0)} if what in ("errors", "reset", "garble", "lost", "half-answer") else {}
         draw.add(what, at + draw.between(0.0, 1.0), draw.between(0.5, 4.0), names=draw.backend(), **more)
     if draw.chance.random() < 0.3:
@@ -184,7 +188,10 @@
     desk = {"name": "desk", "cell": 4, "proxies": draw.proxies, "kinds": [{**kind, "count": draw.backends}]}
     if not two:
         return [desk]
-    return [{**desk, "work": 0.5, "calls": 1.0}, {"name": "ledger", "cell": 4, "work": 0.5, "kinds": [{**kind, "count": 6}]}]
+    return [
+        {**desk, "work": 0.5, "calls": 1.0},
+        {"name": "ledger", "cell": 4, "work": 0.5, "kinds": [{**kind, "count": 6}]},
+    ]
 
 
 def script_of(seed: int, span: int) -> Script:
@@ -205,7 +212,9 @@
     proxies: dict[str, Any] = {}
     if crowd:
         begins = draw.between(QUIET_START, seconds - QUIET_END)
-        load["surges"] = [{"at": _seconds(begins), "span": _seconds(draw.between(1.0, 4.0)), "times": draw.between(2.0, 5.0)}]
+        load["surges"] = [
+            {"at": _seconds(begins), "span": _seconds(draw.between(1.0, 4.0)), "times": draw.between(2.0, 5.0)}
+        ]
         proxies["sockets"] = draw.chance.choice((64, 96, 1024))
     return made({
         "title": f"soak {seed}", "seed": seed, "span": _seconds(seconds), "window": "5s",
@@ -233,7 +242,11 @@
     figures = result.figures
     broken = ", ".join(f"{rule}: {count}" for rule, count in result.rules.items() if count) or "rules kept"
     stalls = f", the generator stood still {len(figures.stalls)} times" if figures.stalls else ""
-    head = (f"seed {result.seed}: {broken}; {figures.wishes} wanted, {figures.in_time} in time,"
-            f" {', '.join(f'{how} {count}' for how, count in figures.ends.items())}{stalls}")
-    entries = [f"  {one.rule}: {one.ticket} at {one.at / 1e6:.3f} s {one.backend}: {one.what}" for one in result.entries[:5]]
+    head = (
+        f"seed {result.seed}: {broken}; {figures.wishes} wanted, {figures.in_time} in time,"
+        f" {', '.join(f'{how} {count}' for how, count in figures.ends.items())}{stalls}"
+    )
+    entries = [
+        f"  {one.rule}: {one.ticket} at {one.at / 1e6:.3f} s {one.backend}: {one.what}" for one in result.entries[:5]
+    ]
     return "\n".join([head, *entries])
--- a/pepperusher/rehearsal/solo.py
+++ b/pepperusher/rehearsal/solo.py
@@ -37,10 +37,7 @@
 ) -> None:
     file = work / "script.json"
     file.write_bytes(scripts.encoded(script))
-    told = [
-        {"number": number, "zone": "", "host": host, "port": port}
-        for number, (host, port) in enumerate(targets)
-    ]
+    told = [{"number": number, "zone": "", "host": host, "port": port} for number, (host, port) in enumerate(targets)]
     workers = [
         await Worker.start(
             "pepperusher.rehearsal.generator",
@@ -78,9 +75,7 @@
             await worker.end()
 
 
-def load(
-    script: Script, targets: list[tuple[str, int]], progress: Callable[[int], None] | None = None
-) -> Result:
+def load(script: Script, targets: list[tuple[str, int]], progress: Callable[[int], None] | None = None) -> Result:
     """Raises PlayError."""
     digest = plan_digest(script)
     with tempfile.TemporaryDirectory(prefix="load-") as spare:
@@ -90,9 +85,7 @@
             asyncio.run(_load(script, targets, work, progress))
         except (RuntimeError, OSError) as error:
             raise PlayError(str(error)) from None
-        kept = books.Records(
-            record for path in sorted(work.glob("*.records")) for record in records.read(path)
-        )
+        kept = books.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
     names = [f"{host}:{port}" for host, port in targets]
     return Result(
         VERSION,
@@ -117,9 +110,7 @@
     try:
         await director.stand(load=False)
         for place in director.plan.places:
-            say(
-                f"backend {place.name:<20} {place.address[0]}:{place.address[1]}  zone {place.zone}, cell {place.cell}"
-            )
+            say(f"backend {place.name:<20} {place.address[0]}:{place.address[1]}  zone {place.zone}, cell {place.cell}")
         for gate in director.plan.gates:
             say(
                 f"proxy   {gate.name:<20} {gate.address[0]}:{gate.address[1]}  tier {script.tiers[gate.tier].name},"
--- a/pepperusher/rehearsal/spoken.py
+++ b/pepperusher/rehearsal/spoken.py
@@ -15,9 +15,7 @@
 
 
 def _head(result: Result) -> list[str]:
-    return [
-        f"{result.title}  (seed {result.seed}, {said(result.span)}, build {result.build}, plan {result.plan})"
-    ]
+    return [f"{result.title}  (seed {result.seed}, {said(result.span)}, build {result.build}, plan {result.plan})"]
 
 
 def _wishes(figures: Figures) -> list[str]:
--- a/pepperusher/rehearsal/stalls.py
+++ b/pepperusher/rehearsal/stalls.py
@@ -78,9 +78,5 @@
     def seconds(self) -> list[int]:
         """The whole seconds (from 0) that hold a part of one."""
         return sorted(
-            {
-                second
-                for at, until in self.joined
-                for second in range(max(0, at) // 1_000_000, until // 1_000_000 + 1)
-            }
+            {second for at, until in self.joined for second in range(max(0, at) // 1_000_000, until // 1_000_000 + 1)}
         )
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -161,9 +161,7 @@
         if not one.parent:
             together[one.wish].append(one)
     made = [Wish(those, script) for those in together.values()]
-    return sorted(
-        (one for one in made if one.first.intended >= script.warm_up), key=lambda one: one.first.intended
-    )
+    return sorted((one for one in made if one.first.intended >= script.warm_up), key=lambda one: one.first.intended)
 
 
 def _group(name: str, wishes: list[Wish]) -> Group:
@@ -296,9 +294,7 @@
         untrusted_seconds=sorted(untrusted),
         seconds=_seconds(wishes, untrusted),
         use_cases=[_group(use.name, by_use.get(number, [])) for number, use in enumerate(script.use_cases)],
-        customers=[
-            _group(one.name, by_customer.get(number, [])) for number, one in enumerate(script.customers)
-        ],
+        customers=[_group(one.name, by_customer.get(number, [])) for number, one in enumerate(script.customers)],
         tickets=used.tickets,
         attempts=used.attempts,
         turned_away=used.away,
--- a/pepperusher/rehearsal/troubles.py
+++ b/pepperusher/rehearsal/troubles.py
@@ -136,9 +136,7 @@
             strikes.extend(_struck(one, targets))
     for number, chance in enumerate(script.chances):
         for place, fault in enumerate(_drawn(chance, number, script)):
-            strikes.extend(
-                _struck(fault, _of(script, plan, fault, Random(f"{script.seed}:whom:{number}:{place}")))
-            )
+            strikes.extend(_struck(fault, _of(script, plan, fault, Random(f"{script.seed}:whom:{number}:{place}"))))
     strikes.sort(key=lambda one: (one.at, one.until, one.what, one.targets))
     strikes = [one for one in strikes if one.at < script.span]
     return Timeline(strikes, _lives(strikes, plan))
@@ -202,9 +200,7 @@
             if strike.what != "new-ids" and strike.until < 0:
                 away = -2
         if away != -2:
-            lives.append(
-                Life(place.number, place.id_at(generation), generation, born, drains, again, -1, False)
-            )
+            lives.append(Life(place.number, place.id_at(generation), generation, born, drains, again, -1, False))
     return sorted(lives, key=lambda one: (one.born, one.place))
 
 
--- a/pepperusher/rehearsal/turns.py
+++ b/pepperusher/rehearsal/turns.py
@@ -26,14 +26,14 @@
         self.each, self.queue, self.patience = each, queue, patience
         self.manner = WELL
         self.version = 1
-        self.calls: list[float] = []     # when each call came, by the loop's clock; one measurement long
+        self.calls: list[float] = []  # when each call came, by the loop's clock; one measurement long
         self.refused = self.in_vain = 0  # answered 503; worked through for nobody
         self._changed = {number: 1 for number in range(backends)}
         self._draining: set[int] = set()
         self._waiting: deque[tuple[asyncio.StreamWriter, int | None]] = deque()
-        self._waits: dict[asyncio.StreamWriter, asyncio.Timeout] = {}   # emptied as connections end
+        self._waits: dict[asyncio.StreamWriter, asyncio.Timeout] = {}  # emptied as connections end
         self._come = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()   # emptied as connections end
+        self._open: set[asyncio.StreamWriter] = set()  # emptied as connections end
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self._deaf: list[socket.socket] = []
@@ -52,8 +52,7 @@
         self._deaf.clear()
         self.manner = WELL
         if self._server is None:
-            self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024,
-                                                      reuse_address=True)
+            self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024, reuse_address=True)
             self.address = self._server.sockets[0].getsockname()
 
     def down(self) -> None:
@@ -105,9 +104,19 @@
             one.close()
 
     def _line(self, after: int | None) -> bytes:
-        told = [{"id": f"b{number}", "addr": f"127.0.0.1:{2 + number}", "zone": "here", "cell": number,
-                 "weight": 1.0, "state": "draining" if number in self._draining else "ready", "started_ms": 0}
-                for number, version in self._changed.items() if after is None or version > after]
+        told = [
+            {
+                "id": f"b{number}",
+                "addr": f"127.0.0.1:{2 + number}",
+                "zone": "here",
+                "cell": number,
+                "weight": 1.0,
+                "state": "draining" if number in self._draining else "ready",
+                "started_ms": 0,
+            }
+            for number, version in self._changed.items()
+            if after is None or version > after
+        ]
         return json.dumps({"version": self.version, "full": after is None, "servers": told}).encode() + b"\n"
 
     @staticmethod
@@ -130,7 +139,7 @@
             try:
                 async with asyncio.timeout(self.patience) as waits:
                     self._waits[writer] = waits
-                    await reader.read()   # till it is left
+                    await reader.read()  # till it is left
             except TimeoutError:
                 self.refused += 1
                 writer.write(REFUSED)
--- a/pepperusher/rehearsal/weather.py
+++ b/pepperusher/rehearsal/weather.py
@@ -52,9 +52,7 @@
 
 def edges(strikes: list[Strike], place: int) -> list[int]:
     """When its weather changes."""
-    return sorted(
-        {edge for one in strikes if place in one.targets for edge in (one.at, one.until) if edge >= 0}
-    )
+    return sorted({edge for one in strikes if place in one.targets for edge in (one.at, one.until) if edge >= 0})
 
 
 def fate(weather: Weather, use_case: str, chance: Random) -> str:
--- a/pepperusher/rehearsal/wire.py
+++ b/pepperusher/rehearsal/wire.py
@@ -129,9 +129,7 @@
 
     @property
     def ended(self) -> bool:
-        return (
-            self.reader.at_eof() or self.reader.exception() is not None or self.writer.transport.is_closing()
-        )
+        return self.reader.at_eof() or self.reader.exception() is not None or self.writer.transport.is_closing()
 
 
 async def reach(address: tuple[str, int]) -> Peer:
--- a/pepperusher/rehearsal/worker.py
+++ b/pepperusher/rehearsal/worker.py
@@ -29,9 +29,7 @@
         self.name = name
 
     @classmethod
-    async def start(
-        cls, module: str, name: str, log: Path, *arguments: str, cpus: set[int] | None = None
-    ) -> Worker:
+    async def start(cls, module: str, name: str, log: Path, *arguments: str, cpus: set[int] | None = None) -> Worker:
         with open(log, "ab") as errors:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -74,9 +72,7 @@
                     if what in told:
                         return told
         except TimeoutError:
-            raise WorkerError(
-                f"{self.name} did not say {what} within {within:g} s: {self._last_words()}"
-            ) from None
+            raise WorkerError(f"{self.name} did not say {what} within {within:g} s: {self._last_words()}") from None
 
     def _last_words(self) -> str:
         lines = self._log.read_text(errors="replace").strip().splitlines()
@@ -130,9 +126,7 @@
     @classmethod
     async def open(cls) -> Orders:
         reader = asyncio.StreamReader()
-        await asyncio.get_running_loop().connect_read_pipe(
-            lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
-        )
+        await asyncio.get_running_loop().connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         return cls(reader)
 
     async def next(self) -> dict[str, Any] | None:
--- a/pepperusher/routes/match.py
+++ b/pepperusher/routes/match.py
@@ -109,9 +109,7 @@
 
 def _path_within(a: Template, b: Template) -> bool:
     """Whether all that `a` matches `b` matches."""
-    if len(a.segments) < len(b.segments) or any(
-        other and one != other for one, other in zip(a.segments, b.segments)
-    ):
+    if len(a.segments) < len(b.segments) or any(other and one != other for one, other in zip(a.segments, b.segments)):
         return False
     return b.rest or not a.rest and len(a.segments) == len(b.segments)
 
--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -24,9 +24,9 @@
         self.balancer = Balancer(ground, now, self._say)
         self.use_cases = {use.name: use for use in ground.use_cases}
         self.customers = {customer.name: customer for customer in ground.customers}
-        self.backends: dict[str, Backend] = {}     # grows with the fleet, not with tickets; dies with the instance
-        self.tickets: dict[int, Ticket] = {}       # emptied when a ticket is over and no attempt is out
-        self.held: dict[int, int] = {}             # timer to ticket, emptied as timers fall due
+        self.backends: dict[str, Backend] = {}  # grows with the fleet, not with tickets; dies with the instance
+        self.tickets: dict[int, Ticket] = {}  # emptied when a ticket is over and no attempt is out
+        self.held: dict[int, int] = {}  # timer to ticket, emptied as timers fall due
         self.last_ref = LIST_TIMER
         self.list_timer_set = False
 
@@ -141,8 +141,12 @@
 
 
 EVENTS: dict[str, Callable[[Instance, dict[str, str], int], None]] = {
-    "new_request": Instance.new_request, "settled": Instance.settled, "first": Instance.first,
-    "dropped": Instance.dropped, "elapsed": Instance.elapsed, "status_back": Instance.unused,
+    "new_request": Instance.new_request,
+    "settled": Instance.settled,
+    "first": Instance.first,
+    "dropped": Instance.dropped,
+    "elapsed": Instance.elapsed,
+    "status_back": Instance.unused,
     "mail": Instance.unused,
 }
 
@@ -152,7 +156,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.banks: dict[int, list[Line]] = {}     # sixteen numbers at the most, each replaced by the next list
+        self.banks: dict[int, list[Line]] = {}  # sixteen numbers at the most, each replaced by the next list
 
     def replies(self, lines: Iterator[str]) -> Iterator[str]:
         for line in lines:
@@ -219,10 +223,18 @@
                 weight = float(entry.get("heft", "1"))
             except ValueError:
                 raise WireError(f"m: heft is not a number: {entry['heft']!r}") from None
-            entries.append((text("m", entry, "backend"), entry.get("area", ""),
-                            whole("m", entry, "group") if "group" in entry else 0, weight if weight > 0 else 1.0,
-                            micros("m", entry, "born") if "born" in entry else 0, text("m", entry, "phase") == "IN",
-                            entry.get("type", ""), entry.get("phase") == "OUT"))
+            entries.append(
+                (
+                    text("m", entry, "backend"),
+                    entry.get("area", ""),
+                    whole("m", entry, "group") if "group" in entry else 0,
+                    weight if weight > 0 else 1.0,
+                    micros("m", entry, "born") if "born" in entry else 0,
+                    text("m", entry, "phase") == "IN",
+                    entry.get("type", ""),
+                    entry.get("phase") == "OUT",
+                )
+            )
         return entries
 
     def _sync(self, fields: dict[str, str], current: Instance | None, now: int) -> None:
@@ -246,4 +258,3 @@
             raise
         except Exception as error:  # whatever a decision trips over ends the day in words, not in silence
             current.out.append(f"bail_out\tline={type(error).__name__}: {' '.join(str(error).split())}")
-
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -9,8 +9,14 @@
 from pepperusher.terms import Ground
 
 HOW = {
-    "0": terms.DONE, "255": terms.ERROR, "254": terms.FULL, "253": terms.TIMED_OUT, "252": terms.UNREACHED,
-    "251": terms.RESET, "250": terms.CALLED_OFF, "249": terms.MOOT,
+    "0": terms.DONE,
+    "255": terms.ERROR,
+    "254": terms.FULL,
+    "253": terms.TIMED_OUT,
+    "252": terms.UNREACHED,
+    "251": terms.RESET,
+    "250": terms.CALLED_OFF,
+    "249": terms.MOOT,
 }
 
 
--- a/pepperusher/store/commands.py
+++ b/pepperusher/store/commands.py
@@ -17,7 +17,10 @@
 from pepperusher.store.recovery import RefusedError
 
 WORDS = {
-    tables.SENT: "sent", tables.NEVER_RAN: "never ran", tables.BREAKER: "breaker", tables.LISTED: "listed",
+    tables.SENT: "sent",
+    tables.NEVER_RAN: "never ran",
+    tables.BREAKER: "breaker",
+    tables.LISTED: "listed",
     tables.UNLISTED: "unlisted",
 }
 LARGE = 16 * 1024 * 1024
--- a/pepperusher/store/disk.py
+++ b/pepperusher/store/disk.py
@@ -41,9 +41,7 @@
     def _file(self, name: str) -> int:
         number = self._open.get(name)
         if number is None:
-            number = self._open[name] = os.open(
-                self._folder / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600
-            )
+            number = self._open[name] = os.open(self._folder / name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         return number
 
     def write(self, name: str, at: int, data: bytes) -> None:
--- a/pepperusher/store/keeper.py
+++ b/pepperusher/store/keeper.py
@@ -99,9 +99,7 @@
                 self.groups += 1
                 self.records += len(group)
                 self._writing = []
-                self._loop.call_soon_threadsafe(
-                    self._told, [told for _, _, told in group if told is not None]
-                )
+                self._loop.call_soon_threadsafe(self._told, [told for _, _, told in group if told is not None])
                 if self._log.bytes_since >= self._compact_at and not self._compacting:
                     self._compacting = True
                     # The state is taken on the loop, where tables change; all before it is in segments before
--- a/pepperusher/store/recovery.py
+++ b/pepperusher/store/recovery.py
@@ -65,12 +65,7 @@
     """Raises RefusedError."""
     body, _, check = data.rstrip(b"\n").rpartition(b" ")
     try:
-        if (
-            int(check, 16) != crc32c(body)
-            or not data.endswith(b"\n")
-            or len(check) != 8
-            or check.lower() != check
-        ):
+        if int(check, 16) != crc32c(body) or not data.endswith(b"\n") or len(check) != 8 or check.lower() != check:
             raise ValueError
         version, snapshot, sequence, first = json.loads(body)
     except ValueError:
@@ -83,9 +78,7 @@
 def recover(files: Mapping[str, bytes]) -> Recovered | None:
     """From all files of the folder by name; None where there is no store yet. Raises RefusedError."""
     if MANIFEST not in files:
-        left = sorted(
-            name for name in files if name.startswith((SEGMENT, SNAPSHOT)) and not name.endswith(".new")
-        )
+        left = sorted(name for name in files if name.startswith((SEGMENT, SNAPSHOT)) and not name.endswith(".new"))
         # A store is made with its first segment and its tail before its manifest names them.
         if left and (left != [segment_name(1)] or len(files[left[0]]) > HEADER.size):
             raise RefusedError(f"{MANIFEST}: is missing, and {left[0]} is there")
@@ -105,9 +98,7 @@
             if frames.read_header(data)[1] != number:
                 raise RefusedError(f"{name}: is another segment")
         except FrameError as error:
-            if not (
-                last and number > manifest.first and len(data) <= HEADER.size and sequence >= acknowledged
-            ):
+            if not (last and number > manifest.first and len(data) <= HEADER.size and sequence >= acknowledged):
                 raise RefusedError(f"{name}: {error}") from None
             # The next segment was being begun, and nothing is in it.
             return _ended(manifest, state, log, number - 1, length, sequence, files, len(data))
@@ -147,9 +138,7 @@
         *(segment_name(one) for one in range(manifest.first, number + 1)),
     }
     stale = sorted(
-        name
-        for name in files
-        if name not in used and (name.startswith((SEGMENT, SNAPSHOT)) or name.endswith(".new"))
+        name for name in files if name not in used and (name.startswith((SEGMENT, SNAPSHOT)) or name.endswith(".new"))
     )
     return Recovered(manifest, state, log, number, length, sequence, stale, cut)
 
@@ -170,9 +159,7 @@
     end = HEADER.size
     for end, one in frames.frames(data, HEADER.size):
         made.append(one)
-    whole = (
-        made and made[-1].kind == frames.END and made[-1].body == b"%d" % (len(made) - 1) and end == len(data)
-    )
+    whole = made and made[-1].kind == frames.END and made[-1].body == b"%d" % (len(made) - 1) and end == len(data)
     if not whole or any(one.sequence != place for place, one in enumerate(made, 1)):
         raise RefusedError(f"{manifest.snapshot}: is not whole")
     return made[:-1]
--- a/pepperusher/store/salvage.py
+++ b/pepperusher/store/salvage.py
@@ -55,7 +55,9 @@
         number += 1
     dropped += _behind(files, number)
     if (known := frames.read_tail(files.get(recovery.TAIL, b""))) > sequence:
-        dropped.append(f"{recovery.TAIL}: groups up to {known} were acknowledged, and {sequence} is the last that is kept")
+        dropped.append(
+            f"{recovery.TAIL}: groups up to {known} were acknowledged, and {sequence} is the last that is kept"
+        )
     return Salvaged(groups, dropped)
 
 
--- a/pepperusher/store/tables.py
+++ b/pepperusher/store/tables.py
@@ -38,9 +38,7 @@
         self._most = most
         self._held: dict[tuple[str, str], list[Past]] = {}  # emptied by `sweep`, most at the most
         self._until: dict[tuple[str, str], int] = {}  # likewise
-        self._ends: list[
-            tuple[int, tuple[str, str]]
-        ] = []  # a heap, an entry an attempt; emptied by `sweep`
+        self._ends: list[tuple[int, tuple[str, str]]] = []  # a heap, an entry an attempt; emptied by `sweep`
 
     def __len__(self) -> int:
         return len(self._held)
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -63,12 +63,37 @@
     `zones` and `kinds` are the only ones where it may run; None for any.
     """
 
-    __slots__ = ("name", "promised", "outer_limit", "importance", "late_share", "stretch", "repeat", "scope",
-                 "remembered", "zones", "kinds", "usual", "spread", "work")
-
-    def __init__(self, name: str, promised: int, outer_limit: int, importance: float, late_share: float = 0.0,
-                 repeat: int = REPLAYABLE, scope: int = SCOPE_ALL, remembered: int = 0, stretch: float = 0.0,
-                 zones: frozenset[str] | None = None, kinds: frozenset[str] | None = None) -> None:
+    __slots__ = (
+        "name",
+        "promised",
+        "outer_limit",
+        "importance",
+        "late_share",
+        "stretch",
+        "repeat",
+        "scope",
+        "remembered",
+        "zones",
+        "kinds",
+        "usual",
+        "spread",
+        "work",
+    )
+
+    def __init__(
+        self,
+        name: str,
+        promised: int,
+        outer_limit: int,
+        importance: float,
+        late_share: float = 0.0,
+        repeat: int = REPLAYABLE,
+        scope: int = SCOPE_ALL,
+        remembered: int = 0,
+        stretch: float = 0.0,
+        zones: frozenset[str] | None = None,
+        kinds: frozenset[str] | None = None,
+    ) -> None:
         self.name = name
         self.promised = promised
         self.outer_limit = outer_limit
@@ -82,7 +107,7 @@
         self.kinds = kinds
         self.usual = 0
         self.spread = 0
-        self.work = 0   # by the hints of its tickets; 0 where there are none
+        self.work = 0  # by the hints of its tickets; 0 where there are none
 
     def same_terms(self, other: UseCase) -> bool:
         return all(getattr(self, name) == getattr(other, name) for name in self.__slots__ if name not in LEARNED)
@@ -105,10 +130,40 @@
 class Backend:
     """One backend as this proxy knows it, with its breaker. The window empties at each change of state."""
 
-    __slots__ = ("address", "zone", "kind", "cell", "weight", "born", "in_flight", "held", "turn", "share",
-                 "portion", "near", "room", "cold", "state", "generation", "results", "failures", "run_failed",
-                 "run_done", "open_until", "trials", "trial_due", "full_until", "full_at", "allowance", "counted_at",
-                 "runs", "shut", "told", "told_at", "pace")
+    __slots__ = (
+        "address",
+        "zone",
+        "kind",
+        "cell",
+        "weight",
+        "born",
+        "in_flight",
+        "held",
+        "turn",
+        "share",
+        "portion",
+        "near",
+        "room",
+        "cold",
+        "state",
+        "generation",
+        "results",
+        "failures",
+        "run_failed",
+        "run_done",
+        "open_until",
+        "trials",
+        "trial_due",
+        "full_until",
+        "full_at",
+        "allowance",
+        "counted_at",
+        "runs",
+        "shut",
+        "told",
+        "told_at",
+        "pace",
+    )
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -152,16 +207,33 @@
 class Side:
     """One location's backends as one proxy knows them, and its flow there."""
 
-    __slots__ = ("part", "reach", "ring", "weight", "grown", "grown_then", "sharing", "mean", "held", "flow", "flow_at",
-                 "started", "span", "gap", "done_at", "took", "took_at")
+    __slots__ = (
+        "part",
+        "reach",
+        "ring",
+        "weight",
+        "grown",
+        "grown_then",
+        "sharing",
+        "mean",
+        "held",
+        "flow",
+        "flow_at",
+        "started",
+        "span",
+        "gap",
+        "done_at",
+        "took",
+        "took_at",
+    )
 
     def __init__(self, started: int, span: int, gap: int) -> None:
-        self.part = 1.0                        # of the calls that go here first
-        self.ring: deque[Backend] = deque()    # all of the location, this proxy's part first; emptied by the list
-        self.reach = 1.0                       # how many times as wide as others' this proxy's arc is
+        self.part = 1.0  # of the calls that go here first
+        self.ring: deque[Backend] = deque()  # all of the location, this proxy's part first; emptied by the list
+        self.reach = 1.0  # how many times as wide as others' this proxy's arc is
         self.weight = 0.0
         self.grown = 1.0
-        self.grown_then = 0.0                  # over `sharing`, as it was while what makes up the flow came
+        self.grown_then = 0.0  # over `sharing`, as it was while what makes up the flow came
         self.sharing = 1.0
         self.mean = 0.0
         self.held = 0.0
@@ -169,7 +241,7 @@
         self.started = self.flow_at = self.done_at = self.took_at = started
         self.span = span
         self.gap = gap
-        self.took = 0.0                        # a second, by one of weight 1 from all that share it
+        self.took = 0.0  # a second, by one of weight 1 from all that share it
 
 
 class Listing:
@@ -180,8 +252,17 @@
 
     __slots__ = ("backend", "zone", "cell", "weight", "born", "ready", "kind", "gone")
 
-    def __init__(self, backend: Backend, zone: str, cell: int, weight: float, born: int, ready: bool, kind: str = "",
-                 gone: bool = False) -> None:
+    def __init__(
+        self,
+        backend: Backend,
+        zone: str,
+        cell: int,
+        weight: float,
+        born: int,
+        ready: bool,
+        kind: str = "",
+        gone: bool = False,
+    ) -> None:
         self.backend = backend
         self.kind = kind
         self.gone = gone
@@ -233,10 +314,34 @@
 class Ground:
     """What a proxy is told once, at its start: the use cases, the customers and the limits it works under."""
 
-    __slots__ = ("seed", "use_cases", "customers", "group_size", "ordinal", "stage", "last_tier", "zone", "zones",
-                 "most_attempts", "may_call_off", "may_advise", "longest_advice", "must_ask", "ask_within",
-                 "cold_share", "warm_after", "tip_multiple", "overload_for", "passes_limit", "importance_by_work",
-                 "drain_binds_alone", "reported_by", "beside_client", "pushed", "drain_within")
+    __slots__ = (
+        "seed",
+        "use_cases",
+        "customers",
+        "group_size",
+        "ordinal",
+        "stage",
+        "last_tier",
+        "zone",
+        "zones",
+        "most_attempts",
+        "may_call_off",
+        "may_advise",
+        "longest_advice",
+        "must_ask",
+        "ask_within",
+        "cold_share",
+        "warm_after",
+        "tip_multiple",
+        "overload_for",
+        "passes_limit",
+        "importance_by_work",
+        "drain_binds_alone",
+        "reported_by",
+        "beside_client",
+        "pushed",
+        "drain_within",
+    )
 
     seed: int
     use_cases: list[UseCase]
@@ -252,9 +357,9 @@
     may_advise: bool
     longest_advice: int
     must_ask: bool
-    pushed: bool   # what has been told to whoever pushes the list binds, whether or not it came here
+    pushed: bool  # what has been told to whoever pushes the list binds, whether or not it came here
     ask_within: int
-    drain_within: int   # nothing new to a backend so long after it was told to drain
+    drain_within: int  # nothing new to a backend so long after it was told to drain
     cold_share: float
     warm_after: int
     tip_multiple: float
@@ -262,8 +367,8 @@
     passes_limit: bool
     importance_by_work: bool
     reported_by: int
-    beside_client: bool   # each client process has a proxy of its own, and so each proxy traffic of its own
-    drain_binds_alone: bool   # one that is gone or left out of the list may still be sent to
+    beside_client: bool  # each client process has a proxy of its own, and so each proxy traffic of its own
+    drain_binds_alone: bool  # one that is gone or left out of the list may still be sent to
 
     @property
     def longest_wait(self) -> int:
--- a/pepperusher/typed.py
+++ b/pepperusher/typed.py
@@ -90,8 +90,7 @@
     if not isinstance(raw, dict):
         return raw
     former: dict[str, str] = getattr(kind, "FORMER", {})
-    made = {(name if former.get(name, name) in raw else former.get(name, name)): value
-            for name, value in raw.items()}
+    made = {(name if former.get(name, name) in raw else former.get(name, name)): value for name, value in raw.items()}
     for field in _fields(kind):
         table, listed = table_of(field.type)
         value = made.get(field.encode_name)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -30,8 +30,13 @@
         tasks = asyncio.all_tasks()
     except RuntimeError:
         return "  none: no loop runs"
-    stand = Counter("".join(f"\n    {frame.f_code.co_filename}:{frame.f_lineno} {frame.f_code.co_name}"
-                            for frame in task.get_stack()[-DEEP:]) for task in tasks)
+    stand = Counter(
+        "".join(
+            f"\n    {frame.f_code.co_filename}:{frame.f_lineno} {frame.f_code.co_name}"
+            for frame in task.get_stack()[-DEEP:]
+        )
+        for task in tasks
+    )
     return "\n".join(f"  {count} at{where}" for where, count in stand.most_common())
 
 
@@ -40,6 +45,7 @@
     made = yield
     raises = signal.getsignal(signal.SIGALRM)
     if callable(raises):
+
         def up(number: int, frame: FrameType | None) -> None:
             print(f"{item.nodeid}: its time is up; its tasks stand at\n{where_tasks_stand()}", file=sys.stderr)
             signal.setitimer(signal.ITIMER_REAL, AGAIN)
@@ -59,7 +65,7 @@
         try:
             children = {int(one) for one in path.read_text().split()}
         except OSError:
-            continue   # it has ended meanwhile
+            continue  # it has ended meanwhile
         found |= children.union(*map(descendants, children))
     return found
 
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -23,7 +23,7 @@
     def __init__(self, speed: float, born: int, cold: float) -> None:
         self.speed = speed
         self.born = born
-        self.cold = cold      # the share it starts at; warm after 10 s
+        self.cold = cold  # the share it starts at; warm after 10 s
         self.work: dict[Ticket, float] = {}
         self.sent: list[int] = []
 
@@ -46,7 +46,7 @@
         self.balancers = [Balancer(told, self.now, lambda line: None) for told in self.grounds]
         self.pictures: list[dict[str, Backend]] = [{} for _ in self.balancers]
         self.cores: dict[str, Core] = {}
-        self.out: dict[Ticket, tuple[int, int]] = {}   # its balancer and when its patience ends
+        self.out: dict[Ticket, tuple[int, int]] = {}  # its balancer and when its patience ends
         self.tally: Counter[str] = Counter()
 
     def list(self, *names: str, speed: float = 1.0, born: int = 0, ready: bool = True) -> None:
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -26,9 +26,7 @@
     `over` waits for the end of the load and checks the books.
     """
 
-    async def stand(
-        self, size: int, seconds: int, group: dict[str, Any] | None = None, **changes: Any
-    ) -> None:
+    async def stand(self, size: int, seconds: int, group: dict[str, Any] | None = None, **changes: Any) -> None:
         asyncio.get_running_loop().set_debug(False)  # several times as slow, and all links pass through here
         span = f"{seconds}s"
         script = small(
@@ -50,8 +48,7 @@
         self.names = [gate.name for gate in self.director.plan.gates]
         await self.until(
             lambda views: all(
-                len(view["members"]) == size and view["reach"]["word"] == "majority"
-                for view in views.values()
+                len(view["members"]) == size and view["reach"]["word"] == "majority" for view in views.values()
             )
         )
         self.director.begin()
@@ -66,12 +63,8 @@
 
     async def views(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
         """What `ctl members` says at each; of those whose process runs."""
-        wanted = [
-            name for name in (self.names if names is None else names) if self.runner(name).pid is not None
-        ]
-        made = await asyncio.gather(
-            *(self.runner(name).ask("members") for name in wanted), return_exceptions=True
-        )
+        wanted = [name for name in (self.names if names is None else names) if self.runner(name).pid is not None]
+        made = await asyncio.gather(*(self.runner(name).ask("members") for name in wanted), return_exceptions=True)
         return {name: view for name, view in zip(wanted, made) if isinstance(view, dict)}
 
     async def until(
@@ -104,8 +97,7 @@
         of = set(of)
         await self.until(
             lambda views: all(
-                {row["found"] for row in view["members"] if row["name"] in of and row["name"] != name}
-                <= {how}
+                {row["found"] for row in view["members"] if row["name"] in of and row["name"] != name} <= {how}
                 and of - {name} <= {row["name"] for row in view["members"]}
                 for name, view in views.items()
             ),
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -44,7 +44,7 @@
         self.known = known
         self.passed: set[str] = set()
         self.failed: set[str] = set()
-        self.other = 0   # what is no test's, as a file that can't be imported
+        self.other = 0  # what is no test's, as a file that can't be imported
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
         if report.failed:
@@ -74,7 +74,7 @@
 def pytest_configure(config: pytest.Config) -> None:
     path = Path(config.rootpath, FILE)
     if hasattr(config, "workerinput") or not path.exists():
-        return   # workers run, and the run's own process judges
+        return  # workers run, and the run's own process judges
     try:
         known = parse(path.read_text())
     except ValueError as error:
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -26,8 +26,11 @@
 RESET = struct.pack("ii", 1, 0)
 LIMITS = {**SETTINGS["policy-limits"], "connect-timeout": 2500.0}
 # Answered in time, so that a start is told by what the proxy does and not by a client's deadline.
-ROOMY = {**SETTINGS, "policy-limits": LIMITS, "use-cases": [
-    {**one, "promised-time": 3000.0, "outer-limit": 6000.0} for one in SETTINGS["use-cases"]]}
+ROOMY = {
+    **SETTINGS,
+    "policy-limits": LIMITS,
+    "use-cases": [{**one, "promised-time": 3000.0, "outer-limit": 6000.0} for one in SETTINGS["use-cases"]],
+}
 ENDS = ("ends", "resets", "half")
 
 
@@ -87,13 +90,14 @@
 class Ground:
     """A proxy's process with its backends, and a discovery that says nothing after its first word."""
 
-    def __init__(self, backends: int = 8, own: str | None = None, before: Callable[[], None] | None = None,
-                 **changes: Any) -> None:
+    def __init__(
+        self, backends: int = 8, own: str | None = None, before: Callable[[], None] | None = None, **changes: Any
+    ) -> None:
         """`before` runs in the proxy's process before its program does."""
         self.before = before
         self.began: dict[str, list[float]] = defaultdict(list)
         self.plan: dict[str, list[tuple[float, str]]] = {}
-        self.left: dict[str, tuple[str, float]] = {}   # by request: the kind, and when its client went
+        self.left: dict[str, tuple[str, float]] = {}  # by request: the kind, and when its client went
         self.backends = [Backend(self.began, self.plan) for _ in range(backends)]
         self.own, self.changes = own, {"settings": ROOMY, **changes}
         self.said: list[str] = []
@@ -104,11 +108,20 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
-        listed = {"version": 1, "full": True, "servers": [
-            {"id": f"a{at}", "addr": f"127.0.0.1:{one.port}", "cell": at, "state": "ready"}
-            for at, one in enumerate(self.backends)]}
-        told = configuration(listen=f"127.0.0.1:{self.port}", known=listed,
-                             discovery=f"127.0.0.1:{self.discovery.sockets[0].getsockname()[1]}", **self.changes)
+        listed = {
+            "version": 1,
+            "full": True,
+            "servers": [
+                {"id": f"a{at}", "addr": f"127.0.0.1:{one.port}", "cell": at, "state": "ready"}
+                for at, one in enumerate(self.backends)
+            ],
+        }
+        told = configuration(
+            listen=f"127.0.0.1:{self.port}",
+            known=listed,
+            discovery=f"127.0.0.1:{self.discovery.sockets[0].getsockname()[1]}",
+            **self.changes,
+        )
         path = os.path.join(self.folder.name, "told.json")
         with open(path, "w") as file:
             json.dump(told, file)
@@ -119,8 +132,18 @@
                 file.write(self.own)
             more = ["--own", own]
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-O", "-m", "pepperusher", "serve", "--config", path, *more, stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "TMPDIR": self.folder.name}, preexec_fn=self.before)
+            sys.executable,
+            "-O",
+            "-m",
+            "pepperusher",
+            "serve",
+            "--config",
+            path,
+            *more,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, "TMPDIR": self.folder.name},
+            preexec_fn=self.before,
+        )
         self.reading = asyncio.create_task(self._read())
         async with asyncio.timeout(20):
             while not any("serving at" in line for line in self.said):
@@ -194,7 +217,7 @@
 
 
 def request(use: str, name: str, body: str = "", left: int = 5000) -> bytes:
-    return Street.request(None, use, name, body, left)   # type: ignore[arg-type]
+    return Street.request(None, use, name, body, left)  # type: ignore[arg-type]
 
 
 async def write(at: socket.socket, data: bytes) -> None:
@@ -302,8 +325,13 @@
         return made
 
 
-BEHIND = (("alone", 0), ("20 kB behind", 20_000), ("100 kB behind", 100_000), ("400 kB behind", 400_000),
-          ("1 MB behind", 1_000_000))
+BEHIND = (
+    ("alone", 0),
+    ("20 kB behind", 20_000),
+    ("100 kB behind", 100_000),
+    ("400 kB behind", 400_000),
+    ("1 MB behind", 1_000_000),
+)
 ONE_AT_ONCE = '[[routes]]\nname = "all"\nconcurrency = {most = 1, queue = 500}\n'
 
 
@@ -340,8 +368,9 @@
                     await one.open()
                 stay = await crowd.held(ground, count)
                 await asyncio.sleep(0.1)
-                await asyncio.gather(*(crowd.queued(ground, how, f"{kind}, {what}", behind) for how in ENDS
-                                       for _ in range(rounds)))
+                await asyncio.gather(
+                    *(crowd.queued(ground, how, f"{kind}, {what}", behind) for how in ENDS for _ in range(rounds))
+                )
                 await asyncio.sleep(1.5)
                 add(ground)
                 for at in stay:
@@ -354,7 +383,9 @@
                 for one in ground.backends:
                     one.hold()
                 kind = f"connecting, body {body // 1000} kB, {what}"
-                await asyncio.gather(*(crowd.connecting(ground, how, kind, behind, body) for how in ENDS for _ in range(rounds)))
+                await asyncio.gather(
+                    *(crowd.connecting(ground, how, kind, behind, body) for how in ENDS for _ in range(rounds))
+                )
                 for one in ground.backends:
                     await one.open()
                 await asyncio.sleep(2.5)
@@ -367,8 +398,10 @@
     found = asyncio.run(figures(rounds))
     for kind, (cases, late) in sorted(found.items()):
         print(f"{kind:60} {len(late):4} of {cases:4} late, longest {max(late, default=0.0):.3f} s")
-    print(f"{sum(len(late) for _, late in found.values())} of {sum(cases for cases, _ in found.values())} late,"
-          f" longest {max((max(late, default=0.0) for _, late in found.values()), default=0.0):.3f} s")
+    print(
+        f"{sum(len(late) for _, late in found.values())} of {sum(cases for cases, _ in found.values())} late,"
+        f" longest {max((max(late, default=0.0) for _, late in found.values()), default=0.0):.3f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/tests/reconfiguration_scene.py
+++ b/tests/reconfiguration_scene.py
@@ -143,7 +143,7 @@
         self.unanswered = self.cut_short = 0
         self.replica: bytes | None = None
         self.held = False
-        self.wrote_at = 0.0   # when it last passed on what discovery said
+        self.wrote_at = 0.0  # when it last passed on what discovery said
         self.calls: list[float] = []
         self._open: set[asyncio.StreamWriter] = set()  # emptied as connections end
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -31,16 +31,37 @@
 def ground(**changes: object) -> Ground:
     made = Ground()
     given = {
-        "seed": 7, "customers": [], "group_size": 1, "ordinal": 0, "stage": 0, "last_tier": True, "zone": "here", "zones": ["here"],
-        "most_attempts": 3, "may_call_off": True, "may_advise": False, "longest_advice": 0, "must_ask": False,
-        "ask_within": 10 * SECOND, "cold_share": 0.2, "warm_after": 10 * SECOND, "tip_multiple": 3.0,
-        "overload_for": 2 * SECOND, "passes_limit": True, "importance_by_work": False, "reported_by": terms.BY_NOBODY, "beside_client": False,
+        "seed": 7,
+        "customers": [],
+        "group_size": 1,
+        "ordinal": 0,
+        "stage": 0,
+        "last_tier": True,
+        "zone": "here",
+        "zones": ["here"],
+        "most_attempts": 3,
+        "may_call_off": True,
+        "may_advise": False,
+        "longest_advice": 0,
+        "must_ask": False,
+        "ask_within": 10 * SECOND,
+        "cold_share": 0.2,
+        "warm_after": 10 * SECOND,
+        "tip_multiple": 3.0,
+        "overload_for": 2 * SECOND,
+        "passes_limit": True,
+        "importance_by_work": False,
+        "reported_by": terms.BY_NOBODY,
+        "beside_client": False,
         "drain_binds_alone": False,
         "use_cases": [
             UseCase("look", SECOND, 2 * SECOND, 1.0),
-            UseCase("book", SECOND, 4 * SECOND, 5.0, repeat=terms.REFERENCED, scope=terms.SCOPE_CELL,
-                    remembered=SECOND),
-            UseCase("pay", SECOND, 4 * SECOND, 5.0, repeat=terms.SINGLE_USE)]}
+            UseCase(
+                "book", SECOND, 4 * SECOND, 5.0, repeat=terms.REFERENCED, scope=terms.SCOPE_CELL, remembered=SECOND
+            ),
+            UseCase("pay", SECOND, 4 * SECOND, 5.0, repeat=terms.SINGLE_USE),
+        ],
+    }
     for name, value in {**given, **changes}.items():
         setattr(made, name, value)
     return made
@@ -58,8 +79,9 @@
             path.write_text(said)
         was = path.read_text()
         if said != was:
-            self.fail("\n" + "".join(difflib.unified_diff(
-                was.splitlines(True), said.splitlines(True), f"kept {name}", "now")))
+            self.fail(
+                "\n" + "".join(difflib.unified_diff(was.splitlines(True), said.splitlines(True), f"kept {name}", "now"))
+            )
 
 
 class Scene(Kept):
@@ -77,11 +99,20 @@
     def note(self, line: str) -> None:
         self.lines.append(f"{(self.now - 100 * SECOND) / SECOND:8.3f} {line}")
 
-    def list(self, *addresses: str, ready: bool = True, born: int = 0, whole: bool = False, weight: float = 1.0,
-             zone: str = "here") -> None:
+    def list(
+        self,
+        *addresses: str,
+        ready: bool = True,
+        born: int = 0,
+        whole: bool = False,
+        weight: float = 1.0,
+        zone: str = "here",
+    ) -> None:
         """Backends are named by letter and cell: a1 and b1 share cell 1."""
-        lines = [Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:] or 0), weight, born, ready)
-                 for name in addresses]
+        lines = [
+            Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:] or 0), weight, born, ready)
+            for name in addresses
+        ]
         self.balancer.listed(lines, whole, self.now)
 
     def pass_time(self, seconds: float) -> None:
@@ -118,25 +149,52 @@
 
 
 SETTINGS = {
-    "group-size": 1, "ordinal": 0, "stage": 0, "zone": "here", "zones": ["here"], "tiers": ["only"],
-    "policy-limits": {"cancel": True, "connect-timeout": 500.0, "keepalive": 10000.0, "most-transmissions": 3,
-                      "retry-after": True, "max-retry-after": 1000.0},
-    "rules": {"ask-within": 10000.0, "cold-share": 0.2, "warm-after": 5000.0, "tip-multiple": 3.0,
-              "overload-for": 2000.0},
+    "group-size": 1,
+    "ordinal": 0,
+    "stage": 0,
+    "zone": "here",
+    "zones": ["here"],
+    "tiers": ["only"],
+    "policy-limits": {
+        "cancel": True,
+        "connect-timeout": 500.0,
+        "keepalive": 10000.0,
+        "most-transmissions": 3,
+        "retry-after": True,
+        "max-retry-after": 1000.0,
+    },
+    "rules": {
+        "ask-within": 10000.0,
+        "cold-share": 0.2,
+        "warm-after": 5000.0,
+        "tip-multiple": 3.0,
+        "overload-for": 2000.0,
+    },
     "family-info": {"passes-deadline": True},
     "use-cases": [
         {"name": "look", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 1.0, "effect": "pure"},
-        {"name": "book", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 2.0, "effect": "token",
-         "key-scope": "cell", "window": 5000.0},
-        {"name": "pay", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 5.0, "effect": "side_effect"}]}
+        {
+            "name": "book",
+            "promised-time": 1000.0,
+            "outer-limit": 2000.0,
+            "importance": 2.0,
+            "effect": "token",
+            "key-scope": "cell",
+            "window": 5000.0,
+        },
+        {"name": "pay", "promised-time": 1000.0, "outer-limit": 2000.0, "importance": 5.0, "effect": "side_effect"},
+    ],
+}
 
 # No ticket is late, however busy the machine, where its client says that it waits for as long (in ms).
 LONG = 60_000
-UNHURRIED = {**SETTINGS, "use-cases": [
-    {**use, "promised-time": 60_000.0, "outer-limit": 60_000.0} for use in SETTINGS["use-cases"]]}
+UNHURRIED = {
+    **SETTINGS,
+    "use-cases": [{**use, "promised-time": 60_000.0, "outer-limit": 60_000.0} for use in SETTINGS["use-cases"]],
+}
 
 
-_given: set[str] = set()   # by this process, one for each that it starts; emptied by its end
+_given: set[str] = set()  # by this process, one for each that it starts; emptied by its end
 
 
 def own_address() -> str:
@@ -158,8 +216,15 @@
 
 
 def configuration(**changes: object) -> dict[str, object]:
-    return {"name": "p1", "listen": "127.0.0.1:7070", "discovery": "127.0.0.1:1", "seed": "5",
-            "limits": {"sockets": 1024}, "settings": SETTINGS, **changes}
+    return {
+        "name": "p1",
+        "listen": "127.0.0.1:7070",
+        "discovery": "127.0.0.1:1",
+        "seed": "5",
+        "limits": {"sockets": 1024},
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 class Toy:
@@ -169,8 +234,8 @@
         self.name, self.said = name, said
         self.does: list[str] = []
         self.connections = 0
-        self.deadlines: list[int] = []   # as each request told it, in us
-        self.may = asyncio.Event()   # set by the test: what is "held" goes on
+        self.deadlines: list[int] = []  # as each request told it, in us
+        self.may = asyncio.Event()  # set by the test: what is "held" goes on
         self.writers: list[asyncio.StreamWriter] = []
 
     async def open(self) -> None:
@@ -196,7 +261,9 @@
             self.deadlines.append(int(fields["request-timeout"][:-1]))
         wait = "with" if fields.get("request-timeout", "").endswith("u") else "without"
         key = f" key {fields['idempotency-key']}" if "idempotency-key" in fields else ""
-        self.said.append(f"    {self.name} gets {first} id {fields.get('request-id')}{key} {len(body)} bytes, {wait} a wait")
+        self.said.append(
+            f"    {self.name} gets {first} id {fields.get('request-id')}{key} {len(body)} bytes, {wait} a wait"
+        )
         what = self.does.pop(0) if self.does else "ok"
         if what == "break":
             return False
@@ -225,9 +292,9 @@
 class Street(Kept, unittest.IsolatedAsyncioTestCase):
     """A whole proxy on loopback between a toy client, toy backends and a toy discovery."""
 
-    beats = True   # False where a watch is to be silent, or a line of it to come in parts
-    start_spread = 0.0   # seconds within which it asks for the list at its start
-    left = 1500    # how long clients wait that say nothing else, in ms
+    beats = True  # False where a watch is to be silent, or a line of it to come in parts
+    start_spread = 0.0  # seconds within which it asks for the list at its start
+    left = 1500  # how long clients wait that say nothing else, in ms
 
     async def open(self, *names: str, own: str | None = None, passed: str | None = None, **changes: object) -> None:
         """`own` is the text of the proxy's own file, at `own_file`; `passed` the folder for what processes pass on."""
@@ -261,6 +328,7 @@
         made = alone
         if own is not None:
             from pepperusher.company import company
+
             folder = tempfile.TemporaryDirectory()
             self.addCleanup(folder.cleanup)
             self.own_file = Path(folder.name) / "own.toml"
@@ -284,8 +352,15 @@
         return next(one for one in self.proxy._company if isinstance(one, Desk))
 
     def line(self, name: str, state: str = "ready") -> dict[str, object]:
-        return {"id": name, "addr": f"127.0.0.1:{self.toys[name].port}", "zone": "here", "cell": int(name[1:]),
-                "state": state, "weight": 1.0, "started_ms": 0}
+        return {
+            "id": name,
+            "addr": f"127.0.0.1:{self.toys[name].port}",
+            "zone": "here",
+            "cell": int(name[1:]),
+            "state": state,
+            "weight": 1.0,
+            "started_ms": 0,
+        }
 
     async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         asked = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
@@ -295,7 +370,7 @@
         self.heard.append(reader)
         if self.beats:
             beating = asyncio.create_task(self.beat(writer))
-            self.addCleanup(beating.cancel)   # and so it is kept
+            self.addCleanup(beating.cancel)  # and so it is kept
 
     async def beat(self, writer: asyncio.StreamWriter) -> None:
         """As discovery does, every 2 s at the latest: a test that took longer, on a busy machine, saw its watch asked for anew."""
@@ -303,8 +378,7 @@
             await asyncio.sleep(0.5)
             writer.write(b"1\r\n\n\r\n")
 
-    def endpoint_update(self, version: int, *servers: dict[str, object], full: bool = False,
-                        watch: int = -1) -> None:
+    def endpoint_update(self, version: int, *servers: dict[str, object], full: bool = False, watch: int = -1) -> None:
         text = json.dumps({"version": version, "full": full, "servers": servers}) + "\n"
         self.watches[watch].write(f"{len(text):x}\r\n{text}\r\n".encode())
 
@@ -316,13 +390,14 @@
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.proxy.port)
 
-    def request(self, use: str, number: int, body: str = "", left: int | None = None,
-                more: str = "") -> bytes:
+    def request(self, use: str, number: int, body: str = "", left: int | None = None, more: str = "") -> bytes:
         left = self.left if left is None else left
         verb = "POST" if body or use != "look" else "GET"
         more += f"Idempotency-Key: k{number}\r\n" if use == "book" else ""
-        return (f"{verb} /{use}/page?q=1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {number}\r\nRequest-Class: {use}\r\n"
-                f"Request-Timeout: {left}m\r\n{more}Content-Length: {len(body)}\r\n\r\n{body}").encode()
+        return (
+            f"{verb} /{use}/page?q=1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {number}\r\nRequest-Class: {use}\r\n"
+            f"Request-Timeout: {left}m\r\n{more}Content-Length: {len(body)}\r\n\r\n{body}"
+        ).encode()
 
     async def to_the_end(self, at: socket.socket) -> tuple[bytes, ConnectionError | None]:
         """All that a client outside the loop hears till its connection ends, and what broke it."""
@@ -347,7 +422,9 @@
         closing = ", closing" if fields.get("connection") == "close" else ""
         return f"{head.split()[1]} {body.decode().strip()[:50]!r}{closing}"
 
-    async def ask(self, what: str, sent: bytes, at: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None) -> None:
+    async def ask(
+        self, what: str, sent: bytes, at: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+    ) -> None:
         reader, writer = at or await self.connect()
         writer.write(sent)
         self.lines.append(f"{what} ...")
--- a/tests/skipping.py
+++ b/tests/skipping.py
@@ -33,7 +33,7 @@
 
 class SkippingLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self.now = 1000.0   # seconds
+        self.now = 1000.0  # seconds
         selector = _Selector()
         selector.loop = self
         super().__init__(selector)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -61,9 +61,7 @@
 
 class KeepsWhatConflicts(Agree):
     def _append(self, append: Append, now: int) -> None:
-        fresh = tuple(
-            entry for place, entry in enumerate(append.entries) if append.before + 1 + place > self.last
-        )
+        fresh = tuple(entry for place, entry in enumerate(append.entries) if append.before + 1 + place > self.last)
         has = len(append.entries) - len(fresh)
         super()._append(append._replace(entries=()), now)
         if append.term >= self.kept.term and fresh and append.before + has == self.last:
@@ -175,16 +173,12 @@
         counted stays.
         """
         cluster = self.play(1, 0.1)
-        self.assertTrue(
-            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled)
-        )
+        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
         first = cluster.leader()
         at = first.propose("one")
         self.assertTrue(cluster.run(5 * SECOND, lambda: all(one.commit >= at for one in cluster.up.values())))
         del cluster.up[first.me.partition("#")[0]]
-        self.assertTrue(
-            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled)
-        )
+        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
         second = cluster.leader()
         self.assertGreater(second.kept.term, first.kept.term)
         self.assertEqual(["one"], [one.what for one in second.between(0, second.commit) if one.what])
@@ -192,9 +186,7 @@
 
     def test_a_voter_that_lost_its_disk_votes_for_nothing_until_it_was_taken_in_again(self) -> None:
         cluster = self.play(2)
-        self.assertTrue(
-            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled)
-        )
+        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
         name = next(name for name, one in cluster.up.items() if one.role != LEADS)
         old = cluster.up[name].me
         new = cluster.start(name)
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -118,18 +118,22 @@
     def test_lost_answers_in_a_row_with_nothing_heard_are_a_time(self) -> None:
         """Four tell nothing, nor four and one that is answered, by an error too; from the fifth on each counts as
         twice the usual time, however long it was out; one that was called off breaks no row."""
+
         def learned(*hows: int) -> int:
             self.open("a1", "b1", "c1", "d1", stage=1)
             self.call(DONE, 0.05, times=40, quiet=True)
             for how in hows:
                 self.call(how, 1.0 if how == TIMED_OUT else 0.05, quiet=True)
             return self.use_cases["look"].usual
+
         usual = learned()
         for how in (DONE, ERROR, FULL, RESET):
             self.assertEqual(usual, learned(*[*[TIMED_OUT] * 4, how] * 5))
         self.assertEqual(usual, learned(*[TIMED_OUT] * 4))
         self.assertEqual(usual + usual // 16, learned(*[TIMED_OUT] * 5))
-        self.assertEqual(usual + usual // 16, learned(TIMED_OUT, TIMED_OUT, CALLED_OFF, TIMED_OUT, TIMED_OUT, TIMED_OUT))
+        self.assertEqual(
+            usual + usual // 16, learned(TIMED_OUT, TIMED_OUT, CALLED_OFF, TIMED_OUT, TIMED_OUT, TIMED_OUT)
+        )
         self.assertLess(1.5 * usual, learned(*[TIMED_OUT] * 20))
 
     def test_lost_answers_while_others_come_are_no_time_at_a_proxy_with_many_calls(self) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -41,8 +41,7 @@
 class Fits(unittest.TestCase):
     def test_a_line_is_found_with_an_interval_of_nothing(self) -> None:
         fit = fitted(points(lambda size: 3.0 + 2.0 * size, 1, 2, 5, 8, 13))
-        for found, true in ((fit.base, 3.0), (fit.slope, 2.0), (fit.low, 2.0), (fit.high, 2.0),
-            (fit.residual, 0.0)):
+        for found, true in ((fit.base, 3.0), (fit.slope, 2.0), (fit.low, 2.0), (fit.high, 2.0), (fit.residual, 0.0)):
             self.assertAlmostEqual(found, true)
 
     def test_the_interval_is_students(self) -> None:
@@ -61,9 +60,11 @@
         self.assertRaises(ValueError, fitted, [*points(float, 1, 2, 3, 4), Point(5, float("nan"))])
 
     def test_growth_that_is_no_line_is_found_by_its_curve(self) -> None:
-        for curve, grows in (("n squared", lambda size: 5 + 0.1 * size * size),
+        for curve, grows in (
+            ("n squared", lambda size: 5 + 0.1 * size * size),
             ("root of n", lambda size: 2 + 3 * size**0.5),
-                             ("line", lambda size: 7 + 0.5 * size)):
+            ("line", lambda size: 7 + 0.5 * size),
+        ):
             self.assertEqual(best(points(grows, 10, 30, 90, 200, 500)).curve, curve)
 
     def test_noise_does_not_bend_a_line(self) -> None:
@@ -88,19 +89,28 @@
     """Slopes by name with dots as two underscores: base and slope, as lines."""
     made = Book(commit="abc", command="measured", machine="a machine")
     for name, (base, slope) in slopes.items():
-        made.measured.append(Measured(
-            name=name.replace("__", "."), role="r", what="w", per="p", unit="us", worth=TIMED, seed=1,
-            repeats=1,
-            points=[(size, base + slope * size) for size in (10.0, 20.0, 30.0, 40.0, 50.0)],
-            held_out=(100.0, base + slope * 100),
-        ))
+        made.measured.append(
+            Measured(
+                name=name.replace("__", "."),
+                role="r",
+                what="w",
+                per="p",
+                unit="us",
+                worth=TIMED,
+                seed=1,
+                repeats=1,
+                points=[(size, base + slope * size) for size in (10.0, 20.0, 30.0, 40.0, 50.0)],
+                held_out=(100.0, base + slope * 100),
+            )
+        )
     return made
 
 
 class Projections(unittest.TestCase):
     def test_slopes_and_assumptions_give_values_and_ratios(self) -> None:
         of = Projection(
-            book(decision__group1=(10.0, 1.0), decision__group1000=(50.0, 0.0), operator__change=(0.0, 0.5)))
+            book(decision__group1=(10.0, 1.0), decision__group1000=(50.0, 0.0), operator__change=(0.0, 0.5))
+        )
         rows = {row.what: row for row in of.rows()}
         decision = rows["a decision (take, pick, report)"]
         self.assertEqual((decision.mild, decision.harsh), (50.0, 10.0 + HARSH.listed))
@@ -110,10 +120,11 @@
 
     def test_the_worst_comes_first_and_the_first_without_a_mechanism_is_named(self) -> None:
         of = Projection(
-            book(decision__group1=(0.0, 100.0), decision__group1000=(50.0, 0.0), operator__change=(0.0, 0.5)))
+            book(decision__group1=(0.0, 100.0), decision__group1000=(50.0, 0.0), operator__change=(0.0, 0.5))
+        )
         ratios = [row.worst for row in of.rows()]
         self.assertEqual(ratios, sorted(ratios, reverse=True))
-        self.assertEqual(of.over()[0].what, "a decision (take, pick, report)")   # 385 times, and a mechanism
+        self.assertEqual(of.over()[0].what, "a decision (take, pick, report)")  # 385 times, and a mechanism
         first = of.first_missing()
         assert first is not None
         self.assertIn("in force at every proxy", first.what)
@@ -122,8 +133,9 @@
         empty = Projection(book())
         self.assertIsNone(next(row for row in empty.rows() if "in force" in row.what).harsh)
         printed = page.printed(empty, book())
-        self.assertIn("- operator, ordinary day: seconds until a change of configuration is in force at"
-            " every proxy.", printed)
+        self.assertIn(
+            "- operator, ordinary day: seconds until a change of configuration is in force at every proxy.", printed
+        )
         self.assertIn("**control machine**: every occasion", printed)
 
     def test_the_page_opens_with_what_is_over_and_keeps_the_after_figures(self) -> None:
@@ -152,11 +164,20 @@
     """Each slope that there is, ten and a tenth for each."""
     made = Book(commit="abc", command="measured", machine="a machine")
     for one in slopes.measures():
-        made.measured.append(Measured(
-            name=one.name, role=one.role, what=one.what, per=one.per, unit=one.unit, worth=COUNTED, seed=1,
-            repeats=1, points=[(size, 10 + 0.1 * size) for size in (10.0, 20.0, 30.0, 40.0, 50.0)],
-            held_out=(100.0, 20.0),
-        ))
+        made.measured.append(
+            Measured(
+                name=one.name,
+                role=one.role,
+                what=one.what,
+                per=one.per,
+                unit=one.unit,
+                worth=COUNTED,
+                seed=1,
+                repeats=1,
+                points=[(size, 10 + 0.1 * size) for size in (10.0, 20.0, 30.0, 40.0, 50.0)],
+                held_out=(100.0, 20.0),
+            )
+        )
     return made
 
 
@@ -168,8 +189,12 @@
             self.assertEqual(set(page.OCCASIONS) - there, set(), role)
 
     def test_what_was_missing_is_carried_once_it_was_measured_and_keeps_what_it_was(self) -> None:
-        made = book(operator__change=(0.0, 0.5), list__bytes=(0.0, 100.0), operator__publish=(400_000.0, 0.0),
-            control__change__cpu=(0.0, 200.0))
+        made = book(
+            operator__change=(0.0, 0.5),
+            list__bytes=(0.0, 100.0),
+            operator__publish=(400_000.0, 0.0),
+            control__change__cpu=(0.0, 200.0),
+        )
         of = Projection(made)
         rows = {row.what: row for row in of.rows()}
         told = rows["seconds until a change of configuration is in force at every proxy"]
@@ -253,7 +278,7 @@
         self.assertEqual(asked, [(size, seed) for seed in range(1, 6) for size in (1, 2, 3, 4, 5, 10)])
         self.assertAlmostEqual(made.fit().slope, 1.0)
         self.assertAlmostEqual(made.check().error, 0.0)
-        self.assertEqual(made.reference, 14)   # one before each value; their middle
+        self.assertEqual(made.reference, 14)  # one before each value; their middle
         self.assertEqual(list(paces), [])
 
     def test_each_list_that_is_taken_in_is_a_first_one(self) -> None:
@@ -315,7 +340,7 @@
         sizes = (8, 16, 24, 32, 48)
         messages = fitted(points(lambda size: membership.spent("messages")(size, 1), *sizes))
         sent = fitted(points(lambda size: membership.spent("bytes")(size, 1), *sizes))
-        self.assertAlmostEqual(messages.at(48), 4.0, delta=0.2)   # asked, answered, and both by others
+        self.assertAlmostEqual(messages.at(48), 4.0, delta=0.2)  # asked, answered, and both by others
         self.assertLess(abs(messages.slope), 0.01)
         self.assertLess(sent.at(48), 1500)
 
@@ -336,8 +361,7 @@
         for name, lowest, most in (("start_calls", 1.0, 1.0), ("return_calls", 1.0, 2.0)):
             at = watching.played(name)
             for size in (6, 12):
-                self.assertTrue(lowest * size <= at(size, 1) <= most * size,
-                    f"{name} {at(size, 1)} for {size}")
+                self.assertTrue(lowest * size <= at(size, 1) <= most * size, f"{name} {at(size, 1)} for {size}")
         change = watching.played("change_bytes")
         self.assertEqual(change(6, 1) * 2, change(12, 1))
 
@@ -447,6 +471,7 @@
 class Load(unittest.TestCase):
     def test_it_is_open_loop(self) -> None:
         """Nothing is answered before five have come: a closed loop would wait for the first for ever."""
+
         async def scene() -> latency.Told:
             come = asyncio.Event()
             seen = 0
@@ -492,7 +517,6 @@
 
             self.assertFalse(asyncio.run(ask()))
 
-
     def test_what_is_added_is_the_median_over_rounds_that_are_sound(self) -> None:
         """By round what the proxies add at the 99th: 5, 50, 7, 6 and, with 2 of 100 calls failed, 1."""
         rounds = [(5, 0), (50, 0), (7, 0), (6, 0), (1, 2)]
@@ -506,10 +530,11 @@
         self.assertEqual((made.p99, made.p50), (6.5, 6.5))
         self.assertEqual((made.through.p99, made.through.calls, made.through.failed), (106.5, 400, 0))
         self.assertEqual((made.bare.p99, made.bare.calls), (100, 360))
-        self.assertEqual(made.cpu, 10.0)   # of all rounds
+        self.assertEqual(made.cpu, 10.0)  # of all rounds
         with self.assertRaises(latency.Failing) as caught:
-            latency._rounds(lambda _: latency.Told(1, 1, 100, 0), lambda _: latency.Told(1, 1, 100, 3),
-                lambda: 0.0, 1, 2)
+            latency._rounds(
+                lambda _: latency.Told(1, 1, 100, 0), lambda _: latency.Told(1, 1, 100, 3), lambda: 0.0, 1, 2
+            )
         self.assertEqual(caught.exception.share, 0.03)
 
 
@@ -518,14 +543,26 @@
 
     def of(self, load: float) -> dict[str, tuple[float | None, float | None]]:
         singles = [
-            Single(name=f"chain.1.{key}.at72{group}.added99", what="", unit="us", worth=CLOCKED, seed=1,
-                value=value, load=load)
-            for key, group, value in (("250", "", 900.0), ("5000", ".group1", 9_000.0),
-                ("250.release", "", 1_000.0), ("5000.release", "", 8_000.0))
+            Single(
+                name=f"chain.1.{key}.at72{group}.added99",
+                what="",
+                unit="us",
+                worth=CLOCKED,
+                seed=1,
+                value=value,
+                load=load,
+            )
+            for key, group, value in (
+                ("250", "", 900.0),
+                ("5000", ".group1", 9_000.0),
+                ("250.release", "", 1_000.0),
+                ("5000.release", "", 8_000.0),
+            )
         ]
         made = Projection(Book(commit="", command="", machine="", cores=8, singles=singles)).rows()
-        return {row.when: (row.mild, row.harsh) for row in made
-            if row.what == "time added at the 99th of 100 by one proxy"}
+        return {
+            row.when: (row.mild, row.harsh) for row in made if row.what == "time added at the 99th of 100 by one proxy"
+        }
 
     def test_on_free_cores_they_are_held_against_the_budget(self) -> None:
         self.assertEqual(self.of(7.9), {"always": (900.0, 9_000.0), "release": (1_000.0, 8_000.0)})
@@ -534,23 +571,46 @@
         self.assertEqual(self.of(8.1), {"always": (None, None), "release": (None, None)})
 
     def test_each_has_a_name_of_its_own(self) -> None:
-        names = [slopes.chain_key(1, listed, 72.0, changes, 3, group) for listed in (24, 250)
-            for changes in (0.0, 6.7) for group in (1, 1_000)]
+        names = [
+            slopes.chain_key(1, listed, 72.0, changes, 3, group)
+            for listed in (24, 250)
+            for changes in (0.0, 6.7)
+            for group in (1, 1_000)
+        ]
         self.assertEqual(len(set(names)), 8)
         self.assertEqual(names[1], "chain.1.24.at72")
         self.assertEqual(slopes.chain_key(1, 250, 72.0, 6.7), "chain.1.250.release.at72")
         self.assertEqual(slopes.chain_key(1, 5_000, 72.0, group=1), "chain.1.5000.at72.group1")
 
     def test_the_command_measures_one_proxy_with_what_it_is_given(self) -> None:
-        words = ["slopes", "--only", "nothing", "--chain", "--depth", "1", "--rate", "60", "--listed", "3",
-            "--group", "1", "--release", "--rounds", "2", "--lasts", "0.5", "--json"]
+        words = [
+            "slopes",
+            "--only",
+            "nothing",
+            "--chain",
+            "--depth",
+            "1",
+            "--rate",
+            "60",
+            "--listed",
+            "3",
+            "--group",
+            "1",
+            "--release",
+            "--rounds",
+            "2",
+            "--lasts",
+            "0.5",
+            "--json",
+        ]
         run = CliRunner().invoke(capacity, words)
         self.assertEqual(run.exit_code, 0, run.output)
         told = {one["name"]: one for one in json.loads(run.stdout.splitlines()[-1])["singles"]}
         key = "chain.1.3.release.at60.group1"
-        self.assertIn("--listed 3 --release --group 1 --rounds 2 --lasts 0.5 --seed 1",
-            told[f"{key}.failed"]["command"])
-        if f"{key}.calls" in told:   # none where over 1 in 100 failed in both rounds
+        self.assertIn(
+            "--listed 3 --release --group 1 --rounds 2 --lasts 0.5 --seed 1", told[f"{key}.failed"]["command"]
+        )
+        if f"{key}.calls" in told:  # none where over 1 in 100 failed in both rounds
             self.assertTrue(20 < told[f"{key}.calls"]["value"] < 120, told)
 
 
@@ -558,24 +618,24 @@
     def test_slopes_are_kept_and_projected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             kept, out = Path(folder) / "slopes.json", Path(folder) / "page.md"
-            run = CliRunner().invoke(capacity,
-                ["slopes", "--only", "list.bytes", "--out", str(kept), "--json"])
+            run = CliRunner().invoke(capacity, ["slopes", "--only", "list.bytes", "--out", str(kept), "--json"])
             self.assertEqual(run.exit_code, 0, run.output)
             self.assertEqual(json.loads(run.stdout.splitlines()[-1])["measured"][0]["name"], "list.bytes")
-            run = CliRunner().invoke(capacity,
-                ["project", "--slopes", str(kept), "--page", str(out), "--json"])
+            run = CliRunner().invoke(capacity, ["project", "--slopes", str(kept), "--page", str(out), "--json"])
             self.assertEqual(run.exit_code, 0, run.output)
             told = json.loads(run.stdout)
-            self.assertEqual(told["first_missing"], "bytes out")   # of discovery, as all proxies start
+            self.assertEqual(told["first_missing"], "bytes out")  # of discovery, as all proxies start
             self.assertIn("| list.bytes |", out.read_text())
 
     def test_what_cannot_be_read_is_one_line(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write('{"commit": 5}')
             file.flush()
-            for words, said in ((["project", "--slopes", file.name], file.name),
+            for words, said in (
+                (["project", "--slopes", file.name], file.name),
                 (["slopes", "--only", "nothing"], "nothing"),
-                                (["project", "--slopes", file.name + ".gone"], "gone")):
+                (["project", "--slopes", file.name + ".gone"], "gone"),
+            ):
                 run = CliRunner().invoke(capacity, words)
                 self.assertEqual(run.exit_code, 1)
                 self.assertEqual(len(run.output.strip().splitlines()), 1, run.output)
@@ -602,8 +662,7 @@
     def test_serve_loads_nothing_of_it(self) -> None:
         load = "import sys, pepperusher.__main__, pepperusher.company"
         script = f"{load}; print('pepperusher.capacity' in sys.modules)"
-        said = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True,
-            timeout=LIMIT)
+        said = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True, timeout=LIMIT)
         self.assertEqual(said.stdout.strip(), "False")
 
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -106,9 +106,7 @@
                 self.assertTrue(self.judged(good, since).startswith(verdict), self.judged(good, since))
         # Errors that were there before are not the change's doing, and a fast service may become slower by a
         # little.
-        self.assertEqual(
-            self.judged([("scrapped", 1)] * 30 + good, [("scrapped", 1)] * 8 + good[:30]), "None"
-        )
+        self.assertEqual(self.judged([("scrapped", 1)] * 30 + good, [("scrapped", 1)] * 8 + good[:30]), "None")
         self.assertEqual(self.judged([("done", 1 * MS)] * 50, [("done", 9 * MS)] * 50), "None")
 
     def test_percentiles_are_right_to_their_bins_and_seconds_pass(self) -> None:
@@ -127,9 +125,7 @@
 class Overlays(unittest.TestCase):
     def test_marks_narrow_the_list_and_never_lift_what_discovery_told(self) -> None:
         overlay = Overlay()
-        marks = of(
-            '[[backends]]\nid = "a"\ndrain = true\n[[backends]]\nid = "b"\nweight = 0.5\n'
-        ).own.backends
+        marks = of('[[backends]]\nid = "a"\ndrain = true\n[[backends]]\nid = "b"\nweight = 0.5\n').own.backends
         marked = {mark.id: mark for mark in marks}
         self.assertEqual(
             overlay.lines([entry("a"), entry("b", weight=2.0), entry("c")], True),
@@ -138,9 +134,7 @@
         self.assertEqual(overlay.turn(marked), [entry("a", ready=False), entry("b", weight=1.0)])
         # Discovery drains b while the marks act; the marks' end lifts their own drain of a, and not
         # discovery's of b.
-        self.assertEqual(
-            overlay.lines([entry("b", ready=False)], False), [entry("b", ready=False, weight=0.5)]
-        )
+        self.assertEqual(overlay.lines([entry("b", ready=False)], False), [entry("b", ready=False, weight=0.5)])
         self.assertEqual(overlay.turn({}), [entry("a")])
         self.assertEqual(overlay.unknown(marked), ["b"])
         # Both drain a: neither alone makes it ready.
@@ -158,8 +152,7 @@
     def standing(self, text: str) -> Standing:
         def say(what: str, **figures: object) -> None:
             self.lines.append(
-                f"{what} "
-                + " ".join(f"{key}={value}" for key, value in figures.items() if key not in ("name",))
+                f"{what} " + " ".join(f"{key}={value}" for key, value in figures.items() if key not in ("name",))
             )
 
         return Standing(of(text), 0, self.listed.extend, say)
@@ -183,9 +176,7 @@
     def test_a_ticket_keeps_the_terms_it_began_with(self) -> None:
         standing = self.standing(WATCH + '[[routes]]\nname = "r"\ntime_out = "400ms"\n')
         old = self.ask(standing, 0)
-        change = self.applied(
-            standing, WATCH + '[[routes]]\nname = "r"\ntime_out = "200ms"\nattempts = 1\n', SECOND
-        )
+        change = self.applied(standing, WATCH + '[[routes]]\nname = "r"\ntime_out = "200ms"\nattempts = 1\n', SECOND)
         new = self.ask(standing, SECOND)
         standing.undo(change, "ops", "no", 2 * SECOND)
         after = self.ask(standing, 2 * SECOND)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -67,18 +67,31 @@
     the list of the beginning: one backend starts cold, the others die, and come back cold together."""
 
     SCENARIO = {
-        "title": "thirty proxies", "seed": 5, "span": "8s", "window": "1s", "processes": 1,
-        "use_cases": [{"name": "look", "work": {"mean": "80ms", "spread": "fixed"}, "promised": "1500ms",
-                       "outer": "3s"}],
-        "tiers": [{"name": "desk", "cell": 2, "proxies": 30,
-                   "kinds": [{"name": "std", "count": 6, "slots": 40, "queue": 40, "cold_from": 0.2,
-                              "warm_for": "16s"}]}],
-        "discovery": {"notice": "100ms", "spread": "400ms"}, "rules": {"tip_multiple": 2.5, "tip_for": "1s"},
+        "title": "thirty proxies",
+        "seed": 5,
+        "span": "8s",
+        "window": "1s",
+        "processes": 1,
+        "use_cases": [
+            {"name": "look", "work": {"mean": "80ms", "spread": "fixed"}, "promised": "1500ms", "outer": "3s"}
+        ],
+        "tiers": [
+            {
+                "name": "desk",
+                "cell": 2,
+                "proxies": 30,
+                "kinds": [{"name": "std", "count": 6, "slots": 40, "queue": 40, "cold_from": 0.2, "warm_for": "16s"}],
+            }
+        ],
+        "discovery": {"notice": "100ms", "spread": "400ms"},
+        "rules": {"tip_multiple": 2.5, "tip_for": "1s"},
         "load": {"uneven": 10.0, "phases": [{"span": "8s", "rate": 110}]},
-        "faults": [{"what": "kill", "at": "4s", "back": "300ms", "names": ["desk-1"]},
-                   {"what": "proxy-kill", "at": "4s", "back": "1s", "names": ["proxy-7", "proxy-8"]},
-                   {"what": "kill", "at": "4800ms", "back": "2200ms",
-                    "names": [f"desk-{one}" for one in range(2, 7)]}]}
+        "faults": [
+            {"what": "kill", "at": "4s", "back": "300ms", "names": ["desk-1"]},
+            {"what": "proxy-kill", "at": "4s", "back": "1s", "names": ["proxy-7", "proxy-8"]},
+            {"what": "kill", "at": "4800ms", "back": "2200ms", "names": [f"desk-{one}" for one in range(2, 7)]},
+        ],
+    }
 
     def run_with(self, build: Path | None) -> tuple[coldsum.Reading, Records]:
         """Ends by itself: the director waits for nothing longer than the span and a start's limit."""
@@ -100,8 +113,9 @@
     def test_without_the_allowance_they_push_it_over(self) -> None:
         with tempfile.TemporaryDirectory() as spare:
             build = Path(spare)
-            shutil.copytree(Path(coldsum.__file__).parents[1], build / "pepperusher",
-                            ignore=shutil.ignore_patterns("__pycache__"))
+            shutil.copytree(
+                Path(coldsum.__file__).parents[1], build / "pepperusher", ignore=shutil.ignore_patterns("__pycache__")
+            )
             with (build / "pepperusher" / "policy.py").open("a") as module:
                 module.write("\n\nBalancer._may_warm = lambda self, backend, now: True\n")
             read, _ = self.run_with(build)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -26,7 +26,9 @@
             return Entry(name, "", 0, 1.0, born, ready)
 
         def say(what: str, lines: list[Entry]) -> None:
-            told = ", ".join(f"{one.id} {'ready' if one.ready else 'drained'} born {one.born // SECOND}" for one in lines)
+            told = ", ".join(
+                f"{one.id} {'ready' if one.ready else 'drained'} born {one.born // SECOND}" for one in lines
+            )
             self.lines.append(f"{what}: {told or 'nothing'}")
 
         say("listed", orders.lines([entry("a"), entry("b")], True))
@@ -45,9 +47,17 @@
         self.kept("console_orders")
 
     def test_without_a_console_nothing_of_it_is_loaded(self) -> None:
-        said = subprocess.run([sys.executable, "-c", "import sys, pepperusher.__main__ as m;"
-                               "print([n for n in sys.modules if n.startswith('pepperusher.console') or 'own' in n.split('.')])"],
-                              capture_output=True, text=True, check=True)
+        said = subprocess.run(
+            [
+                sys.executable,
+                "-c",
+                "import sys, pepperusher.__main__ as m;"
+                "print([n for n in sys.modules if n.startswith('pepperusher.console') or 'own' in n.split('.')])",
+            ],
+            capture_output=True,
+            text=True,
+            check=True,
+        )
         self.assertEqual("[]\n", said.stdout)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -87,7 +87,7 @@
         for number, (at, use) in enumerate(zip(kept, KINDS), 1):
             at.sendall(self.request(use, number))
             at.shutdown(socket.SHUT_WR)
-        time.sleep(0.4)   # the whole loop
+        time.sleep(0.4)  # the whole loop
         self.assertEqual(["503 end"] * 3, [await self.said(at) for at in kept])
         self.assertEqual([], [self.got(number) for number in (1, 2, 3) if self.got(number)])
         self.assertEqual({"left": 3}, self.proxy._counts)
@@ -98,7 +98,9 @@
         leaver: list[socket.socket] = []
         for toy in self.toys.values():
 
-            async def leaves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer) -> bool:
+            async def leaves(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer
+            ) -> bool:
                 goes_on = await answer(reader, writer)
                 if leaver:
                     leaver.pop().shutdown(socket.SHUT_WR)
@@ -195,7 +197,9 @@
     async def test_whoever_ends_its_sending_alone_is_told_what_became_of_it(self) -> None:
         """An end of sending counts as leaving, and where only that ended the client still hears its answer."""
         for settings, does, expected in (
-                (SETTINGS, "silent", ("503 end", "502 end", "502 end")), (PATIENT, "slow", ("200 end",) * 3)):
+            (SETTINGS, "silent", ("503 end", "502 end", "502 end")),
+            (PATIENT, "slow", ("200 end",) * 3),
+        ):
             await self.open("a1", settings=settings)
             self.toys["a1"].does = [does] * 3
             for number, (use, status) in enumerate(zip(KINDS, expected), 1):
@@ -209,7 +213,10 @@
     async def test_an_end_read_with_the_request_leaves_it_its_answer(self) -> None:
         """Nothing was said to it, though its client might have read on; and whoever asks how the proxy is hears that."""
         await self.open("a1")
-        for sent, expected in ((self.request("pay", 1), "503 end"), (b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", "200 end")):
+        for sent, expected in (
+            (self.request("pay", 1), "503 end"),
+            (b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", "200 end"),
+        ):
             at = self.dial()
 
             async def ends_behind(parser: object, line: Line, *more: object) -> object:
@@ -263,8 +270,12 @@
         for number, use in enumerate(KINDS, 1):
             for door in self.proxy._backends._doors.values():
                 self.proxy._backends._close_idle(door)
-            await self.met(lambda: (self.proxy._backends.give_up_all("timed out"),
-                                    setattr(self.proxy._facade._balancer, "_most", 1)))
+            await self.met(
+                lambda: (
+                    self.proxy._backends.give_up_all("timed out"),
+                    setattr(self.proxy._facade._balancer, "_most", 1),
+                )
+            )
             await self.ask(use, self.request(use, number))
             self.assertIn("-> 503 'bounced'", self.lines[-1])
         self.assertEqual([], self.got())
@@ -316,10 +327,13 @@
 
         async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
-            body = await reader.readexactly(int(head.lower().split("content-length: ")[1].split("\r\n")[0])
-                                            if "content-length" in head.lower() else 0)
+            body = await reader.readexactly(
+                int(head.lower().split("content-length: ")[1].split("\r\n")[0])
+                if "content-length" in head.lower()
+                else 0
+            )
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab")
-            time.sleep(0.35)   # the whole loop: the head and the time-out are ready in one turn
+            time.sleep(0.35)  # the whole loop: the head and the time-out are ready in one turn
             await asyncio.sleep(0.05)
             writer.write(b"cd" + body[:0])
             return True
@@ -455,7 +469,7 @@
             at.setblocking(False)
             heard = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(at, 65536), 10)
             self.assertEqual(b"200", heard[9:12])
-            self.assertFalse(self.serving.done())   # its loop would have ended under the ticket
+            self.assertFalse(self.serving.done())  # its loop would have ended under the ticket
             at.close()
             await asyncio.wait_for(self.serving, 10)
 
@@ -511,7 +525,6 @@
         self.proxy._callers.close_idle()
         self.assertEqual(" end", await self.said(shy))
 
-
     @mock.patch("pepperusher.net.proxy.LONGEST_GRACE", 1.6)
     async def test_whatever_stage_a_ticket_is_at_when_the_end_comes_it_has_its_answer(self) -> None:
         """Half read, whole in the kernel, in the accept queue, one behind another, out at one that hangs; told to end twice, with a
@@ -550,7 +563,7 @@
         self.assertEqual(["200", "200"], await answers(kernel, 2))
         self.assertEqual(["200"], await answers(queued, 1))
         self.assertEqual(["400"], await answers(bad, 1))
-        kept.sendall(self.request("look", 6))   # one that stays open is served on
+        kept.sendall(self.request("look", 6))  # one that stays open is served on
         self.assertEqual(["200"], await answers(kept, 1))
         self.assertEqual("504 end", await self.said(hangs))
         for at in (half, kernel, queued, kept):
@@ -565,7 +578,9 @@
             toy = self.toys["a1"]
             leaver: list[socket.socket] = []
 
-            async def leaves(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer) -> bool:
+            async def leaves(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer
+            ) -> bool:
                 goes_on = await answer(reader, writer)
                 leaver.pop().shutdown(socket.SHUT_WR)
                 return goes_on
@@ -603,13 +618,27 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
-        told = configuration(listen=f"127.0.0.1:{port}", known={"version": 1, "full": True, "servers": [
-            {"id": "a1", "addr": f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "state": "ready"}]})
+        told = configuration(
+            listen=f"127.0.0.1:{port}",
+            known={
+                "version": 1,
+                "full": True,
+                "servers": [{"id": "a1", "addr": f"127.0.0.1:{server.sockets[0].getsockname()[1]}", "state": "ready"}],
+            },
+        )
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(told, file)
             file.flush()
             served = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "pepperusher", "serve", "--config", file.name, stderr=asyncio.subprocess.PIPE)
+                sys.executable,
+                "-O",
+                "-m",
+                "pepperusher",
+                "serve",
+                "--config",
+                file.name,
+                stderr=asyncio.subprocess.PIPE,
+            )
             said: list[str] = []
 
             async def until(word: str) -> None:
@@ -671,9 +700,13 @@
     async def test_a_silence_is_over_in_time_wherever_it_begins(self) -> None:
         """What is missed counts as told 6 s after the last word. In the middle of a line 10 s were waited for."""
         text = json.dumps({"version": 2, "full": False, "servers": []}).encode()
-        for what, before, drips in (("after a line", b"\n", b""), ("in a line", text[:20], b""),
-                                    ("in a line, with a drip behind it", b"{", b" "), ("in an object of lines", b"{\n", b""),
-                                    ("in a list without end", b"[\n", b"1,\n")):
+        for what, before, drips in (
+            ("after a line", b"\n", b""),
+            ("in a line", text[:20], b""),
+            ("in a line, with a drip behind it", b"{", b" "),
+            ("in an object of lines", b"{\n", b""),
+            ("in a list without end", b"[\n", b"1,\n"),
+        ):
             with self.subTest(what):
                 await self.open("a1")
                 began = time.monotonic()
@@ -704,7 +737,9 @@
         self.tell(json.dumps({"version": 3, "full": False, "servers": [self.line("b1")]}).encode() + b"\n")
         await self.until(lambda: len(self.watches) == 3)
         asked = [line.split()[3] for line in self.lines if line.startswith("discovery gets")]
-        self.assertEqual(["/v1/endpoints?watch=1&after=1", "/v1/endpoints?watch=1&after=40", "/v1/endpoints?watch=1"], asked)
+        self.assertEqual(
+            ["/v1/endpoints?watch=1&after=1", "/v1/endpoints?watch=1&after=40", "/v1/endpoints?watch=1"], asked
+        )
         self.assertEqual(["a1"], self.ready())
         self.tell(json.dumps({"version": 4, "full": True, "servers": [self.line("b1")]}).encode() + b"\n")
         await self.until(lambda: self.ready() == ["b1"])
@@ -743,7 +778,9 @@
             asked.set()
             await may_speak.wait()
             await watched(reader, writer)
-            self.tell(json.dumps({"version": 2, "full": False, "servers": [self.line("a1", "draining")]}).encode() + b"\n")
+            self.tell(
+                json.dumps({"version": 2, "full": False, "servers": [self.line("a1", "draining")]}).encode() + b"\n"
+            )
 
         self.watched = late
         with mock.patch.dict(PUSHED["rules"], {"stop-sending-within": 9000.0}):
@@ -774,7 +811,7 @@
         calls: list[asyncio.StreamWriter] = []
         came: set[float] = set()
         ended: list[int] = []
-        gone_by: list[int] = []   # how many had ended when each came
+        gone_by: list[int] = []  # how many had ended when each came
 
         async def mute(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             number = len(calls)
@@ -782,7 +819,7 @@
             came.add(self.proxy._discovery._source.schedule.asked_at)
             gone_by.append(len(ended))
             await reader.readuntil(b"\r\n\r\n")
-            await reader.read()   # till it is left
+            await reader.read()  # till it is left
             ended.append(number)
             writer.close()
 
@@ -825,14 +862,14 @@
                 await reader.readuntil(b"\r\n\r\n")
                 if len(came) == 4:
                     writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-                await reader.read()   # till it is left
+                await reader.read()  # till it is left
             writer.close()
 
         with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=4.0, SILENT=0.5):
             self.proxy._discovery._spread = 0.0
             self.server.close()
             server = await asyncio.start_server(mute, "127.0.0.1", self.discovery_port)
-            self.tell(b"\n")   # the last word, and silence from here on
+            self.tell(b"\n")  # the last word, and silence from here on
             await self.until(lambda: len(came) == 4)
             self.assertTrue(any("silent" in line for line in self.logged))
             self.assertLess(came[3] - came[0], 4.0)
@@ -854,8 +891,8 @@
         async def slow(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             came.append(time.monotonic())
             await reader.readuntil(b"\r\n\r\n")
-            await asyncio.sleep(0.4)   # its turn has not come
-            balancer._ask_step = 4_000_000   # as in an outage that is long
+            await asyncio.sleep(0.4)  # its turn has not come
+            balancer._ask_step = 4_000_000  # as in an outage that is long
             refused.append(time.monotonic())
             writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
             writer.close()
@@ -882,7 +919,7 @@
             await reader.readuntil(b"\r\n\r\n")
             calls.append(writer)
             with contextlib.suppress(OSError):
-                await reader.read()   # till it is left
+                await reader.read()  # till it is left
             ended.append(writer)
 
         def line(version: int, state: str) -> bytes:
@@ -906,7 +943,7 @@
                         at.write(line(version, state))
                         if first != "both":
                             await self.until(lambda: source.version >= older)
-                    await self.until(lambda: sum(call in ended for call in calls) == 1)   # one is left
+                    await self.until(lambda: sum(call in ended for call in calls) == 1)  # one is left
                     self.assertEqual((older + 1, 1), (source.version, len(source.calls)))
                     self.assertIs(source.calls[0], source.watch)
                     self.assertEqual(["a1"], self.ready())
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -14,18 +14,24 @@
         crowd.play(10, 88, 0.06)
         crowd.list(*(f"b{one}" for one in range(6)), ready=False)
         for one in range(6, 10):
-            crowd.cores[f"b{one}"].speed = 0.4   # choked
+            crowd.cores[f"b{one}"].speed = 0.4  # choked
         crowd.list(*(f"f{one}" for one in range(6)), born=crowd.now)
         before = crowd.tally.copy()
         crowd.play(5, 140, 0.06)
         now = crowd.tally - before
         born = crowd.now - 5 * SECOND
-        most = max(sum(since <= at < since + 3 * SECOND for at in core.sent) for core in crowd.cores.values() if core.born
-                   for since in range(born, crowd.now, SECOND // 4))
-        self.lines = [f"to the fresh {sum(now[f'f{one}'] for one in range(6))}, to the warm"
-                      f" {sum(now[f'b{one}'] for one in range(6, 10))}, done {now['done']}, bounced {now['bounced']},"
-                      f" timed out {now['timed out']}",
-                      f"most to a fresh one in any 3 s {most}; the least of it the rule allows 3 x 0.4 x 3 / 0.06 = 60"]
+        most = max(
+            sum(since <= at < since + 3 * SECOND for at in core.sent)
+            for core in crowd.cores.values()
+            if core.born
+            for since in range(born, crowd.now, SECOND // 4)
+        )
+        self.lines = [
+            f"to the fresh {sum(now[f'f{one}'] for one in range(6))}, to the warm"
+            f" {sum(now[f'b{one}'] for one in range(6, 10))}, done {now['done']}, bounced {now['bounced']},"
+            f" timed out {now['timed out']}",
+            f"most to a fresh one in any 3 s {most}; the least of it the rule allows 3 x 0.4 x 3 / 0.06 = 60",
+        ]
         self.kept("fleet_fresh")
 
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -37,14 +37,14 @@
 
 
 class Found(NamedTuple):
-    asked: Counter[str]       # how useful requests ended
-    slowest: float            # the answer that took longest, in seconds
+    asked: Counter[str]  # how useful requests ended
+    slowest: float  # the answer that took longest, in seconds
     console: Counter[str]
     console_slowest: float
-    called: list[float]       # each time discovery came back, how long until it was called
-    most: int                 # descriptors at the most
+    called: list[float]  # each time discovery came back, how long until it was called
+    most: int  # descriptors at the most
     said: list[str]
-    counts: str               # the proxy's own, by outcome; "moot" is one for which no descriptor was left
+    counts: str  # the proxy's own, by outcome; "moot" is one for which no descriptor was left
 
 
 class Scarce(Ground):
@@ -141,8 +141,10 @@
                 await asyncio.sleep(0.05)
 
         await ground.away()
-        working = [asyncio.create_task(one) for one in (
-            *(sit(which) for which in range(SITTING)), *(usual(which) for which in range(5)), operates())]
+        working = [
+            asyncio.create_task(one)
+            for one in (*(sit(which) for which in range(SITTING)), *(usual(which) for which in range(5)), operates())
+        ]
         for _ in range(2):
             await asyncio.sleep(spell)
             came = time.monotonic()
@@ -161,8 +163,11 @@
         await asyncio.wait_for(ground.process.wait(), 20)
         await ground.reading
         counts = next(line for line in ground.said if "since the start" in line)
-        said = [line for line in ground.said if "accept failed" in line or "loop:" in line or "Too many" in line
-                or "connection was not taken" in line]
+        said = [
+            line
+            for line in ground.said
+            if "accept failed" in line or "loop:" in line or "Too many" in line or "connection was not taken" in line
+        ]
     return Found(asked, slowest, console, console_slowest, called, most, said, counts)
 
 
@@ -207,7 +212,7 @@
             for number, (reader, writer) in enumerate(usual):
                 writer.write(self.request("look", 100 * round_ + number))
                 if number % 10 == 9:
-                    for one, _ in usual[number - 9:number + 1]:
+                    for one, _ in usual[number - 9 : number + 1]:
                         await self.hear(one)
         for door in self.proxy._backends._doors.values():
             self.proxy._backends._close_idle(door)
@@ -269,10 +274,13 @@
 def main() -> None:
     for kind in KINDS:
         found = asyncio.run(play(kind))
-        print(f"{kind}: useful {dict(found.asked)}, slowest {found.slowest:.3f} s; console {dict(found.console)}, slowest"
-              f" {found.console_slowest:.3f} s; discovery called after {', '.join(f'{one:.2f}' for one in found.called)} s;"
-              f" descriptors {found.most}; {len(found.said)} lines {found.said[:2]};"
-              f" {found.counts.split('since the start: ')[1].strip()}", flush=True)
+        print(
+            f"{kind}: useful {dict(found.asked)}, slowest {found.slowest:.3f} s; console {dict(found.console)}, slowest"
+            f" {found.console_slowest:.3f} s; discovery called after {', '.join(f'{one:.2f}' for one in found.called)} s;"
+            f" descriptors {found.most}; {len(found.said)} lines {found.said[:2]};"
+            f" {found.counts.split('since the start: ')[1].strip()}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -25,12 +25,16 @@
 
     async def test_those_with_a_list_ask_one_after_another(self) -> None:
         loop = asyncio.get_running_loop()
-        update = endpoint_update_of({"version": 1, "full": True, "servers": [
-            {"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]})
+        update = endpoint_update_of(
+            {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
+        )
         waits: dict[str, list[float]] = {"with a list": [], "with a list, told to": [], "without": []}
         for number in range(60):
-            for what, lists, at_once in (("with a list", True, False), ("with a list, told to", True, True),
-                                         ("without", False, False)):
+            for what, lists, at_once in (
+                ("with a list", True, False),
+                ("with a list, told to", True, True),
+                ("without", False, False),
+            ):
                 discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
                 if lists:
                     discovery.take(update)
@@ -42,12 +46,12 @@
         self.assertEqual({0, 1, 2}, set(thirds))
         self.assertGreater(min(thirds.values()), 10)
 
-
     async def test_who_takes_anothers_place_asks_at_once(self) -> None:
         """What discovery tells binds 2 s after its yes, and it asked within 2 s by chance."""
         loop = asyncio.get_running_loop()
-        update = endpoint_update_of({"version": 1, "full": True, "servers": [
-            {"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]})
+        update = endpoint_update_of(
+            {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
+        )
         for number in range(10):
             discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
             discovery.take_over(None)
@@ -63,7 +67,7 @@
     async def test_it_waits_where_the_settings_leave_time_to_ask(self) -> None:
         await self.open("a1")
         self.assertGreater(self.proxy._discovery._source.schedule.paused_till, 0)
-        self.assertEqual(1, len(self.watches))   # and it asks
+        self.assertEqual(1, len(self.watches))  # and it asks
 
     async def test_it_asks_at_once_where_the_list_is_pushed(self) -> None:
         """What is known nearby binds from the first moment on."""
@@ -73,7 +77,7 @@
 
 class Lists(Street):
     beats = False
-    keeps_silent = False   # discovery takes calls and says nothing, not even that it lives
+    keeps_silent = False  # discovery takes calls and says nothing, not even that it lives
 
     async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.keeps_silent:
@@ -93,7 +97,9 @@
     async def settle(self) -> None:
         """Until all that was told has been read."""
         last = None
-        while last != (last := (self.listed(), len(self.logged), len(self.watches), self.proxy._discovery._source.version)):
+        while last != (
+            last := (self.listed(), len(self.logged), len(self.watches), self.proxy._discovery._source.version)
+        ):
             await asyncio.sleep(0.05)
 
     async def test_a_list_that_is_none_leaves_the_last_good_one_and_its_drains(self) -> None:
@@ -103,15 +109,22 @@
         await self.settle()
         said = [f"b1 drains: {self.listed()}"]
         with mock.patch("pepperusher.net.watch_stream.LONGEST", 20_000):
-            for what, text in (("no JSON", b"{servers\n"), ("cut short", self.line_of(3, a, b)[:-30] + b"\n"),
-                               ("no addresses", self.line_of(3, {"id": "b1", "state": "ready"})),
-                               ("a good line before a bad one", self.line_of(4, self.line("c1", "draining")) + b"[]\n"),
-                               ("without end", b"x" * 21_000)):
+            for what, text in (
+                ("no JSON", b"{servers\n"),
+                ("cut short", self.line_of(3, a, b)[:-30] + b"\n"),
+                ("no addresses", self.line_of(3, {"id": "b1", "state": "ready"})),
+                ("a good line before a bad one", self.line_of(4, self.line("c1", "draining")) + b"[]\n"),
+                ("without end", b"x" * 21_000),
+            ):
                 watches, logged = len(self.watches), len(self.logged)
                 self.tell(text)
-                await self.until(lambda: len(self.watches) > watches and not self.proxy._discovery._source.following.done())
+                await self.until(
+                    lambda: len(self.watches) > watches and not self.proxy._discovery._source.following.done()
+                )
                 await self.settle()
-                told = [line.split(" line ")[0].partition(";")[0][:60] for line in self.logged[logged:] if "watch" in line]
+                told = [
+                    line.split(" line ")[0].partition(";")[0][:60] for line in self.logged[logged:] if "watch" in line
+                ]
                 said.append(f"{what}: {self.listed()}, log {told}")
         await self.ask("look 1", self.request("look", 1))
         said.append(self.lines[-1])
@@ -122,18 +135,24 @@
         """Versions reversed and doubled: the drain once went with the late line."""
         await self.open("a1", "b1")
         said = []
-        for what, version, state, full in (("b1 drains", 9, "draining", False), ("the same again", 9, "draining", False),
-                                           ("an older line", 8, "ready", False), ("an older whole list", 7, "ready", True),
-                                           ("a newer one", 10, "ready", False)):
+        for what, version, state, full in (
+            ("b1 drains", 9, "draining", False),
+            ("the same again", 9, "draining", False),
+            ("an older line", 8, "ready", False),
+            ("an older whole list", 7, "ready", True),
+            ("a newer one", 10, "ready", False),
+        ):
             servers = (self.line("a1"), self.line("b1", state)) if full else (self.line("b1", state),)
             self.tell(self.line_of(version, *servers, full=full))
             await self.settle()
             said.append(f"{what}: {self.listed()}, version {self.proxy._discovery._source.version}")
-        self.watches[-1].close()   # and one that has started again counts from the start
+        self.watches[-1].close()  # and one that has started again counts from the start
         await self.until(lambda: len(self.watches) == 2)
         self.tell(self.line_of(1, self.line("a1"), full=True))
         await self.settle()
-        said.append(f"its first word after a new start: {self.listed()}, version {self.proxy._discovery._source.version}")
+        said.append(
+            f"its first word after a new start: {self.listed()}, version {self.proxy._discovery._source.version}"
+        )
         self.lines = said
         self.kept("discovery_order")
 
@@ -154,7 +173,9 @@
         which it was stopped."""
         server = await asyncio.start_server(self.watched, "127.0.0.1", 0)
         self.addCleanup(server.close)
-        self.given = json.dumps({**json.loads(self.given), "discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"})
+        self.given = json.dumps(
+            {**json.loads(self.given), "discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}
+        )
         watches = len(self.watches)
         time.sleep(stopped_for)
         self.proxy.tell_anew()
@@ -187,7 +208,9 @@
         await self.ask("look 6", self.request("look", 6))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
         self.assertGreater(metrics.longest_unconfirmed, 0.15)
-        self.assertTrue(any(line.startswith("list confirmed; after") and "past its term" in line for line in self.logged))
+        self.assertTrue(
+            any(line.startswith("list confirmed; after") and "past its term" in line for line in self.logged)
+        )
         self.assertTrue(any(line.startswith("version 2 of") and line.endswith("b1 not listed") for line in self.logged))
         self.assertIn("1 times overdue, 4 requests sent meanwhile, 0 times expired", metrics.line())
 
@@ -224,8 +247,10 @@
             await self.until(lambda: self.proxy._discovery.confirmation.expired)
             return made
 
-        with (mock.patch.object(self.proxy._backends, "_connect", expires_meanwhile),
-              mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4)):
+        with (
+            mock.patch.object(self.proxy._backends, "_connect", expires_meanwhile),
+            mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4),
+        ):
             await self.moved()
             self.lines = []
             await self.ask("look 1", self.request("look", 1))
@@ -249,7 +274,7 @@
         for use in ("book", "pay"):
             for toy in self.toys.values():
                 toy.does = ["break"]
-            self.lines.clear()   # the backends write to it as well
+            self.lines.clear()  # the backends write to it as well
             with mock.patch.object(type(confirmation), "expired", Expires()):
                 await self.ask(f"{use} 1", self.request(use, 1, "a body"))
             self.assertEqual(1, sum(" gets POST" in line for line in self.lines), self.lines)
@@ -270,8 +295,10 @@
     async def test_where_a_connection_fails_for_want_of_descriptors_discovery_counts_as_reachable(self) -> None:
         await self.open("a1")
         full = OSError(errno.EMFILE, "Too many open files")
-        with (mock.patch("pepperusher.net.discovery.reach", side_effect=full),
-              mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM)):
+        with (
+            mock.patch("pepperusher.net.discovery.reach", side_effect=full),
+            mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM),
+        ):
             self.given = json.dumps({**json.loads(self.given), "discovery": "127.0.0.1:1"})
             self.proxy.tell_anew()
             await self.until(lambda: self.proxy._discovery.confirmation.expired)
@@ -340,7 +367,10 @@
         discovery = self.proxy._discovery
         await self.until(lambda: discovery.watched)
         discovery._spread = 0.0
-        with (mock.patch("pepperusher.net.call_schedule.SILENT", 0.4), mock.patch("pepperusher.net.discovery.LOST_TERM", 0.4 + TERM)):
+        with (
+            mock.patch("pepperusher.net.call_schedule.SILENT", 0.4),
+            mock.patch("pepperusher.net.discovery.LOST_TERM", 0.4 + TERM),
+        ):
             self.tell(b"\n")
             spoke_at = time.monotonic()
             self.keeps_silent = True
@@ -386,11 +416,13 @@
         asked = []
         listed = self.proxy._facade.listed
         self.proxy._facade.listed = lambda entries, *rest: (asked.append(len(entries)), listed(entries, *rest))
-        text = b"".join(self.line_of(number, self.line("b1", "draining" if number % 2 else "ready")) for number in range(2, 502))
+        text = b"".join(
+            self.line_of(number, self.line("b1", "draining" if number % 2 else "ready")) for number in range(2, 502)
+        )
         self.tell(text)
         await self.until(lambda: self.proxy._discovery._source.version == 501)
         self.assertEqual(500, sum(asked))
-        self.assertLess(len(asked), 12)   # as many as the reads that they came in
+        self.assertLess(len(asked), 12)  # as many as the reads that they came in
         self.assertEqual("a1", self.listed())
 
     async def test_a_discovery_that_is_hardly_there_is_asked_again(self) -> None:
@@ -427,7 +459,11 @@
                     pass
 
         self.server.close()
-        port = self.server.sockets[0].getsockname()[1] if self.server.sockets else int(json.loads(self.given)["discovery"].split(":")[1])
+        port = (
+            self.server.sockets[0].getsockname()[1]
+            if self.server.sockets
+            else int(json.loads(self.given)["discovery"].split(":")[1])
+        )
         server = await asyncio.start_server(hardly, "127.0.0.1", port)
         with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=0.3, SILENT=0.3):
             for what in ("says nothing", "drips", "drips a line", "503", "resets"):
@@ -438,7 +474,7 @@
                 async with asyncio.timeout(8):
                     while len(asked) < before + 3:
                         await asyncio.sleep(0.01)
-                first, second, third = asked[before:before + 3]
+                first, second, third = asked[before : before + 3]
                 self.assertLess(second - first, 2.5, what)
                 self.assertGreater(third - first, 0.5, what)
                 await self.ask("look", self.request("look", len(self.lines)))
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -11,7 +11,15 @@
 
 from pepperusher.distribution import delta, wire
 from pepperusher.distribution.admission import ADMITTED_A_SECOND, ADMITTED_AT_ONCE, Admission
-from pepperusher.distribution.publisher import REFUSED_AT_ONCE, WAVE_MOST, WAVE_WITHIN, NotTaken, Publisher, place_of, rollout_of
+from pepperusher.distribution.publisher import (
+    REFUSED_AT_ONCE,
+    WAVE_MOST,
+    WAVE_WITHIN,
+    NotTaken,
+    Publisher,
+    place_of,
+    rollout_of,
+)
 from pepperusher.distribution.subscriber import (
     Apply, Close, Connect, Say, Send, Subscriber, QUIET_FOR, SILENT_AFTER, WANT_AGAIN, order_of, rank,
 )  # fmt: skip
@@ -373,12 +381,12 @@
         self.crowd(1000)
         for version, goes_on in ((2, True), (3, False)):
             start = version * 100 * S
-            self.sent(1000)   # what came before
+            self.sent(1000)  # what came before
             self.put(version, start)
             first = self.sent(1000)
             self.assertTrue(10 <= len(first) < 60, len(first))
             most = -(-9 * len(first) // 10)
-            for number in sorted(first)[:most if goes_on else most - 1]:
+            for number in sorted(first)[: most if goes_on else most - 1]:
                 self.one.ack(number, Ack(*KEY, 1, version), start)
             self.one.tick(start + WAVE_WITHIN)
             self.assertEqual(goes_on, self.one.held[KEY].wave > 0, (version, len(first)))
@@ -574,7 +582,9 @@
         self.one.ack(3, Ack(*KEY, 1, 0), 0)
         self.one.leave(3, 0)
         told = rollout_of([self.one.rows(0, KEY, 0)], ["c9"])
-        self.assertEqual((1, {"b": "cannot"}, ["c"], ["c9"]), (told.in_force, told.refused, told.unreachable, told.silent))
+        self.assertEqual(
+            (1, {"b": "cannot"}, ["c"], ["c9"]), (told.in_force, told.refused, told.unreachable, told.silent)
+        )
 
     def test_nothing_is_left_of_those_that_went(self) -> None:
         self.put(1)
@@ -584,7 +594,10 @@
             for number in range(200):
                 self.one.leave(round_ * 1_000 + number, round_)
         self.one.forget(700 * S)
-        self.assertEqual(({}, {}, {}, set()), (self.one.subscribers, self.one.proxies, self.one.pending, self.one.held[KEY].subscribers))
+        self.assertEqual(
+            ({}, {}, {}, set()),
+            (self.one.subscribers, self.one.proxies, self.one.pending, self.one.held[KEY].subscribers),
+        )
 
 
 class Subscribing(unittest.TestCase):
@@ -749,7 +762,8 @@
         self.taken, self.served, self.line = taken, served, line
         self.now = 0
         self.proxies = [
-            Subscriber(f"p{number}", 1, "east", "", self.names, [KEY], [], Random(number), 0) for number in range(proxies)
+            Subscriber(f"p{number}", 1, "east", "", self.names, [KEY], [], Random(number), 0)
+            for number in range(proxies)
         ]
         self.due = [0] * proxies
         self.backlog: dict[str, deque[tuple[int, int]]] = {name: deque() for name in self.names}
@@ -965,7 +979,9 @@
                 said = [(effect.upstream, effect.message) for effect in one.out if isinstance(effect, Send)]
                 bodies = [(to, one.bodies) for to, one in said if isinstance(one, Hello)]
                 bodies += [(to, one.on) for to, one in said if isinstance(one, Bodies)]
-                self.assertEqual([(second, False), (first, True)] if answers else [(second, False), (second, True)], bodies)
+                self.assertEqual(
+                    [(second, False), (first, True)] if answers else [(second, False), (second, True)], bodies
+                )
 
     def test_it_is_woken_a_few_times_a_second_while_it_waits_and_misses_no_attempt(self) -> None:
         """Woken each 5 ms, as it was, two hundred proxies in one process have no time to read any answer."""
@@ -1167,7 +1183,9 @@
             self.start_proxy(name)
 
     def start(self, name: str) -> None:
-        one = Publisher(name, "east", self.epoch if name == self.names[0] else None, False, len(self.names) - 1, self.now)
+        one = Publisher(
+            name, "east", self.epoch if name == self.names[0] else None, False, len(self.names) - 1, self.now
+        )
         for newest, steady, halted in self.disks[name]:
             one.restore(newest, steady, halted, self.now)
         self.machines[name] = one
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -28,7 +28,18 @@
 from pepperusher.distribution.operate import NoAnswer
 from pepperusher.distribution.server import HELLO_WITHIN, SILENT_AFTER, Server, Terms
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import CONFIG, ENDPOINTS, MOST_NAMES, PROXY, Beat, Hello, Key, Resource, Version, resource
+from pepperusher.distribution.words import (
+    CONFIG,
+    ENDPOINTS,
+    MOST_NAMES,
+    PROXY,
+    Beat,
+    Hello,
+    Key,
+    Resource,
+    Version,
+    resource,
+)
 from pepperusher.net import clock
 from pepperusher.net.distributed import Distributed
 from pepperusher.net.house import House
@@ -133,9 +144,7 @@
     async def begin(self, ports: list[int] | None = None, **more: Any) -> None:
         ports = ports or free_ports(self.MACHINES)
         for number, port in enumerate(ports):
-            self.machines.append(
-                Machine(self.folder, number, port, [one for one in ports if one != port], **more)
-            )
+            self.machines.append(Machine(self.folder, number, port, [one for one in ports if one != port], **more))
         await asyncio.gather(*(one.start() for one in self.machines))
         for number in range(self.PROXIES):
             self.client(f"p{number}")
@@ -180,9 +189,7 @@
                     await asyncio.sleep(0.05)
 
     def has(self, version: Version, but: set[str] = frozenset()) -> Callable[[], bool]:  # type: ignore[assignment]
-        return lambda: all(
-            one.in_force.get(KEY) == version for name, one in self.clients.items() if name not in but
-        )
+        return lambda: all(one.in_force.get(KEY) == version for name, one in self.clients.items() if name not in but)
 
 
 class Machines(Scene):
@@ -190,7 +197,9 @@
         await self.begin()
         await until(self.has(first := await self.publish(b"one\n" * 200)), what="the first")
         # A machine that heard of it late, after the second, would send that as a snapshot.
-        await until(lambda: all(list(one.state.glob("*.resource")) for one in self.machines), what="the first at each machine")
+        await until(
+            lambda: all(list(one.state.glob("*.resource")) for one in self.machines), what="the first at each machine"
+        )
         # One is killed: its proxies go to the other two, resumed by version.
         snapshots = sum(one.counts["snapshots"] for one in self.clients.values())
         await self.machines[1].end()
@@ -208,7 +217,9 @@
         await until(lambda: not any(one.upstreams for one in self.clients.values()), what="all gone")
         self.assertTrue(self.has(third)())
         # What is in force is written by a thread of its own; killed before that, a proxy has the one before.
-        await until(lambda: [one.version for one in keeping.read(self.folder / "p0.kept", {KEY})[0]] == [third], what="on disk")
+        await until(
+            lambda: [one.version for one in keeping.read(self.folder / "p0.kept", {KEY})[0]] == [third], what="on disk"
+        )
         self.clients["p0"].kill()
         await self.clients["p1"].stop()
         for name in ("p0", "p1"):
@@ -434,7 +445,10 @@
             "no message": [sealed(b"\xc1\xc1")],
             "a greeting again": [sealed(greeting), sealed(greeting)],
             "subscribes to everything": [sealed(everything)],
-            "floods": [sealed(greeting), lambda session: b"".join(sealed(wire.encoded(Beat()))(session) for _ in range(3_000))],
+            "floods": [
+                sealed(greeting),
+                lambda session: b"".join(sealed(wire.encoded(Beat()))(session) for _ in range(3_000)),
+            ],
         }
         silent: list[list[Callable[[Session], bytes]]] = [[], [lambda session: session.part(greeting, 0)[0][:-5]]]
         ending = asyncio.gather(*(told(said) for said in silent))
@@ -600,7 +614,9 @@
         await server.stop()
         again = Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1)
         await again.start()
-        self.assertEqual((first, b"one\n" * 1_000), (again.publisher.held[KEY].newest.version, again.publisher.held[KEY].newest.body))
+        self.assertEqual(
+            (first, b"one\n" * 1_000), (again.publisher.held[KEY].newest.version, again.publisher.held[KEY].newest.body)
+        )
         await again.stop()
 
 
--- a/tests/test_endpoint_source.py
+++ b/tests/test_endpoint_source.py
@@ -342,7 +342,11 @@
         """A list and its word: lost where the way is cut, and what comes on a slow way comes up to 2 s later. The word is
         by its age, so the way is not counted."""
         if not self.cut.at(now):
-            delay = self.chance.randrange(1_000, 40_000) if not self.slow.at(now) else self.chance.randrange(200_000, 2 * SECOND)
+            delay = (
+                self.chance.randrange(1_000, 40_000)
+                if not self.slow.at(now)
+                else self.chance.randrange(200_000, 2 * SECOND)
+            )
             self.sent.append((now + delay, version, state, now - spoke_at))
 
     def run(self) -> None:
--- a/tests/test_expired_list.py
+++ b/tests/test_expired_list.py
@@ -113,7 +113,6 @@
         self.assert_drained_and_answered(began + REACHED_TERM)
 
 
-
 class ASilentWatchThatEnded(ExpiredListScene):
     PROXIES = 1
     ADDRESSES = 1
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -64,8 +64,7 @@
 
     def test_notices_come_together_and_on_wins_a_tie(self) -> None:
         told = [
-            Notice("ban", "x", on, NOW + at)
-            for on, at in ((True, 1), (False, 2), (True, 3), (False, 3), (True, 2))
+            Notice("ban", "x", on, NOW + at) for on, at in ((True, 1), (False, 2), (True, 3), (False, 3), (True, 2))
         ]
         ends = set()
         for order in permutations(told):
@@ -115,8 +114,9 @@
             found = lending.joined(lists)  # type: ignore[arg-type]
             return found and (found[0], [one["id"] for one in found[1]["servers"]])
 
-        fresh, old = listed(5, a="ready", b="draining", d="ready"), listed(
-            9, a="ready", b="ready", c="ready", d="ready"
+        fresh, old = (
+            listed(5, a="ready", b="draining", d="ready"),
+            listed(9, a="ready", b="ready", c="ready", d="ready"),
         )
         self.assertEqual((9, ["a", "d"]), names(fresh, old))
         self.assertEqual((5, ["a", "d"]), names(fresh, listed(lending.LONGEST_AGE + 1, a="ready")))
@@ -150,10 +150,7 @@
             good * 2,
             chance.randbytes(900),
         ]
-        bad += [
-            good[:at] + bytes([good[at] ^ 1 << chance.randrange(8)]) + good[at + 1 :]
-            for at in range(3, len(good))
-        ]
+        bad += [good[:at] + bytes([good[at] ^ 1 << chance.randrange(8)]) + good[at + 1 :] for at in range(3, len(good))]
         swim = Swim(said("me", token=7), Terms(200_000, 60_000, (), 1, SECOND), wire, Random(1), NOW)
         for data in bad:
             self.assertRaises(BadPacket, wire.unpack, data)
@@ -222,9 +219,7 @@
             model.add(f"m{number}", told=size)
         if met:
             self.assertTrue(
-                model.run(
-                    20 * SECOND, lambda: all(len(one.swim.roll) == size - 1 for one in model.ones.values())
-                )
+                model.run(20 * SECOND, lambda: all(len(one.swim.roll) == size - 1 for one in model.ones.values()))
             )
             model.run(2 * SECOND)
         return model
@@ -242,11 +237,7 @@
         )
 
     def lost(self, model: Model, since: int = 0) -> list[tuple[str, str]]:
-        return [
-            (line.by, line.change.name)
-            for line in model.book
-            if line.change.what == "lost" and line.at >= since
-        ]
+        return [(line.by, line.change.name) for line in model.book if line.change.what == "lost" and line.at >= since]
 
     def test_one_killed_is_lost_to_all_and_comes_back_as_a_new_life(self) -> None:
         """Also without a disk, and with a clock that was set back by an hour."""
@@ -272,7 +263,9 @@
             model.add(f"m{number}", seeds=0, told=4)
         model.run(20 * SECOND)
         swims = [one.swim for one in model.ones.values()]
-        self.assertEqual({(0, 4, parts.NOBODY)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims})
+        self.assertEqual(
+            {(0, 4, parts.NOBODY)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims}
+        )
         model.add("m4", seeds=4, told=4, place=0)
         self.assertTrue(model.run(30 * SECOND, lambda: all(len(one.swim.roll) == 4 for one in model.ones.values())))
 
@@ -330,9 +323,7 @@
                     )
                 )
                 model.run(5 * SECOND)
-                self.assertEqual(
-                    {parts.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()}
-                )
+                self.assertEqual({parts.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()})
 
     def test_a_chain_and_one_way_links_lose_nobody(self) -> None:
         """Each hears its neighbours alone; or one is heard by all and hears through others. Someone is
@@ -349,10 +340,7 @@
                 model.cut = lambda a, b, cut=cut: cut(int(a[1:]), int(b[1:]))  # type: ignore[misc]
                 model.run(60 * SECOND)
                 lasting = [
-                    (by, name)
-                    for by in model.ones
-                    for name, (health, _) in model.finds(by).items()
-                    if health == LOST
+                    (by, name) for by in model.ones for name, (health, _) in model.finds(by).items() if health == LOST
                 ]
                 if what == "a third between two":
                     self.assertEqual([], self.lost(model, since))
@@ -400,8 +388,7 @@
         model.starve("m2", duty)
         model.run(120 * SECOND)
         return sum(
-            line.change.what.startswith("suspected") and line.change.figures.get("by") == "m2"
-            for line in model.book
+            line.change.what.startswith("suspected") and line.change.figures.get("by") == "m2" for line in model.book
         )
 
     def test_one_starved_of_its_processor_charges_few(self) -> None:
@@ -434,9 +421,7 @@
         early = [
             line
             for line in model.book
-            if since <= line.at < since + 5 * SECOND
-            and line.change.figures.get("by") == "m2"
-            and line.by != "m2"
+            if since <= line.at < since + 5 * SECOND and line.change.figures.get("by") == "m2" and line.by != "m2"
         ]
         self.assertGreater(len(early), 7)
         self.assertLess(len(late) / 30, len(early) / 5 / 2)
@@ -490,17 +475,13 @@
         self.assertTrue(
             model.run(
                 SECOND,
-                lambda: all(
-                    one.swim.notices.get("ban", "x") for name, one in model.ones.items() if name != "m7"
-                ),
+                lambda: all(one.swim.notices.get("ban", "x") for name, one in model.ones.items() if name != "m7"),
             )
         )
         model.run(30 * SECOND)
         model.cut = lambda _, __: False
         healed = model.now
-        self.assertTrue(
-            model.run(10 * SECOND, lambda: model.ones["m7"].swim.notices.get("ban", "x") is not None)
-        )
+        self.assertTrue(model.run(10 * SECOND, lambda: model.ones["m7"].swim.notices.get("ban", "x") is not None))
         self.assertLess(model.now - healed, 3 * SECOND)
 
 
@@ -605,16 +586,12 @@
                 ]
                 self.assertEqual([], wrong)
                 self.assertEqual({20}, {one.swim.size() for one in model.ones.values()})
-                self.assertEqual(
-                    {parts.PART}, {model.ones[name].swim.reach(model.now).word for name in inside}
-                )
+                self.assertEqual({parts.PART}, {model.ones[name].swim.reach(model.now).word for name in inside})
                 model.cut = lambda _, __: False
                 self.assertTrue(
                     model.run(
                         allowed,
-                        lambda: all(
-                            one.swim.reach(model.now).word == parts.MAJORITY for one in model.ones.values()
-                        ),
+                        lambda: all(one.swim.reach(model.now).word == parts.MAJORITY for one in model.ones.values()),
                     )
                 )
 
@@ -709,9 +686,7 @@
         me = said("me")
         gone = [said(f"old{place}", phase=LEFT, place=place) for place in range(1, 4)]
         self.assertEqual(1, parts.size(4, me, gone))
-        self.assertEqual(
-            4, parts.size(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))])
-        )
+        self.assertEqual(4, parts.size(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))]))
         self.assertEqual(3, parts.size(4, me, [*gone[:2], said("new1", place=1)]))
         # All told the same place: nothing is freed by any.
         self.assertEqual(4, parts.size(4, me, [said(f"x{number}", phase=LEFT) for number in range(3)]))
