--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -32,9 +32,7 @@
         self.links.part((first, second))
         await self.found(first, second, "lost")
         await self.found(second, first, "lost")
-        views = await self.until(
-            lambda views: all(view["reach"]["word"] == "part" for view in views.values())
-        )
+        views = await self.until(lambda views: all(view["reach"]["word"] == "part" for view in views.values()))
         self.assertEqual({8}, {view["sharers"] for view in views.values()})
         backend = self.director.plan.places[0].id_at(0)
         status, text = await self.runner("p1").call("POST", f"/-/backends/{backend}/disable")
@@ -44,9 +42,7 @@
         self.links.heal()
         await self.found(self.names, self.names, "alive")
         await self.until(
-            lambda views: all(
-                view["orders"] and view["reach"]["word"] == "majority" for view in views.values()
-            )
+            lambda views: all(view["orders"] and view["reach"]["word"] == "majority" for view in views.values())
         )
         held_at = self.director._now()
         kept = await self.over()
@@ -70,8 +66,10 @@
         await self.found(names[1:], names[:1], "lost")
         await self.found(names[:1], names[1:], "lost")
         views = await self.until(
-            lambda views: views["p1"]["reach"]["word"] == "nobody"
-            and {view["reach"]["word"] for name, view in views.items() if name != "p1"} == {"majority"}
+            lambda views: (
+                views["p1"]["reach"]["word"] == "nobody"
+                and {view["reach"]["word"] for name, view in views.items() if name != "p1"} == {"majority"}
+            )
         )
         self.assertEqual({8}, {view["sharers"] for view in views.values()})
         self.links.heal()
@@ -93,19 +91,16 @@
         await self.until(lambda views: views["p1"]["counts"].get("probes without an answer", 0) > 2)
         await self.found(self.names[1:], self.names[1:], "alive")
         self.links.heal()
-        self.links.shape(
-            Manner(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names
-        )
+        self.links.shape(Manner(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names)
         await self.until(
-            lambda views: sum(view["counts"].get("probes without an answer", 0) for view in views.values())
-            > 20
-            and any("wrong checksum" in what for view in views.values() for what in view["counts"])
+            lambda views: (
+                sum(view["counts"].get("probes without an answer", 0) for view in views.values()) > 20
+                and any("wrong checksum" in what for view in views.values() for what in view["counts"])
+            )
         )
         views = await self.until(
             lambda views: all(
-                row["found"] in ("itself", "alive", "suspected")
-                for view in views.values()
-                for row in view["members"]
+                row["found"] in ("itself", "alive", "suspected") for view in views.values() for row in view["members"]
             )
         )
         self.assertEqual({8}, {view["sharers"] for view in views.values()})
@@ -172,12 +167,8 @@
         await self.found(self.names, self.names, "alive")
         views = await self.until(lambda views: all(view["orders"] for view in views.values()))
         for row in views["p1"]["members"]:
-            (self.assertGreater if row["name"] in killed else self.assertEqual)(
-                row["life"], lives[row["name"]]
-            )
-        self.assertFalse(
-            self.said("doubled: two processes live under one name, neither is believed of the other")
-        )
+            (self.assertGreater if row["name"] in killed else self.assertEqual)(row["life"], lives[row["name"]])
+        self.assertFalse(self.said("doubled: two processes live under one name, neither is believed of the other"))
         await self.over()
 
     async def test_all_killed_at_once_and_started_at_once(self) -> None:
@@ -258,7 +249,9 @@
         began = self.director._now()
         await p1.run()  # returns once it says that it serves
         # Its log comes by a pipe of its own, and may be read a moment after that word.
-        await self.until(lambda _: "serving by the list of other members" in (self.work / "p1.log").read_text(), ["p1"], 5.0)
+        await self.until(
+            lambda _: "serving by the list of other members" in (self.work / "p1.log").read_text(), ["p1"], 5.0
+        )
         self.assertLess(self.director._now(), 8_000_000, "discovery was back before")
         self.director._admitted.add(0)
         self.director._admit()
@@ -280,8 +273,10 @@
         self.assertEqual(500, (await p1.call("POST", f"/-/backends/{backend}/disable"))[0])
         await self.until(lambda views: all([one[2] for one in view["orders"]] == [True] for view in views.values()))
         p1.full_disk(False)
-        p2.keep_disk()   # with the ban in it
-        self.assertEqual((200, "in use, held by 4 of 4 proxies"), await p1.call("POST", f"/-/backends/{backend}/enable"))
+        p2.keep_disk()  # with the ban in it
+        self.assertEqual(
+            (200, "in use, held by 4 of 4 proxies"), await p1.call("POST", f"/-/backends/{backend}/enable")
+        )
         p2.take_disk(True)
         await self.found(self.names, self.names, "alive")
         p2.take_disk(False)
@@ -316,23 +311,16 @@
         await self.until(lambda views: doubled(views, "p2"))
         made = self.director._twins[0]
         self.assertTrue(
-            any(
-                one.what.startswith("doubled: another")
-                for one in [*self.runner("p2").believed, *made.believed]
-            )
+            any(one.what.startswith("doubled: another") for one in [*self.runner("p2").believed, *made.believed])
         )
         await made.call("POST", "/-/drain")
         await made.ask("members")
-        views = await self.until(
-            lambda views: all(view["reach"]["silent"] == 1 for view in views.values()), others
-        )
+        views = await self.until(lambda views: all(view["reach"]["silent"] == 1 for view in views.values()), others)
         self.assertEqual({5}, {view["sharers"] for view in views.values()})
         await made.kill()
         twin.cancel()
         await self.until(
-            lambda views: all(
-                not any("doubled" in row["is"] for row in view["members"]) for view in views.values()
-            )
+            lambda views: all(not any("doubled" in row["is"] for row in view["members"]) for view in views.values())
         )
         await self.found(self.names, self.names, "alive")
         await self.over()
@@ -384,9 +372,7 @@
                 sock.sendto(kinds[number % len(kinds)], front)
                 if number % 100 == 0:
                     await asyncio.sleep(0.002)
-        views = await self.until(
-            lambda views: any("packets" in what for what in views["p1"]["counts"]), ["p1"]
-        )
+        views = await self.until(lambda views: any("packets" in what for what in views["p1"]["counts"]), ["p1"])
         # Seldom, and not once for each.
         await self.until(lambda _: "group: not believed" in (self.work / "p1.log").read_text(), ["p1"])
         lines = [line for line in (self.work / "p1.log").read_text().splitlines() if "not believed" in line]
@@ -417,9 +403,7 @@
         self.director._admitted.add(3)
         self.director._admit()
         await self.found(self.names[:3], ["p4"], "lost")
-        views = await self.until(
-            lambda views: any("wrong checksum" in what for what in views["p4"]["counts"]), ["p4"]
-        )
+        views = await self.until(lambda views: any("wrong checksum" in what for what in views["p4"]["counts"]), ["p4"])
         self.assertEqual(1, len(views["p4"]["members"]))
         self.assertEqual({4}, {view["sharers"] for view in (await self.views()).values()})
         await self.over()
@@ -476,9 +460,7 @@
         self.sock.setblocking(False)
         me = Said("p9", *self.sock.getsockname(), clock.now(), 77, 0, SERVING, False, 0, 8)
         self.wire = Wire(KEY)
-        self.swim = Swim(
-            me, Terms(200_000, 60_000, tuple(seeds), 9, 60_000_000), self.wire, Random(1), clock.now()
-        )
+        self.swim = Swim(me, Terms(200_000, 60_000, tuple(seeds), 9, 60_000_000), self.wire, Random(1), clock.now())
         self.due = 0
 
     def turn(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -39,10 +39,10 @@
         self.assertFalse(looks(2, 250_000))
         self.assertTrue(looks(2, 100_000))
         self.assertFalse(looks(3, 250_000))
-        now += 5_000_000                        # this one stood still itself
+        now += 5_000_000  # this one stood still itself
         self.assertFalse(looks(3, 250_000))
         self.assertTrue(looks(3, 100_000))
-        now += 5_000_000                        # and again: what was found holds, since there is no new mark
+        now += 5_000_000  # and again: what was found holds, since there is no new mark
         self.assertTrue(looks(3, 50_000))
         pulse.anew()
         self.assertFalse(looks(3, 250_000))
@@ -51,22 +51,37 @@
 class Passed(Kept):
     def test_what_another_left_is_read_as_a_stranger_s(self) -> None:
         self.lines = []
-        good = State({"a": Order(True, 5), "b": Order(False, 9)}, Order(True, 7), "next", True, "127.0.0.1:1",
-                     {"version": 4, "full": True, "servers": []}, {"times": {}}, True, False, 12_000_000)
+        good = State(
+            {"a": Order(True, 5), "b": Order(False, 9)},
+            Order(True, 7),
+            "next",
+            True,
+            "127.0.0.1:1",
+            {"version": 4, "full": True, "servers": []},
+            {"times": {}},
+            True,
+            False,
+            12_000_000,
+        )
         self.assertEqual(good, state_of(text_of(good)))
         told = json.loads(text_of(good))
         older = {name: part for name, part in told.items() if name not in ("told_by_source", "expires_at")}
         self.assertEqual(good._replace(told_by_source=True, expires_at=None), state_of(json.dumps(older)))
-        for what, text in (("nothing", ""), ("half", text_of(good)[:70]), ("deep", "[" * 100_000), ("a list", "[]"),
-                           ("another release's", json.dumps({**told, "form": 2})),
-                           ("no bans", json.dumps({**told, "bans": None})),
-                           ("a ban without a time", json.dumps({**told, "bans": {"a": [True]}})),
-                           ("a ban that is no order", json.dumps({**told, "bans": {"a": [1, 5]}})),
-                           ("a time of no sort", json.dumps({**told, "bans": {"a": [True, 1e300]}})),
-                           ("a drain that is none", json.dumps({**told, "drain": "yes"})),
-                           ("an end of its term that is none", json.dumps({**told, "expires_at": -1})),
-                           ("a list that is none", json.dumps({**told, "listed": 3})),
-                           ("a name that is none", json.dumps({**told, "seen": {}}))):
+        for what, text in (
+            ("nothing", ""),
+            ("half", text_of(good)[:70]),
+            ("deep", "[" * 100_000),
+            ("a list", "[]"),
+            ("another release's", json.dumps({**told, "form": 2})),
+            ("no bans", json.dumps({**told, "bans": None})),
+            ("a ban without a time", json.dumps({**told, "bans": {"a": [True]}})),
+            ("a ban that is no order", json.dumps({**told, "bans": {"a": [1, 5]}})),
+            ("a time of no sort", json.dumps({**told, "bans": {"a": [True, 1e300]}})),
+            ("a drain that is none", json.dumps({**told, "drain": "yes"})),
+            ("an end of its term that is none", json.dumps({**told, "expires_at": -1})),
+            ("a list that is none", json.dumps({**told, "listed": 3})),
+            ("a name that is none", json.dumps({**told, "seen": {}})),
+        ):
             try:
                 self.lines.append(f"{what}: {state_of(text)}")
             except BadState as error:
@@ -77,7 +92,9 @@
         """A breaker that is open stays so for the rest of its period; words that are no figures change nothing."""
         facades = [Facade(ground(SETTINGS, 5), 100 * SECOND, lambda _: None) for _ in range(2)]
         for facade in facades:
-            facade.listed([Entry("a", "here", 1, 1.0, 0, True), Entry("b", "here", 1, 1.0, 0, True)], True, 100 * SECOND)
+            facade.listed(
+                [Entry("a", "here", 1, 1.0, 0, True), Entry("b", "here", 1, 1.0, 0, True)], True, 100 * SECOND
+            )
         first, second = facades
         for number in range(40):
             now = (100 + number // 10) * SECOND
@@ -88,7 +105,12 @@
             first.settle(ticket, now + 20_000)
         now = 104 * SECOND
         learned = json.loads(json.dumps(first.learned(now)))
-        for bad in ({}, {**learned, "open_for": {"a": "soon"}}, {**learned, "flow": [1]}, {**learned, "times": {"look": [-1, 0]}}):
+        for bad in (
+            {},
+            {**learned, "open_for": {"a": "soon"}},
+            {**learned, "flow": [1]},
+            {**learned, "times": {"look": [-1, 0]}},
+        ):
             self.assertRaises(ValueError, second.taught, bad, now)
         self.assertEqual({"open_for": {}, "times": {}, "flow": [0, 0.0, 0.0]}, second.learned(now))
         second.taught(learned, now)
@@ -104,7 +126,7 @@
             self.assertEqual((False, True, False), (again.take(), again.taken(), first.taken()))
             first.write(State({}, NEVER, "x"))
             self.assertEqual("x", again.read().seen)
-            self.assertIsNone(again.read())   # nothing new
+            self.assertIsNone(again.read())  # nothing new
             first.close()
             self.assertTrue(again.take())
             Path(folder, "pepperusher.p%2f1.state").write_bytes(b'{"form":1,"bans"')
@@ -122,12 +144,21 @@
     async def start(self) -> Process:
         self.log = tempfile.TemporaryFile("w+")
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pepperusher", "serve", "--config", str(self.street.file), "--console", self.console,
-            env={**os.environ, "TMPDIR": self.street.folder}, stderr=self.log)
+            sys.executable,
+            "-m",
+            "pepperusher",
+            "serve",
+            "--config",
+            str(self.street.file),
+            "--console",
+            self.console,
+            env={**os.environ, "TMPDIR": self.street.folder},
+            stderr=self.log,
+        )
         return self
 
     async def ready(self) -> None:
-        async with asyncio.timeout(60):   # on a busy machine a start alone takes over 10 s
+        async with asyncio.timeout(60):  # on a busy machine a start alone takes over 10 s
             while "200" not in await self.call("GET", "/-/ready"):
                 await asyncio.sleep(0.02)
 
@@ -163,7 +194,7 @@
     """Clients, backends and discovery are the test's, the proxy is as many processes as it takes."""
 
     async def stand(self, *names: str) -> None:
-        await self.open(*names)   # a proxy in this process, for its toys alone
+        await self.open(*names)  # a proxy in this process, for its toys alone
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
@@ -258,7 +289,7 @@
         await first.end(signal.SIGKILL)
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("503", await self.hear(at[0]))   # the drain that it was told of stays in force
+        self.assertIn("503", await self.hear(at[0]))  # the drain that it was told of stays in force
         self.assertIn("200", await third.call("POST", "/-/resume"))
         for number in range(4):
             at = await asyncio.open_connection(*self.at)
@@ -297,7 +328,7 @@
         seen: dict[Process, int] = {first: 0, second: 0}
         for still, lives in ((first, second), (second, first), (first, second)):
             kept = []
-            for _ in range(12):   # about half of them at each
+            for _ in range(12):  # about half of them at each
                 self.number += 1
                 kept.append(await asyncio.open_connection(*self.at))
                 await self.ask("look", self.request("look", self.number), kept[-1])
@@ -357,7 +388,11 @@
             held[-1][1].write(b"GET /look/page HTTP/1.1\r\nHo" if number % 2 else b"")
         longest = 0.0
         for _ in range(6):
-            for method, path in (("GET", "/-/ready"), ("POST", "/-/backends/a1/disable"), ("POST", "/-/backends/a1/enable")):
+            for method, path in (
+                ("GET", "/-/ready"),
+                ("POST", "/-/backends/a1/disable"),
+                ("POST", "/-/backends/a1/enable"),
+            ):
                 began = asyncio.get_running_loop().time()
                 self.assertIn(" 200 ", await one.call(method, path))
                 longest = max(longest, asyncio.get_running_loop().time() - began)
@@ -370,10 +405,12 @@
     async def test_a_full_disk_costs_the_keeping_and_not_the_start(self) -> None:
         """Each writes with its start; a process that comes beside another one once ended by it."""
         self.processes = []
-        with tempfile.TemporaryDirectory() as folder, \
-                mock.patch("pepperusher.console.place.Seat.write", side_effect=OSError(28, "No space left on device")):
+        with (
+            tempfile.TemporaryDirectory() as folder,
+            mock.patch("pepperusher.console.place.Seat.write", side_effect=OSError(28, "No space left on device")),
+        ):
             first, _ = seats(folder, "p1")
-            first.take()   # another one reigns, and says nothing
+            first.take()  # another one reigns, and says nothing
             await self.open("a1", console="127.0.0.1:1", passed=folder)
             await self.ask("look", self.request("look", 1))
             self.assertIn("200", self.lines[-1])
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -73,9 +73,7 @@
 
 class Books(unittest.TestCase):
     def test_in_force_at_half_at_nearly_all_and_at_all(self) -> None:
-        rows: list[Row] = [
-            (index, 0, [("list", 4, 0), ("list", 5, (index + 1) * SECOND)]) for index in range(200)
-        ]
+        rows: list[Row] = [(index, 0, [("list", 4, 0), ("list", 5, (index + 1) * SECOND)]) for index in range(200)]
         told = hollow_books.reached(rows, "list", {0: 5}, 0)
         self.assertEqual(told, Reached(100.0, 198.0, 200.0, 200, 200))
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -64,9 +64,7 @@
 
 class House(Street):
     async def stand(self, own: str, after: float = 0.02, *names: str, **changes: object) -> None:
-        asyncio.get_running_loop().set_debug(
-            False
-        )  # three times as slow, and it is the time that these turn on
+        asyncio.get_running_loop().set_debug(False)  # three times as slow, and it is the time that these turn on
         await self.open(own=own, limits={"sockets": 8000}, **changes)
         self.backends = {name: Counting(after) for name in names or ("a1", "b1")}
         for one in self.backends.values():
@@ -182,9 +180,7 @@
         self.endpoint_update(3, self.line("a1", "draining"))
         told = time.monotonic()
         await asyncio.sleep(0.01)
-        change = await self.house.propose_text(
-            WATCH + '[[backends]]\nid = "a1"\nweight = 5.0\n', "ops", "more to a1"
-        )
+        change = await self.house.propose_text(WATCH + '[[backends]]\nid = "a1"\nweight = 5.0\n', "ops", "more to a1")
         await asyncio.sleep(0.3)
         await self.house.undo(change.number, "ops", "no")
         await asyncio.sleep(0.5)
@@ -259,7 +255,7 @@
         for left in (150, 190, 230, 270):
             began, before = time.monotonic(), stood
             _, status, _ = await self.one(left=left)
-            await asyncio.sleep(0.002)   # it has looked
+            await asyncio.sleep(0.002)  # it has looked
             took = time.monotonic() - began - (stood - before)
             if holds.done():
                 break
@@ -394,7 +390,7 @@
             stderr=subprocess.PIPE,
             text=True,
         )
-        until = time.monotonic() + 60   # a start took over 10 s at a load of 300
+        until = time.monotonic() + 60  # a start took over 10 s at a load of 300
         while True:
             try:
                 client.ask(self.socket, "status")
@@ -462,9 +458,7 @@
         bad = self.at / "bad.toml"
         bad.write_text("[[routes]]\nname = 'r'\nattempts = 9\nsecond_copy = true\n")
         said = self.ctl("propose", str(bad), ends=1)
-        self.assertIn(
-            "what is proposed:3: routes[0].attempts: 9 is not from 1 to 3 [three attempts]", said
-        )
+        self.assertIn("what is proposed:3: routes[0].attempts: 9 is not from 1 to 3 [three attempts]", said)
         self.assertIn("what is proposed:4: routes[0].second_copy", said)
         self.assertIn("none.toml: No such file", self.ctl("propose", "none.toml", ends=1))
         self.assertIn("no change is open", self.ctl("undo", ends=1))
@@ -504,18 +498,14 @@
 
     def test_check_explain_and_schema(self) -> None:
         call = CliRunner().invoke
-        done = call(
-            main, ["check", str(self.at / "p.json"), "--own", str(self.own), "--set", "changes.least=7"]
-        )
+        done = call(main, ["check", str(self.at / "p.json"), "--own", str(self.own), "--set", "changes.least=7"])
         self.assertEqual(done.exit_code, 0, done.output)
         self.assertRegex(done.output, r"changes.watch +\"1h\"  \[file\]")
         self.assertRegex(done.output, r"changes.least +7  \[command line\]")
         self.own.write_text("[[routes]]\nname = 'r'\nuse_case = 'loock'\nsecond_copy = true\n")
         done = call(main, ["check", str(self.at / "p.json"), "--own", str(self.own)])
         self.assertEqual(done.exit_code, 1)
-        self.assertIn(
-            "own.toml:3: routes[0].use_case: the settings have no loock [known use case]", done.output
-        )
+        self.assertIn("own.toml:3: routes[0].use_case: the settings have no loock [known use case]", done.output)
         self.assertIn("2 wrong", done.output)
         self.assertIn("a whole number; default none", call(main, ["explain", "routes.attempts"]).output)
         self.assertIn("did you mean routes.rate", call(main, ["explain", "routes.rat"]).output)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -18,9 +18,13 @@
 class Lines(unittest.TestCase):
     def test_a_line_has_three_parts_and_there_are_three_at_most(self) -> None:
         self.assertEqual({"a::b": "slow (issue 4)"}, parse("\na::b | slow | issue 4\n"))
-        for text, said in (("a::b | slow\n", f"{FILE}:1: not a test"), ("a | b | c\na::b | | issue 4\n", f"{FILE}:2: not a test"),
-                           ("a | b | c | d\n", f"{FILE}:1: not a test"), ("a | b | c\na | d | e\n", f"{FILE}:2: a stands there twice"),
-                           ("".join(f"{name} | b | c\n" for name in "wxyz"), f"{FILE}: 4 tests, 3 at most")):
+        for text, said in (
+            ("a::b | slow\n", f"{FILE}:1: not a test"),
+            ("a | b | c\na::b | | issue 4\n", f"{FILE}:2: not a test"),
+            ("a | b | c | d\n", f"{FILE}:1: not a test"),
+            ("a | b | c\na | d | e\n", f"{FILE}:2: a stands there twice"),
+            ("".join(f"{name} | b | c\n" for name in "wxyz"), f"{FILE}: 4 tests, 3 at most"),
+        ):
             with self.subTest(text), self.assertRaisesRegex(ValueError, f"^{said}"):
                 parse(text)
 
@@ -29,7 +33,7 @@
         self.assertEqual(["failed: c"], judge(["b"], {"a"}, {"b", "c"}))
         self.assertEqual([f"{FILE}: b passes now: take its line out"], judge(["b"], {"b"}, set()))
         self.assertEqual([f"{FILE}: there is no test b in this run"], judge(["b"], {"a"}, set()))
-        self.assertEqual([], judge(["b"], {"b"}, {"b"}))   # as where it passes and what it leaves does not
+        self.assertEqual([], judge(["b"], {"b"}, {"b"}))  # as where it passes and what it leaves does not
 
 
 class Runs(unittest.TestCase):
@@ -43,8 +47,27 @@
             if red is not None:
                 Path(folder, FILE).write_text(red)
             done = subprocess.run(
-                [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", "-p", "tests.known_red", *more, "--rootdir", folder,
-                 "-c", f"{folder}/pytest.ini", folder], cwd=HERE, capture_output=True, text=True, timeout=100)
+                [
+                    sys.executable,
+                    "-m",
+                    "pytest",
+                    "-q",
+                    "-p",
+                    "no:cacheprovider",
+                    "-p",
+                    "tests.known_red",
+                    *more,
+                    "--rootdir",
+                    folder,
+                    "-c",
+                    f"{folder}/pytest.ini",
+                    folder,
+                ],
+                cwd=HERE,
+                capture_output=True,
+                text=True,
+                timeout=100,
+            )
             return done.returncode, (done.stdout + done.stderr).strip().splitlines()
 
     def test_known_ones_are_passed_over_and_said(self) -> None:
@@ -56,9 +79,13 @@
 
     def test_all_else_fails(self) -> None:
         for red, said in (
-                (f"{BAD} | no cure yet | issue 4\n", f"failed: {WORSE}"),
-                (f"{BAD} | a | b\n{WORSE} | a | b\n{GOOD} | a | b\n", f"{FILE}: {GOOD} passes now: take its line out"),
-                (f"{BAD} | a | b\n{WORSE} | a | b\ntest_none.py::x | a | b\n", f"{FILE}: there is no test test_none.py::x in this run")):
+            (f"{BAD} | no cure yet | issue 4\n", f"failed: {WORSE}"),
+            (f"{BAD} | a | b\n{WORSE} | a | b\n{GOOD} | a | b\n", f"{FILE}: {GOOD} passes now: take its line out"),
+            (
+                f"{BAD} | a | b\n{WORSE} | a | b\ntest_none.py::x | a | b\n",
+                f"{FILE}: there is no test test_none.py::x in this run",
+            ),
+        ):
             status, lines = self.run_on(red, "-n", "2")
             self.assertEqual(1, status, lines)
             self.assertIn(said, lines)
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -22,7 +22,7 @@
 
 class Crowds(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
-        asyncio.get_running_loop().set_debug(False)   # it is times that these turn on
+        asyncio.get_running_loop().set_debug(False)  # it is times that these turn on
 
     def none_late(self, ground: Ground, cases: int) -> None:
         self.assertEqual(cases, len(ground.left))
@@ -36,12 +36,15 @@
                 await one.open()
             for behind in (0, MUCH):
                 for how in ENDS:
-                    await asyncio.gather(crowd.between(ground, how, f"between, {behind}", behind),
-                                         crowd.broken(ground, how, f"broken, {behind}", behind))
+                    await asyncio.gather(
+                        crowd.between(ground, how, f"between, {behind}", behind),
+                        crowd.broken(ground, how, f"broken, {behind}", behind),
+                    )
                     await crowd.still(ground, how, f"stood still, {behind}", behind)
                     await crowd.busy_between(ground, how, "busy")
-            await ground.until(lambda: not any(ground.plan[name] and len(ground.began[name]) == 0
-                                               for name in ground.plan))
+            await ground.until(
+                lambda: not any(ground.plan[name] and len(ground.began[name]) == 0 for name in ground.plan)
+            )
             # As long as any backend takes to answer, and so to be followed by another.
             await asyncio.sleep(1.0)
             self.none_late(ground, 24)
@@ -52,8 +55,13 @@
         async with asyncio.timeout(30), Ground(6) as ground:
             for one in ground.backends:
                 one.hold()
-            await asyncio.gather(*(crowd.connecting(ground, how, f"{behind} behind, body {body}", behind, body)
-                                   for how in ENDS for behind, body in ((0, 0), (MUCH, 0), (0, 2 * MUCH))))
+            await asyncio.gather(
+                *(
+                    crowd.connecting(ground, how, f"{behind} behind, body {body}", behind, body)
+                    for how in ENDS
+                    for behind, body in ((0, 0), (MUCH, 0), (0, 2 * MUCH))
+                )
+            )
             # One that stays, and came last, is sent on once the kernel tries again.
             at = ground.dial()
             await asyncio.get_running_loop().sock_sendall(at, request("look", "stays"))
@@ -72,8 +80,9 @@
                 await one.open()
             stay = await crowd.held(ground, 2)
             await ground.until(lambda: sum(map(len, ground.began.values())) == 1)
-            await asyncio.gather(*(crowd.queued(ground, how, f"gate, {behind}", behind)
-                                   for how in ENDS for behind in (0, MUCH)))
+            await asyncio.gather(
+                *(crowd.queued(ground, how, f"gate, {behind}", behind) for how in ENDS for behind in (0, MUCH))
+            )
             await ground.until(lambda: sum(map(len, ground.began.values())) >= 2)
             await asyncio.sleep(0.8)
             self.none_late(ground, 6)
@@ -84,7 +93,7 @@
 class ReadAhead(Crossing):
     async def much(self, first: int, requests: int, size: int) -> tuple[socket.socket, "asyncio.Future[None]"]:
         """A client with one request out at a slow backend, and more behind it than the reader takes."""
-        asyncio.get_running_loop().set_debug(False)   # several times as slow
+        asyncio.get_running_loop().set_debug(False)  # several times as slow
         self.toys["a1"].does = ["slow"]
         at = self.dial()
         at.sendall(self.request("pay", first))
@@ -103,8 +112,10 @@
                     await self.until(lambda: self.proxy._callers._disconnect_watcher.held)
                 await sending
                 await self.until(lambda: self.proxy._counts.get("done") == 41)
-                self.assertEqual([f"{number}" for number in range(1, 42)],
-                                 [one.split(" id ")[1].split()[0] for one in self.lines if " id " in one])
+                self.assertEqual(
+                    [f"{number}" for number in range(1, 42)],
+                    [one.split(" id ")[1].split()[0] for one in self.lines if " id " in one],
+                )
                 watcher = self.proxy._callers._disconnect_watcher
                 self.assertEqual((0, 0, True), (watcher.held, line.unread, line.transport.is_reading()))
                 self.assertEqual({}, self.proxy._callers._disconnect_watcher._watched)
@@ -203,7 +214,7 @@
         sending = Shelf.sending
 
         async def ends_behind(*given: object) -> object:
-            kept = await sending(*given)   # type: ignore[arg-type]
+            kept = await sending(*given)  # type: ignore[arg-type]
             at.close()
             return kept
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -107,9 +107,7 @@
 
 
 class Gates(Kept):
-    def enter(
-        self, gate: Gate, customer: str, now: int = 0, until: int = 10 * SECOND, priority: int = 5
-    ) -> Waiting:
+    def enter(self, gate: Gate, customer: str, now: int = 0, until: int = 10 * SECOND, priority: int = 5) -> Waiting:
         how, one = gate.enter(customer, priority, now, until)
         name = f"{customer}{one.order}"
         one.tell = lambda how: self.lines.append(f"  {name} told {how}")
@@ -163,9 +161,7 @@
                     if how == IN:
                         taken(customer, now)
                     elif how == WAITS:
-                        one.tell = lambda told, customer=customer: (
-                            taken(customer, now_is[0]) if told == IN else None
-                        )
+                        one.tell = lambda told, customer=customer: taken(customer, now_is[0]) if told == IN else None
             gate.sweep(now)
             self.assertLessEqual(gate.inside, 10)
             self.assertLessEqual(gate.waiting, 40)
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -33,12 +33,18 @@
         super().__init__(old + new)
         self.kinds = [OLD] * old + [NEW] * new
         for at in range(old, old + new):
-            changes = {"beside_client": True, "reported_by": terms.BY_ANSWERS, "group_size": old + new, "ordinal": at, "seed": at}
+            changes = {
+                "beside_client": True,
+                "reported_by": terms.BY_ANSWERS,
+                "group_size": old + new,
+                "ordinal": at,
+                "seed": at,
+            }
             self.grounds[at] = ground(**changes)
             self.balancers[at] = (Greedy if greedy else Balancer)(self.grounds[at], self.now, lambda line: None)
         self.told: dict[str, int] = {}
-        self.time: Counter[str] = Counter()   # of backends, by kind
-        self.late: list[str] = []             # sent to after it was told to drain
+        self.time: Counter[str] = Counter()  # of backends, by kind
+        self.late: list[str] = []  # sent to after it was told to drain
         self.drains: set[str] = set()
 
     def list(self, *names: str, speed: float = 1.0, born: int = 0, ready: bool = True) -> None:
@@ -49,7 +55,7 @@
         """Each kind is asked for half of `rate`, by as many tickets."""
         for step in range(round(seconds * SECOND / STEP)):
             self.now += STEP
-            if step % 80 == 0:   # refreshed each 0.4 s
+            if step % 80 == 0:  # refreshed each 0.4 s
                 self.told = {name: len(core.work) for name, core in self.cores.items()}
             for name, core in self.cores.items():
                 for ticket in core.work:
@@ -100,8 +106,10 @@
     TIME_APART = 0.12
 
     def fair(self, crowd: Mixed) -> bool:
-        return (abs(crowd.done(OLD) - crowd.done(NEW)) <= self.DONE_APART
-                and abs(crowd.part_of_time(NEW) - 0.5) <= self.TIME_APART)
+        return (
+            abs(crowd.done(OLD) - crowd.done(NEW)) <= self.DONE_APART
+            and abs(crowd.part_of_time(NEW) - 0.5) <= self.TIME_APART
+        )
 
     def played(self, load: float, greedy: bool = False, old: int = 4, new: int = 12) -> Mixed:
         """Ten backends; one drains half-way, and one starts fresh."""
@@ -112,9 +120,11 @@
         crowd.list("b0", ready=False)
         crowd.list("f0", born=crowd.now)
         crowd.play_evenly(8, rate, work)
-        self.lines.append(f"load {load}, {old} old and {new} new{', these greedy' if greedy else ''}: in time of the old"
-                          f" {crowd.done(OLD):.2f}, of the new {crowd.done(NEW):.2f}; the new kind's part of the time"
-                          f" {crowd.part_of_time(NEW):.2f}; sent to what drains {len(crowd.late)}")
+        self.lines.append(
+            f"load {load}, {old} old and {new} new{', these greedy' if greedy else ''}: in time of the old"
+            f" {crowd.done(OLD):.2f}, of the new {crowd.done(NEW):.2f}; the new kind's part of the time"
+            f" {crowd.part_of_time(NEW):.2f}; sent to what drains {len(crowd.late)}"
+        )
         self.assertEqual(crowd.late, [])
         # What the rule allows a fresh one in any 2 s: three times its share of 0.4 and more, in tickets.
         sent = crowd.cores["f0"].sent
@@ -138,8 +148,17 @@
         """Tickets of all kinds at both, one backend drained under way and one failing: an answer for each, an effect once."""
         await self.open("a1", "b1", "c1", settings={**SETTINGS, "group-size": 2, "discovery": "ask"})
         new = json.loads(self.given)
-        new["name"], new["settings"] = "p2", {**SETTINGS, "group-size": 2, "ordinal": 1, "family": "mesh", "discovery": "push",
-                                              "reporting": {"how": "piggyback", "names": ["active", "cpu"]}}
+        new["name"], new["settings"] = (
+            "p2",
+            {
+                **SETTINGS,
+                "group-size": 2,
+                "ordinal": 1,
+                "family": "mesh",
+                "discovery": "push",
+                "reporting": {"how": "piggyback", "names": ["active", "cpu"]},
+            },
+        )
         old, self.given = self.given, json.dumps(new)
         read = self.read_again()
         read.listen = ("127.0.0.1", 0)
@@ -149,7 +168,7 @@
         serving = asyncio.create_task(second.serve())
         await self.until(lambda: second.port and len(self.watches) == 2)
         for toy in self.toys.values():
-            toy.does = (["HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active=1\r\nContent-Length: 2\r\n\r\nok"] * 300)
+            toy.does = ["HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active=1\r\nContent-Length: 2\r\n\r\nok"] * 300
         self.toys["b1"].does[5:8] = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"] * 3
         answers: Counter[tuple[int, str]] = Counter()
         at_drain: list[int] = []
@@ -173,6 +192,6 @@
         for which in (1, 2):
             self.assertEqual(sum(answers[which, how] for how in ("200", "502", "503")), 60, answers)
             self.assertGreaterEqual(answers[which, "200"], 57, answers)
-        self.assertFalse([line for line in self.lines[at_drain[0]:] if "c1 gets" in line])
+        self.assertFalse([line for line in self.lines[at_drain[0] :] if "c1 gets" in line])
         ran = Counter(line.split(" id ")[1].split()[0] for line in self.lines if "gets POST /pay" in line)
         self.assertEqual(set(ran.values()), {1})
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -51,22 +51,30 @@
         await self.open("a1", settings=UNHURRIED)
         self.left = LONG
         error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-        for number, does in enumerate((
-                error, NOT_STARTED, NOT_STARTED.replace("503 Full", "504 Over"),
+        for number, does in enumerate(
+            (
+                error,
+                NOT_STARTED,
+                NOT_STARTED.replace("503 Full", "504 Over"),
                 NOT_STARTED.replace("Not-Started: 1\r\n", ""),
-                "break", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf", "garbage\r\n\r\n half",
-                "HTTP/1.1 200 OK\r\n\r\nno framing half", "HTTP/1.1 103 Soon\r\n\r\n" * 17 + "half",
+                "break",
+                "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf",
+                "garbage\r\n\r\n half",
+                "HTTP/1.1 200 OK\r\n\r\nno framing half",
+                "HTTP/1.1 103 Soon\r\n\r\n" * 17 + "half",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n",
                 "HTTP/1.1 100 Yes\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n1xx",
-                "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000)):
+                "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000,
+            )
+        ):
             self.toys["a1"].does = [does] * 3
             await self.ask(f"pay after {does[:40]!r}", self.request("pay", number))
             self.toys["a1"].does = []
             # One that was full is not asked before a call of usual length is over, which on a busy machine is long.
             known = self.proxy._facade._balancer._backends
             await self.until(lambda known=known: all(clock.now() >= one.full_until for one in known))
-            for _ in range(3):   # keeps the breaker closed
+            for _ in range(3):  # keeps the breaker closed
                 await self.connect_and_forget("look", 100 + number)
         # A full backend may be asked again, which hangs on how long its answers took: a repeat is left out.
         self.lines = [line for line, before in zip(self.lines, ["", *self.lines]) if line != before]
@@ -111,8 +119,9 @@
         ticket = facade.take("book", "", came, 1_500_000, 0)
         facade.pick(ticket, came)
         facade.report(ticket, "reset", came + 1000)
-        self.lines = [f"sent again {late / 1e6} s after: {facade.stands(ticket, came + late)}"
-                      for late in (100_000, 250_000)]
+        self.lines = [
+            f"sent again {late / 1e6} s after: {facade.stands(ticket, came + late)}" for late in (100_000, 250_000)
+        ]
         facade.settle(ticket, came + 250_000)
         self.kept("net_remembered")
 
@@ -156,8 +165,10 @@
             before = self.toys["a1"].connections
             await self.ask("look 1", self.request("look", 1))
             self.lines[-2:] = []
-            self.lines.append(f"stood {stood} ms, {does}: new {self.toys['a1'].connections - before}, then for at most"
-                              f" {backends._kept_most // 50000 * 50} ms")
+            self.lines.append(
+                f"stood {stood} ms, {does}: new {self.toys['a1'].connections - before}, then for at most"
+                f" {backends._kept_most // 50000 * 50} ms"
+            )
         self.lines = [line for line in self.lines if "stood" in line]
         self.kept("net_kept")
 
@@ -178,7 +189,9 @@
             toy.does = [f"HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nno" for status in ("404 None", "429 Many")]
         for number in range(3):
             await self.ask(f"look {number}", self.request("look", number))
-        self.lines.append(f"calls failed at a1 and b1: {[one.failures for one in self.proxy._facade._backends.values()]}")
+        self.lines.append(
+            f"calls failed at a1 and b1: {[one.failures for one in self.proxy._facade._backends.values()]}"
+        )
         self.kept("net_turned_away")
 
     async def test_silent_connections_make_room_for_those_that_ask(self) -> None:
@@ -188,7 +201,9 @@
         silent = [await self.connect() for _ in range(80)]
         began = time.monotonic()
         await self.ask("look 2", self.request("look", 2))
-        self.lines.append(f"after {len(silent)} silent ones with 46 descriptors, in under 1.5 s: {time.monotonic() - began < 1.5}")
+        self.lines.append(
+            f"after {len(silent)} silent ones with 46 descriptors, in under 1.5 s: {time.monotonic() - began < 1.5}"
+        )
         self.kept("net_crowd")
 
     @mock.patch("pepperusher.net.callers.SHY", 60_000_000)
@@ -205,8 +220,10 @@
         for number, (_, writer) in enumerate(usual, 10):
             writer.write(self.request("look", number))
         said = [await self.hear(reader) for reader, _ in usual]
-        self.lines = [f"of 5 at once among {len(silent)} silent ones done: {sum(one[:3] == '200' for one in said)},"
-                      f" callers {self.proxy._callers.open} of 46"]
+        self.lines = [
+            f"of 5 at once among {len(silent)} silent ones done: {sum(one[:3] == '200' for one in said)},"
+            f" callers {self.proxy._callers.open} of 46"
+        ]
         self.kept("net_share")
 
     async def test_those_that_never_sent_a_ticket_make_room_first(self) -> None:
@@ -242,8 +259,9 @@
         await self.until(lambda: "closed" in self.lines[-1])
         self.lines.append(f"pay 2 -> {await self.hear(reader)}")
         await self.ask("look 3", self.request("look", 3))
-        self.lines.append(f"connections at a1: {self.toys['a1'].connections},"
-                          f" tickets in hand: {self.proxy._facade.in_hand}")
+        self.lines.append(
+            f"connections at a1: {self.toys['a1'].connections}, tickets in hand: {self.proxy._facade.in_hand}"
+        )
         self.kept("net_silent")
 
     async def test_a_client_that_leaves_calls_its_ticket_off(self) -> None:
@@ -256,7 +274,7 @@
         writer.close()
         await self.until(lambda: "closed" in self.lines[-1])
         _, writer = await self.connect()
-        with mock.patch("pepperusher.net.backends.reach", lambda _: asyncio.sleep(60)):   # comes up, but late
+        with mock.patch("pepperusher.net.backends.reach", lambda _: asyncio.sleep(60)):  # comes up, but late
             writer.write(self.request("look", 2))
             await self.until(lambda: self.proxy._facade.in_hand)
             writer.close()
@@ -271,7 +289,7 @@
 
         async def busy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             goes_on = await answer(reader, writer)
-            time.sleep(0.35)   # the whole loop stands, the proxy's timer with it
+            time.sleep(0.35)  # the whole loop stands, the proxy's timer with it
             return goes_on
 
         toy.answer = busy
@@ -284,7 +302,7 @@
         reader, writer = at = await self.connect()
         await self.ask("look 1", self.request("look", 1), at)
         writer.write(self.request("look", 2, left=200))
-        time.sleep(0.3)   # the proxy's loop stands
+        time.sleep(0.3)  # the proxy's loop stands
         self.lines.append(f"look 2 -> {await self.hear(reader)}")
         self.kept("net_unread")
 
@@ -305,23 +323,32 @@
         await self.open("a1")
         good = self.request("look", 1).decode()
         for what, text in (
-                ("garbage", "hello\r\n\r\n"), ("no use case", good.replace("look", "buy")),
-                ("no id", good.replace("Request-Id: 1\r\n", "")),
-                ("no host", good.replace("Host: backend.local\r\n", "")),
-                ("wait of words", good.replace("1500m", "soon")), ("wait of ages", good.replace("1500m", "9999999999m")),
-                ("wait of nan", good.replace("1500m", "nanu")), ("wait below none", good.replace("1500m", "-5m")),
-                ("wait for float()", good.replace("1500m", "1e3m")), ("digits for float()", good.replace("1500m", "1_0m")),
-                ("two waits", good.replace("Request-Id", "Request-Timeout: 9m\r\nRequest-Id")),
-                ("class unlike the path", good.replace("/look", "/pay")), ("GET with a body", good.replace(": 0", ": 1") + "x"),
-                ("no mark", self.request("book", 1).decode().replace("Idempotency-Key: k1\r\n", "")),
-                ("HTTP/1.0 and no host", good.replace("1.1", "1.0").replace("Host: backend.local\r\n", "")),
-                ("mark named as the connection's", self.request("book", 1, more="Connection: close, Idempotency-Key\r\n").decode()),
-                ("length and coding", good.replace(": 0", ": 0\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + good),
-                ("large body said", self.request("pay", 1).decode().replace("Length: 0", "Length: 33554433")),
-                ("hint", good.replace("Request-Id", "Work-Hint: inf\r\nRequest-Id")),
-                ("two lengths", good.replace("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 9")),
-                ("long head", good.replace("Host", f"X: {'x' * 40000}\r\nHost")),
-                ("a body over what is held", self.request("book", 1, "x" * 65537).decode())):
+            ("garbage", "hello\r\n\r\n"),
+            ("no use case", good.replace("look", "buy")),
+            ("no id", good.replace("Request-Id: 1\r\n", "")),
+            ("no host", good.replace("Host: backend.local\r\n", "")),
+            ("wait of words", good.replace("1500m", "soon")),
+            ("wait of ages", good.replace("1500m", "9999999999m")),
+            ("wait of nan", good.replace("1500m", "nanu")),
+            ("wait below none", good.replace("1500m", "-5m")),
+            ("wait for float()", good.replace("1500m", "1e3m")),
+            ("digits for float()", good.replace("1500m", "1_0m")),
+            ("two waits", good.replace("Request-Id", "Request-Timeout: 9m\r\nRequest-Id")),
+            ("class unlike the path", good.replace("/look", "/pay")),
+            ("GET with a body", good.replace(": 0", ": 1") + "x"),
+            ("no mark", self.request("book", 1).decode().replace("Idempotency-Key: k1\r\n", "")),
+            ("HTTP/1.0 and no host", good.replace("1.1", "1.0").replace("Host: backend.local\r\n", "")),
+            (
+                "mark named as the connection's",
+                self.request("book", 1, more="Connection: close, Idempotency-Key\r\n").decode(),
+            ),
+            ("length and coding", good.replace(": 0", ": 0\r\nTransfer-Encoding: chunked") + "0\r\n\r\n" + good),
+            ("large body said", self.request("pay", 1).decode().replace("Length: 0", "Length: 33554433")),
+            ("hint", good.replace("Request-Id", "Work-Hint: inf\r\nRequest-Id")),
+            ("two lengths", good.replace("Content-Length: 0", "Content-Length: 0\r\nContent-Length: 9")),
+            ("long head", good.replace("Host", f"X: {'x' * 40000}\r\nHost")),
+            ("a body over what is held", self.request("book", 1, "x" * 65537).decode()),
+        ):
             await self.ask(what, text.encode())
         reader, writer = await self.connect()
         for byte in self.request("look", 2):
@@ -366,7 +393,22 @@
         """A ticket of HTTP/1.0 without a host ended by an exception, which counted against the backend's breaker."""
         await self.open("a1")
         sent = Request(b"GET", b"/", [], b"")
-        how, _ = await self.proxy._backends.attempt("a1", sent, Attempt(), 10**6, Placed(lambda: True, lambda: False, lambda: None, lambda: None, lambda: 10**6, lambda: asyncio.sleep(0), lambda: False, lambda: False))
+        how, _ = await self.proxy._backends.attempt(
+            "a1",
+            sent,
+            Attempt(),
+            10**6,
+            Placed(
+                lambda: True,
+                lambda: False,
+                lambda: None,
+                lambda: None,
+                lambda: 10**6,
+                lambda: asyncio.sleep(0),
+                lambda: False,
+                lambda: False,
+            ),
+        )
         self.lines.append(how)
         self.kept("net_unframed")
 
@@ -386,8 +428,10 @@
         Time goes on as it is told here: on a busy machine the same code passed and failed.
         """
         began = clock.now()
-        with (mock.patch.multiple("pepperusher.net.callers", BEGUN=300_000, WHOLE=300_000),
-              mock.patch("pepperusher.net.clock.now", return_value=began) as now):
+        with (
+            mock.patch.multiple("pepperusher.net.callers", BEGUN=300_000, WHOLE=300_000),
+            mock.patch("pepperusher.net.clock.now", return_value=began) as now,
+        ):
             await self.open("a1")
             callers = self.proxy._callers
             callers._longest_wait = 600_000
@@ -397,9 +441,9 @@
             await self.ask("look 2", self.request("look", 2), at["asked once"])
             await self.until(lambda: 1 in [one.line.received for one in callers._callers])
             await self.until(lambda: len(callers._idle) == 2)
-            for step in range(1, 6):   # a byte now and then, the last of them just before
+            for step in range(1, 6):  # a byte now and then, the last of them just before
                 now.return_value = began + step * 59_800
-                at["dripping"][1].write(sent[step:step + 1])
+                at["dripping"][1].write(sent[step : step + 1])
                 await self.until(lambda: step + 1 in [one.line.received for one in callers._callers])
             for after, whose in ((300, ("silent", "dripping")), (600, ("asked once",))):
                 now.return_value = began + after * 1000 - 1000
@@ -417,8 +461,13 @@
         self.addCleanup(made.close)
         made.sendall(first)
         callers = self.proxy._callers._callers
-        await self.until(lambda: [one for one in callers if one.waiting_since is not None
-                                  and one.line.received == len(first) and not one.line.unread])
+        await self.until(
+            lambda: [
+                one
+                for one in callers
+                if one.waiting_since is not None and one.line.received == len(first) and not one.line.unread
+            ]
+        )
         return made, next(iter(callers)).line
 
     async def all_heard(self, at: socket.socket) -> str:
@@ -433,13 +482,15 @@
         """
         await self.open("a1")
         short, long = self.request("look", 1), self.request("pay", 2, "x" * 70_000, more="X-Long: 1\r\n")
-        for what, sent, first in (("a head", short, 20),
-                                  ("a body held", self.request("pay", 3, "x" * 999), 500),
-                                  ("a body passed on", long, len(long) - 500)):
+        for what, sent, first in (
+            ("a head", short, 20),
+            ("a body held", self.request("pay", 3, "x" * 999), 500),
+            ("a body passed on", long, len(long) - 500),
+        ):
             at, line = await self.dripping(sent[:first])
             self.proxy._callers.sweep(clock.now() + 60_000_000)
-            at.sendall(sent[first:first + 10])   # with the kernel before the loop comes round
-            for more in (sent[first + 10:] + short, short):
+            at.sendall(sent[first : first + 10])  # with the kernel before the loop comes round
+            for more in (sent[first + 10 :] + short, short):
                 await self.until(lambda: line.fileno() < 0 or not in_kernel(line))
                 at.sendall(more)
             self.lines.append(f"{what} -> {await self.all_heard(at)}")
@@ -481,8 +532,10 @@
             kept = collections.Counter(type(one).__name__ for one in gc.get_objects())
         finally:
             gc.enable()
-        self.lines = [f"kept of 5 tickets on as many connections: Ticket {kept['Ticket']},"
-                      f" Attempt {kept['Attempt']}, Caller {kept['Caller']}, Line {kept['Line']}"]
+        self.lines = [
+            f"kept of 5 tickets on as many connections: Ticket {kept['Ticket']},"
+            f" Attempt {kept['Attempt']}, Caller {kept['Caller']}, Line {kept['Line']}"
+        ]
         self.kept("net_let_go")
 
     async def test_a_flood_on_one_connection_leaves_the_others_their_turn(self) -> None:
@@ -573,7 +626,7 @@
         self.lines.append(f"look 301, its connection closed for room {closed} -> {await self.hear(at[0])}")
         self.kept("net_room")
 
-    @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)   # else a busy machine's are closed as silent
+    @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)  # else a busy machine's are closed as silent
     async def test_as_many_tickets_as_descriptors_go_round(self) -> None:
         """Connections to backends once stopped at half of all descriptors, those of callers among them."""
         await self.open("a1", "b1", limits={"sockets": 64}, settings=UNHURRIED)
@@ -587,7 +640,7 @@
         self.lines = [f"of 20 tickets at once with 46 descriptors done: {said.count('200')}"]
         self.kept("net_descriptors")
 
-    @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)   # it is the stop that closes the idle one
+    @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)  # it is the stop that closes the idle one
     async def test_a_stop_answers_all_that_it_took(self) -> None:
         await self.open("a1", settings=UNHURRIED)
         self.left = LONG
@@ -619,7 +672,7 @@
         await self.until(lambda: "id 1" in self.lines[-1])
         await self.ask("look 2", self.request("look", 2), kept)
         self.proxy.stop()
-        await asyncio.sleep(2.5)   # of 4.7 s, with 4.25 s till the last are given up
+        await asyncio.sleep(2.5)  # of 4.7 s, with 4.25 s till the last are given up
         await self.ask("look 3 on the same connection", self.request("look", 3), kept)
         await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
         self.lines.append(f"file 1 -> {await asyncio.wait_for(self.hear(reader), 10)}")
@@ -673,7 +726,7 @@
             try:
                 await asyncio.wait_for(left.read(), 5)
             except ConnectionResetError:
-                pass   # a beat of the watch crossed the close: TCP then ends it so
+                pass  # a beat of the watch crossed the close: TCP then ends it so
         self.lines.append(f"both are left, version {self.proxy._discovery._source.version}")
         await self.ask("look 1", self.request("look", 1))
         self.lines.append(f"bad: {[line for line in self.logged if 'not taken' in line][0].partition('/')[0]}")
@@ -693,9 +746,11 @@
         await self.open("a1", "b1")
         facade, now, self.lines = self.proxy._facade, clock.now(), []
         here, gone = (Entry(name, "here", 1, 1.0, 0, name == "a1") for name in ("a1", "b1"))
-        for seconds in (0, 6, 8):   # open for 5 s, and no client waits for longer than 2 s
+        for seconds in (0, 6, 8):  # open for 5 s, and no client waits for longer than 2 s
             facade.listed([here, gone] if seconds == 0 else [here], False, now + seconds * 1_000_000)
-            self.lines.append(f"after {seconds} seconds: {sorted(facade._backends)}, off the list {sorted(facade._unlisted)}")
+            self.lines.append(
+                f"after {seconds} seconds: {sorted(facade._backends)}, off the list {sorted(facade._unlisted)}"
+            )
         self.kept("net_forgotten")
 
     async def test_nothing_is_sent_to_a_backend_that_drained_while_its_connection_came_up(self) -> None:
@@ -732,15 +787,30 @@
     def test_a_bad_configuration_is_one_clear_line(self) -> None:
         self.lines = []
         nameless = {**SETTINGS, "use-cases": [{"promised-time": 1.0}]}
-        for what in ("{", "[]", {}, configuration(listen="here"), configuration(seed="xyz"), configuration(settings={}),
-                     configuration(settings=nameless), configuration(settings={**SETTINGS, "use-cases": []}),
-                     configuration(settings={**SETTINGS, "group-size": "two"}), configuration(limits={"sockets": 3}),
-                     configuration(known={"servers": [{"id": "a1", "addr": "nowhere"}]}), configuration()):
+        for what in (
+            "{",
+            "[]",
+            {},
+            configuration(listen="here"),
+            configuration(seed="xyz"),
+            configuration(settings={}),
+            configuration(settings=nameless),
+            configuration(settings={**SETTINGS, "use-cases": []}),
+            configuration(settings={**SETTINGS, "group-size": "two"}),
+            configuration(limits={"sockets": 3}),
+            configuration(known={"servers": [{"id": "a1", "addr": "nowhere"}]}),
+            configuration(),
+        ):
             with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
                 file.write(what if isinstance(what, str) else json.dumps(what))
                 file.flush()
-                done = subprocess.run([sys.executable, "-m", "pepperusher", "check", file.name], text=True,
-                                      capture_output=True, timeout=60, check=False)
+                done = subprocess.run(
+                    [sys.executable, "-m", "pepperusher", "check", file.name],
+                    text=True,
+                    capture_output=True,
+                    timeout=60,
+                    check=False,
+                )
             said = (done.stderr + done.stdout).replace(file.name, "FILE")
             self.lines.append(f"{done.returncode} {said.strip()}")
         self.kept("net_configuration")
@@ -748,13 +818,16 @@
     def test_the_program_serves_and_ends_by_itself_after_sigterm(self) -> None:
         host, _, port = (address := own_address()).partition(":")
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
-            json.dump(configuration(known={"version": 1, "servers": [
-                {"id": "a1", "addr": "127.0.0.1:1", "state": "ready"}]}), file)
+            json.dump(
+                configuration(known={"version": 1, "servers": [{"id": "a1", "addr": "127.0.0.1:1", "state": "ready"}]}),
+                file,
+            )
             file.flush()
             told = {**os.environ, "BALANCER_CONFIG": file.name, "BALANCER_LISTEN": address}
-            with subprocess.Popen([sys.executable, "-O", "-m", "pepperusher", "serve"], env=told, text=True,
-                                  stderr=subprocess.PIPE) as served:
-                served.stderr.readline()   # serving
+            with subprocess.Popen(
+                [sys.executable, "-O", "-m", "pepperusher", "serve"], env=told, text=True, stderr=subprocess.PIPE
+            ) as served:
+                served.stderr.readline()  # serving
                 with socket.create_connection((host, int(port)), timeout=10) as at:
                     at.sendall(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
                     self.lines = [f"ready -> {at.recv(1000).split()[1].decode()}"]
@@ -767,7 +840,9 @@
         code = "from pepperusher import holds; holds.must_hold(1 > 2, 'order'); print(holds.broken)"
         self.lines = []
         for how in ([], ["-O"]):
-            done = subprocess.run([sys.executable, *how, "-c", code], text=True, capture_output=True, timeout=60, check=False)
+            done = subprocess.run(
+                [sys.executable, *how, "-c", code], text=True, capture_output=True, timeout=60, check=False
+            )
             self.lines.append(f"{done.returncode} {done.stdout.strip()} {done.stderr.splitlines()[-1:]}")
         self.kept("net_must_hold")
 
--- a/tests/test_no_request_lost.py
+++ b/tests/test_no_request_lost.py
@@ -44,8 +44,14 @@
     async def test_one_that_stops_short_is_answered_within_its_client_s_time(self) -> None:
         """Silence of half a second ended it, and a client of less time left with no answer: five in 1,000 on a simulated day."""
         number = 0
-        for writes in (HEAD, HEAD + b"half", CHUNKED, CHUNKED + b"4\r\nhalf\r\n", b"HTTP/1.1 200 OK\r\nConte",
-                       b"HTTP/1.1 500 No\r\nContent-Length: 40\r\n\r\nhalf"):
+        for writes in (
+            HEAD,
+            HEAD + b"half",
+            CHUNKED,
+            CHUNKED + b"4\r\nhalf\r\n",
+            b"HTTP/1.1 200 OK\r\nConte",
+            b"HTTP/1.1 500 No\r\nContent-Length: 40\r\n\r\nhalf",
+        ):
             self.writes = writes
             for use in KINDS:
                 number += 1
@@ -84,11 +90,11 @@
         sent = self.request("book", 1, body, left=1000)
         reader, writer = await self.connect()
         writer.write(sent[:-HELD])
-        await asyncio.sleep(1.1)   # past its time, which begins with its last byte
+        await asyncio.sleep(1.1)  # past its time, which begins with its last byte
         half.set()
-        await asyncio.sleep(0.1)   # the answer's head waits at the proxy; were it late, it would come behind the body
+        await asyncio.sleep(0.1)  # the answer's head waits at the proxy; were it late, it would come behind the body
         writer.write(sent[-HELD:])
-        await asyncio.sleep(0.1)   # and is read with the body's next part; were it not, the answer is whole all the same
+        await asyncio.sleep(0.1)  # and is read with the body's next part; were it not, the answer is whole all the same
         rest.set()
         async with asyncio.timeout(10):
             self.assertIn("200 'abcd'", await self.hear(reader))
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -122,8 +122,14 @@
         ("sound distribution", '[distribution]\nmachines = ["127.0.0.1:7300"]\nkey_file = "k"\n'),
         ("sound distribution", '[distribution]\nmachines = ["127.0.0.1:0"]\nkey_file = "k"\nconfig = "shop"\n'),
         ("sound distribution", '[distribution]\nmachines = ["7300"]\nkey_file = "k"\nconfig = "shop"\n'),
-        ("sound distribution", '[distribution]\nmachines = ["127.0.0.1:7300"]\nkey_file = "k"\nconfig = "shop"\nnear = ["127.0.0.1:7300"]\n'),
-        ("sound distribution", '[distribution]\nmachines = ["127.0.0.1:7300"]\nkey_file = "k"\nconfig = "shop"\nregion = "east"\nnear = ["127.0.0.1:7301"]\n'),
+        (
+            "sound distribution",
+            '[distribution]\nmachines = ["127.0.0.1:7300"]\nkey_file = "k"\nconfig = "shop"\nnear = ["127.0.0.1:7300"]\n',
+        ),
+        (
+            "sound distribution",
+            '[distribution]\nmachines = ["127.0.0.1:7300"]\nkey_file = "k"\nconfig = "shop"\nregion = "east"\nnear = ["127.0.0.1:7301"]\n',
+        ),
         ("sound watch", '[changes]\nwatch = "100ms"\n'),
         ("sound watch", '[changes]\nwatch = "2h"\n'),
         ("sound watch", "[changes]\nerrors = 0\n"),
@@ -348,8 +354,7 @@
                 (a, b)
                 for a in range(25)
                 for b in range(a)
-                if match.meet(some[a], some[b])
-                and match.within(some[a], some[b]) == match.within(some[b], some[a])
+                if match.meet(some[a], some[b]) and match.within(some[a], some[b]) == match.within(some[b], some[a])
             ]
             self.assertEqual(match.conflicts(some), sorted(pairs))
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -15,16 +15,33 @@
 
 class Placement(Scene):
     def stand(self, **changes: object) -> None:
-        uses = [UseCase("look", SECOND, 2 * SECOND, 1.0),
-                UseCase("card", SECOND, 4 * SECOND, 5.0, repeat=terms.REFERENCED, scope=terms.SCOPE_CELL, remembered=SECOND, **CARD)]
+        uses = [
+            UseCase("look", SECOND, 2 * SECOND, 1.0),
+            UseCase(
+                "card",
+                SECOND,
+                4 * SECOND,
+                5.0,
+                repeat=terms.REFERENCED,
+                scope=terms.SCOPE_CELL,
+                remembered=SECOND,
+                **CARD,
+            ),
+        ]
         self.open(zones=["here", "there"], use_cases=uses, **changes)
         self.put("a1 b1", "here", "big")
         self.put("c2", "there", "small")
         self.put("d2 e3", "there", "big")
 
     def put(self, names: str, zone: str, kind: str, ready: bool = True) -> None:
-        self.balancer.listed([Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:]), 1.0, 0, ready, kind)
-                              for name in names.split()], False, self.now)
+        self.balancer.listed(
+            [
+                Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:]), 1.0, 0, ready, kind)
+                for name in names.split()
+            ],
+            False,
+            self.now,
+        )
 
     def test_it_is_kept_when_all_that_may_are_failing_or_gone(self) -> None:
         self.stand()
@@ -64,9 +81,21 @@
             for _ in range(4000):
                 self.now += chance.randrange(40_000)
                 if chance.random() < 0.02:
-                    self.balancer.listed([Listing(self.backends[chance.choice(names)], chance.choice(("here", "there")), 2, 1.0,
-                                                  self.now if chance.random() < 0.3 else 0, chance.random() < 0.7,
-                                                  chance.choice(("big", "small")))], False, self.now)
+                    self.balancer.listed(
+                        [
+                            Listing(
+                                self.backends[chance.choice(names)],
+                                chance.choice(("here", "there")),
+                                2,
+                                1.0,
+                                self.now if chance.random() < 0.3 else 0,
+                                chance.random() < 0.7,
+                                chance.choice(("big", "small")),
+                            )
+                        ],
+                        False,
+                        self.now,
+                    )
                 ticket = self.ticket(chance.choice(("card", "look")), left=chance.choice((0.1, 2.0)))
                 answer = self.balancer.where(ticket, self.now)
                 while isinstance(answer, Backend):
@@ -82,8 +111,16 @@
 class Told(Kept):
     def test_what_can_t_be_kept_is_refused_by_name(self) -> None:
         self.lines = []
-        for name, value in (("zones-allowed", "here"), ("zones-allowed", []), ("zones-allowed", ["nowhere"]), ("zones-allowed", [3]),
-                            ("runs-on", {}), ("runs-on", []), ("runs-on", ["big"]), ("zones-allowed", ["here"])):
+        for name, value in (
+            ("zones-allowed", "here"),
+            ("zones-allowed", []),
+            ("zones-allowed", ["nowhere"]),
+            ("zones-allowed", [3]),
+            ("runs-on", {}),
+            ("runs-on", []),
+            ("runs-on", ["big"]),
+            ("zones-allowed", ["here"]),
+        ):
             use = {**SETTINGS["use-cases"][0], name: value}
             try:
                 made = read({**SETTINGS, "use-cases": [use]}, 1).use_cases[0]
@@ -97,5 +134,3 @@
             except GroundError as error:
                 self.lines.append(f"drain-binds-alone {value}: {error}")
         self.kept("placement_told")
-
-
--- a/tests/test_rehearsal_commands.py
+++ b/tests/test_rehearsal_commands.py
@@ -65,9 +65,7 @@
         self.assertIn("<svg", page.read_text())
         self.assertEqual(self.call("report", str(out)).splitlines()[:2], said.splitlines()[:2])
         said = self.call("rehearse", script, "--build", str(WRONG), ends=1, WRONG="invents")
-        self.assertRegex(
-            said, r"no ticket lost +BROKEN \d+ times\n +[\d.]+ m?s: w\d+\.0: answered 200 with what no"
-        )
+        self.assertRegex(said, r"no ticket lost +BROKEN \d+ times\n +[\d.]+ m?s: w\d+\.0: answered 200 with what no")
 
     def test_an_experiment_goes_on_where_it_was_stopped(self) -> None:
         (self.at / "x.toml").write_text(EXPERIMENT)
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -40,9 +40,7 @@
         self.assertEqual(engine.advance(10 * MS), [])
         engine.offer(third, 0)
         ended = [(now, job) for now in range(10 * MS, 40 * MS, 100) for job in engine.advance(now)]
-        self.assertEqual(
-            [(round(now / MS), job) for now, job in ended], [(25, first), (25, second), (25, third)]
-        )
+        self.assertEqual([(round(now / MS), job) for now, job in ended], [(25, first), (25, second), (25, third)])
         self.assertAlmostEqual(engine.worked, 25 * MS, delta=10)
 
     def test_more_cores_speed_and_a_slowing(self) -> None:
@@ -177,9 +175,7 @@
 class Trust(unittest.TestCase):
     def test_a_heart_notes_what_came_late(self) -> None:
         heart = Heart(5, 20)
-        self.assertEqual(
-            [heart.beat(now) for now in (0, 5, 12, 1000, 1005)], [None, None, None, (17, 1000), None]
-        )
+        self.assertEqual([heart.beat(now) for now in (0, 5, 12, 1000, 1005)], [None, None, None, (17, 1000), None])
 
     def test_spans_join_and_touch(self) -> None:
         spans = Spans([(2_500_000, 3_100_000), (100, 200), (150, 300)])
@@ -430,10 +426,7 @@
             self.lines.append(
                 f"{name}: "
                 + (
-                    "; ".join(
-                        f"{one.rule}, {one.ticket} at {one.at} {one.backend}: {one.what}"
-                        for one in book.entries
-                    )
+                    "; ".join(f"{one.rule}, {one.ticket} at {one.at} {one.backend}: {one.what}" for one in book.entries)
                     or "nothing"
                 )
             )
@@ -601,9 +594,7 @@
         return made
 
     def test_what_is_noise_is_called_noise(self) -> None:
-        verdicts = [
-            compare.difference("goodput", self.pairs(apart, 0.05)).verdict for apart in (0.2, -0.2, 0.0)
-        ]
+        verdicts = [compare.difference("goodput", self.pairs(apart, 0.05)).verdict for apart in (0.2, -0.2, 0.0)]
         self.assertEqual(verdicts, ["better", "worse", "noise"])
         self.assertEqual(compare.difference("goodput", self.pairs(0.5, 0.01, 3)).verdict, "too few")
         same = compare.difference("p99", self.pairs(0.5, 0.0))
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -41,9 +41,7 @@
 
     def test_even_arrivals_lie_where_the_integral_of_the_rate_has_them(self) -> None:
         """0 to 100 a second over 4 s: the n-th, from half, is due at sqrt(2 n / 25) s."""
-        plan = arrivals.planned(
-            small(load={"phases": [{"span": "4s", "rate": 0, "to": 100, "arrivals": "even"}]})
-        )
+        plan = arrivals.planned(small(load={"phases": [{"span": "4s", "rate": 0, "to": 100, "arrivals": "even"}]}))
         self.assertEqual(len(plan), 200)
         for number in (0, 1, 50, 199):
             self.assertAlmostEqual(plan[number].at / 1e6, (2 * (number + 0.5) / 25) ** 0.5, places=5)
@@ -73,13 +71,9 @@
                 },
             )
         )
-        north, south = (
-            sum(1 for one in plan if one.customer == number and 20e6 <= one.at < 40e6) for number in (0, 1)
-        )
+        north, south = (sum(1 for one in plan if one.customer == number and 20e6 <= one.at < 40e6) for number in (0, 1))
         self.assertAlmostEqual(south / north, 5.0, delta=0.6)
-        self.assertAlmostEqual(
-            north, sum(1 for one in calm if one.customer == 0 and 20e6 <= one.at < 40e6), delta=120
-        )
+        self.assertAlmostEqual(north, sum(1 for one in calm if one.customer == 0 and 20e6 <= one.at < 40e6), delta=120)
 
     def test_a_days_curve_is_straight_between_its_figures(self) -> None:
         plan = arrivals.planned(small(span="40s", load={"phases": [], "day": [0, 200, 0]}))
@@ -169,12 +163,10 @@
         )
         line = troubles.timeline(of, FleetPlan(of, 16))
         self.lines = [
-            f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}"
-            for one in line.strikes
+            f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}" for one in line.strikes
         ]
         self.lines += [
-            f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}"
-            for one in line.lives
+            f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}" for one in line.lives
         ]
         self.kept("rehearsal_troubles")
 
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -156,8 +156,11 @@
             await asyncio.sleep(0.55)
             await stand(self)
 
-        with (mock.patch.object(director.Director, "_stand_proxies", slowly),
-              mock.patch.dict(os.environ, {"WRONG": "drains"}), tempfile.TemporaryDirectory() as work):
+        with (
+            mock.patch.object(director.Director, "_stand_proxies", slowly),
+            mock.patch.dict(os.environ, {"WRONG": "drains"}),
+            tempfile.TemporaryDirectory() as work,
+        ):
             result = director.rehearse(small(**self.DRAIN), WRONG, Path(work))
             kept = list(records.read(Path(work) / "director.records"))
         [ran] = [one for one in kept if isinstance(one, records.Ran)]
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -201,9 +201,7 @@
         ]
         self.owner = self.machines[0]
         text = self.owner.file.read_text()
-        self.owner.file.write_text(
-            f'{text}[relay]\ndiscovery = "{HOST}:{self.discovery.port}"\nendpoints = "{NAME}"\n'
-        )
+        self.owner.file.write_text(f'{text}[relay]\ndiscovery = "{HOST}:{self.discovery.port}"\nendpoints = "{NAME}"\n')
         await self.start_owner()
         await asyncio.gather(*(one.start() for one in self.machines[1:]))
         self.gates = [
@@ -287,7 +285,9 @@
                 begun, state = loop.time(), now
             self.assertEqual([], [one for one in told if one["by"] == "control machines" and one["watched"]])
             # As old as makes them leave, and what a busy machine keeps them from doing so.
-            self.assertEqual([], [one for one in told if one["by"] == "control machines" and one["word_us_ago"] > 4_000_000])
+            self.assertEqual(
+                [], [one for one in told if one["by"] == "control machines" and one["word_us_ago"] > 4_000_000]
+            )
             if loop.time() - begun < 1.0:
                 calls = before  # the last may have been on their way
             self.assertEqual(calls, before)
@@ -331,7 +331,10 @@
             stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         text = (await said.communicate())[0].decode()
-        self.assertRegex(text, rf"endpoints/{NAME}, discovery's version 202: told by control machines for [0-9.]+ s, discovery's word")
+        self.assertRegex(
+            text,
+            rf"endpoints/{NAME}, discovery's version 202: told by control machines for [0-9.]+ s, discovery's word",
+        )
         self.assertRegex(text, r"not watched here, \d+ calls to discovery, left for it \d+ times, back \d+")
         told = await self.figures()
         self.assertEqual((202, "stands"), (told["relay discovery version"], told["relay watch"]))
@@ -446,7 +449,11 @@
         # The one with a lower number is not even taken, since nobody says a word of it.
         for number in (50, 900):
             forged = json.loads(self.discovery.line(True))
-            forged |= {"version": number, "servers": forged["servers"][1:], "discovery": f"{HOST}:{self.discovery.port}"}
+            forged |= {
+                "version": number,
+                "servers": forged["servers"][1:],
+                "discovery": f"{HOST}:{self.discovery.port}",
+            }
             made = await self.write(json.dumps(forged).encode())
             async with asyncio.timeout(WITHIN):
                 while (await rollout(at, SECRET, ENDPOINTS, NAME)).version <= made:
@@ -508,7 +515,9 @@
             lambda what, **figures: None, 1,
         )  # fmt: skip
         port = await server.start()
-        client = Client([(HOST, port)], [(ENDPOINTS, NAME)], lambda one: None, key=SECRET, name="p", region="east", zone="", seed=1)
+        client = Client(
+            [(HOST, port)], [(ENDPOINTS, NAME)], lambda one: None, key=SECRET, name="p", region="east", zone="", seed=1
+        )
         client.start()
         await until(lambda: bool(client.upstreams), what="connected")
         accepted = next(iter(server._connections.values())).link._transport
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -32,7 +32,9 @@
         self.assertEqual(b"", await asyncio.wait_for(self.heard[0].read(), 5.0))
         discovery.relayed(self.update(7, self.line("a1"), self.line("b1", "draining")), clock.now())
         await asyncio.sleep(1.5)
-        self.assertEqual((1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.listed(), discovery.version))
+        self.assertEqual(
+            (1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.listed(), discovery.version)
+        )
         self.assertFalse([line for line in self.logged if "watch ended" in line])
         self.assertFalse(self.proxy.facade._balancer._list_lost)
         discovery.ask()
@@ -71,7 +73,9 @@
         told: list[tuple[list[str], bool]] = []
         listed = self.proxy._facade.listed
         self.proxy._facade.listed = lambda entries, whole, now: (  # type: ignore[method-assign]
-            told.append(([one.id + (" gone" if one.gone else "") for one in entries], whole)), listed(entries, whole, now))
+            told.append(([one.id + (" gone" if one.gone else "") for one in entries], whole)),
+            listed(entries, whole, now),
+        )
         lines = [self.line("a1"), self.line("b1", "draining"), self.line("c1")]
         discovery.relayed(self.update(2, *lines), clock.now())
         discovery.relayed(self.update(3, *lines), clock.now())
@@ -155,7 +159,14 @@
     async def test_before_discovery_told_a_list_nothing_is_written(self) -> None:
         """An empty line alone is no empty list."""
         written: list[bytes] = []
-        relay = Relay(("127.0.0.1", 1), "east/web", lambda name, body: written.append(body), lambda *_: True, lambda *_, **__: None, 1)
+        relay = Relay(
+            ("127.0.0.1", 1),
+            "east/web",
+            lambda name, body: written.append(body),
+            lambda *_: True,
+            lambda *_, **__: None,
+            1,
+        )
         relay._spoke()
         await asyncio.sleep(0.01)
         self.assertEqual([], written)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -20,20 +20,41 @@
 class Read(Kept):
     def test_what_a_header_tells(self) -> None:
         self.lines = []
-        for text in ("TEXT active=3,cpu=0.5", "TEXT named_metrics.active=3, named_metrics.waiting=2", "TEXT active=nan,waiting=-1",
-                     "TEXT queue_of_ours=3", "TEXT active", 'JSON {"named_metrics": {"active": 3}, "waiting": 2, "cpu_utilization": 0.5}',
-                     'JSON {"active": true, "waiting": [1]}', 'JSON {"active": 1e400}', "JSON [", "BIN AAAA", "active=3", ""):
+        for text in (
+            "TEXT active=3,cpu=0.5",
+            "TEXT named_metrics.active=3, named_metrics.waiting=2",
+            "TEXT active=nan,waiting=-1",
+            "TEXT queue_of_ours=3",
+            "TEXT active",
+            'JSON {"named_metrics": {"active": 3}, "waiting": 2, "cpu_utilization": 0.5}',
+            'JSON {"active": true, "waiting": [1]}',
+            'JSON {"active": 1e400}',
+            "JSON [",
+            "BIN AAAA",
+            "active=3",
+            "",
+        ):
             told = load(reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
             self.lines.append(f"{text or 'nothing'} -> held {told.get(terms.HELD)}, waiting {told.get(terms.WAITING)}")
         self.kept("reports_read")
 
     def test_settings_that_cannot_be_worked_by_are_named(self) -> None:
         self.lines = []
-        for changes in ({"discovery": "shout"}, {"discovery": 3}, {"discovery": "push"}, {"family": 5}, {"family": "mesh"},
-                        {"reporting": []}, {"reporting": {"how": "often"}}, {"reporting": {"how": None}},
-                        {"reporting": {"how": "piggyback", "names": ["active", "cpu", "active"]}},
-                        {"reporting": {"how": "piggyback", "names": [1]}}, {"reporting": {"names": ["active"]}},
-                        {"reporting": {"how": "piggyback", "names": ["active", "one_of_theirs"]}}, {"reporting": {}}):
+        for changes in (
+            {"discovery": "shout"},
+            {"discovery": 3},
+            {"discovery": "push"},
+            {"family": 5},
+            {"family": "mesh"},
+            {"reporting": []},
+            {"reporting": {"how": "often"}},
+            {"reporting": {"how": None}},
+            {"reporting": {"how": "piggyback", "names": ["active", "cpu", "active"]}},
+            {"reporting": {"how": "piggyback", "names": [1]}},
+            {"reporting": {"names": ["active"]}},
+            {"reporting": {"how": "piggyback", "names": ["active", "one_of_theirs"]}},
+            {"reporting": {}},
+        ):
             try:
                 made = ground(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
                 said = f"asked {made.must_ask}, beside its client {made.beside_client}, reported by {made.reported_by}"
@@ -119,8 +140,11 @@
         facade.reported("a1", {terms.HELD: 3.0}, SECOND)
         told.append(facade._backends["a1"].told)
         self.assertEqual(told, [7.0, 7.0])
-        for reporting, said in ((None, "settings: reporting: missing"), ({"how": "silent"}, "settings: reporting: names: missing"),
-                                ({"how": "loud", "names": []}, "settings: reporting: how: 'loud' is not one of")):
+        for reporting, said in (
+            (None, "settings: reporting: missing"),
+            ({"how": "silent"}, "settings: reporting: names: missing"),
+            ({"how": "loud", "names": []}, "settings: reporting: how: 'loud' is not one of"),
+        ):
             given(reporting)
             with self.assertRaisesRegex(ToldError, said):
                 self.read_again(on)
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -36,8 +36,16 @@
 
         def settings(most: int) -> Any:
             """book is single-use, pay has gone."""
-            return ground(changed(lambda s: (s["use-cases"][1].update({"effect": "side_effect"}), s["use-cases"].pop(2),
-                                             s["policy-limits"].update({"most-transmissions": most}))), 5)
+            return ground(
+                changed(
+                    lambda s: (
+                        s["use-cases"][1].update({"effect": "side_effect"}),
+                        s["use-cases"].pop(2),
+                        s["policy-limits"].update({"most-transmissions": most}),
+                    )
+                ),
+                5,
+            )
 
         def ends(facade: Facade, use: str, how: str, most: int | None) -> str:
             """What becomes of a ticket whose attempts all end so; the settings change before the first has."""
@@ -59,7 +67,9 @@
         self.lines.append(f"book in hand, single-use from then on: {ends(facade, 'book', 'error', 5)}")
         self.lines.append(f"book taken after that: {ends(facade, 'book', 'error', None)}")
         self.lines.append(f"look taken after that: {ends(facade, 'look', 'unreached', None)}")
-        self.lines.append(f"pay: {facade.repeat_of('pay')}; what is known of look stays: {facade._use_cases['look'] is learned}")
+        self.lines.append(
+            f"pay: {facade.repeat_of('pay')}; what is known of look stays: {facade._use_cases['look'] is learned}"
+        )
         self.lines.append(f"results that breakers keep: {sum(int(one['of']) for one in facade.backends())}")
         self.kept("retuned_module")
 
@@ -105,23 +115,40 @@
         said = []
         for what in ("", "{", "[]", "null", json.dumps(good)[:-40]):
             said.append((repr(what[:9]), await self.hang_up(what)))
-        for where in ("settings", "discovery", "known", "limits/sockets", "settings/use-cases", "settings/rules/cold-share",
-                      "settings/policy-limits/most-transmissions", "settings/use-cases/1/outer-limit",
-                      "settings/use-cases/0/effect"):
+        for where in (
+            "settings",
+            "discovery",
+            "known",
+            "limits/sockets",
+            "settings/use-cases",
+            "settings/rules/cold-share",
+            "settings/policy-limits/most-transmissions",
+            "settings/use-cases/1/outer-limit",
+            "settings/use-cases/0/effect",
+        ):
             said.append((f"no {where}", await self.hang_up(file(where))))
         for value in (0, -1, True, "3", float("nan"), 1e999, 2.5, [2]):
-            said.append((f"{value!r} attempts", await self.hang_up(file("settings/policy-limits/most-transmissions", value))))
+            said.append(
+                (f"{value!r} attempts", await self.hang_up(file("settings/policy-limits/most-transmissions", value)))
+            )
         for value in (0, -5.0, False, "2000", float("inf"), 1e-9):
-            said.append((f"an outer limit of {value!r}", await self.hang_up(file("settings/use-cases/2/outer-limit", value))))
+            said.append(
+                (f"an outer limit of {value!r}", await self.hang_up(file("settings/use-cases/2/outer-limit", value)))
+            )
         said.append(("no use cases", await self.hang_up(file("settings/use-cases", []))))
         said.append(("two of a name", await self.hang_up(file("settings/use-cases/0/name", "bookx"))))
         stop.set()
         await flowing
         self.assertEqual({"200"}, ends)
         port = str(good["discovery"]).split(":")[1]
-        self.lines = [f"{what}: {line.partition('taken: ')[2]}".replace(port, "PORT") if "taken" in line else f"{what}: TAKEN"
-                      for what, line in said]
-        self.lines = [line if ".json" not in line else f"{line.partition(': ')[0]}: {line.partition('.json: ')[2]}" for line in self.lines]
+        self.lines = [
+            f"{what}: {line.partition('taken: ')[2]}".replace(port, "PORT") if "taken" in line else f"{what}: TAKEN"
+            for what, line in said
+        ]
+        self.lines = [
+            line if ".json" not in line else f"{line.partition(': ')[0]}: {line.partition('.json: ')[2]}"
+            for line in self.lines
+        ]
         await self.ask("look is known still", self.request("look", 1))
         self.lines = [line for line in self.lines if "gets" not in line and "..." not in line]
         self.kept("retuned_broken")
@@ -136,7 +163,8 @@
         await self.until(lambda: self.lines[-1].startswith("    "))
         good["settings"]["use-cases"] = [
             good["settings"]["use-cases"][0],
-            {**good["settings"]["use-cases"][0], "name": "look-v2", "effect": "side_effect"}]
+            {**good["settings"]["use-cases"][0], "name": "look-v2", "effect": "side_effect"},
+        ]
         good["settings"]["policy-limits"]["most-transmissions"] = 1
         await self.hang_up(json.dumps(good))
         await under_way
--- a/tests/test_shelf.py
+++ b/tests/test_shelf.py
@@ -67,9 +67,7 @@
             for name, one in self.backends.items()
         ]
         self.port = self.free()
-        told = configuration(
-            listen=f"127.0.0.1:{self.port}", known={"version": 1, "full": True, "servers": servers}
-        )
+        told = configuration(listen=f"127.0.0.1:{self.port}", known={"version": 1, "full": True, "servers": servers})
         (self.at / "p.json").write_text(json.dumps(told))
         self.process: asyncio.subprocess.Process | None = None
         self.number = 0
@@ -178,9 +176,7 @@
         now = clock.now()
         for place in range(3):
             log.append([(SENT, marks.sent("book", "old", "a1", 1, now - 6_000_000 + place, now - 1_000_000))])
-            log.append(
-                [(SENT, marks.sent("book", "new", "a1", 1, now - 1_000_000 + place, now + 60_000_000))]
-            )
+            log.append([(SENT, marks.sent("book", "new", "a1", 1, now - 1_000_000 + place, now + 60_000_000))])
         log.close()
         await self.start()
         self.assertEqual((await self.ask("old"))[0], "200")
--- a/tests/test_sides.py
+++ b/tests/test_sides.py
@@ -46,10 +46,12 @@
         self.assertEqual(self.where_to(40)[HERE], 40)
         for name, backend in self.backends.items():
             backend.in_flight += 30 * name.startswith(HERE)
-        for _ in range(20):   # the mean of what is held takes some tickets to rise
+        for _ in range(20):  # the mean of what is held takes some tickets to rise
             self.where(self.ticket(), True)
-        went = Counter(picked.zone if isinstance(picked := self.where(self.ticket(), True), Backend) else "refused"
-                       for _ in range(6))
+        went = Counter(
+            picked.zone if isinstance(picked := self.where(self.ticket(), True), Backend) else "refused"
+            for _ in range(6)
+        )
         self.assertEqual((went[HERE], went["refused"]), (0, 0), went)
 
     def test_a_small_location_is_first_for_its_part_alone(self) -> None:
@@ -61,18 +63,23 @@
     def test_a_location_that_empties_is_left_out(self) -> None:
         """With many proxies the ring of an empty location was cut all the same: an IndexError on each change of the list."""
         self.two(3, 3, group_size=300)
-        gone = [Listing(backend, HERE, 1, 1.0, 0, False) for name, backend in self.backends.items() if name.startswith(HERE)]
+        gone = [
+            Listing(backend, HERE, 1, 1.0, 0, False) for name, backend in self.backends.items() if name.startswith(HERE)
+        ]
         self.balancer.listed(gone, False, self.now)
         went = self.where_to(20)
         self.assertEqual(went[HERE], 0)
-        self.assertGreater(went[THERE], 15)   # some of the first are refused while no time is known
+        self.assertGreater(went[THERE], 15)  # some of the first are refused while no time is known
 
     def test_no_backend_hears_from_all_proxies(self) -> None:
         """Five backends in one location, 35 in the other, 147 proxies in each: 184 asked one that takes 120 connections."""
         heard: Counter[str] = Counter()
         for one in range(294):
-            balancer = Balancer(ground(zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, ordinal=one, seed=one),
-                                0, lambda line: None)
+            balancer = Balancer(
+                ground(zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, ordinal=one, seed=one),
+                0,
+                lambda line: None,
+            )
             balancer.listed(listed(5, 35, 6.0), True, 0)
             heard.update(b.address for side in balancer._sides.values() for b in side.ring if b.near)
         self.assertLess(max(heard.values()), 120)
@@ -172,7 +179,10 @@
 
     def test_a_use_case_late_by_its_own_times_is_refused(self) -> None:
         """The tightest one's pressure and the bound let others stand at the edge of their own promised time."""
-        uses = [UseCase("look", SECOND, 4 * SECOND, 1.0, late_share=0.3), UseCase("add", SECOND, 4 * SECOND, 8.0, late_share=0.3)]
+        uses = [
+            UseCase("look", SECOND, 4 * SECOND, 1.0, late_share=0.3),
+            UseCase("add", SECOND, 4 * SECOND, 8.0, late_share=0.3),
+        ]
         self.open("a1", use_cases=uses, importance_by_work=True)
         for use in uses:
             use.usual, use.spread = 900_000, 150_000
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -6,8 +6,14 @@
 
 
 def host(lines: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "pepperusher.simhost"], input=lines, text=True, capture_output=True,
-                          timeout=60, check=False)
+    return subprocess.run(
+        [sys.executable, "-m", "pepperusher.simhost"],
+        input=lines,
+        text=True,
+        capture_output=True,
+        timeout=60,
+        check=False,
+    )
 
 
 class SimHost(Scene):
@@ -20,9 +26,17 @@
     def test_bad_input_ends_with_one_plain_line(self) -> None:
         self.lines = []
         begin = "begin_batch\tts=1.0\n"
-        for lines in ("hello\n", begin + "to\twho=proxy_1\nnews\n", begin + "to\twho\n", begin + "to\twho=p\nspawn\tseed=1\n",
-                      begin + "to\twho=p\nspawn\tseed=1\tparams={\n", begin + "to\twho=p\nspawn\tseed=x\tparams={}\n",
-                      begin + "inventory\tbank=0\telements=1\neob\n", "begin_batch\tts=soon\n", begin):
+        for lines in (
+            "hello\n",
+            begin + "to\twho=proxy_1\nnews\n",
+            begin + "to\twho\n",
+            begin + "to\twho=p\nspawn\tseed=1\n",
+            begin + "to\twho=p\nspawn\tseed=1\tparams={\n",
+            begin + "to\twho=p\nspawn\tseed=x\tparams={}\n",
+            begin + "inventory\tbank=0\telements=1\neob\n",
+            "begin_batch\tts=soon\n",
+            begin,
+        ):
             said = host(lines)
             self.lines.append(f"{said.returncode} {said.stderr.rstrip()}")
         self.kept("bad_input")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -121,9 +121,7 @@
                     continue
                 for begin in range(0, len(what), SECTOR):
                     if self._chance.random() < 0.6:
-                        self._written(
-                            files.setdefault(name, bytearray()), at + begin, what[begin : begin + SECTOR]
-                        )
+                        self._written(files.setdefault(name, bytearray()), at + begin, what[begin : begin + SECTOR])
         whole = {name: bytes(data) for name, data in files.items()}
         for name, to in self._renames:
             if self._chance.random() < 0.5:
@@ -223,9 +221,7 @@
         files, history = files_of()
         name = max(one for one in files if one.startswith("log-"))
         found = recovery.recover(files)
-        last = frames.frame(
-            found.sequence + 1, frames.GROUP, frames.packed([(1, b"%d-" % history.acknowledged)])
-        )
+        last = frames.frame(found.sequence + 1, frames.GROUP, frames.packed([(1, b"%d-" % history.acknowledged)]))
         history.asked.append(b"%d-" % history.acknowledged)
         for length in range(len(last) + 1):
             torn = {**files, name: files[name] + last[:length]}
@@ -365,9 +361,7 @@
                 turn = chance.random()
                 mark = f"m{chance.randrange(30)}"
                 if turn < 0.5:
-                    records.append(
-                        (SENT, tables.marks.sent("u", mark, "b", chance.randrange(3), now, now + 150))
-                    )
+                    records.append((SENT, tables.marks.sent("u", mark, "b", chance.randrange(3), now, now + 150)))
                 elif turn < 0.6 and (past := tables.marks.past("u", mark, now)):
                     records.append((NEVER_RAN, tables.marks.never_ran("u", mark, past[-1].sent)))
                 elif turn < 0.8:
@@ -381,9 +375,7 @@
                     records.append(
                         (
                             BREAKER,
-                            tables.breakers.turned(
-                                f"s{chance.randrange(9)}", now, chance.choice((0, now + 50))
-                            ),
+                            tables.breakers.turned(f"s{chance.randrange(9)}", now, chance.choice((0, now + 50))),
                         )
                     )
                 if now == 180:
@@ -396,9 +388,7 @@
             again.take(99, b"of a later program")
             self.assertEqual(again.unknown, 1)
             for number in range(30):
-                self.assertEqual(
-                    again.marks.past("u", f"m{number}", 400), tables.marks.past("u", f"m{number}", 400)
-                )
+                self.assertEqual(again.marks.past("u", f"m{number}", 400), tables.marks.past("u", f"m{number}", 400))
             self.assertEqual(sorted(again.listed.all()), sorted(tables.listed.all()))
             self.assertEqual(again.breakers.open(400), tables.breakers.open(400))
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -54,8 +54,11 @@
 
 
 class Streaming(Street):
-    async def stand(self, settings: dict[str, object] = SETTINGS,
-                    **does: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[object]]) -> None:
+    async def stand(
+        self,
+        settings: dict[str, object] = SETTINGS,
+        **does: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[object]],
+    ) -> None:
         """Toys that do as they are told with each connection, beside those that a Street has."""
         await self.open(*does, settings=settings)
         for name, toy in self.toys.items():
@@ -68,11 +71,13 @@
             while True:
                 first, fields = await head_of(reader)
                 if "transfer-encoding" not in fields:
-                    fields.setdefault("content-length", "0")   # a request without either has no body
+                    fields.setdefault("content-length", "0")  # a request without either has no body
                 length, digest = await body_of(reader, fields)
                 how = "chunked" if "transfer-encoding" in fields else "with a length"
-                self.lines.append(f"    a backend gets {first.split('?')[0]} {how}, {length} bytes {digest}"
-                                  + (f", {name}" if (name := fields.get("x-trailer")) else ""))
+                self.lines.append(
+                    f"    a backend gets {first.split('?')[0]} {how}, {length} bytes {digest}"
+                    + (f", {name}" if (name := fields.get("x-trailer")) else "")
+                )
                 said = f"{length} {digest}".encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(said), said))
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -81,8 +86,10 @@
 
     def long(self, number: int, length: int, coding: str | None = None, left: int = 900) -> bytes:
         by = coding or f"Content-Length: {length}"
-        return (f"POST /book/page?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: {number}\r\nRequest-Timeout: {left}m\r\n"
-                f"Idempotency-Key: k{number}\r\n{by}\r\n\r\n").encode()
+        return (
+            f"POST /book/page?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: {number}\r\nRequest-Timeout: {left}m\r\n"
+            f"Idempotency-Key: k{number}\r\n{by}\r\n\r\n"
+        ).encode()
 
     async def test_a_body_over_what_is_held_flows(self) -> None:
         await self.stand(a1=self.whole)
@@ -92,10 +99,12 @@
         await self.ask("with a length", self.long(1, len(body)) + body, at)
         at[1].write(self.long(2, 0, "Transfer-Encoding: chunked"))
         for part in range(0, len(body), PIECE):
-            at[1].write(b"%x;why=not\r\n%s\r\n" % (PIECE, body[part:part + PIECE]))
+            at[1].write(b"%x;why=not\r\n%s\r\n" % (PIECE, body[part : part + PIECE]))
         await self.ask("chunked, with extensions and a trailer", b"0\r\nX-Trailer: t\r\n\r\n", at)
         at[1].write(self.long(3, len(body), f"Content-Length: {len(body)}\r\nExpect: 100-continue"))
-        self.lines.append(f"expecting -> {(await at[0].readuntil(b'rnrn'.replace(b'rn', bytes((13, 10))))).decode().split()[1]}")
+        self.lines.append(
+            f"expecting -> {(await at[0].readuntil(b'rnrn'.replace(b'rn', bytes((13, 10))))).decode().split()[1]}"
+        )
         await self.ask("which then comes", body, at)
         await self.ask("two in a row", self.long(4, len(body)) + body + self.long(5, 3) + b"abc", at)
         self.lines.append(f"the second -> {await self.hear(at[0])}")
@@ -104,6 +113,7 @@
 
     async def test_a_word_ahead_of_the_answer_stops_no_body(self) -> None:
         """The backend waited for the rest of the body, and the proxy for its answer, with no limit on either."""
+
         async def ahead(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             _, fields = await head_of(reader)
             writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -124,8 +134,10 @@
         at = await self.connect()
         at[1].write(self.long(1, LONG) + bytes(LONG - 4 * PIECE))
         for part in range(4):
-            await asyncio.sleep(0.4)   # 1.6 s in all, and the client waits 0.9 s
-            self.lines.append(f"in flight {self.proxy._facade._backends['a1'].in_flight}, in hand {self.proxy._facade.in_hand}")
+            await asyncio.sleep(0.4)  # 1.6 s in all, and the client waits 0.9 s
+            self.lines.append(
+                f"in flight {self.proxy._facade._backends['a1'].in_flight}, in hand {self.proxy._facade.in_hand}"
+            )
             at[1].write(bytes(PIECE))
         self.lines.append(f"done -> {await self.hear(at[0])}")
         use = self.proxy._facade._use_cases["book"]
@@ -156,6 +168,7 @@
     async def test_what_is_partly_gone_never_goes_out_again(self) -> None:
         """While nothing of the rest was read it may; after that it is bounced, since its last byte was never written: they are
         longer than what is read ahead and what kernels take together."""
+
         async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await head_of(reader)
             await reader.readexactly(HELD + 2 * PIECE)
@@ -180,18 +193,25 @@
         (self.toys["a1"].server if self.proxy._facade.pick else self.toys["b1"].server).close()
         for number in range(3, 6):
             await self.ask("one backend takes no connection", self.long(number, LONG, left=60_000) + bytes(LONG))
-        self.lines = [line for line in self.lines if "discovery" not in line and "..." not in line and "ends" not in line]
+        self.lines = [
+            line for line in self.lines if "discovery" not in line and "..." not in line and "ends" not in line
+        ]
         self.kept("streams_again")
 
     async def test_long_answers_flow_and_broken_ones_look_broken(self) -> None:
         """Each is told from its end: whole, or an end that is none."""
         body = bytes(range(256)) * (LONG // 256)
-        chunks = b"".join(b"%x\r\n%s\r\n" % (PIECE, body[part:part + PIECE]) for part in range(0, LONG, PIECE))
+        chunks = b"".join(b"%x\r\n%s\r\n" % (PIECE, body[part : part + PIECE]) for part in range(0, LONG, PIECE))
         ok, coding = b"HTTP/1.1 200 OK\r\n", b"Transfer-Encoding: chunked\r\n\r\n"
-        answers = [("by length", ok + b"Content-Length: %d\r\n\r\n" % LONG + body), ("chunked", ok + coding + chunks + b"0\r\n\r\n"),
-                   ("by its end", ok + b"\r\n" + body), ("short, by its end", ok + b"\r\n" + b"short"),
-                   ("by length, cut", ok + b"Content-Length: %d\r\n\r\n" % LONG + body[:-9]),
-                   ("chunked, cut", ok + coding + chunks), ("by its end, reset", ok + b"\r\n" + body)]
+        answers = [
+            ("by length", ok + b"Content-Length: %d\r\n\r\n" % LONG + body),
+            ("chunked", ok + coding + chunks + b"0\r\n\r\n"),
+            ("by its end", ok + b"\r\n" + body),
+            ("short, by its end", ok + b"\r\n" + b"short"),
+            ("by length, cut", ok + b"Content-Length: %d\r\n\r\n" % LONG + body[:-9]),
+            ("chunked, cut", ok + coding + chunks),
+            ("by its end, reset", ok + b"\r\n" + body),
+        ]
         now: list[tuple[str, bytes]] = []
 
         async def gives(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -203,7 +223,9 @@
                     await writer.drain()
                     if what.endswith("reset"):
                         await asyncio.sleep(0.1)
-                        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                        writer.get_extra_info("socket").setsockopt(
+                            socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                        )
                         writer.transport.abort()
                     elif "end" in what or "cut" in what:
                         writer.close()
@@ -224,12 +246,12 @@
                     if "content-length" in fields and length < int(fields["content-length"]):
                         end = "cut"
                 except ValueError:
-                    end = "cut"   # the end where a chunk's length should be
+                    end = "cut"  # the end where a chunk's length should be
                 except (ConnectionError, asyncio.IncompleteReadError) as error:
                     end = f"{type(error).__name__}"
                 self.lines.append(f"HTTP/{version}, {what} -> {end}")
                 writer.close()
-                for _ in range(2):   # keeps the breaker closed
+                for _ in range(2):  # keeps the breaker closed
                     now[:] = [("", ok + b"Content-Length: 2\r\n\r\nok")]
                     await self.ask("between", self.request("look", 1000 + len(self.lines)))
         self.lines = [line for line in self.lines if line.startswith("HTTP")]
@@ -250,7 +272,7 @@
                 await asyncio.sleep(0.1)
 
         await self.stand(UNHURRIED, a1=drips)
-        self.proxy._backends._connect_within = 10.0   # it is not silent, however late it runs
+        self.proxy._backends._connect_within = 10.0  # it is not silent, however late it runs
         reader, writer = await self.connect()
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -270,13 +292,21 @@
                 except asyncio.IncompleteReadError:
                     return
                 self.lines.append(f"    a backend gets {first}")
-                status = "204 None" if "none" in first else "304 Same" if "same" in first else "200 OK\r\nContent-Length: 12345"
+                status = (
+                    "204 None"
+                    if "none" in first
+                    else "304 Same"
+                    if "same" in first
+                    else "200 OK\r\nContent-Length: 12345"
+                )
                 writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode())
 
         await self.stand(a1=gives)
         at = await self.connect()
         for method, target in (("HEAD", "/look/a"), ("GET", "/look/none"), ("GET", "/look/same")):
-            at[1].write(self.request("look", len(self.lines)).replace(b"GET /look/page?q=1", f"{method} {target}".encode()))
+            at[1].write(
+                self.request("look", len(self.lines)).replace(b"GET /look/page?q=1", f"{method} {target}".encode())
+            )
             first, fields = await head_of(at[0])
             if first.split()[1] in ("502", "503"):
                 await body_of(at[0], fields)
@@ -308,6 +338,7 @@
     @pytest.mark.timeout(240)
     async def test_fifty_slow_peers_both_ways_in_little_memory(self) -> None:
         """A process of its own: bodies and answers of 2 MB by fifty peers at once, then 32 MB both ways."""
+
         async def echoes(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
@@ -332,10 +363,19 @@
             file = Path(folder, "config.json")
             file.write_text(json.dumps({**given, "listen": listen}))
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-O", "-m", "pepperusher", "serve", "--config", str(file), env={**os.environ, "TMPDIR": ""})
+                sys.executable,
+                "-O",
+                "-m",
+                "pepperusher",
+                "serve",
+                "--config",
+                str(file),
+                env={**os.environ, "TMPDIR": ""},
+            )
             try:
+
                 async def peer(number: int, length: int) -> str:
-                    while True:   # a bounce may be asked again: fifty at once are more than strangers are given
+                    while True:  # a bounce may be asked again: fifty at once are more than strangers are given
                         reader, writer = await asyncio.open_connection(host, int(port), limit=PIECE)
                         writer.write(self.long(number, length, left=60_000))
                         for part in range(length // PIECE):
@@ -368,5 +408,3 @@
             finally:
                 process.send_signal(signal.SIGKILL)
                 await process.wait()
-
-
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -46,7 +46,7 @@
         self.open("a1", "b1", "c2")
         ticket = self.ticket("book", left=4.0)
         first = self.where(ticket)
-        while first.cell != 1:   # whose group has two
+        while first.cell != 1:  # whose group has two
             self.after(ticket, DONE, quiet=True)
             ticket = self.ticket("book", left=4.0)
             first = self.where(ticket)
@@ -71,19 +71,29 @@
     def test_a_proxy_with_more_than_its_part_of_all_traffic_holds_no_customer_to_an_even_part(self) -> None:
         """Four of 36 proxies had five times the mean: half of what they were asked was beyond its share, and bounced."""
         said = []
-        for what, asked in (("each asks for five times its even part", (5, 5)), ("one does", (5, 1)), ("one alone asks, five times", (5, 0)),
-                            ("one does, and the other has no share", (5, 1)), ("each asks for so much of few proxies", (5, 5))):
+        for what, asked in (
+            ("each asks for five times its even part", (5, 5)),
+            ("one does", (5, 1)),
+            ("one alone asks, five times", (5, 0)),
+            ("one does, and the other has no share", (5, 1)),
+            ("each asks for so much of few proxies", (5, 5)),
+        ):
             group = 10 if "few" in what else 20
-            customers = [Customer("north", 10.0 * group), Customer("south", 0.0 if "no share" in what else 10.0 * group)]
+            customers = [
+                Customer("north", 10.0 * group),
+                Customer("south", 0.0 if "no share" in what else 10.0 * group),
+            ]
             self.open("a1", group_size=group, customers=customers)
             within = {one.name: 0 for one in customers}
-            for tenth in range(400):   # twenty seconds
+            for tenth in range(400):  # twenty seconds
                 self.pass_time(0.05)
                 for customer, often in zip(customers, asked):
                     for _ in range(often if tenth % 2 else 0):
                         kept = self.balancer._within_share(self.ticket(customer=customer), self.now)
                         within[customer.name] += kept and tenth >= 200
-            said.append(f"{what}: of {asked[0] * 100} of north's within {within['north']}, of {asked[1] * 100} of south's {within['south']}")
+            said.append(
+                f"{what}: of {asked[0] * 100} of north's within {within['north']}, of {asked[1] * 100} of south's {within['south']}"
+            )
         self.lines = said
         self.kept("heat")
 
@@ -240,8 +250,11 @@
         for group in (1, 8):
             self.open("a1", "b1", group_size=group)
             for known in ("nothing", "times"):
-                taken = [ticket for ticket in (self.ticket() for _ in range(30))
-                         if isinstance(self.where(ticket, quiet=True), Backend)]
+                taken = [
+                    ticket
+                    for ticket in (self.ticket() for _ in range(30))
+                    if isinstance(self.where(ticket, quiet=True), Backend)
+                ]
                 said.append(f"of 30 at once, one of {group} proxies takes {len(taken)}, with {known} known")
                 for ticket in taken:
                     self.after(ticket, DONE, quiet=True)
--- a/tests/test_time_limits.py
+++ b/tests/test_time_limits.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent.parent
-SAMPLE = '''
+SAMPLE = """
 import asyncio, signal, subprocess, time, unittest
 
 class Hangs(unittest.IsolatedAsyncioTestCase):
@@ -43,7 +43,7 @@
 
     async def test_good(self):
         self.child()
-'''
+"""
 
 
 class Limits(unittest.TestCase):
@@ -51,13 +51,34 @@
         # Told by the time it sleeps, which no other process of this machine does.
         seconds = f"{600 + time.time_ns() % 10**9 / 1e9:.9f}"
         with tempfile.TemporaryDirectory() as folder:
-            Path(folder, "conftest.py").write_text((HERE / "tests" / "conftest.py").read_text().replace("AGAIN = 10.0", "AGAIN = 1.0"))
+            Path(folder, "conftest.py").write_text(
+                (HERE / "tests" / "conftest.py").read_text().replace("AGAIN = 10.0", "AGAIN = 1.0")
+            )
             Path(folder, "pytest.ini").write_text(
-                "[pytest]\ntimeout = 2\ntimeout_method = signal\nfaulthandler_timeout = 15\nfaulthandler_exit_on_timeout = true\n")
+                "[pytest]\ntimeout = 2\ntimeout_method = signal\nfaulthandler_timeout = 15\nfaulthandler_exit_on_timeout = true\n"
+            )
             Path(folder, "test_sample.py").write_text(SAMPLE.replace("{seconds}", seconds))
             # Its output's end is waited for, which a child that lives would hold back.
-            done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-n", "2", "-p", "no:cacheprovider", "--rootdir", folder,
-                                   "-c", f"{folder}/pytest.ini", folder], capture_output=True, text=True, timeout=100)
+            done = subprocess.run(
+                [
+                    sys.executable,
+                    "-m",
+                    "pytest",
+                    "-q",
+                    "-n",
+                    "2",
+                    "-p",
+                    "no:cacheprovider",
+                    "--rootdir",
+                    folder,
+                    "-c",
+                    f"{folder}/pytest.ini",
+                    folder,
+                ],
+                capture_output=True,
+                text=True,
+                timeout=100,
+            )
         self.assertEqual(1, done.returncode, done.stdout)
         self.assertIn("test_waits: its time is up; its tasks stand at", done.stdout)
         self.assertRegex(done.stdout, r"test_sample.py:\d+ test_waits")
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -20,7 +20,8 @@
 
         async def play() -> list[Figures]:
             return await asyncio.gather(
-                *(lags(scene, 8, 0.001, 1000, 1, 3, 40.0, (7.0, 7.1), 20.0) for scene in SCENES))
+                *(lags(scene, 8, 0.001, 1000, 1, 3, 40.0, (7.0, 7.1), 20.0) for scene in SCENES)
+            )
 
         played = run(play())
         for made in played:
--- a/tests/wrong/pepperusher/__main__.py
+++ b/tests/wrong/pepperusher/__main__.py
@@ -103,9 +103,7 @@
                         status, text = await send(one, head, body)  # type: ignore[arg-type]
                 if WRONG == "invents" and turns % 10 == 0:
                     text = b"done as far as I know\n"
-            answer = parser.send(
-                h11.Response(status_code=status, headers=[(b"content-length", b"%d" % len(text))])
-            )
+            answer = parser.send(h11.Response(status_code=status, headers=[(b"content-length", b"%d" % len(text))]))
             parts = [
                 answer,
                 parser.send(h11.Data(data=text)) if text else b"",
