--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 # On a fresh clone each of these works alone.
 PYTHON = .venv/bin/python
 
-.PHONY: all demo group-demo scale test clean
+.PHONY: all demo group-demo scale lint test clean
 
 all: .venv/rehearsal.txt
 
@@ -21,6 +21,11 @@
 scale: all
 	$(PYTHON) -m pepperusher capacity scene --size 5000 --controls 9 --seed 1
 
+# The format, and the rules that find names which do not resolve (pyproject.toml).
+lint: all
+	.venv/bin/ruff format --check -q .
+	.venv/bin/ruff check -q .
+
 # They mostly wait: half as many again as eight cores.
 test: all
 	$(PYTHON) -m pytest -q -n 12 --dist worksteal -p no:cacheprovider tests
