--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -10,7 +10,7 @@
 import click
 
 from pepperusher import __version__
-from pepperusher.net import told
+from pepperusher.net import bootstrap
 from pepperusher.net.proxy import run
 from pepperusher.terms import BY_ANSWERS, BY_NOBODY, BY_PROBES
 
@@ -32,7 +32,7 @@
             "soak",
         )
     },
-    **{name: ("pepperusher.own.commands", "own") for name in ("explain", "schema")},
+    **{name: ("pepperusher.configuration.commands", "own") for name in ("explain", "schema")},
     "capacity": ("pepperusher.capacity.commands", "rehearsal"),
     "control": ("pepperusher.distribution.commands", "own"),
     "ctl": ("pepperusher.control.commands", "own"),
@@ -68,10 +68,10 @@
     """A load balancer for services that call services."""
 
 
-def _read(config: str, **given: str | None) -> told.Told:
+def _read(config: str, **given: str | None) -> bootstrap.Told:
     try:
-        return told.read(config, **given)
-    except told.ToldError as error:
+        return bootstrap.read(config, **given)
+    except bootstrap.ToldError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -103,12 +103,12 @@
     # Companions bring libraries that a small proxy has no room for: loaded only where there are any.
     company = None
     if own is not None:
-        company = partial(later("pepperusher.company", "own").company, own, given)
+        company = partial(later("pepperusher.extensions", "own").company, own, given)
     elif read.console is not None:
-        company = import_module("pepperusher.console.desk").alone
+        company = import_module("pepperusher.console.admin_handlers").alone
 
-    def again(before: told.Told) -> told.Told:
-        return told.read(config, name=name, listen=listen, discovery=discovery, console=console, before=before)
+    def again(before: bootstrap.Told) -> bootstrap.Told:
+        return bootstrap.read(config, name=name, listen=listen, discovery=discovery, console=console, before=before)
 
     try:
         run(read, again, company)
@@ -142,7 +142,7 @@
         f" {REPORTED_BY[ground.reported_by]}"
     )
     if own is not None:
-        later("pepperusher.own.commands", "own").checked(own, ground, values)
+        later("pepperusher.configuration.commands", "own").checked(own, ground, values)
 
 
 @main.command()
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -15,7 +15,7 @@
 from pepperusher.capacity.decisions import NOW, quiet
 from pepperusher.capacity.stage import SECOND
 from pepperusher.facade import SEND, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 from pepperusher.net.endpoint_update import endpoint_update_of
 
 # A service's own work, and how long a client at the top waits.
--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_play.py
@@ -25,12 +25,12 @@
 
 from pepperusher.capacity import stage
 from pepperusher.capacity.processes import HOST, PAGE, ProcessError, free_port
-from pepperusher.distribution import keeping, operate, wire
+from pepperusher.distribution import resource_cache, operator_client, wire
 from pepperusher.distribution.client import Client
 from pepperusher.distribution.link import Link
 from pepperusher.distribution.subscriber import Send
 from pepperusher.distribution.wire import OPENING, Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     CONFIG, OPERATOR, AskFigures, Beat, Figures, Hello, Key, Message, Resource, Version,
 )  # fmt: skip
 from pepperusher.rehearsal.worker import environment, with_parent
@@ -212,8 +212,8 @@
         end = time.monotonic() + WITHIN
         while True:
             try:
-                return await operate.publish(self.machines[0].address, KEY.encode(), CONFIG, key, body)
-            except operate.NoAnswer as error:
+                return await operator_client.publish(self.machines[0].address, KEY.encode(), CONFIG, key, body)
+            except operator_client.NoAnswer as error:
                 if time.monotonic() > end or any(one.process.poll() is not None for one in self.machines):
                     raise ProcessError(f"no change is taken: {error}") from None
                 await asyncio.sleep(5 * LOOK)
@@ -281,7 +281,7 @@
 
     async def _figures(self, machine: Machine) -> dict[str, int | str]:
         """Its counts; what this asking takes is kept, so that it can be taken off."""
-        told = await operate.figures(machine.address, KEY.encode())
+        told = await operator_client.figures(machine.address, KEY.encode())
         hello = Hello(OPERATOR, f"operator {getpass.getuser()}"[:100], 2**62, "", "", False, [], [], [])
         # The answer is made before this question is counted as sent, and behind what it was asked with.
         machine.asked["bytes in"] += OPENING + framed(hello) + framed(AskFigures())
@@ -384,7 +384,7 @@
             if proxies and fleet.some == proxies:
                 keep = Path(folder) / "kept"
                 one: Resource = fleet.clients[0]._lasting[CONFIG, NAME]
-                wrong = keeping.write(keep, [one], int(time.time() * 1e6))
+                wrong = resource_cache.write(keep, [one], int(time.time() * 1e6))
                 if wrong:
                     raise ProcessError(wrong)
                 fleet.kill()
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -376,7 +376,7 @@
         at("client.whole.rest_cpu", mild.routes),
         at("client.whole.rest_cpu", harsh.routes),
         cpu,
-        f"{CLIENT}, `net/distributed.py`, timers of what is in force",
+        f"{CLIENT}, `net/distributed_configuration.py`, timers of what is in force",
         ("client.whole.rest_cpu",),
         _said(
             "24 listed; most of what 200 routes add is one sweep that looks through all routes for each"
@@ -392,7 +392,7 @@
         at("client.whole.memory", mild.routes),
         at("client.whole.memory", harsh.routes),
         memory,
-        f"{CLIENT}, `net/distributed.py`",
+        f"{CLIENT}, `net/distributed_configuration.py`",
         ("client.whole.memory",),
         _said("24 listed; what is listed adds as in the row without control machines", also),
     )
@@ -444,7 +444,8 @@
             made[0],
             made[1],
             budget,
-            CLIENT + (", `net/distributed.py`, `changes/`, `own/reading.py`" if way == "cpu" else ""),
+            CLIENT
+            + (", `net/distributed_configuration.py`, `changes/`, `configuration/loader.py`" if way == "cpu" else ""),
             (*names("change", way), *names("rest", way), *(["client.whole.change_cpu"] * (way == "cpu"))),
             also,
         )
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -16,7 +16,7 @@
 from pepperusher.distribution.server import _Connection
 from pepperusher.distribution.subscriber import Subscriber
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     CONFIG, NEVER, PROXY, Hello, Key, Resource, Version, mark_of, resource,
 )  # fmt: skip
 
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -15,16 +15,16 @@
 
 from pepperusher.capacity import stage
 from pepperusher.capacity.stage import SECOND
-from pepperusher.changes.standing import Standing
+from pepperusher.changes.active_configuration import Standing
 from pepperusher.facade import SEND, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.endpoint_update import endpoint_update_of
 from pepperusher.net.log import Log
-from pepperusher.own import reading
+from pepperusher.configuration import loader
 from pepperusher.policy import Balancer
 from pepperusher.terms import Backend, Listing
 
@@ -213,13 +213,13 @@
 
 def config_check(routes: int, seed: int) -> float:
     text, told = stage.own_file(routes), stage.ground_of(GROUP, seed)
-    return cost(lambda: reading.parse(text, ground=told) and None)
+    return cost(lambda: loader.parse(text, ground=told) and None)
 
 
 def config_take(routes: int, seed: int) -> float:
     """From a file that was checked to the version in force, one way and back."""
     told = stage.ground_of(GROUP, seed)
-    first, other = (reading.parse(stage.own_file(routes, least), ground=told) for least in (30, 31))
+    first, other = (loader.parse(stage.own_file(routes, least), ground=told) for least in (30, 31))
     standing = Standing(first, NOW, lambda _: None, lambda *_, **__: None)
     reads = [other, first]
     now = NOW
--- a/pepperusher/capacity/fit.py
+++ b/pepperusher/capacity/fit.py
@@ -23,7 +23,7 @@
 # A list of fewer backends than this has arcs of REACH backends in a group of 1,000 proxies, whatever its
 # length; of more, arcs of HEARD in 1,000 of it (`policy.py`).
 ARC_BEND = 400.0
-# Of so many routes what each looks through (`changes/standing.py` sweep) takes as long as what it takes
+# Of so many routes what each looks through (`changes/active_configuration.py` sweep) takes as long as what it takes
 # itself: by trials at 200 and 400 routes, with that and without (docs/results.md).
 SWEEP_EVEN = 84.0
 CURVES: dict[str, Callable[[float], float]] = {
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -21,7 +21,7 @@
     both = mild, harsh
     arc = "arc.zone", "arc.zones"
     sockets = Budget(
-        1_024, "own choice: `net/told.py` SOCKETS, a proxy's descriptors where its configuration names none"
+        1_024, "own choice: `net/bootstrap.py` SOCKETS, a proxy's descriptors where its configuration names none"
     )
     memory = Budget(t.proxy_bytes, "target: 256 MB")
     core = Budget(SECOND, "own choice: one core, since a proxy is one process")
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -9,12 +9,12 @@
 from time import process_time
 
 from pepperusher.capacity.decisions import held_by
-from pepperusher.group import notices as notices_of_group, roll as roll_of_group
-from pepperusher.group.notices import Notices
-from pepperusher.group.roll import Roll
+from pepperusher.group import broadcasts as group_broadcasts, membership as group_membership
+from pepperusher.group.broadcasts import Notices
+from pepperusher.group.membership import Roll
 from pepperusher.group.swim import Swim, Terms
 from pepperusher.group.wire import Wire
-from pepperusher.group.words import SENT_AWAY, SERVING, Notice, Said
+from pepperusher.group.messages import SENT_AWAY, SERVING, Notice, Said
 from pepperusher.rehearsal.groupfigures import introduced
 from pepperusher.rehearsal.groupmodel import SECOND, Model
 
@@ -106,7 +106,7 @@
     while not roll.refused:
         roll.take(said(number), START)
         number += 1
-        assert number <= 2 * roll_of_group.MOST
+        assert number <= 2 * group_membership.MOST
     return len(roll)
 
 
@@ -117,5 +117,5 @@
     while not notices.refused:
         notices.take(Notice("ban", f"service-{number:05d}", True, START), START)
         number += 1
-        assert number <= 2 * notices_of_group.MOST
+        assert number <= 2 * group_broadcasts.MOST
     return len(notices)
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -145,7 +145,7 @@
             self._at("group.state", mild.members),
             self._at("group.state", harsh.members),
             memory,
-            "`group/roll.py`",
+            "`group/membership.py`",
             ("group.state",),
             "the roll itself ends at its bound",
         )
@@ -190,7 +190,7 @@
             "members",
             float(mild.members),
             float(harsh.members),
-            None if most is None else Budget(most, "the code: `group/roll.py` MOST"),
+            None if most is None else Budget(most, "the code: `group/membership.py` MOST"),
             f"{MISSING}: groups by region (one flat group)",
             ("roll.most",),
         )
@@ -202,7 +202,7 @@
             "notices",
             float(mild.marked),
             float(harsh.marked),
-            None if marks is None else Budget(marks, "the code: `group/notices.py` MOST"),
+            None if marks is None else Budget(marks, "the code: `group/broadcasts.py` MOST"),
             f"{MISSING}: marks by zone or region in place of one a backend",
             ("notices.most",),
         )
@@ -223,7 +223,7 @@
                 times(words(harsh), self._at("group.change_bytes", harsh.members)),
             ),
             wire,
-            "`group/rumours.py`: each word told 4 log n times, by each",
+            "`group/gossip_queue.py`: each word told 4 log n times, by each",
             ("group.bytes", "group.change_bytes"),
             "words that share a packet cost less than one by one, so this is a bound from above",
         )
@@ -316,7 +316,7 @@
             waits[0],
             waits[1],
             added,
-            "`own/reading.py` and `own/rules.py`, in a thread (`net/house.py`) beside the loop that carries calls",
+            "`configuration/loader.py` and `configuration/validation.py`, in a thread (`net/configuration_manager.py`) beside the loop that carries calls",
             ("config.check",),
             "each time that the loop wakes, by Python's switch interval of 5 ms; the harsh day brings a"
             f" proxy all {t.changes_a_day} changes",
@@ -329,7 +329,7 @@
             times(checks(mild), self._at("config.check", mild.routes)),
             times(checks(harsh), self._at("config.check", harsh.routes)),
             cpu,
-            "`own/reading.py`, `changes/`",
+            "`configuration/loader.py`, `changes/`",
             ("config.check",),
         )
         yield Row(
--- a/pepperusher/capacity/slopes.py
+++ b/pepperusher/capacity/slopes.py
@@ -397,7 +397,7 @@
             200,
             told_play.whole(name),
             PLAYS,
-            # At rest each route that was used looks through all for its own (`changes/standing.py` sweep).
+            # At rest each route that was used looks through all for its own (`changes/active_configuration.py` sweep).
             "n + n squared / 84" if name == "rest_cpu" else "",
         )
 
--- a/pepperusher/capacity/stage.py
+++ b/pepperusher/capacity/stage.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 from pepperusher.terms import Ground
 
 SECOND = 1_000_000
--- a/pepperusher/capacity/told_play.py
+++ b/pepperusher/capacity/told_play.py
@@ -14,9 +14,9 @@
 from pepperusher.capacity.control_play import KEY, NAME, WITHIN, Fleet, body_of
 from pepperusher.capacity.control_state import name_of
 from pepperusher.capacity.processes import Proxied, ProcessError, proxy, standins
-from pepperusher.distribution import operate
+from pepperusher.distribution import operator_client
 from pepperusher.distribution.subscriber import UPSTREAMS, rank
-from pepperusher.distribution.words import CONFIG, Version
+from pepperusher.distribution.messages import CONFIG, Version
 
 LISTED = 24
 RESTS = 4.0
@@ -27,7 +27,7 @@
     """Raises ProcessError."""
     end = time.monotonic() + WITHIN
     while True:
-        told = await operate.rollout(fleet.machines[0].address, KEY.encode(), CONFIG, NAME)
+        told = await operator_client.rollout(fleet.machines[0].address, KEY.encode(), CONFIG, NAME)
         if told.refused:
             raise ProcessError(f"refused: {told.refused}")
         if told.version == version and told.in_force == 1:
--- a/pepperusher/changes/standing.py
+++ b/pepperusher/changes/active_configuration.py
@@ -9,17 +9,17 @@
 
 from collections.abc import Callable, Mapping
 
-from pepperusher.changes import ledger as ledgers
-from pepperusher.changes.ledger import APPLIED, CONFIRMED, STAGED, UNDONE, Change, Ledger, LedgerError
+from pepperusher.changes import transaction_log
+from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, STAGED, UNDONE, Change, Ledger, LedgerError
 from pepperusher.changes.overlay import Overlay
-from pepperusher.changes.toll import Toll
+from pepperusher.changes.error_watch import Toll
 from pepperusher.facade import Entry
-from pepperusher.holds import must_hold
+from pepperusher.invariants import must_hold
 from pepperusher.limits.gate import FULL, IN, LATE, WAITS, Gate, Waiting
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Buckets, RetryBudget
-from pepperusher.own.reading import Read
-from pepperusher.own.tables import Concurrency
+from pepperusher.configuration.loader import Read
+from pepperusher.configuration.tables import Concurrency
 from pepperusher.routes.terms import NO_LIMIT, PLAIN, Terms, Version
 
 RATE = "rate"
@@ -347,7 +347,7 @@
             min(held.latency, terms.latency),
         )
         by_itself = terms.confirm == "by itself" and held.confirm == "by itself"
-        return ledgers.verdict(change, by_itself, max(held.watch, terms.watch), harm, now)
+        return transaction_log.verdict(change, by_itself, max(held.watch, terms.watch), harm, now)
 
     def sweep(self, now: int) -> None:
         for name, held in list(self._held.items()):
--- a/pepperusher/changes/overlay.py
+++ b/pepperusher/changes/overlay.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping
 
 from pepperusher.facade import Entry
-from pepperusher.narrowed import Narrowed
-from pepperusher.own.tables import Mark
+from pepperusher.endpoint_filter import Narrowed
+from pepperusher.configuration.tables import Mark
 
 
 class Overlay:
--- a/pepperusher/own/commands.py
+++ b/pepperusher/configuration/commands.py
@@ -7,20 +7,20 @@
 
 import click
 
-from pepperusher.own import reading, rules
-from pepperusher.own.reading import OwnError
+from pepperusher.configuration import loader, validation
+from pepperusher.configuration.loader import OwnError
 from pepperusher.terms import Ground
 
 
 def checked(path: str, ground: Ground, values: tuple[str, ...]) -> None:
     """Prints what is in force and where each value came from; ends with 1 and all that is wrong."""
     try:
-        read = reading.read(path, ground, reading.from_environment(os.environ), reading.from_command_line(values))
+        read = loader.read(path, ground, loader.from_environment(os.environ), loader.from_command_line(values))
     except OwnError as error:
         for fault in error.faults:
             click.echo(str(fault), err=True)
         raise click.ClickException(f"{path}: {len(error.faults)} wrong") from None
-    rows = reading.effective(read)
+    rows = loader.effective(read)
     wide = max(len(key) for key, _, _ in rows)
     click.echo(f"{path} ({read.digest}):")
     for key, value, origin in rows:
@@ -33,13 +33,13 @@
     """Say what KEY of the proxy's own file means, its form and its default; without one, all keys and
     rules."""
     if key is None:
-        for one in reading.keys():
+        for one in loader.keys():
             click.echo(one)
-        for name, what in rules.RULES.items():
+        for name, what in validation.RULES.items():
             click.echo(f'rule "{name}": {what}')
         return
     try:
-        click.echo(reading.explain(key))
+        click.echo(loader.explain(key))
     except KeyError as error:
         raise click.ClickException(str(error.args[0])) from None
 
@@ -47,4 +47,4 @@
 @click.command()
 def schema() -> None:
     """Print the JSON Schema of the proxy's own file, for editors."""
-    click.echo(json.dumps(reading.schema(), indent=1))
+    click.echo(json.dumps(loader.schema(), indent=1))
--- a/pepperusher/own/reading.py
+++ b/pepperusher/configuration/loader.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from pepperusher import typed
-from pepperusher.own import rules
-from pepperusher.own.lines import Lines
-from pepperusher.own.tables import Own
+from pepperusher import table_conversion
+from pepperusher.configuration import validation
+from pepperusher.configuration.key_locations import Lines
+from pepperusher.configuration.tables import Own
 from pepperusher.terms import Ground
 
 PREFIX = "PEPPERUSHER_"
@@ -126,7 +126,7 @@
         raise OwnError([Fault(source, _line_of(error), "", "form", f"is not TOML: {error}")]) from None
     except RecursionError:
         raise OwnError([Fault(source, 0, "", "form", "is nested too deep")]) from None
-    raw = typed.renamed(raw, Own)
+    raw = table_conversion.renamed(raw, Own)
     lines = Lines(text)
     origins = dict.fromkeys(_leaves(raw), FILE)
     faults: list[Fault] = []
@@ -144,14 +144,16 @@
         )
         return Fault(source, lines.at(key), key, rule, what) if origin == FILE else Fault(origin, 0, key, rule, what)
 
-    own, wrong_values = typed.converted(raw, Own)
+    own, wrong_values = table_conversion.converted(raw, Own)
     faults += [fault(one.key, "known key" if one.unknown else "form", one.what) for one in wrong_values]
     if own is not None:
-        faults += [fault(*one) for one in rules.check(own, ground)]
+        faults += [fault(*one) for one in validation.check(own, ground)]
     if faults:
         raise OwnError(sorted(faults, key=lambda one: (one.source != source, one.line, one.key)))
     assert own is not None
-    digest = hashlib.sha256(msgspec.json.encode(own, enc_hook=typed.hook, order="deterministic")).hexdigest()[:12]
+    digest = hashlib.sha256(
+        msgspec.json.encode(own, enc_hook=table_conversion.hook, order="deterministic")
+    ).hexdigest()[:12]
     return Read(own, text, digest, origins)
 
 
@@ -206,7 +208,7 @@
             shown = '"(not shown)"' if at in SECRET and value else msgspec.json.encode(value).decode()
             rows.append((at, shown, origin))
 
-    walk(msgspec.to_builtins(read.own, enc_hook=typed.hook), "")
+    walk(msgspec.to_builtins(read.own, enc_hook=table_conversion.hook), "")
     return rows
 
 
@@ -221,7 +223,7 @@
         if field is None:
             return None
         found = (field.type, field)
-        table = typed.table_of(field.type)[0]
+        table = table_conversion.table_of(field.type)[0]
     return found
 
 
@@ -233,7 +235,7 @@
         for field in msgspec.structs.fields(table):
             key = f"{at}.{field.encode_name}".lstrip(".")
             made.append(key)
-            inner = typed.table_of(field.type)[0]
+            inner = table_conversion.table_of(field.type)[0]
             if inner is not None:
                 walk(inner, key)
 
@@ -245,14 +247,14 @@
     """What a key means, its form and its default. Raises KeyError with the nearest key."""
     found = _kind_of(key)
     if found is None:
-        raise KeyError(f"{key}: not known{typed.nearest(key, keys())}")
+        raise KeyError(f"{key}: not known{table_conversion.nearest(key, keys())}")
     kind, field = found
     words = (
         next((one.description for one in get_args(kind) if isinstance(one, msgspec.Meta)), "")
         if get_origin(kind) is Annotated
         else ""
     )
-    inner, listed = typed.table_of(kind)
+    inner, listed = table_conversion.table_of(kind)
     if inner is not None:
         names = ", ".join(one.encode_name for one in msgspec.structs.fields(inner))
         form = f"{'a list of tables' if listed else 'a table'} with {names}"
@@ -286,7 +288,7 @@
 
 def _default(field: Any) -> str:
     value = field.default_factory() if field.default is msgspec.NODEFAULT else field.default
-    return "none" if value is None else msgspec.json.encode(value, enc_hook=typed.hook).decode()
+    return "none" if value is None else msgspec.json.encode(value, enc_hook=table_conversion.hook).decode()
 
 
 def _schema_hook(kind: type) -> dict[str, Any]:
--- a/pepperusher/own/tables.py
+++ b/pepperusher/configuration/tables.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from pepperusher.spans import Span
+from pepperusher.durations import Span
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, kw_only=True, frozen=True):
--- a/pepperusher/own/rules.py
+++ b/pepperusher/configuration/validation.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from pepperusher.own.tables import Distribution, Group, Own, Route
+from pepperusher.configuration.tables import Distribution, Group, Own, Route
 from pepperusher.routes import match
 from pepperusher.routes.match import Pattern, TemplateError
 from pepperusher.terms import REPLAYABLE, SINGLE_USE, Ground, UseCase
--- a/pepperusher/duties/agree.py
+++ b/pepperusher/consensus/raft.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.duties.words import (
+from pepperusher.consensus.messages import (
     Append,
     Appended,
     Ask,
--- a/pepperusher/console/orders.py
+++ b/pepperusher/console/admin_commands.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from pepperusher.facade import Entry
-from pepperusher.narrowed import Narrowed
+from pepperusher.endpoint_filter import Narrowed
 
 
 class Order(NamedTuple):
--- a/pepperusher/console/desk.py
+++ b/pepperusher/console/admin_handlers.py
@@ -7,18 +7,18 @@
 import os
 from collections.abc import Awaitable, Callable
 
-from pepperusher.console import words
-from pepperusher.console.door import PLACES, Door
-from pepperusher.console.orders import NEVER, Order, Orders
-from pepperusher.console.place import Seat, seats
-from pepperusher.console.pulse import Pulse
+from pepperusher.console import console_calls
+from pepperusher.console.admin_listener import PLACES, Door
+from pepperusher.console.admin_commands import NEVER, Order, Orders
+from pepperusher.console.process_slot import Seat, seats
+from pepperusher.console.process_liveness import Pulse
 from pepperusher.console.state import BadState, State
 from pepperusher.net import clock
-from pepperusher.net.companion import Companion, Host
+from pepperusher.net.extension import Companion, Host
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, plain
-from pepperusher.net.passed_on import PassedOn
-from pepperusher.net.told import Told
+from pepperusher.net.handover_state import PassedOn
+from pepperusher.net.bootstrap import Told
 from pepperusher.terms import Ground
 
 NOT_YET = plain(503, "no backends known yet, or about to stop")
@@ -281,20 +281,20 @@
     def _answered(self, method: bytes, target: bytes) -> tuple[Answer, bool]:
         """The answer, and whether others are to hold what was called."""
         try:
-            word = words.word_of(method, target)
-        except words.BadWords as bad:
+            word = console_calls.word_of(method, target)
+        except console_calls.BadWords as bad:
             return plain(bad.status, str(bad)), False
-        if word.what == words.READY:
+        if word.what == console_calls.READY:
             ready = self._proxy.can_serve
             return (plain(200, "ready") if ready else NOT_YET), False
-        if word.what in (words.DRAIN, words.RESUME):
-            on = word.what == words.DRAIN
+        if word.what in (console_calls.DRAIN, console_calls.RESUME):
+            on = word.what == console_calls.DRAIN
             self.orders.send_away(on, clock.now())
             self._proxy.send_away(on)
             if not self._kept():
                 return NOT_KEPT, False
             return plain(200, "clients are sent away" if on else "clients may come"), False
-        on, backend = word.what == words.BAN, word.backend
+        on, backend = word.what == console_calls.BAN, word.backend
         if not self._proxy.knows(backend) and not self.orders.banned(backend):
             return plain(404, "no backend has this id"), False
         if self.orders.banned(backend) != on:
--- a/pepperusher/console/door.py
+++ b/pepperusher/console/admin_listener.py
@@ -10,7 +10,7 @@
 import h11
 
 from pepperusher.net.buffers import Body, Pool
-from pepperusher.net.line import Line
+from pepperusher.net.connection import Line
 from pepperusher.net.log import Log
 from pepperusher.net.message import HEAD, Answer, BadMessage, framed_answer, plain, read_head, read_held
 
--- a/pepperusher/console/state.py
+++ b/pepperusher/console/state.py
@@ -8,8 +8,8 @@
 import json
 from typing import Any, NamedTuple
 
-from pepperusher.console.orders import NEVER, Order
-from pepperusher.net.passed_on import PassedOn
+from pepperusher.console.admin_commands import NEVER, Order
+from pepperusher.net.handover_state import PassedOn
 
 FORM = 1
 LONGEST = 16 * 1024 * 1024
--- a/pepperusher/control/commands.py
+++ b/pepperusher/control/commands.py
@@ -221,9 +221,9 @@
 
 def _asked(machine: str, key_file: str, ask: Callable[[tuple[str, int], bytes], Awaitable[T]]) -> T:
     """Of a control machine."""
-    from pepperusher.distribution.operate import NoAnswer
-    from pepperusher.distribution.reading import read_key
-    from pepperusher.own.rules import address_of
+    from pepperusher.distribution.operator_client import NoAnswer
+    from pepperusher.distribution.control_file import read_key
+    from pepperusher.configuration.validation import address_of
 
     async def asked() -> T:
         return await ask(address_of(machine), read_key(key_file))
@@ -246,25 +246,25 @@
     context: click.Context, name: str, file: Path, machine: str, key_file: str, kind: str, unchecked: bool
 ) -> None:
     """Make FILE the next version of NAME, by way of the origin at HOST:PORT."""
-    from pepperusher.changes import layered
-    from pepperusher.distribution import operate
-    from pepperusher.own import reading
-    from pepperusher.own.reading import OwnError
+    from pepperusher.changes import shared_section
+    from pepperusher.distribution import operator_client
+    from pepperusher.configuration import loader
+    from pepperusher.configuration.loader import OwnError
 
     try:
         body = file.read_bytes()
         if kind == "config" and not unchecked:
-            layered.tables(body.decode())
-            reading.parse(body.decode(), str(file))
+            shared_section.tables(body.decode())
+            loader.parse(body.decode(), str(file))
     except OSError as error:
         raise click.ClickException(f"{file}: {error.strerror or error}") from None
     except OwnError as error:
         raise click.ClickException("\n".join(map(str, error.faults))) from None
     except UnicodeDecodeError:
         raise click.ClickException(f"{file}: is not text in UTF-8") from None
-    except layered.NotShared as error:
+    except shared_section.NotShared as error:
         raise click.ClickException(f"{file}: {error}") from None
-    version = _asked(machine, key_file, lambda at, key: operate.publish(at, key, kind, name, body))
+    version = _asked(machine, key_file, lambda at, key: operator_client.publish(at, key, kind, name, body))
     if context.obj[1]:
         click.echo(json.dumps({"kind": kind, "name": name, "version": list(version)}))
     else:
@@ -302,10 +302,10 @@
     context: click.Context, name: str, machine: str, key_file: str, kind: str, watch: bool, here_json: bool
 ) -> None:
     """How far the newest version of NAME is: in force where, refused by whom and why, who is pending."""
-    from pepperusher.distribution import operate
+    from pepperusher.distribution import operator_client
 
     while True:
-        told = _asked(machine, key_file, lambda at, key: operate.rollout(at, key, kind, name))
+        told = _asked(machine, key_file, lambda at, key: operator_client.rollout(at, key, kind, name))
         if here_json or context.obj[1]:
             click.echo(json.dumps({"kind": kind, "name": name, **told._asdict(), "version": list(told.version)}))
         else:
--- a/pepperusher/control/socket.py
+++ b/pepperusher/control/socket.py
@@ -9,8 +9,8 @@
 from collections.abc import AsyncIterator, Callable
 from typing import Any
 
-from pepperusher.control import words
-from pepperusher.control.words import BadQuestion
+from pepperusher.control import messages
+from pepperusher.control.messages import BadQuestion
 
 # Between questions of one connection: a flood of them has its turn among tickets, and no more.
 PACE = 0.02
@@ -52,7 +52,7 @@
             os.umask(before)
         taken.setblocking(False)
         self._inode = os.stat(self._path).st_ino
-        self._server = await asyncio.start_unix_server(self._accepted, sock=taken, limit=words.LONGEST)
+        self._server = await asyncio.start_unix_server(self._accepted, sock=taken, limit=messages.LONGEST)
 
     def _clear(self) -> None:
         try:
@@ -78,7 +78,7 @@
         task = asyncio.current_task()
         assert task is not None
         if len(self._serving) >= self._most:
-            writer.write(words.refused(f"{self._most} are connected already"))
+            writer.write(messages.refused(f"{self._most} are connected already"))
             writer.close()
             return
         self._serving.add(task)
@@ -99,7 +99,7 @@
                 async with asyncio.timeout(self._within):
                     line = await reader.readline()
             except ValueError:
-                await self._tell(writer, words.refused(f"a line of over {words.LONGEST} bytes"))
+                await self._tell(writer, messages.refused(f"a line of over {messages.LONGEST} bytes"))
                 return
             if not line:
                 return
@@ -108,13 +108,13 @@
             # Before the next answer and not after the last: one that asks once and goes holds no place meanwhile.
             await asyncio.sleep(max(0.0, answered + PACE - asyncio.get_running_loop().time()))
             try:
-                command, said = words.question(line)
+                command, said = messages.question(line)
             except BadQuestion as bad:
-                await self._tell(writer, words.refused(str(bad)))
+                await self._tell(writer, messages.refused(str(bad)))
                 # Noise is not read to its end.
                 return
             async for part in self._answers(command, said):
-                await self._tell(writer, words.line(**part))
+                await self._tell(writer, messages.line(**part))
                 # Tickets have their turn between the parts of a long answer.
                 await asyncio.sleep(0)
             answered = asyncio.get_running_loop().time()
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -15,13 +15,13 @@
 from pathlib import Path
 from random import Random
 
-from pepperusher.distribution import keeping, wire
+from pepperusher.distribution import resource_cache, wire
 from pepperusher.distribution.link import Calls, Link
 from pepperusher.distribution.subscriber import Apply, Close, Connect, Say, Send, Subscriber
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import LONGEST_MESSAGE, Beat, Key, Message, Resource, Version, Word, one_line
+from pepperusher.distribution.messages import LONGEST_MESSAGE, Beat, Key, Message, Resource, Version, Word, one_line
 from pepperusher.net import clock
-from pepperusher.sealed import BadPacket
+from pepperusher.packet_authentication import BadPacket
 
 # When a control machine last confirmed what is held is written down so often.
 TOUCH_EVERY = 10_000_000
@@ -89,7 +89,7 @@
     async def _begin(self) -> None:
         held: list[Resource] = []
         if self._keep is not None:
-            kept, self._kept_at, why = keeping.read(self._keep, set(self._names))
+            kept, self._kept_at, why = resource_cache.read(self._keep, set(self._names))
             if why:
                 self._say("what was kept of distribution can't be read", why=why)
             for one in kept:
@@ -172,7 +172,7 @@
         if self._keep is not None and now - self._touched_at >= TOUCH_EVERY and not self._unwritten:
             self._touched_at = now
             if self._subscriber.confirmed_at is not None:
-                keeping.touch(self._keep, self._subscriber.confirmed_at)
+                resource_cache.touch(self._keep, self._subscriber.confirmed_at)
 
     def _done(self) -> None:
         subscriber = self._subscriber
@@ -291,7 +291,7 @@
         self._unwritten = False
         held = list(self._lasting.values())
         confirmed_at = self._subscriber.confirmed_at or clock.now()
-        why = await asyncio.to_thread(keeping.write, self._keep, held, confirmed_at)
+        why = await asyncio.to_thread(resource_cache.write, self._keep, held, confirmed_at)
         if why:
             self._say("what is in force can't be kept", why=why)
 
--- a/pepperusher/distribution/commands.py
+++ b/pepperusher/distribution/commands.py
@@ -11,17 +11,17 @@
 
 import click
 
-from pepperusher.distribution import operate, reading
+from pepperusher.distribution import operator_client, control_file
 from pepperusher.distribution.server import Server, Terms, descriptors_of
 from pepperusher.net.log import Log
-from pepperusher.own.reading import OwnError
-from pepperusher.own.rules import address_of
+from pepperusher.configuration.loader import OwnError
+from pepperusher.configuration.validation import address_of
 from pepperusher.store.disk import Disk
 
 
-def _read(path: str) -> reading.Read:
+def _read(path: str) -> control_file.Read:
     try:
-        return reading.read(path)
+        return control_file.read(path)
     except OwnError as error:
         raise click.ClickException("\n".join(map(str, error.faults))) from None
 
@@ -63,13 +63,13 @@
 def figures(machine: str, key_file: str) -> None:
     """A running control machine's counts, by name, as JSON."""
     try:
-        told = asyncio.run(operate.figures(address_of(machine), reading.read_key(key_file)))
-    except (operate.NoAnswer, ValueError) as error:
+        told = asyncio.run(operator_client.figures(address_of(machine), control_file.read_key(key_file)))
+    except (operator_client.NoAnswer, ValueError) as error:
         raise click.ClickException(str(error)) from None
     click.echo(json.dumps(told, indent=1))
 
 
-def terms_of(file: reading.ControlFile) -> Terms:
+def terms_of(file: control_file.ControlFile) -> Terms:
     return Terms(
         file.name, file.region, file.zone, address_of(file.listen), [address_of(one) for one in file.peers],
         file.epoch if file.origin else None, file.owns_facts, file.subscribers, file.local,
@@ -87,11 +87,11 @@
     return most
 
 
-async def _serve(read: reading.Read) -> None:
+async def _serve(read: control_file.Read) -> None:
     file = read.file
     log = Log(file.name)
     if file.log != "plain":
-        from pepperusher.net.formed import form_of
+        from pepperusher.net.structured_log import form_of
 
         log.take_form(form_of(file.log))
     terms = terms_of(file)
--- a/pepperusher/distribution/reading.py
+++ b/pepperusher/distribution/control_file.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from pepperusher import typed
-from pepperusher.own.lines import Lines
-from pepperusher.own.reading import LARGEST, Fault, OwnError
-from pepperusher.own.rules import address_of
-from pepperusher.own.tables import Table
+from pepperusher import table_conversion
+from pepperusher.configuration.key_locations import Lines
+from pepperusher.configuration.loader import LARGEST, Fault, OwnError
+from pepperusher.configuration.validation import address_of
+from pepperusher.configuration.tables import Table
 
 SHORTEST_KEY, LONGEST_KEY = 16, 4096
 MOST_PEERS = 63
@@ -110,7 +110,7 @@
     except RecursionError:
         raise OwnError([Fault(source, 0, "", "form", "is nested too deep")]) from None
     lines = Lines(text)
-    file_, wrong = typed.converted(raw, ControlFile)
+    file_, wrong = table_conversion.converted(raw, ControlFile)
     faults = [
         Fault(source, lines.at(one.key), one.key, "known key" if one.unknown else "form", one.what) for one in wrong
     ]
--- a/pepperusher/distribution/delta.py
+++ b/pepperusher/distribution/delta.py
@@ -9,7 +9,7 @@
 import re
 from collections.abc import Iterable, Sequence
 
-from pepperusher.distribution.words import LONGEST_BODY
+from pepperusher.distribution.messages import LONGEST_BODY
 
 Op = tuple[int, int] | bytes
 _PIECES = re.compile(rb"[^\n}]*[\n}]|[^\n}]+\Z")
--- a/pepperusher/distribution/endpoint_source.py
+++ b/pepperusher/distribution/endpoint_source.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.distribution.words import NEVER, Version
+from pepperusher.distribution.messages import NEVER, Version
 
 # Without a word of discovery's for so long, and a spread that is drawn each time, since the words of all stop at
 # one moment: those of `net.call_schedule` for a watch.
--- a/pepperusher/distribution/freshness.py
+++ b/pepperusher/distribution/freshness.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperusher.distribution.words import MOST_RESOURCES, Version, Word
+from pepperusher.distribution.messages import MOST_RESOURCES, Version, Word
 
 # A word that nobody has said anything newer than for so long is of use to nobody.
 KEPT = 60_000_000
--- a/pepperusher/distribution/link.py
+++ b/pepperusher/distribution/link.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import Message
-from pepperusher.sealed import BadPacket
+from pepperusher.distribution.messages import Message
+from pepperusher.packet_authentication import BadPacket
 
 # Small words that wait behind one that is being written: beats and the like, which their makers bound.
 MOST_WAITING = 1024
--- a/pepperusher/distribution/operate.py
+++ b/pepperusher/distribution/operator_client.py
@@ -11,7 +11,7 @@
 from pepperusher.distribution.link import Link
 from pepperusher.distribution.publisher import Rollout, rollout_of
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     LONGEST_ANSWER, NEVER, OPERATOR, AskFigures, AskRollout, Figures, Hello, Message, Publish, Published,
     Refused, Rows, Version,
 )  # fmt: skip
--- a/pepperusher/distribution/publisher.py
+++ b/pepperusher/distribution/publisher.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from pepperusher.distribution import delta, wire
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     KINDS,
     LONGEST_BODY,
     MOST_RESOURCES,
--- a/pepperusher/distribution/relay.py
+++ b/pepperusher/distribution/relay.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from pepperusher.distribution.words import LONGEST_BODY, Version
-from pepperusher.entry import Entry
+from pepperusher.distribution.messages import LONGEST_BODY, Version
+from pepperusher.endpoint import Entry
 from pepperusher.net import clock
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.log import Log
--- a/pepperusher/distribution/keeping.py
+++ b/pepperusher/distribution/resource_cache.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     KINDS, LONGEST_BODY, MOST_NAMES, Key, Mark, Resource, digest_of, mark_of,
 )  # fmt: skip
 
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -16,14 +16,14 @@
 from random import Random
 from typing import TYPE_CHECKING, NamedTuple
 
-from pepperusher.distribution import records, wire
+from pepperusher.distribution import version_records, wire
 from pepperusher.distribution.admission import Admission
 from pepperusher.distribution.freshness import Freshness
 from pepperusher.distribution.link import Calls, Link
 from pepperusher.distribution.publisher import NotTaken, Publisher, best, rollout_of
 from pepperusher.distribution.subscriber import Apply, Close, Connect, Say, Send, Subscriber
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     ENDPOINTS,
     LONGEST_ANSWER,
     LONGEST_MESSAGE,
@@ -52,7 +52,7 @@
     one_line,
 )
 from pepperusher.net import clock
-from pepperusher.sealed import BadPacket
+from pepperusher.packet_authentication import BadPacket
 from pepperusher.store.disk import Disk
 
 if TYPE_CHECKING:
@@ -167,7 +167,7 @@
         """The port that it listens at. Raises OSError where the address or the folder can't be had."""
         now = clock.now()
         self._disk.lock()
-        kept, wrong = records.read(self._disk)
+        kept, wrong = version_records.read(self._disk)
         for one in wrong:
             self._say("a resource on disk can't be read", why=one)
         for newest, steady, halted in kept:
@@ -584,7 +584,7 @@
     async def _written(self, newest: Resource, steady: Resource | None, halted: str) -> str:
         async with self._writing:
             try:
-                await asyncio.to_thread(records.write, self._disk, newest, steady, halted)
+                await asyncio.to_thread(version_records.write, self._disk, newest, steady, halted)
             except OSError as error:
                 return error.strerror or str(error)
         return ""
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from pepperusher.distribution import delta
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     KINDS,
     MOST_RESOURCES,
     NEVER,
@@ -44,7 +44,7 @@
     mark_of,
     one_line,
 )
-from pepperusher.sealed import BadPacket
+from pepperusher.packet_authentication import BadPacket
 
 UPSTREAMS = 2
 # Both sides speak so often, and a side that was silent for so long has gone, whatever its socket says.
--- a/pepperusher/distribution/records.py
+++ b/pepperusher/distribution/version_records.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from pepperusher.distribution.words import KINDS, Mark, Resource, digest_of, mark_of
+from pepperusher.distribution.messages import KINDS, Mark, Resource, digest_of, mark_of
 from pepperusher.store.disk import Disk
 
 FORM = "pepperusher control 1"
--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from pepperusher.distribution import words
-from pepperusher.distribution.words import Message
-from pepperusher.sealed import BadPacket, Seal
+from pepperusher.distribution import messages
+from pepperusher.distribution.messages import Message
+from pepperusher.packet_authentication import BadPacket, Seal
 
 MARK = b"pd"
 FORM = 1
@@ -52,7 +52,7 @@
     use from then on. `longest` is how long a message from there may be; raised once it is known who it is.
     """
 
-    def __init__(self, key: bytes, calls: bool, longest: int = words.LONGEST_HELLO) -> None:
+    def __init__(self, key: bytes, calls: bool, longest: int = messages.LONGEST_HELLO) -> None:
         self._key = hashlib.sha256(b"distribution " + key).digest()
         self._chance = os.urandom(CHANCE)
         self._calls = calls
--- a/pepperusher/company.py
+++ b/pepperusher/extensions.py
@@ -5,21 +5,21 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from pepperusher.net.companion import Companion
-from pepperusher.net.house import House, given_of
+from pepperusher.net.extension import Companion
+from pepperusher.net.configuration_manager import House, given_of
 from pepperusher.net.log import Log
-from pepperusher.net.told import Told
-from pepperusher.own.tables import Own
+from pepperusher.net.bootstrap import Told
+from pepperusher.configuration.tables import Own
 
 if TYPE_CHECKING:
-    from pepperusher.net.distributed import Distributed
+    from pepperusher.net.distributed_configuration import Distributed
 
 
 def _kept(own: Own) -> str:
     """What is kept of what is shared with other proxies, where the file names control machines."""
     if not own.distribution.machines:
         return ""
-    from pepperusher.net.distributed import kept
+    from pepperusher.net.distributed_configuration import kept
 
     return kept(own)
 
@@ -30,7 +30,7 @@
     made: list[Companion] = [house]
     desk = node = None
     if told.console is not None:
-        from pepperusher.console.desk import Desk
+        from pepperusher.console.admin_handlers import Desk
 
         desk = Desk(told.console, told.ground, log)
     if house.own.group.listen is not None:
@@ -43,7 +43,7 @@
             desk.held = node.held
     distributed: Distributed | None = None
     if house.own.distribution.machines:
-        from pepperusher.net.distributed import Distributed
+        from pepperusher.net.distributed_configuration import Distributed
 
         distributed = Distributed(house.own.distribution, house, told.name, str(own), log.tell)
         made.append(distributed)
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from pepperusher import terms
-from pepperusher.entry import Entry as Entry
-from pepperusher.holds import must_hold
+from pepperusher.endpoint import Entry as Entry
+from pepperusher.invariants import must_hold
 from pepperusher.policy import OPEN_FOR, Balancer
 from pepperusher.terms import Backend, Ground, Listing, Ticket
 
--- a/pepperusher/group/notices.py
+++ b/pepperusher/group/broadcasts.py
@@ -7,7 +7,7 @@
 import hashlib
 from collections.abc import Iterator
 
-from pepperusher.group.words import Notice
+from pepperusher.group.messages import Notice
 
 # Things at once; one more is not taken, and counted.
 MOST = 500
--- a/pepperusher/group/roll.py
+++ b/pepperusher/group/membership.py
@@ -14,7 +14,7 @@
 from math import log, log10
 from typing import NamedTuple
 
-from pepperusher.group.words import ALIVE, HEALTH, LEFT, LOST, PHASES, SUSPECTED, Charge, Said
+from pepperusher.group.messages import ALIVE, HEALTH, LEFT, LOST, PHASES, SUSPECTED, Charge, Said
 
 # Names on the roll at the most. One more takes the place of who has left longest, and else is not taken.
 MOST = 2_000
--- a/pepperusher/group/parts.py
+++ b/pepperusher/group/shares.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperusher.group.roll import Roll
-from pepperusher.group.words import ALIVE, LEFT, Said
+from pepperusher.group.membership import Roll
+from pepperusher.group.messages import ALIVE, LEFT, Said
 
 MAJORITY, PART, NOBODY = "majority", "part", "nobody"
 # Where no more than one in so many answers, one in so many of the roll is taken to be there.
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -22,14 +22,14 @@
 
 import msgspec
 
-from pepperusher.group import parts
+from pepperusher.group import shares
 from pepperusher.group.health import Health
-from pepperusher.group.notices import Notices
-from pepperusher.group.parts import Reach
-from pepperusher.group.roll import Change, Member, Roll
-from pepperusher.group.rumours import CHARGE, NOTICE, SAID, Rumours
+from pepperusher.group.broadcasts import Notices
+from pepperusher.group.shares import Reach
+from pepperusher.group.membership import Change, Member, Roll
+from pepperusher.group.gossip_queue import CHARGE, NOTICE, SAID, Rumours
 from pepperusher.group.wire import DATAGRAM, HEAD, BadPacket, Wire
-from pepperusher.group.words import (
+from pepperusher.group.messages import (
     ACK,
     ALIVE,
     ASK,
@@ -47,7 +47,7 @@
     Packet,
     Said,
 )
-from pepperusher.holds import must_hold
+from pepperusher.invariants import must_hold
 
 SECOND = 1_000_000
 # Others asked to try one that does not answer.
@@ -171,14 +171,14 @@
         """Lost packets alone do not make it so: most helpers still say that they have no answer either."""
         to = sum(one for one, _ in self._turned)
         answered = sum(one for _, one in self._turned)
-        return len(self._turned) == SAMPLED and parts.HARDLY * answered <= to
+        return len(self._turned) == SAMPLED and shares.HARDLY * answered <= to
 
     def reach(self, now: int) -> Reach:
-        return parts.reach(self.terms.told, self.me, self.roll, self._answered(now), self._hardly())
+        return shares.reach(self.terms.told, self.me, self.roll, self._answered(now), self._hardly())
 
     def size(self) -> int:
         """Of how many this proxy is one, where they share."""
-        return parts.size(self.terms.told, self.me, (one.said for one in self.roll))
+        return shares.size(self.terms.told, self.me, (one.said for one in self.roll))
 
     def say(self, phase: int, now: int) -> None:
         """What this proxy is from here on; where it frees a part or takes it back, all who can be reached are
--- a/pepperusher/group/wire.py
+++ b/pepperusher/group/wire.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pepperusher.group.words import Charge, Notice, Packet, Said
-from pepperusher.sealed import SUM, BadPacket, Seal
+from pepperusher.group.messages import Charge, Notice, Packet, Said
+from pepperusher.packet_authentication import SUM, BadPacket, Seal
 
 MARK = b"pu"
 FORM = 1
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -7,13 +7,13 @@
 from typing import Any, Protocol
 
 from pepperusher import __version__
-from pepperusher.changes.ledger import Change, LedgerError
+from pepperusher.changes.transaction_log import Change, LedgerError
 from pepperusher.control.socket import Control
-from pepperusher.control.words import ROWS
+from pepperusher.control.messages import ROWS
 from pepperusher.net import clock
-from pepperusher.net.companion import Companion, Host
-from pepperusher.net.house import House
-from pepperusher.own.reading import OwnError
+from pepperusher.net.extension import Companion, Host
+from pepperusher.net.configuration_manager import House
+from pepperusher.configuration.loader import OwnError
 
 
 def _change(change: Change) -> dict[str, Any]:
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -10,8 +10,8 @@
 from pepperusher.net.buffers import Pool
 from pepperusher.net.budget import Budget
 from pepperusher.net.exchange import Attempt, Exchange, Placed
-from pepperusher.net.flows import Onward
-from pepperusher.net.line import Line, reach
+from pepperusher.net.body_streaming import Onward
+from pepperusher.net.connection import Line, reach
 from pepperusher.net.message import HEAD, Answer, Request
 
 # No connection to a backend is opened above this part of all descriptors: the rest is for callers, who must
--- a/pepperusher/net/flows.py
+++ b/pepperusher/net/body_streaming.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from pepperusher.net.line import Line
+from pepperusher.net.connection import Line
 from pepperusher.net.message import MOST, Answer, BadMessage, read_data
 
 
--- a/pepperusher/net/told.py
+++ b/pepperusher/net/bootstrap.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from pepperusher.ground import GroundError, ground, part, span
+from pepperusher.settings import GroundError, ground, part, span
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, address_of, endpoint_update_of
 from pepperusher.terms import Ground
 
--- a/pepperusher/net/budget.py
+++ b/pepperusher/net/budget.py
@@ -5,7 +5,7 @@
 from asyncio import Event, timeout
 from collections.abc import Callable
 
-from pepperusher.holds import must_hold
+from pepperusher.invariants import must_hold
 
 # Left free: the listener, discovery, the loop's own, files that the interpreter opens, and connections that
 # are closed but not yet let go by the loop.
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -12,11 +12,11 @@
 from pepperusher.net import clock
 from pepperusher.net.buffers import HELD, Body, Pool
 from pepperusher.net.budget import HALF, SHORT, Budget
-from pepperusher.net.line import Line, adopt
+from pepperusher.net.connection import Line, adopt
 from pepperusher.net.listening import NOBODY, listener, steer
 from pepperusher.net.log import Log
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
-from pepperusher.net.flows import Inflow, Onward
+from pepperusher.net.body_streaming import Inflow, Onward
 from pepperusher.net.message import (
     HEAD,
     MOST,
--- a/pepperusher/net/house.py
+++ b/pepperusher/net/configuration_manager.py
@@ -1,7 +1,7 @@
 """The proxy under its own file: admits tickets by their route, carries changes out, watches them, keeps the
 confirmed.
 
-Loaded only where there is such a file. It decides nothing: `changes.standing` does.
+Loaded only where there is such a file. It decides nothing: `changes.active_configuration` does.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperusher.changes import layered
-from pepperusher.changes.kept import Kept
-from pepperusher.changes.ledger import APPLIED, CONFIRMED, UNDONE, Change, LedgerError
-from pepperusher.changes.standing import FULL, IN, LATE, RATE, WAITS, Pass, Standing
+from pepperusher.changes import shared_section
+from pepperusher.changes.confirmed_file import Kept
+from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, UNDONE, Change, LedgerError
+from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, Pass, Standing
 from pepperusher.facade import Entry
 from pepperusher.net import clock
 from pepperusher.net.callers import Call
-from pepperusher.net.companion import Companion, Host
+from pepperusher.net.extension import Companion, Host
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, Request, plain
-from pepperusher.own import reading
-from pepperusher.own.reading import OwnError, Read
-from pepperusher.own.tables import Own
+from pepperusher.configuration import loader
+from pepperusher.configuration.loader import OwnError, Read
+from pepperusher.configuration.tables import Own
 from pepperusher.terms import Ground
 
 if TYPE_CHECKING:
-    from pepperusher.net.shelf import Shelf
+    from pepperusher.net.request_store import Shelf
 
 LOOK_EVERY = 0.1
 LONGEST_ADVICE = 10_000_000
@@ -44,7 +44,7 @@
 
 def given_of(words: tuple[str, ...]) -> dict[str, Any]:
     """What the command line sets. Raises OwnError."""
-    return reading.from_command_line(words)
+    return loader.from_command_line(words)
 
 
 class House(Companion):
@@ -65,7 +65,7 @@
         self._longest_advice = ground.longest_advice or LONGEST_ADVICE
         self._path = Path(path)
         self._given = dict(given)
-        self._environment = reading.from_environment(os.environ)
+        self._environment = loader.from_environment(os.environ)
         self._ground = ground
         self._say = say
         self._kept: Kept | None = None
@@ -74,7 +74,7 @@
         # One carrying out of a change at a time: its writes are waited for.
         self._turn = asyncio.Lock()
         self._instead = ""
-        self.shared = ""  # behind the file's own text, as `changes.layered` puts it there
+        self.shared = ""  # behind the file's own text, as `changes.shared_section` puts it there
         self._kept_shared = shared
         self._sharing: tuple[Change, str] | None = None  # the last change of it, and what was shared before
         self.standing = Standing(self._begin(), clock.now(), self._list_again, say)
@@ -82,12 +82,12 @@
         self.narrow = self.standing.overlay.lines
         self.shelf: Shelf | None = None
         if self.standing.version.read.own.store.folder is not None:
-            from pepperusher.net.shelf import Shelf
+            from pepperusher.net.request_store import Shelf
 
             self.shelf = Shelf(self.standing.version.read.own.store, say)
         form = self.standing.version.read.own.said.form
         if form != "plain":
-            from pepperusher.net.formed import form_of
+            from pepperusher.net.structured_log import form_of
 
             log.take_form(form_of(form))
 
@@ -112,7 +112,7 @@
             begin = self._kept.begin(read.text)
             if begin.instead:
                 self._instead = begin.instead
-                self.shared = layered.shared_part(begin.text)
+                self.shared = shared_section.shared_part(begin.text)
                 return self._parse(begin.text, "the last confirmed")
             self._kept.confirm(read.text)
         except OSError as error:
@@ -136,21 +136,21 @@
         return made
 
     def _read(self) -> Read:
-        read = reading.read(self._path, self._ground, self._environment, self._given)
+        read = loader.read(self._path, self._ground, self._environment, self._given)
         return self._parse(read.text, str(self._path)) if self.shared else read
 
     def _parse(self, text: str, source: str) -> Read:
         """With what is shared as it stands, whatever a text has of it."""
         text = self._put(text, self.shared, source) if self.shared else text
-        return reading.parse(text, source, self._ground, self._environment, self._given)
+        return loader.parse(text, source, self._ground, self._environment, self._given)
 
     @staticmethod
     def _put(text: str, shared: str, source: str) -> str:
         """Raises OwnError."""
         try:
-            return layered.put(text, shared)
-        except layered.NotShared as error:
-            raise OwnError([reading.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
+            return shared_section.put(text, shared)
+        except shared_section.NotShared as error:
+            raise OwnError([loader.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
 
     def told_anew(self, ground: Ground) -> None:
         """The operators' settings as they are now; the own file is read against them from here on, and proposed
@@ -310,7 +310,7 @@
 
         def parsed() -> Read:
             text = self._put(self.standing.version.read.text, shared, "what is shared")
-            return reading.parse(text, "what is shared", self._ground, self._environment, self._given)
+            return loader.parse(text, "what is shared", self._ground, self._environment, self._given)
 
         read = await asyncio.to_thread(parsed)
         if self.standing.ledger.open is not None:
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import Any
 
-from pepperusher.entry import Entry, Narrow
+from pepperusher.endpoint import Entry, Narrow
 from pepperusher.net import call_schedule, clock
 from pepperusher.net.call_schedule import CallSchedule
 from pepperusher.net.discovery_source import ABREAST, Call, Refused, Silent, Source
 from pepperusher.net.endpoint_metrics import EndpointMetrics
 from pepperusher.net.endpoint_table import Decides, EndpointTable, Reaches
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of, merged, text_of_address
-from pepperusher.net.line import Line, reach
+from pepperusher.net.connection import Line, reach
 from pepperusher.net.list_confirmation import LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation
 from pepperusher.net.log import Log
 from pepperusher.net.watch_stream import WatchStream
--- a/pepperusher/net/discovery_source.py
+++ b/pepperusher/net/discovery_source.py
@@ -6,7 +6,7 @@
 
 from pepperusher.net.call_schedule import CallSchedule
 from pepperusher.net.endpoint_update import text_of_address
-from pepperusher.net.line import Line
+from pepperusher.net.connection import Line
 
 # As many calls stand at once: for a fifth the oldest is given up, after a silence 10 s old, otherwise 16 s.
 ABREAST = 4
--- a/pepperusher/net/distributed.py
+++ b/pepperusher/net/distributed_configuration.py
@@ -13,19 +13,19 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperusher.changes import layered
-from pepperusher.changes.ledger import CONFIRMED, UNDONE, Change, LedgerError
-from pepperusher.distribution import keeping
+from pepperusher.changes import shared_section
+from pepperusher.changes.transaction_log import CONFIRMED, UNDONE, Change, LedgerError
+from pepperusher.distribution import resource_cache
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.reading import read_key
+from pepperusher.distribution.control_file import read_key
 from pepperusher.distribution.subscriber import CONNECTING_MOST, UPSTREAMS
-from pepperusher.distribution.words import CONFIG, Key, Resource
+from pepperusher.distribution.messages import CONFIG, Key, Resource
 from pepperusher.net import clock
-from pepperusher.net.companion import Companion, Host
-from pepperusher.net.house import House
-from pepperusher.own.reading import Fault, OwnError
-from pepperusher.own.rules import address_of
-from pepperusher.own.tables import Distribution, Own
+from pepperusher.net.extension import Companion, Host
+from pepperusher.net.configuration_manager import House
+from pepperusher.configuration.loader import Fault, OwnError
+from pepperusher.configuration.validation import address_of
+from pepperusher.configuration.tables import Distribution, Own
 from pepperusher.terms import Ground
 
 if TYPE_CHECKING:
@@ -47,9 +47,9 @@
     try:
         text = one.body.decode()
     except UnicodeDecodeError:
-        raise layered.NotShared("is not text in UTF-8") from None
-    layered.tables(text)
-    return layered.block(_title(one), text)
+        raise shared_section.NotShared("is not text in UTF-8") from None
+    shared_section.tables(text)
+    return shared_section.block(_title(one), text)
 
 
 def kept(own: Own) -> str:
@@ -58,9 +58,9 @@
     if not said.machines or said.keep is None or said.config is None:
         return ""
     try:
-        for one in keeping.read(Path(said.keep), {(CONFIG, said.config)})[0]:
+        for one in resource_cache.read(Path(said.keep), {(CONFIG, said.config)})[0]:
             return _shared(one)
-    except layered.NotShared:
+    except shared_section.NotShared:
         pass
     return ""
 
@@ -128,7 +128,7 @@
         key = self._key
         try:
             shared = _shared(one)
-        except layered.NotShared as error:
+        except shared_section.NotShared as error:
             return str(error)
         house = self._house
         if house.shared == shared:
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -13,9 +13,9 @@
 
 from pepperusher.distribution.endpoint_source import CONTROL, DISCOVERY, NAMES, START_AFTER, EndpointSource
 from pepperusher.distribution.freshness import Freshness
-from pepperusher.distribution.words import ENDPOINTS, Key, Resource, Word
+from pepperusher.distribution.messages import ENDPOINTS, Key, Resource, Word
 from pepperusher.net import clock
-from pepperusher.net.companion import Host
+from pepperusher.net.extension import Host
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of
 
 # Its timer came later than that: the process stood still, and what waits in its sockets is read before a word counts
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, Protocol
 
-from pepperusher.entry import Entry, Narrow
+from pepperusher.endpoint import Entry, Narrow
 from pepperusher.net import clock
 from pepperusher.net.endpoint_update import GONE, EndpointUpdate, text_of_address
 from pepperusher.net.log import Log
--- a/pepperusher/net/endpoint_update.py
+++ b/pepperusher/net/endpoint_update.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-from pepperusher.entry import Entry
+from pepperusher.endpoint import Entry
 
 # The address of an endpoint that is gone.
 GONE = ("", 0)
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -9,8 +9,8 @@
 import h11
 
 from pepperusher.net.buffers import HELD, Body, Pool
-from pepperusher.net.flows import Onward
-from pepperusher.net.line import Line
+from pepperusher.net.body_streaming import Onward
+from pepperusher.net.connection import Line
 from pepperusher.net.message import (
     INTERIM,
     Answer,
--- a/pepperusher/net/companion.py
+++ b/pepperusher/net/extension.py
@@ -9,14 +9,14 @@
 
 from typing import TYPE_CHECKING, Any, Protocol
 
-from pepperusher.entry import Entry
-from pepperusher.entry import Narrow as Narrow
+from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Narrow as Narrow
 from pepperusher.facade import Facade
 
 if TYPE_CHECKING:
     from pepperusher.net.discovery import Discovery
     from pepperusher.net.message import Answer, Request
-    from pepperusher.net.passed_on import PassedOn
+    from pepperusher.net.handover_state import PassedOn
     from pepperusher.terms import Ground
 
 
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -9,7 +9,7 @@
 import h11
 
 from pepperusher.net.buffers import Body
-from pepperusher.net.line import Line
+from pepperusher.net.connection import Line
 
 # A body at the most, whether it is held or flows.
 MOST = 32 * 1024 * 1024
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -1,7 +1,7 @@
 """The proxy's place in its group: a socket for datagrams, one for streams, and what is made of what the group
 knows.
 
-Loaded only where the own file has a group. Decides nothing: `group.swim` says who is there, `group.parts`
+Loaded only where the own file has a group. Decides nothing: `group.swim` says who is there, `group.shares`
 what follows. No ticket waits for any of it.
 """
 
@@ -16,11 +16,11 @@
 from random import Random
 from typing import Any
 
-from pepperusher.console.orders import NEVER, Order, Orders
-from pepperusher.group import lending
+from pepperusher.console.admin_commands import NEVER, Order, Orders
+from pepperusher.group import endpoint_borrowing
 from pepperusher.group.swim import Swim, Terms
 from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
-from pepperusher.group.words import (
+from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
     LEFT,
@@ -33,9 +33,9 @@
     Said,
 )
 from pepperusher.net import clock
-from pepperusher.net.companion import Companion, Host
-from pepperusher.own import rules
-from pepperusher.own.tables import Group
+from pepperusher.net.extension import Companion, Host
+from pepperusher.configuration import validation
+from pepperusher.configuration.tables import Group
 from pepperusher.terms import Ground
 
 # Datagrams read in one turn of the loop: a flood of them has its turn among tickets, and no more.
@@ -89,7 +89,7 @@
     ) -> None:
         assert said.listen is not None
         self._said, self._ground, self._name, self._say = said, ground, name, say
-        self._listen = rules.address_of(said.listen)
+        self._listen = validation.address_of(said.listen)
         self._wire = Wire(said.key)
         self._host: Host
         self.swim: Swim | None = None  # None until this process has the proxy's address in the group
@@ -145,7 +145,9 @@
             return False
         self._socket = made
         now = clock.now()
-        address = (self._listen[0], port) if self._said.advertise is None else rules.address_of(self._said.advertise)
+        address = (
+            (self._listen[0], port) if self._said.advertise is None else validation.address_of(self._said.advertise)
+        )
         me = Said(
             self._name,
             *address,
@@ -157,7 +159,7 @@
             self._ground.stage,
             self._ground.ordinal,
         )
-        seeds = tuple(map(rules.address_of, self._said.seeds))
+        seeds = tuple(map(validation.address_of, self._said.seeds))
         terms = Terms(self._said.period, self._said.within, seeds, self._ground.group_size, KEPT)
         self._chance = Random(me.token)
         self.swim = Swim(me, terms, self._wire, self._chance, now)
@@ -367,7 +369,7 @@
                 asked = self._chance.sample(there, min(LENDERS, len(there)))
                 made = await asyncio.gather(*map(self._list_of, asked))
                 try:
-                    joined = lending.joined([one for one in made if one is not None])
+                    joined = endpoint_borrowing.joined([one for one in made if one is not None])
                     if joined is not None and self._host.wants_list:
                         age, listed = joined
                         self._host.borrow(listed, clock.now() - age)
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -10,24 +10,24 @@
 from itertools import count
 from typing import Any
 
-from pepperusher import holds
+from pepperusher import invariants
 from pepperusher.facade import BOUNCE, HOLD, REFERENCED, REPLAYABLE, SCRAP, SEND, Entry, Facade, Step
-from pepperusher.ground import load
-from pepperusher.net import clock, reports
+from pepperusher.settings import load
+from pepperusher.net import clock, load_reports
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
 from pepperusher.net.callers import SHY, Call, Callers
-from pepperusher.net.companion import Companion
+from pepperusher.net.extension import Companion
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.endpoint_update import address_of, endpoint_update_of, text_of_address
 from pepperusher.net.exchange import PASSED_ON, Attempt, Placed
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, Request, end_to_end, plain
-from pepperusher.net.passed_on import PassedOn
+from pepperusher.net.handover_state import PassedOn
 from pepperusher.net.request_headers import BadRequest, duration_of, read_headers, timeout_of
 from pepperusher.net.process_pause import ProcessPause
-from pepperusher.net.told import Told, ToldError
+from pepperusher.net.bootstrap import Told, ToldError
 from pepperusher.terms import Ground
 
 READY = plain(200, "ready")
@@ -81,7 +81,7 @@
         self._log = Log(told.name)
         self._company = company(told, self._log) if company is not None else ()
         gates = [one.gate for one in self._company if one.gate is not None]
-        holds.must_hold(len(gates) <= 1, "a ticket goes through one gate")
+        invariants.must_hold(len(gates) <= 1, "a ticket goes through one gate")
         self._gate = gates[0] if gates else None
         self._pool = Pool(256, told.memory // HELD_PART)
         self._budget = Budget(_descriptors(told.sockets), sum(one.descriptors for one in self._company))
@@ -135,7 +135,7 @@
                 answer = await self._ticket(call, told)
             finally:
                 self._names.discard(name)
-            holds.must_hold(
+            invariants.must_hold(
                 answer is not None or call.left or call.begun, "a ticket ends with an answer unless its client left"
             )
             return answer or (LEFT if call.left and not call.begun else BROKEN)
@@ -214,10 +214,10 @@
 
         def heard(head: Answer) -> Answer:
             """What it tells of its backend's load goes to the decisions, and no further."""
-            if not any(name == reports.HEADER for name, _ in head.headers):
+            if not any(name == load_reports.HEADER for name, _ in head.headers):
                 return head
-            self._facade.reported(step.backend, load(reports.pairs_of(head.headers)), clock.now())
-            return head._replace(headers=reports.without(head.headers))
+            self._facade.reported(step.backend, load(load_reports.pairs_of(head.headers)), clock.now())
+            return head._replace(headers=load_reports.without(head.headers))
 
         def dress(head: Answer) -> Answer:
             """The head of an answer that is passed on as it comes: from here on it is this ticket's."""
@@ -592,7 +592,7 @@
             + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
         )
         self._log.say(self._discovery.metrics.line())
-        for what, times in holds.broken.items():
+        for what, times in invariants.broken.items():
             self._log.say(f"did not hold {times} times: {what}")
 
 
--- a/pepperusher/net/shelf.py
+++ b/pepperusher/net/request_store.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 
 from pepperusher.net import clock
-from pepperusher.own.tables import Store
+from pepperusher.configuration.tables import Store
 from pepperusher.store.disk import Disk, Taken
-from pepperusher.store.keeper import KEPT, Keeper
+from pepperusher.store.store_writer import KEPT, Keeper
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import RefusedError
 from pepperusher.store.tables import NEVER_RAN, SENT, Past, Tables
--- a/pepperusher/net/stopped_endpoints.py
+++ b/pepperusher/net/stopped_endpoints.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from pepperusher.entry import Entry
+from pepperusher.endpoint import Entry
 from pepperusher.net.endpoint_update import EndpointUpdate
 
 # So long after it was told, in microseconds, a stop is kept against an older list: by then a watch that tells
--- a/pepperusher/net/watch_stream.py
+++ b/pepperusher/net/watch_stream.py
@@ -10,7 +10,7 @@
 
 from pepperusher.net.discovery_source import Refused, Silent
 from pepperusher.net.endpoint_update import BadList, complete_objects
-from pepperusher.net.line import Line
+from pepperusher.net.connection import Line
 from pepperusher.net.message import HEAD, Request, framed_request
 
 # A line that has begun is whole as soon as that, and a second later for each so many bytes that came: discovery may
--- a/pepperusher/rehearsal/agreemodel.py
+++ b/pepperusher/rehearsal/agreemodel.py
@@ -1,6 +1,6 @@
 """Histories of a few voters, the first states all and longer ones by chance: what may never be, never is.
 
-The voters are the program's own (`duties/agree.py`). A network that keeps all that was ever sent, and may
+The voters are the program's own (`consensus/raft.py`). A network that keeps all that was ever sent, and may
 deliver any of it at any time, again or never, is loss, repeats, lateness and every order in one. A crash
 comes before what a step wrote is on disk, and takes what it would have said with it; a restart knows its disk
 alone. Time is left out here: anybody may ask for votes or speak at any moment; leases, which hang on time,
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.duties.agree import LEADS, Agree, Bounds, Progress
-from pepperusher.duties.words import Base, Entry, Kept, Message
+from pepperusher.consensus.raft import LEADS, Agree, Bounds, Progress
+from pepperusher.consensus.messages import Base, Entry, Kept, Message
 
 NAMES = ("a", "b", "c")
 
--- a/pepperusher/rehearsal/arrivals.py
+++ b/pepperusher/rehearsal/arrivals.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from pepperusher.rehearsal.script import Phase, Script, Surge, Use
-from pepperusher.spans import Span
+from pepperusher.durations import Span
 
 
 class Arrival(NamedTuple):
--- a/pepperusher/rehearsal/askers.py
+++ b/pepperusher/rehearsal/askers.py
@@ -22,7 +22,7 @@
 from typing import Any, AsyncIterator, NamedTuple, TypeVar
 
 from pepperusher.facade import Entry, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 from pepperusher.net import clock
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -14,7 +14,7 @@
 from pepperusher.rehearsal.director import PlayError, rehearse as play
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import ScriptError
-from pepperusher.spans import span as span_of
+from pepperusher.durations import span as span_of
 
 RULE_BROKEN = 1
 FILE = click.argument("file", type=click.Path(path_type=Path))
--- a/pepperusher/rehearsal/groupfigures.py
+++ b/pepperusher/rehearsal/groupfigures.py
@@ -8,7 +8,7 @@
 from time import process_time
 from typing import NamedTuple
 
-from pepperusher.group.words import LOST, Notice
+from pepperusher.group.messages import LOST, Notice
 from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
 
 # A member's figures are taken over so long.
--- a/pepperusher/rehearsal/groupmodel.py
+++ b/pepperusher/rehearsal/groupmodel.py
@@ -13,10 +13,10 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.group.roll import Change
+from pepperusher.group.membership import Change
 from pepperusher.group.swim import Swim, Terms
 from pepperusher.group.wire import Wire
-from pepperusher.group.words import SERVING, Said
+from pepperusher.group.messages import SERVING, Said
 
 SECOND = 1_000_000
 
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -20,22 +20,22 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperusher.changes.ledger import LedgerError
-from pepperusher.changes.standing import Standing
+from pepperusher.changes.transaction_log import LedgerError
+from pepperusher.changes.active_configuration import Standing
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.words import CONFIG, Resource
+from pepperusher.distribution.messages import CONFIG, Resource
 from pepperusher.facade import Entry, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 from pepperusher.net import clock
 from pepperusher.net.backends import Backends
-from pepperusher.net.companion import Companion, Host, Narrow
+from pepperusher.net.extension import Companion, Host, Narrow
 from pepperusher.net.discovery import Discovery, Source
 from pepperusher.net.endpoint_update import GONE, EndpointUpdate, endpoint_update_of
 from pepperusher.net.log import Log
 from pepperusher.net.proxy import STILL_COMING, SWEEP_EVERY, Proxy
-from pepperusher.net.told import Told
-from pepperusher.own import reading
-from pepperusher.own.reading import OwnError, Read
+from pepperusher.net.bootstrap import Told
+from pepperusher.configuration import loader
+from pepperusher.configuration.loader import OwnError, Read
 from pepperusher.rehearsal.worker import Orders
 from pepperusher.terms import Ground
 
@@ -80,7 +80,7 @@
 
     def read(self, text: str) -> Read:
         """Raises OwnError."""
-        return reading.parse(text, "what is told", self._ground)
+        return loader.parse(text, "what is told", self._ground)
 
     def _list_again(self, lines: list[Entry]) -> None:
         if self._host is not None:
--- a/pepperusher/rehearsal/hollow_control.py
+++ b/pepperusher/rehearsal/hollow_control.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.distribution import operate, records
+from pepperusher.distribution import operator_client, version_records
 from pepperusher.distribution.publisher import Rollout
 from pepperusher.rehearsal.hollow import number_of
 from pepperusher.rehearsal.hollow_plan import region_of
@@ -116,7 +116,7 @@
     async def publish(self, kind: str, name: str, body: bytes) -> int:
         """The version as one number. Raises operate.NoAnswer where it is not taken."""
         writer = ORIGIN if kind == "config" else int(name.partition("/")[0].removeprefix("r"))
-        version = await operate.publish(self.addresses[writer], KEY.encode(), kind, name, body)
+        version = await operator_client.publish(self.addresses[writer], KEY.encode(), kind, name, body)
         made = self.versions[f"{kind}/{name}"] = number_of(*version)
         self.bodies[f"{kind}/{name}"] = body
         return made
@@ -128,13 +128,13 @@
                 try:
                     await self.publish("config", "probe", b"")
                     return
-                except operate.NoAnswer as error:
+                except operator_client.NoAnswer as error:
                     if "begins to write" not in str(error):
                         raise
                 await asyncio.sleep(AGAIN_EVERY)
 
     async def rollout(self, kind: str, name: str) -> Rollout:
-        return await operate.rollout(self.addresses[ORIGIN], KEY.encode(), kind, name)
+        return await operator_client.rollout(self.addresses[ORIGIN], KEY.encode(), kind, name)
 
     async def settled(self, within: float) -> None:
         """Until all hold all that was written, and nothing is on its way. Raises TimeoutError."""
@@ -156,7 +156,7 @@
 
     def _kept(self, number: int, what: str) -> int:
         """The version that this one's disk has, -1 for none; files are replaced whole, so its process may run."""
-        made, _ = records.read(Disk(self.folder(number)))
+        made, _ = version_records.read(Disk(self.folder(number)))
         versions = [one.version for one, _, _ in made if f"{one.kind}/{one.name}" == what]
         return number_of(*versions[0]) if versions else -1
 
@@ -172,8 +172,8 @@
 
         async def one(address: tuple[str, int]) -> dict[str, Any]:
             try:
-                return dict(await operate.figures(address, KEY.encode()))
-            except operate.NoAnswer:
+                return dict(await operator_client.figures(address, KEY.encode()))
+            except operator_client.NoAnswer:
                 return {}
 
         return list(await asyncio.gather(*map(one, self.addresses)))
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any, Protocol
 
-from pepperusher.group.words import ALIVE, HEALTH, LEFT, LOST, SUSPECTED
+from pepperusher.group.messages import ALIVE, HEALTH, LEFT, LOST, SUSPECTED
 from pepperusher.net import clock
 from pepperusher.net.node import BAN, Node
-from pepperusher.own.tables import Group
-from pepperusher.spans import Span
+from pepperusher.configuration.tables import Group
+from pepperusher.durations import Span
 from pepperusher.terms import Ground
 
 Say = Callable[..., None]
--- a/pepperusher/rehearsal/hollow_group_books.py
+++ b/pepperusher/rehearsal/hollow_group_books.py
@@ -10,7 +10,7 @@
 
 # As docs/group.md has them for a small group: periods until silence is found by all, and until news of a
 # member's own are with all. The first grows with the logarithm of the size, as suspicion does
-# (group/roll.py).
+# (group/membership.py).
 LOST_PERIODS, NEWS_PERIODS = 15, 6
 # Sent by one member in a period when nothing happens.
 QUIET_MOST = 3.0
--- a/pepperusher/rehearsal/hollow_group_scenes.py
+++ b/pepperusher/rehearsal/hollow_group_scenes.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.group.roll import MOST
+from pepperusher.group.membership import MOST
 from pepperusher.group.wire import DATAGRAM
 from pepperusher.net.proxy import STILL_COMING
 from pepperusher.rehearsal import hollow_group_books
@@ -22,7 +22,7 @@
 from pepperusher.rehearsal.nets import own_net
 from pepperusher.rehearsal.wire import clock
 
-# The roll takes so many names beside a member's own (group/roll.py).
+# The roll takes so many names beside a member's own (group/membership.py).
 LARGEST = MOST + 1
 # A small stand has fewer zones: up to so many members, so many.
 ZONES_AT = ((60, 3), (300, 5))
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -9,7 +9,7 @@
 from pepperusher.rehearsal import plots, spoken
 from pepperusher.rehearsal.experiments import Compared
 from pepperusher.rehearsal.results import Result
-from pepperusher.spans import said
+from pepperusher.durations import said
 from pepperusher.rehearsal.tally import Group
 
 STYLE = """body{font:14px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from pepperusher import typed
-from pepperusher.spans import Span
+from pepperusher import table_conversion
+from pepperusher.durations import Span
 
 Share = float
 MOST_BACKENDS = 2000
@@ -355,16 +355,16 @@
 
 def encoded(value: Any) -> bytes:
     """A table as JSON that `decoded` reads; the same value gives the same bytes."""
-    return msgspec.json.encode(value, enc_hook=typed.hook, order="deterministic")
+    return msgspec.json.encode(value, enc_hook=table_conversion.hook, order="deterministic")
 
 
 def decoded(data: bytes, kind: type = Script) -> Any:
-    return msgspec.json.decode(data, type=kind, dec_hook=typed.unhook)
+    return msgspec.json.decode(data, type=kind, dec_hook=table_conversion.unhook)
 
 
 def converted(raw: Any, kind: type) -> Any:
     """A table from what a TOML file holds. Raises ScriptError naming the first key that is wrong."""
-    made, wrong = typed.converted(typed.renamed(raw, kind), kind)
+    made, wrong = table_conversion.converted(table_conversion.renamed(raw, kind), kind)
     if wrong:
         raise ScriptError(f"{wrong[0].key or 'the file'}: {wrong[0].what}")
     return made
@@ -550,7 +550,7 @@
 
 def _known(name: str | None, names: list[str], key: str) -> None:
     if name is not None and name not in names:
-        raise ScriptError(f"{key}: there is no {name}{typed.nearest(name, names)}")
+        raise ScriptError(f"{key}: there is no {name}{table_conversion.nearest(name, names)}")
 
 
 def _check_group_fault(script: Script, fault: Fault, key: str) -> None:
--- a/pepperusher/rehearsal/spoken.py
+++ b/pepperusher/rehearsal/spoken.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from pepperusher.rehearsal.results import Result
-from pepperusher.spans import said
+from pepperusher.durations import said
 from pepperusher.rehearsal.tally import Figures, Times
 
 ENTRIES = 20
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -17,7 +17,7 @@
 from pepperusher.rehearsal.books import Records
 from pepperusher.rehearsal.records import DONE, Sample, Try
 from pepperusher.rehearsal.script import Script
-from pepperusher.spans import Span
+from pepperusher.durations import Span
 from pepperusher.rehearsal.stalls import Spans
 
 LOWEST, HIGHEST, FIGURES = 1, 3_600_000_000, 3
--- a/pepperusher/rehearsal/troubles.py
+++ b/pepperusher/rehearsal/troubles.py
@@ -13,7 +13,7 @@
 
 from pepperusher.rehearsal.fleetplan import FleetPlan, Gate, Place
 from pepperusher.rehearsal.script import OF_BACKENDS, OF_LINKS, OF_PROXIES, Chance, Fault, Script
-from pepperusher.spans import Span
+from pepperusher.durations import Span
 
 # A restart: so long after the drain the process goes, and so long after that the next one is up, unless the
 # script says so itself.
--- a/pepperusher/routes/terms.py
+++ b/pepperusher/routes/terms.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from pepperusher.own.reading import Read
-from pepperusher.own.tables import Mark, Route
+from pepperusher.configuration.loader import Read
+from pepperusher.configuration.tables import Mark, Route
 from pepperusher.routes import match
 from pepperusher.routes.match import Routes
 
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -4,7 +4,7 @@
 
 import json
 
-from pepperusher import ground as settings
+from pepperusher import settings
 from pepperusher import terms
 from pepperusher.terms import Ground
 
--- a/pepperusher/typed.py
+++ b/pepperusher/table_conversion.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from pepperusher.spans import Span, span, written
+from pepperusher.durations import Span, span, written
 
 NEAR = 0.5
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -17,8 +17,8 @@
 from unittest import mock
 
 from pepperusher import terms
-from pepperusher.console.desk import Desk, alone
-from pepperusher.net import told
+from pepperusher.console.admin_handlers import Desk, alone
+from pepperusher.net import bootstrap
 from pepperusher.net.proxy import Proxy
 from pepperusher.policy import Balancer
 from pepperusher.terms import Backend, Customer, Ground, Listing, Ticket, UseCase
@@ -327,7 +327,7 @@
             read.console = ("127.0.0.1", 0)
         made = alone
         if own is not None:
-            from pepperusher.company import company
+            from pepperusher.extensions import company
 
             folder = tempfile.TemporaryDirectory()
             self.addCleanup(folder.cleanup)
@@ -341,11 +341,13 @@
         self.serving = asyncio.create_task(self.proxy.serve())
         await self.until(lambda: self.proxy.port and (self.watches or not names))
 
-    def read_again(self, before: told.Told | None = None) -> told.Told:
+    def read_again(self, before: bootstrap.Told | None = None) -> bootstrap.Told:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(self.given)
             file.flush()
-            return told.read(file.name, discovery=None if "discovery" in self.given else "127.0.0.1:1", before=before)
+            return bootstrap.read(
+                file.name, discovery=None if "discovery" in self.given else "127.0.0.1:1", before=before
+            )
 
     @property
     def desk(self) -> Desk:
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
-from pepperusher.duties.agree import ASKS, FOLLOWS, LEADS, Agree, Bounds
-from pepperusher.duties.words import Append, Appended, Ask, Base, Entry, Kept, Message, Out, Voted
+from pepperusher.consensus.raft import ASKS, FOLLOWS, LEADS, Agree, Bounds
+from pepperusher.consensus.messages import Append, Appended, Ask, Base, Entry, Kept, Message, Out, Voted
 from pepperusher.rehearsal import agreemodel
 from pepperusher.rehearsal.agreemodel import Limits, explore, wander
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -28,7 +28,7 @@
 from pepperusher.capacity.slope_commands import read
 from pepperusher.capacity.target import Target
 from pepperusher.distribution import admission, publisher
-from pepperusher.distribution.reading import ControlFile
+from pepperusher.distribution.control_file import ControlFile
 
 LIMIT = 60  # seconds of a process that a test starts
 
@@ -660,7 +660,7 @@
             self.assertEqual(run.exit_code, 0, run.output)
 
     def test_serve_loads_nothing_of_it(self) -> None:
-        load = "import sys, pepperusher.__main__, pepperusher.company"
+        load = "import sys, pepperusher.__main__, pepperusher.extensions"
         script = f"{load}; print('pepperusher.capacity' in sys.modules)"
         said = subprocess.run([sys.executable, "-c", script], capture_output=True, text=True, check=True, timeout=LIMIT)
         self.assertEqual(said.stdout.strip(), "False")
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -7,14 +7,14 @@
 import unittest
 from pathlib import Path
 
-from pepperusher.changes.kept import Kept as OnDisk
-from pepperusher.changes.ledger import CONFIRMED, FOLLOWS, UNDONE, Ledger, LedgerError
+from pepperusher.changes.confirmed_file import Kept as OnDisk
+from pepperusher.changes.transaction_log import CONFIRMED, FOLLOWS, UNDONE, Ledger, LedgerError
 from pepperusher.changes.overlay import Overlay
-from pepperusher.changes.standing import FULL, IN, LATE, RATE, WAITS, Standing
-from pepperusher.changes.toll import Counts, Toll
+from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, Standing
+from pepperusher.changes.error_watch import Counts, Toll
 from pepperusher.facade import Entry
-from pepperusher.own import reading
-from pepperusher.own.reading import Read
+from pepperusher.configuration import loader
+from pepperusher.configuration.loader import Read
 
 from tests.scene import SECOND, Kept
 
@@ -23,7 +23,7 @@
 
 
 def of(text: str) -> Read:
-    return reading.parse(text)
+    return loader.parse(text)
 
 
 def entry(id: str, ready: bool = True, weight: float = 1.0) -> Entry:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -6,8 +6,8 @@
 import subprocess
 import sys
 
-from pepperusher.console.door import PLACES
-from pepperusher.console.orders import NEVER, Order, Orders
+from pepperusher.console.admin_listener import PLACES
+from pepperusher.console.admin_commands import NEVER, Order, Orders
 from pepperusher.facade import Entry
 
 from tests.scene import SECOND, Kept, Street
@@ -52,7 +52,7 @@
                 sys.executable,
                 "-c",
                 "import sys, pepperusher.__main__ as m;"
-                "print([n for n in sys.modules if n.startswith('pepperusher.console') or 'own' in n.split('.')])",
+                "print([n for n in sys.modules if n.startswith('pepperusher.console') or 'configuration' in n.split('.')])",
             ],
             capture_output=True,
             text=True,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,10 +18,10 @@
 from unittest import mock
 
 from pepperusher.net.callers import Callers
-from pepperusher.net.companion import Companion
+from pepperusher.net.extension import Companion
 from pepperusher.net.exchange import Exchange
-from pepperusher.net.flows import Onward
-from pepperusher.net.line import Line, reach
+from pepperusher.net.body_streaming import Onward
+from pepperusher.net.connection import Line, reach
 from pepperusher.net.message import Answer, Request, read_head
 
 from tests.scene import SETTINGS, Street, configuration
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -24,11 +24,11 @@
     Apply, Close, Connect, Say, Send, Subscriber, QUIET_FOR, SILENT_AFTER, WANT_AGAIN, order_of, rank,
 )  # fmt: skip
 from pepperusher.distribution.wire import OPENING, Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     CONFIG, ENDPOINTS, NEVER, PROXY, RELAY, Ack, Beat, Bodies, Delta, Have, Hello, Key, Mark, Message, Offer, Publish,
     Resource, Snapshot, Version, Want, digest_of, mark_of, resource,
 )  # fmt: skip
-from pepperusher.sealed import BadPacket
+from pepperusher.packet_authentication import BadPacket
 
 KEY: Key = (CONFIG, "shop")
 S = 1_000_000
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -23,12 +23,12 @@
 from typing import Any
 from unittest import mock
 
-from pepperusher.distribution import admission, keeping, operate, publish, rollout, wire
+from pepperusher.distribution import admission, resource_cache, operator_client, publish, rollout, wire
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.operate import NoAnswer
+from pepperusher.distribution.operator_client import NoAnswer
 from pepperusher.distribution.server import HELLO_WITHIN, SILENT_AFTER, Server, Terms
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.words import (
+from pepperusher.distribution.messages import (
     CONFIG,
     ENDPOINTS,
     MOST_NAMES,
@@ -41,8 +41,8 @@
     resource,
 )
 from pepperusher.net import clock
-from pepperusher.net.distributed import Distributed
-from pepperusher.net.house import House
+from pepperusher.net.distributed_configuration import Distributed
+from pepperusher.net.configuration_manager import House
 from pepperusher.store.disk import Disk
 
 from tests.scene import Street
@@ -218,7 +218,8 @@
         self.assertTrue(self.has(third)())
         # What is in force is written by a thread of its own; killed before that, a proxy has the one before.
         await until(
-            lambda: [one.version for one in keeping.read(self.folder / "p0.kept", {KEY})[0]] == [third], what="on disk"
+            lambda: [one.version for one in resource_cache.read(self.folder / "p0.kept", {KEY})[0]] == [third],
+            what="on disk",
         )
         self.clients["p0"].kill()
         await self.clients["p1"].stop()
@@ -466,7 +467,7 @@
         lines = self.machines[0].lines()
         self.assertLess(len(lines), 100)
         self.assertTrue(any("another key" in str(line.get("why")) for line in lines))
-        counts = await operate.figures((HOST, port), SECRET)
+        counts = await operator_client.figures((HOST, port), SECRET)
         self.assertGreater(counts["ended"], 200)  # type: ignore[operator]
         self.assertEqual(1, counts["floods"])
 
@@ -764,7 +765,7 @@
         """Nor does a proxy with an own file that names no control machines."""
         for code in (
             "import pepperusher.__main__; from pepperusher.net import proxy",
-            "import pepperusher.company; from pepperusher.net import house, node, answers",
+            "import pepperusher.extensions; from pepperusher.net import configuration_manager, node, answers",
         ):
             said = subprocess.run(
                 [sys.executable, "-c", f"import sys; {code}; print([n for n in sys.modules if 'distribut' in n])"],
--- a/tests/test_endpoint_source.py
+++ b/tests/test_endpoint_source.py
@@ -14,7 +14,7 @@
     BEGINNING, CONTROL, DISCOVERY, LEAVE_AFTER, LEAVE_SPREAD, START_AFTER, START_SPREAD, STAY, EndpointSource,
 )  # fmt: skip
 from pepperusher.distribution.freshness import KEPT, Freshness
-from pepperusher.distribution.words import Beat, Version, Word
+from pepperusher.distribution.messages import Beat, Version, Word
 
 SECOND = 1_000_000
 TERM = 6 * SECOND
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -13,12 +13,12 @@
 
 import msgspec
 
-from pepperusher.group import lending, parts
-from pepperusher.group.notices import Notices
-from pepperusher.group.roll import Roll
+from pepperusher.group import endpoint_borrowing, shares
+from pepperusher.group.broadcasts import Notices
+from pepperusher.group.membership import Roll
 from pepperusher.group.swim import Swim, Terms
 from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
-from pepperusher.group.words import ALIVE, LEAVING, LEFT, LOST, SENT_AWAY, SERVING, TELL, Charge, Notice, Said
+from pepperusher.group.messages import ALIVE, LEAVING, LEFT, LOST, SENT_AWAY, SERVING, TELL, Charge, Notice, Said
 from pepperusher.rehearsal import hollow_group_books
 from pepperusher.rehearsal.groupfigures import introduced
 from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
@@ -111,7 +111,7 @@
             }
 
         def names(*lists: object) -> object:
-            found = lending.joined(lists)  # type: ignore[arg-type]
+            found = endpoint_borrowing.joined(lists)  # type: ignore[arg-type]
             return found and (found[0], [one["id"] for one in found[1]["servers"]])
 
         fresh, old = (
@@ -119,7 +119,7 @@
             listed(9, a="ready", b="ready", c="ready", d="ready"),
         )
         self.assertEqual((9, ["a", "d"]), names(fresh, old))
-        self.assertEqual((5, ["a", "d"]), names(fresh, listed(lending.LONGEST_AGE + 1, a="ready")))
+        self.assertEqual((5, ["a", "d"]), names(fresh, listed(endpoint_borrowing.LONGEST_AGE + 1, a="ready")))
         self.assertIsNone(names(fresh, listed(7, c="ready")))
         self.assertIsNone(names())
         self.assertIsNone(
@@ -264,7 +264,7 @@
         model.run(20 * SECOND)
         swims = [one.swim for one in model.ones.values()]
         self.assertEqual(
-            {(0, 4, parts.NOBODY)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims}
+            {(0, 4, shares.NOBODY)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims}
         )
         model.add("m4", seeds=4, told=4, place=0)
         self.assertTrue(model.run(30 * SECOND, lambda: all(len(one.swim.roll) == 4 for one in model.ones.values())))
@@ -298,7 +298,7 @@
             "thirds": lambda a, b: a % 3 != b % 3,
             "one alone": lambda a, b: 0 in (a, b),
         }
-        words = {"halves": {parts.PART}, "thirds": {parts.PART}, "one alone": {parts.NOBODY, parts.MAJORITY}}
+        words = {"halves": {shares.PART}, "thirds": {shares.PART}, "one alone": {shares.NOBODY, shares.MAJORITY}}
         for what, cut in cuts.items():
             with self.subTest(what):
                 model = self.group(8)
@@ -323,7 +323,7 @@
                     )
                 )
                 model.run(5 * SECOND)
-                self.assertEqual({parts.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()})
+                self.assertEqual({shares.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()})
 
     def test_a_chain_and_one_way_links_lose_nobody(self) -> None:
         """Each hears its neighbours alone; or one is heard by all and hears through others. Someone is
@@ -371,7 +371,7 @@
                 on = model.now
                 self.assertLessEqual({name for _, name in self.lost(model, since)}, {"m2"})
                 if span > 2:
-                    self.assertEqual(parts.NOBODY, model.ones["m2"].swim.reach(model.now).word)
+                    self.assertEqual(shares.NOBODY, model.ones["m2"].swim.reach(model.now).word)
                 self.found(model, "m2", ALIVE, within=20)
                 model.run(20 * SECOND)
                 wrong = [
@@ -500,7 +500,7 @@
         introduced(model)
         model.run(periods * self.PERIOD)
         self.assertEqual(
-            {parts.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()}, f"seed {seed}"
+            {shares.MAJORITY}, {one.swim.reach(model.now).word for one in model.ones.values()}, f"seed {seed}"
         )
         return model
 
@@ -524,7 +524,7 @@
 
             def all_know() -> bool:
                 for name in inside.keys() - knew.keys():
-                    if model.ones[name].swim.reach(model.now).word != parts.MAJORITY:
+                    if model.ones[name].swim.reach(model.now).word != shares.MAJORITY:
                         knew[name] = (model.now - at) / self.PERIOD
                         know[inside[name]] += 1
                         if know[inside[name]] == inside[name]:
@@ -586,12 +586,12 @@
                 ]
                 self.assertEqual([], wrong)
                 self.assertEqual({20}, {one.swim.size() for one in model.ones.values()})
-                self.assertEqual({parts.PART}, {model.ones[name].swim.reach(model.now).word for name in inside})
+                self.assertEqual({shares.PART}, {model.ones[name].swim.reach(model.now).word for name in inside})
                 model.cut = lambda _, __: False
                 self.assertTrue(
                     model.run(
                         allowed,
-                        lambda: all(one.swim.reach(model.now).word == parts.MAJORITY for one in model.ones.values()),
+                        lambda: all(one.swim.reach(model.now).word == shares.MAJORITY for one in model.ones.values()),
                     )
                 )
 
@@ -678,21 +678,21 @@
             swim_of[self.me.token] = self
             return was(self)
 
-        with mock.patch.object(Swim, "size", size), mock.patch.object(parts, "size", living):
+        with mock.patch.object(Swim, "size", size), mock.patch.object(shares, "size", living):
             self.assertGreater(max(self.play(seed, False)[0] for seed in range(3)), 1)
 
     def test_places_and_not_names_are_counted(self) -> None:
         """Names that were given up for new ones: whoever has met the old alone must not take their parts."""
         me = said("me")
         gone = [said(f"old{place}", phase=LEFT, place=place) for place in range(1, 4)]
-        self.assertEqual(1, parts.size(4, me, gone))
-        self.assertEqual(4, parts.size(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))]))
-        self.assertEqual(3, parts.size(4, me, [*gone[:2], said("new1", place=1)]))
+        self.assertEqual(1, shares.size(4, me, gone))
+        self.assertEqual(4, shares.size(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))]))
+        self.assertEqual(3, shares.size(4, me, [*gone[:2], said("new1", place=1)]))
         # All told the same place: nothing is freed by any.
-        self.assertEqual(4, parts.size(4, me, [said(f"x{number}", phase=LEFT) for number in range(3)]))
+        self.assertEqual(4, shares.size(4, me, [said(f"x{number}", phase=LEFT) for number in range(3)]))
         # More than the settings count.
-        self.assertEqual(6, parts.size(4, me, [said(f"x{place}", place=place) for place in range(6)]))
-        self.assertEqual(4, parts.size(4, me, [said("x", phase=LEFT, doubled=True, place=1)]))
+        self.assertEqual(6, shares.size(4, me, [said(f"x{place}", place=place) for place in range(6)]))
+        self.assertEqual(4, shares.size(4, me, [said("x", phase=LEFT, doubled=True, place=1)]))
 
 
 class Sizes(unittest.TestCase):
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -14,7 +14,7 @@
 
 from pepperusher.group.swim import Swim, Terms
 from pepperusher.group.wire import DATAGRAM, Wire
-from pepperusher.group.words import PING, SERVING, Charge, Said
+from pepperusher.group.messages import PING, SERVING, Charge, Said
 from pepperusher.net import clock
 from pepperusher.rehearsal.grouping import KEY
 from pepperusher.rehearsal.links import Manner
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,12 +13,12 @@
 from pathlib import Path
 from unittest import mock
 
-from pepperusher.console.orders import NEVER, Order
-from pepperusher.console.place import seats
-from pepperusher.console.pulse import Pulse
+from pepperusher.console.admin_commands import NEVER, Order
+from pepperusher.console.process_slot import seats
+from pepperusher.console.process_liveness import Pulse
 from pepperusher.console.state import BadState, State, state_of, text_of
 from pepperusher.facade import Entry, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 
 from tests.scene import SECOND, SETTINGS, Kept, Street, own_address
 
@@ -407,7 +407,9 @@
         self.processes = []
         with (
             tempfile.TemporaryDirectory() as folder,
-            mock.patch("pepperusher.console.place.Seat.write", side_effect=OSError(28, "No space left on device")),
+            mock.patch(
+                "pepperusher.console.process_slot.Seat.write", side_effect=OSError(28, "No space left on device")
+            ),
         ):
             first, _ = seats(folder, "p1")
             first.take()  # another one reigns, and says nothing
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -20,9 +20,9 @@
 from click.testing import CliRunner
 
 from pepperusher.__main__ import main
-from pepperusher.changes.ledger import LedgerError
+from pepperusher.changes.transaction_log import LedgerError
 from pepperusher.control import client
-from pepperusher.own.reading import OwnError
+from pepperusher.configuration.loader import OwnError
 
 from tests.scene import UNHURRIED, Street, configuration, own_address
 
@@ -436,7 +436,7 @@
         self.start()
         self.assertEqual(client.ask(self.socket, "status")["digest"], changed)
         # A mark that was written and not yet applied: staged.
-        from pepperusher.changes.kept import Kept as OnDisk
+        from pepperusher.changes.confirmed_file import Kept as OnDisk
 
         third = self.first + "[weights]\na = 3.0\n"
         self.kill()
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -9,8 +9,8 @@
 from unittest import mock
 
 from pepperusher.net import disconnect_watcher
-from pepperusher.net.line import READ
-from pepperusher.net.shelf import Shelf
+from pepperusher.net.connection import READ
+from pepperusher.net.request_store import Shelf
 
 from tests.leavers import ENDS, ONE_AT_ONCE, Crowd, Ground, request
 from tests.test_crossings import Crossing
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -8,7 +8,7 @@
 from collections import Counter
 
 from pepperusher import terms
-from pepperusher.net import told
+from pepperusher.net import bootstrap
 from pepperusher.net.proxy import Proxy
 from pepperusher.policy import Balancer
 from pepperusher.terms import DONE, TIMED_OUT, Backend, Ticket
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from pepperusher.net.exchange import Attempt, Placed
 from pepperusher.net.buffers import Body, Pool
 from pepperusher.net.callers import LINGER_MOST, Call
-from pepperusher.net.line import Line, adopt
+from pepperusher.net.connection import Line, adopt
 from pepperusher.net.log import SAVED, Log
 from pepperusher.net.message import Answer, Request
 from pepperusher.net.proxy import READY
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from pepperusher import typed
-from pepperusher.own import reading, rules
-from pepperusher.own.lines import Lines
-from pepperusher.own.reading import OwnError
+from pepperusher import table_conversion
+from pepperusher.configuration import loader, validation
+from pepperusher.configuration.key_locations import Lines
+from pepperusher.configuration.loader import OwnError
 from pepperusher.routes import match
 from pepperusher.routes.match import Routes, TemplateError, pattern
 
@@ -145,15 +145,15 @@
         for rule, text in self.BROKEN:
             with self.subTest(text=text):
                 with self.assertRaises(OwnError) as caught:
-                    reading.parse(text, "own.toml", ground(most_attempts=3))
+                    loader.parse(text, "own.toml", ground(most_attempts=3))
                 self.assertEqual([one.rule for one in caught.exception.faults], [rule])
                 self.lines.append(str(caught.exception.faults[0]))
-        self.assertEqual({rule for rule, _ in self.BROKEN}, set(rules.RULES))
+        self.assertEqual({rule for rule, _ in self.BROKEN}, set(validation.RULES))
         self.kept("own_broken")
 
     def test_all_that_is_wrong_is_said_at_once(self) -> None:
         with self.assertRaises(OwnError) as caught:
-            reading.parse(
+            loader.parse(
                 f"{ROUTE}attempts = 9\nsecond_copy = true\n\n[changes]\nleast = 0\n",
                 "own.toml",
                 ground(),
@@ -165,7 +165,7 @@
 
     def test_settings_that_allow_less_hold(self) -> None:
         with self.assertRaisesRegex(OwnError, "within the settings"):
-            reading.parse(f"{ROUTE}attempts = 3\n", ground=ground(most_attempts=2))
+            loader.parse(f"{ROUTE}attempts = 3\n", ground=ground(most_attempts=2))
 
     def test_what_is_sound_is_taken(self) -> None:
         for text in (
@@ -181,25 +181,25 @@
             TWO % ('path = "/{x*}"', 'path = "/{x}"'),
         ):
             with self.subTest(text=text):
-                reading.parse(text, ground=ground())
+                loader.parse(text, ground=ground())
 
     def test_a_key_under_its_former_name_is_read_and_shown_under_the_one_of_today(self) -> None:
-        read = reading.parse(f"{LOOK}transmissions = 2\n", ground=ground())
+        read = loader.parse(f"{LOOK}transmissions = 2\n", ground=ground())
         self.assertEqual(2, read.own.routes[0].attempts)
-        self.assertIn(("routes[0].attempts", "2", "file"), reading.effective(read))
-        self.assertNotIn("transmissions", json.dumps(reading.schema()))
+        self.assertIn(("routes[0].attempts", "2", "file"), loader.effective(read))
+        self.assertNotIn("transmissions", json.dumps(loader.schema()))
         with self.assertRaisesRegex(OwnError, "attempts: 4 is not from 1 to 3"):
-            reading.parse(f"{LOOK}transmissions = 4\n", ground=ground())
+            loader.parse(f"{LOOK}transmissions = 4\n", ground=ground())
         with self.assertRaisesRegex(OwnError, "transmissions: not known here"):
-            reading.parse(f"{LOOK}transmissions = 2\nattempts = 2\n", ground=ground())
+            loader.parse(f"{LOOK}transmissions = 2\nattempts = 2\n", ground=ground())
 
     def test_layers_and_where_each_value_came_from(self) -> None:
-        read = reading.parse(
+        read = loader.parse(
             '[changes]\nwatch = "20s"\nleast = 40\nerrors = 0.2\n',
-            environment=reading.from_environment({"PEPPERUSHER_CHANGES__LEAST": "50", "OTHER": "1"}),
-            command_line=reading.from_command_line(["changes.errors=0.3", "said.form = json"]),
+            environment=loader.from_environment({"PEPPERUSHER_CHANGES__LEAST": "50", "OTHER": "1"}),
+            command_line=loader.from_command_line(["changes.errors=0.3", "said.form = json"]),
         )
-        rows = {key: (value, origin) for key, value, origin in reading.effective(read)}
+        rows = {key: (value, origin) for key, value, origin in loader.effective(read)}
         self.assertEqual(
             [
                 rows[key]
@@ -220,11 +220,11 @@
             ],
         )
         with self.assertRaisesRegex(OwnError, r"^environment: changes.least: expected `int`"):
-            reading.parse("", environment={"changes.least": "x"})
+            loader.parse("", environment={"changes.least": "x"})
         with self.assertRaisesRegex(OwnError, "command line: routes: is no list"):
-            reading.parse("", command_line={"routes.0.name": "x"})
+            loader.parse("", command_line={"routes.0.name": "x"})
         with self.assertRaisesRegex(OwnError, "is no key=value"):
-            reading.from_command_line(["changes"])
+            loader.from_command_line(["changes"])
 
     def test_lines_of_keys(self) -> None:
         lines = Lines(
@@ -250,17 +250,17 @@
         )
 
     def test_every_key_is_explained_and_in_the_schema(self) -> None:
-        known = reading.keys()
+        known = loader.keys()
         self.assertGreater(len(known), 40)
         for key in known:
-            self.assertRegex(reading.explain(key), rf"^{key}: \S")
+            self.assertRegex(loader.explain(key), rf"^{key}: \S")
         with self.assertRaisesRegex(KeyError, "did you mean routes.time_out"):
-            reading.explain("routes.timeout")
+            loader.explain("routes.timeout")
         kept = Path(__file__).parent.parent / "docs" / "own.schema.json"
-        self.assertEqual(json.loads(kept.read_text()), reading.schema())
+        self.assertEqual(json.loads(kept.read_text()), loader.schema())
 
     def test_the_sample_file_is_sound(self) -> None:
-        read = reading.read(SAMPLE)
+        read = loader.read(SAMPLE)
         self.assertGreater(len(read.own.routes), 1)
 
 
@@ -272,9 +272,9 @@
             "concurrency = { most = 5 }\n"
             for number in range(200)
         )
-        typed._fields.cache_clear()
+        table_conversion._fields.cache_clear()
         with mock.patch("msgspec.structs.fields", wraps=msgspec.structs.fields) as asked:
-            read = reading.parse(text, "own.toml", ground())
+            read = loader.parse(text, "own.toml", ground())
         self.assertEqual(200, len(read.own.routes))
         kinds = [call.args[0] for call in asked.call_args_list]
         self.assertEqual(len(set(kinds)), len(kinds))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import random
 
 from pepperusher import terms
-from pepperusher.ground import GroundError, ground as read
+from pepperusher.settings import GroundError, ground as read
 from pepperusher.terms import DONE, RESET, TIMED_OUT, UNREACHED, Backend, Listing, UseCase
 
 from tests.scene import SECOND, SETTINGS, Kept, Scene
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -11,7 +11,7 @@
 from pepperusher.rehearsal.fleetplan import FleetPlan
 from pepperusher.rehearsal.roster import Roster
 from pepperusher.rehearsal.script import ScriptError
-from pepperusher.spans import said, span
+from pepperusher.durations import said, span
 
 from tests.rehearsal_scene import raw, small
 from tests.scene import Kept
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -17,15 +17,15 @@
 from typing import Any
 
 from pepperusher.control.client import Refused, ask
-from pepperusher.distribution import operate, publish, rollout
-from pepperusher.distribution import reading as control_reading
+from pepperusher.distribution import operator_client, publish, rollout
+from pepperusher.distribution import control_file
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.operate import NoAnswer
+from pepperusher.distribution.operator_client import NoAnswer
 from pepperusher.distribution.server import Server, Terms
-from pepperusher.distribution.words import ENDPOINTS, Version
-from pepperusher.ground import ground
-from pepperusher.own import reading as own_reading
-from pepperusher.own.reading import Fault, OwnError
+from pepperusher.distribution.messages import ENDPOINTS, Version
+from pepperusher.settings import ground
+from pepperusher.configuration import loader
+from pepperusher.configuration.loader import Fault, OwnError
 from pepperusher.store.disk import Disk
 from tests.scene import SETTINGS, UNHURRIED, configuration, own_address
 from tests.test_distribution_processes import HOST, SECRET, WITHIN, Machine, ended, free_ports, until
@@ -305,7 +305,7 @@
         self.assertEqual([], [one for one in told if not one["left"] and one["discovery_calls"]])
 
     async def figures(self) -> dict[str, Any]:
-        return await operate.figures((HOST, self.owner.port), SECRET)
+        return await operator_client.figures((HOST, self.owner.port), SECRET)
 
 
 class Relayed(Scene):
@@ -542,7 +542,7 @@
         )  # fmt: skip
         for code in (
             "import pepperusher.__main__; from pepperusher.net import proxy",
-            "import pepperusher.company; from pepperusher.net import distributed",
+            "import pepperusher.extensions; from pepperusher.net import distributed_configuration",
             "import pepperusher.distribution.commands",
         ):
             self.assertEqual([], self.loaded(code, *names))
@@ -561,20 +561,20 @@
         file.write_text(f'{head}[relay]\ndiscovery = "nowhere"\nendpoints = "west/web"\n')
         self.assertEqual(
             ["relay", "relay.discovery", "relay.endpoints"],
-            sorted(fault.key for fault in self.faults(lambda: control_reading.read(file))),
+            sorted(fault.key for fault in self.faults(lambda: control_file.read(file))),
         )
         file.write_text(f'{head}owns_facts = true\n[relay]\ndiscovery = "127.0.0.1:5"\nendpoints = "east/web"\n')
-        self.assertEqual("east/web", control_reading.read(file).file.relay.endpoints)  # type: ignore[union-attr]
+        self.assertEqual("east/web", control_file.read(file).file.relay.endpoints)  # type: ignore[union-attr]
         file.write_text(f'{head}owns_facts = true\n[relay]\ndiscovery = "127.0.0.1:5"\nendpoint = "east/web"\n')
-        self.assertTrue(self.faults(lambda: control_reading.read(file)))
+        self.assertTrue(self.faults(lambda: control_file.read(file)))
         for endpoints, wrong in (("web", 1), ("/web", 1), ("east/", 1), ("east/web", 0)):
             text = f'[distribution]\nmachines = ["127.0.0.1:5"]\nkey_file = "{folder}/key"\nendpoints = "{endpoints}"\n'
-            faults = self.faults(lambda: own_reading.parse(text, "own.toml", ground(SETTINGS, 5)))
+            faults = self.faults(lambda: loader.parse(text, "own.toml", ground(SETTINGS, 5)))
             self.assertEqual(["distribution.endpoints"] * wrong, [fault.key for fault in faults])
         text = f'[distribution]\nkey_file = "{folder}/key"\nendpoints = "east/web"\n'
         self.assertEqual(
             ["distribution.machines"],
-            [fault.key for fault in self.faults(lambda: own_reading.parse(text, "own.toml", ground(SETTINGS, 5)))],
+            [fault.key for fault in self.faults(lambda: loader.parse(text, "own.toml", ground(SETTINGS, 5)))],
         )
 
     @staticmethod
--- a/tests/test_relay_return.py
+++ b/tests/test_relay_return.py
@@ -11,7 +11,7 @@
 
 from pepperusher.distribution.endpoint_source import CONTROL, EndpointSource
 from pepperusher.distribution.relay import PAUSE_LEAST, PAUSE_MOST
-from pepperusher.distribution.words import Version
+from pepperusher.distribution.messages import Version
 
 SECOND = 1_000_000
 ROOM = 64
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 from pepperusher.distribution.relay import Relay
-from pepperusher.distribution.words import Version
+from pepperusher.distribution.messages import Version
 from pepperusher.net import clock
 from pepperusher.net.endpoint_update import EndpointUpdate, endpoint_update_of
 from tests.scene import Street
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -6,9 +6,9 @@
 import json
 
 from pepperusher import terms
-from pepperusher.ground import GroundError, ground, load
-from pepperusher.net import reports
-from pepperusher.net.told import ToldError
+from pepperusher.settings import GroundError, ground, load
+from pepperusher.net import load_reports
+from pepperusher.net.bootstrap import ToldError
 from pepperusher.terms import DONE, Backend
 
 from tests.scene import SECOND, SETTINGS, Kept, Scene, Street
@@ -34,7 +34,7 @@
             "active=3",
             "",
         ):
-            told = load(reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
+            told = load(load_reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
             self.lines.append(f"{text or 'nothing'} -> held {told.get(terms.HELD)}, waiting {told.get(terms.WAITING)}")
         self.kept("reports_read")
 
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pepperusher.facade import Entry, Facade
-from pepperusher.ground import ground
+from pepperusher.settings import ground
 
 from tests.scene import SECOND, SETTINGS, Kept, Street
 
--- a/tests/test_stopped_endpoints.py
+++ b/tests/test_stopped_endpoints.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from pepperusher.entry import Entry
+from pepperusher.endpoint import Entry
 from pepperusher.net.endpoint_update import EndpointUpdate
 from pepperusher.net.stopped_endpoints import KEPT_FOR, StoppedEndpoints
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from pepperusher.__main__ import main
 from pepperusher.store import frames, recovery, salvage
 from pepperusher.store.disk import Disk, Taken
-from pepperusher.store.keeper import KEPT, LATE, OFF, Keeper
+from pepperusher.store.store_writer import KEPT, LATE, OFF, Keeper
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import Manifest, RefusedError
 from pepperusher.store.tables import BREAKER, LISTED, NEVER_RAN, SENT, Breakers, Listed, Marks, Seen, Tables
