--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -68,10 +68,10 @@
     """A load balancer for services that call services."""
 
 
-def _read(config: str, **given: str | None) -> bootstrap.Told:
+def _read(config: str, **given: str | None) -> bootstrap.BootstrapConfiguration:
     try:
         return bootstrap.read(config, **given)
-    except bootstrap.ToldError as error:
+    except bootstrap.BootstrapError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -101,17 +101,17 @@
     if own is None and given:
         raise click.ClickException("--set: there is no --own file whose values it could replace")
     # Companions bring libraries that a small proxy has no room for: loaded only where there are any.
-    company = None
+    make_extensions = None
     if own is not None:
-        company = partial(later("pepperusher.extensions", "own").company, own, given)
+        make_extensions = partial(later("pepperusher.extensions", "own").extensions_of, own, given)
     elif read.console is not None:
-        company = import_module("pepperusher.console.admin_handlers").alone
+        make_extensions = import_module("pepperusher.console.admin_handlers").admin_handlers_alone
 
-    def again(before: bootstrap.Told) -> bootstrap.Told:
+    def again(before: bootstrap.BootstrapConfiguration) -> bootstrap.BootstrapConfiguration:
         return bootstrap.read(config, name=name, listen=listen, discovery=discovery, console=console, before=before)
 
     try:
-        run(read, again, company)
+        run(read, again, make_extensions)
     except OSError as error:
         raise click.ClickException(str(error)) from None
     except ValueError as error:
@@ -133,16 +133,16 @@
 def check(config: str, own: str | None, values: tuple[str, ...]) -> None:
     """Read a configuration as serve would, and say what it holds."""
     given = _read(config)
-    ground = given.ground
+    policy_settings = given.policy_settings
     click.echo(
-        f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {ground.stage + 1},"
-        f" {ground.ordinal + 1} of {ground.group_size}; {len(ground.use_cases)} use cases,"
-        f" {len(ground.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
-        f" {'beside its client' if ground.beside_client else 'one of a pool'}, load reported by"
-        f" {REPORTED_BY[ground.reported_by]}"
+        f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {policy_settings.stage + 1},"
+        f" {policy_settings.ordinal + 1} of {policy_settings.group_size}; {len(policy_settings.use_cases)} use cases,"
+        f" {len(policy_settings.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
+        f" {'beside its client' if policy_settings.beside_client else 'one of a pool'}, load reported by"
+        f" {REPORTED_BY[policy_settings.reported_by]}"
     )
     if own is not None:
-        later("pepperusher.configuration.commands", "own").checked(own, ground, values)
+        later("pepperusher.configuration.commands", "own").checked(own, policy_settings, values)
 
 
 @main.command()
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -15,7 +15,7 @@
 from pepperusher.capacity.decisions import NOW, quiet
 from pepperusher.capacity.stage import SECOND
 from pepperusher.facade import SEND, Facade
-from pepperusher.settings import ground
+from pepperusher.settings import read_settings
 from pepperusher.net.endpoint_update import endpoint_update_of
 
 # A service's own work, and how long a client at the top waits.
@@ -59,7 +59,7 @@
             told = stage.settings(BACKENDS * 4, promised=promised, most=most)
             told["tiers"] = [f"tier-{number}" for number in range(depth)]
             told["stage"] = level
-            facade = Facade(ground(told, seed + level), NOW, quiet)
+            facade = Facade(read_settings(told, seed + level), NOW, quiet)
             facade.listed(endpoint_update_of(stage.listing(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_play.py
@@ -31,7 +31,7 @@
 from pepperusher.distribution.subscriber import Send
 from pepperusher.distribution.wire import OPENING, Session
 from pepperusher.distribution.messages import (
-    CONFIG, OPERATOR, AskFigures, Beat, Figures, Hello, Key, Message, Resource, Version,
+    CONFIG, OPERATOR, FiguresRequest, Heartbeat, Figures, Hello, Key, Message, Resource, Version,
 )  # fmt: skip
 from pepperusher.rehearsal.worker import environment, with_parent
 
@@ -122,13 +122,13 @@
     """Says how many of its messages are beats: what an occasion takes is told without them."""
 
     def _came(self, upstream: str, link: Link, message: Message) -> None:
-        self.counts["beats in"] += isinstance(message, Beat)
+        self.counts["beats in"] += isinstance(message, Heartbeat)
         super()._came(upstream, link, message)
 
     def _done(self) -> None:
         assert self._subscriber is not None
         self.counts["beats out"] += sum(
-            isinstance(one, Send) and isinstance(one.message, Beat) for one in self._subscriber.out
+            isinstance(one, Send) and isinstance(one.message, Heartbeat) for one in self._subscriber.out
         )
         super()._done()
 
@@ -213,7 +213,7 @@
         while True:
             try:
                 return await operator_client.publish(self.machines[0].address, KEY.encode(), CONFIG, key, body)
-            except operator_client.NoAnswer as error:
+            except operator_client.NoAnswerError as error:
                 if time.monotonic() > end or any(one.process.poll() is not None for one in self.machines):
                     raise ProcessError(f"no change is taken: {error}") from None
                 await asyncio.sleep(5 * LOOK)
@@ -284,7 +284,7 @@
         told = await operator_client.figures(machine.address, KEY.encode())
         hello = Hello(OPERATOR, f"operator {getpass.getuser()}"[:100], 2**62, "", "", False, [], [], [])
         # The answer is made before this question is counted as sent, and behind what it was asked with.
-        machine.asked["bytes in"] += OPENING + framed(hello) + framed(AskFigures())
+        machine.asked["bytes in"] += OPENING + framed(hello) + framed(FiguresRequest())
         machine.asked["messages in"] += 2
         made = {what: int(told.get(what, 0)) - machine.asked[what] for what in machine.asked_of}
         machine.asked["bytes out"] += framed(Figures(told))
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -15,9 +15,9 @@
 
 from pepperusher.capacity import stage
 from pepperusher.capacity.stage import SECOND
-from pepperusher.changes.active_configuration import Standing
+from pepperusher.changes.active_configuration import ActiveConfiguration
 from pepperusher.facade import SEND, Facade
-from pepperusher.settings import ground
+from pepperusher.settings import read_settings
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
@@ -213,14 +213,14 @@
 
 def config_check(routes: int, seed: int) -> float:
     text, told = stage.own_file(routes), stage.ground_of(GROUP, seed)
-    return cost(lambda: loader.parse(text, ground=told) and None)
+    return cost(lambda: loader.parse(text, policy_settings=told) and None)
 
 
 def config_take(routes: int, seed: int) -> float:
     """From a file that was checked to the version in force, one way and back."""
     told = stage.ground_of(GROUP, seed)
-    first, other = (loader.parse(stage.own_file(routes, least), ground=told) for least in (30, 31))
-    standing = Standing(first, NOW, lambda _: None, lambda *_, **__: None)
+    first, other = (loader.parse(stage.own_file(routes, least), policy_settings=told) for least in (30, 31))
+    standing = ActiveConfiguration(first, NOW, lambda _: None, lambda *_, **__: None)
     reads = [other, first]
     now = NOW
 
@@ -237,4 +237,4 @@
     """Other settings, in force for a list of 1,000."""
     facade = facade_with(1000, GROUP, seed)
     told = stage.settings(GROUP, use_cases=use_cases)
-    return cost(lambda: facade.retuned(ground(told, seed), NOW))
+    return cost(lambda: facade.retuned(read_settings(told, seed), NOW))
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -10,11 +10,11 @@
 
 from pepperusher.capacity.decisions import held_by
 from pepperusher.group import broadcasts as group_broadcasts, membership as group_membership
-from pepperusher.group.broadcasts import Notices
-from pepperusher.group.membership import Roll
-from pepperusher.group.swim import Swim, Terms
+from pepperusher.group.broadcasts import Broadcasts
+from pepperusher.group.membership import Membership
+from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import Wire
-from pepperusher.group.messages import SENT_AWAY, SERVING, Notice, Said
+from pepperusher.group.messages import SENT_AWAY, SERVING, Broadcast, MemberRecord
 from pepperusher.rehearsal.groupfigures import introduced
 from pepperusher.rehearsal.groupmodel import SECOND, Model
 
@@ -24,9 +24,9 @@
 START = 1_700_000_000 * SECOND
 
 
-def said(number: int) -> Said:
+def said(number: int) -> MemberRecord:
     """One proxy's own word, with a name as fleets have them."""
-    return Said(
+    return MemberRecord(
         f"service-{number // 24:03d}-{number:05d}",
         f"10.{number >> 14}.{number >> 6 & 255}.{number & 63}",
         7946,
@@ -83,7 +83,7 @@
     """Bytes that one member holds of a group of so many."""
 
     def makes() -> object:
-        roll = Roll(PERIOD)
+        roll = Membership(PERIOD)
         for number in range(size):
             roll.take(said(number), START)
         return roll
@@ -93,7 +93,9 @@
 
 def sync(size: int, seed: int) -> float:
     """Bytes that a newcomer is sent."""
-    swim = Swim(said(0), Terms(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"), Random(seed), START)
+    swim = Swim(
+        said(0), SwimSettings(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"), Random(seed), START
+    )
     for number in range(1, size):
         swim.roll.take(said(number), START)
     return float(sum(map(len, swim.whole())))
@@ -101,7 +103,7 @@
 
 def most_members() -> int:
     """How many names a roll takes, by filling it."""
-    roll = Roll(PERIOD)
+    roll = Membership(PERIOD)
     number = 0
     while not roll.refused:
         roll.take(said(number), START)
@@ -112,10 +114,10 @@
 
 def most_notices() -> int:
     """How many things at once can be on, by filling them."""
-    notices = Notices(60 * SECOND)
+    notices = Broadcasts(60 * SECOND)
     number = 0
     while not notices.refused:
-        notices.take(Notice("ban", f"service-{number:05d}", True, START), START)
+        notices.take(Broadcast("ban", f"service-{number:05d}", True, START), START)
         number += 1
         assert number <= 2 * group_broadcasts.MOST
     return len(notices)
--- a/pepperusher/capacity/stage.py
+++ b/pepperusher/capacity/stage.py
@@ -5,8 +5,8 @@
 import json
 from typing import Any
 
-from pepperusher.settings import ground
-from pepperusher.terms import Ground
+from pepperusher.settings import read_settings
+from pepperusher.terms import PolicySettings
 
 SECOND = 1_000_000
 ZONES = [f"r{region}z{zone}" for region, zones in enumerate((4, 3, 3, 3)) for zone in range(zones)]
@@ -66,8 +66,8 @@
 
 def ground_of(
     group: int, seed: int = 0, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None
-) -> Ground:
-    return ground(settings(group, ordinal, use_cases, zones), seed)
+) -> PolicySettings:
+    return read_settings(settings(group, ordinal, use_cases, zones), seed)
 
 
 def server(number: int, address: str, zones: list[str], state: str = "ready") -> dict[str, Any]:
--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -10,11 +10,19 @@
 from collections.abc import Callable, Mapping
 
 from pepperusher.changes import transaction_log
-from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, STAGED, UNDONE, Change, Ledger, LedgerError
+from pepperusher.changes.transaction_log import (
+    APPLIED,
+    CONFIRMED,
+    STAGED,
+    UNDONE,
+    Change,
+    TransactionLog,
+    TransactionError,
+)
 from pepperusher.changes.overlay import Overlay
-from pepperusher.changes.error_watch import Toll
-from pepperusher.facade import Entry
-from pepperusher.invariants import must_hold
+from pepperusher.changes.error_watch import ErrorWatch
+from pepperusher.facade import Endpoint
+from pepperusher.invariants import check_invariant
 from pepperusher.limits.gate import FULL, IN, LATE, WAITS, Gate, Waiting
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Buckets, RetryBudget
@@ -31,7 +39,7 @@
 SAID_EVERY = 10_000_000
 
 
-class Pass:
+class AdmittedTicket:
     """One ticket's way in. `how` is IN, WAITS, FULL, LATE or RATE; `advice` when to come back (us) where it
     is kept out."""
 
@@ -78,12 +86,12 @@
         self.kept_out = 0
 
 
-class Standing:
+class ActiveConfiguration:
     """`list_again` takes lines for the decisions where marks change them; `say` takes a log line with its
     figures."""
 
     def __init__(
-        self, read: Read, now: int, list_again: Callable[[list[Entry]], None], say: Callable[..., None]
+        self, read: Read, now: int, list_again: Callable[[list[Endpoint]], None], say: Callable[..., None]
     ) -> None:
         self._list_again = list_again
         self._say = say
@@ -92,8 +100,8 @@
         self.version = Version(1, read)
         self.versions: dict[int, Version] = {1: self.version}  # emptied as their last tickets go
         self.confirmed = self.version
-        self.ledger = Ledger(read.own.changes.history)
-        self.toll = Toll(read.own.changes.watch)
+        self.ledger = TransactionLog(read.own.changes.history)
+        self.toll = ErrorWatch(read.own.changes.watch)
         self._numbers = 1
         self._latest: int | None = None
         self._take_up(now)
@@ -111,7 +119,7 @@
         given: int | None,
         usual_wait: int,
         now: int,
-    ) -> Pass:
+    ) -> AdmittedTicket:
         """`given` is how long its client said that it waits, `usual_wait` what its use case's clients do
         (us)."""
         version = self.version
@@ -120,7 +128,7 @@
         until = now + (usual_wait if wait is None else wait)
         if self._latest is not None:
             until = min(until, self._latest)
-        made = Pass(version, terms, customer or NOBODY, now, until)
+        made = AdmittedTicket(version, terms, customer or NOBODY, now, until)
         version.in_hand += 1
         held = self._held.get(terms.name)
         if held is None:
@@ -136,7 +144,7 @@
                 return self._refused(made, held, made.how, max(ADVICE, held.gate.usual), now)
         return made
 
-    def _refused(self, made: Pass, held: _Held, how: str, advice: int, now: int) -> Pass:
+    def _refused(self, made: AdmittedTicket, held: _Held, how: str, advice: int, now: int) -> AdmittedTicket:
         made.how, made.advice = how, advice
         held.kept_out += 1
         if now - held.said_at >= SAID_EVERY:
@@ -153,7 +161,7 @@
             held.said_at = now
         return made
 
-    def told(self, made: Pass, how: str, now: int) -> None:
+    def told(self, made: AdmittedTicket, how: str, now: int) -> None:
         """One that waited is IN, or FULL or LATE."""
         made.how = how
         made.inside = how == IN
@@ -164,18 +172,18 @@
                 gate = held.gate
                 self._refused(made, held, how, max(ADVICE, gate.usual if gate else 0), now)
 
-    def withdraw(self, made: Pass) -> None:
+    def withdraw(self, made: AdmittedTicket) -> None:
         """Its client left while it waited."""
         held = self._held.get(made.terms.name)
         if made.how == WAITS and held is not None and held.gate is not None and made.waiting is not None:
             held.gate.withdraw(made.waiting)
 
-    def usual(self, made: Pass) -> int:
+    def usual(self, made: AdmittedTicket) -> int:
         """How long those take that its gate lets in (us); 0 where there is none."""
         held = self._held.get(made.terms.name)
         return held.gate.usual if held is not None and held.gate is not None else 0
 
-    def first(self, made: Pass, now: int) -> None:
+    def first(self, made: AdmittedTicket, now: int) -> None:
         """It goes out; the first time counts for the retry budget. Not told from the ticket's attempts: those that a
         store remembers stand among them."""
         if made.out:
@@ -185,7 +193,7 @@
         if held is not None and held.budget is not None:
             held.budget.first(now)
 
-    def again(self, made: Pass, how: str, now: int) -> bool:
+    def again(self, made: AdmittedTicket, how: str, now: int) -> bool:
         """Whether it may go out once more after an attempt that ended so."""
         if how == "done" or not made.terms.again(how):
             return False
@@ -198,7 +206,7 @@
             held.said_at = now
         return False
 
-    def unspent(self, made: Pass, how: str, now: int) -> None:
+    def unspent(self, made: AdmittedTicket, how: str, now: int) -> None:
         """`again` allowed one more, and the decisions did not make it."""
         held = self._held.get(made.terms.name)
         if held is not None and held.budget is not None and how != "done":
@@ -211,10 +219,10 @@
             if held.gate is not None:
                 held.gate.close_at(latest)
 
-    def over(self, made: Pass, end: str, worked: bool, now: int) -> None:
+    def over(self, made: AdmittedTicket, end: str, worked: bool, now: int) -> None:
         """The last word on a ticket: `end` is done, bounced, scrapped, or left (which tells nothing);
         `worked` where its time tells of the servers."""
-        must_hold(not made.over, "a ticket passes its gate once")
+        check_invariant(not made.over, "a ticket passes its gate once")
         if made.over:
             return
         made.over = True
@@ -226,7 +234,7 @@
             self.toll.add(made.version.number, end, now - made.came, now)
         version = made.version
         version.in_hand -= 1
-        must_hold(version.in_hand >= 0, "a version's tickets are never under none")
+        check_invariant(version.in_hand >= 0, "a version's tickets are never under none")
         if not version.in_hand and version not in (self.version, self.confirmed):
             self.versions.pop(version.number, None)
 
@@ -281,9 +289,9 @@
     # --- changes ----------------------------------------------------------------------------------
 
     def propose(self, read: Read, who: str, why: str, now: int) -> Change:
-        """Checked already; raises LedgerError where it can't be now, or changes nothing."""
+        """Checked already; raises TransactionError where it can't be now, or changes nothing."""
         if read.digest == self.version.read.digest:
-            raise LedgerError(f"{read.digest} is what stands already")
+            raise TransactionError(f"{read.digest} is what stands already")
         change = self.ledger.propose(read.digest, read, who, why, self.version.read.own.changes.wait, now)
         self._said(change)
         return change
@@ -322,7 +330,7 @@
         for version in list(self.versions.values()):
             if version is not self.version and not version.in_hand:
                 del self.versions[version.number]
-        must_hold(undone is not self.version, "an undo makes a version of its own")
+        check_invariant(undone is not self.version, "an undo makes a version of its own")
 
     def _move(self, change: Change, state: str, who: str, why: str, now: int) -> None:
         self.ledger.move(change, state, who, why, now)
@@ -389,4 +397,4 @@
     return Gradient(of.least, of.most, of.start, of.tolerance)
 
 
-__all__ = ["FULL", "IN", "LATE", "NO_LIMIT", "PLAIN", "Pass", "RATE", "Standing", "WAITS"]
+__all__ = ["FULL", "IN", "LATE", "NO_LIMIT", "PLAIN", "AdmittedTicket", "RATE", "ActiveConfiguration", "WAITS"]
--- a/pepperusher/changes/confirmed_file.py
+++ b/pepperusher/changes/confirmed_file.py
@@ -41,7 +41,7 @@
         os.close(number)
 
 
-class Kept:
+class ConfirmedFile:
     """A folder's. Every call may block for as long as the disk does, and raises OSError."""
 
     def __init__(self, folder: Path) -> None:
--- a/pepperusher/changes/error_watch.py
+++ b/pepperusher/changes/error_watch.py
@@ -72,7 +72,7 @@
         return 0
 
 
-class Toll:
+class ErrorWatch:
     """Counts by second of the last `span`, and since a change by itself. Holds as many seconds as the longest
     watch."""
 
--- a/pepperusher/changes/overlay.py
+++ b/pepperusher/changes/overlay.py
@@ -7,26 +7,26 @@
 
 from collections.abc import Mapping
 
-from pepperusher.facade import Entry
-from pepperusher.endpoint_filter import Narrowed
+from pepperusher.facade import Endpoint
+from pepperusher.endpoint_filter import EndpointFilter
 from pepperusher.configuration.tables import Mark
 
 
 class Overlay:
     def __init__(self) -> None:
         self._marks: Mapping[str, Mark] = {}
-        self._narrowed = Narrowed(self._marked)
+        self._narrowed = EndpointFilter(self._marked)
         self.lines = self._narrowed.lines
         self.ready = self._narrowed.ready
 
-    def _marked(self, entry: Entry) -> Entry:
+    def _marked(self, entry: Endpoint) -> Endpoint:
         mark = self._marks.get(entry.id)
         if mark is None:
             return entry
         weight = entry.weight * mark.weight if mark.weight is not None else entry.weight
         return entry._replace(weight=weight, ready=entry.ready and not mark.drain)
 
-    def turn(self, marks: Mapping[str, Mark]) -> list[Entry]:
+    def turn(self, marks: Mapping[str, Mark]) -> list[Endpoint]:
         """Other marks from now on; the lines that change by it."""
 
         def turn() -> None:
--- a/pepperusher/changes/shared_section.py
+++ b/pepperusher/changes/shared_section.py
@@ -14,23 +14,23 @@
 TABLES = ("routes", "backends", "weights")
 
 
-class NotShared(ValueError):
+class NotSharedError(ValueError):
     """No text that can be shared; its text is one line."""
 
 
 def tables(text: str) -> dict[str, Any]:
-    """What a text to be shared holds. Raises NotShared."""
+    """What a text to be shared holds. Raises NotSharedError."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise NotShared(f"is not TOML: {error}") from None
+        raise NotSharedError(f"is not TOML: {error}") from None
     except RecursionError:
-        raise NotShared("is nested too deep") from None
+        raise NotSharedError("is nested too deep") from None
     for name in raw:
         if name not in TABLES:
-            raise NotShared(f"{name} is a proxy's own: {', '.join(TABLES)} can be shared")
+            raise NotSharedError(f"{name} is a proxy's own: {', '.join(TABLES)} can be shared")
     if any(line.startswith((BEGIN, END.strip())) for line in text.splitlines()):
-        raise NotShared("has a mark of what is shared in it")
+        raise NotSharedError("has a mark of what is shared in it")
     return raw
 
 
@@ -58,7 +58,7 @@
 
 
 def put(text: str, shared: str) -> str:
-    """With what is shared, in place of what was. Raises NotShared where the two can't stand in one file."""
+    """With what is shared, in place of what was. Raises NotSharedError where the two can't stand in one file."""
     own = own_part(text)
     if not shared:
         return own
@@ -70,10 +70,10 @@
             tomllib.loads(own)
         except (tomllib.TOMLDecodeError, RecursionError):
             return whole  # what is wrong with the own part is said of that
-        raise NotShared(f"does not go with this proxy's own file: {error}") from None
+        raise NotSharedError(f"does not go with this proxy's own file: {error}") from None
     for name, value in theirs.items():
         had = mine.get(name, [] if isinstance(value, list) else {})
         wanted = [*had, *value] if isinstance(value, list) and isinstance(had, list) else {**had, **value}
         if both.get(name) != wanted:
-            raise NotShared(f"{name} must begin with a header of its own")
+            raise NotSharedError(f"{name} must begin with a header of its own")
     return whole
--- a/pepperusher/changes/transaction_log.py
+++ b/pepperusher/changes/transaction_log.py
@@ -22,7 +22,7 @@
 MOST_WAITING = 8
 
 
-class LedgerError(ValueError):
+class TransactionError(ValueError):
     """What can't be done with a change now; its text is one line."""
 
 
@@ -60,7 +60,7 @@
         return next((step.when for step in self.steps if step.state == state), -1)
 
 
-class Ledger:
+class TransactionLog:
     def __init__(self, history: int) -> None:
         self._history: deque[Change] = deque(maxlen=history)  # those over, the last `history`
         self._waiting: deque[Change] = deque()  # emptied as their turn comes, MOST_WAITING at the most
@@ -77,26 +77,26 @@
         return [*self._history, *(() if self.open is None else (self.open,)), *self._waiting]
 
     def find(self, number: int | None) -> Change:
-        """Raises LedgerError. None is the open one."""
+        """Raises TransactionError. None is the open one."""
         if number is None:
             if self.open is None:
-                raise LedgerError("no change is open")
+                raise TransactionError("no change is open")
             return self.open
         for change in self.history:
             if change.number == number:
                 return change
-        raise LedgerError(f"no change {number} is known")
+        raise TransactionError(f"no change {number} is known")
 
     def propose(self, name: str, what: Any, who: str, why: str, waits: bool, now: int) -> Change:
-        """The change, open if none was, else waiting. Raises LedgerError, naming the one that is open."""
+        """The change, open if none was, else waiting. Raises TransactionError, naming the one that is open."""
         if self.open is not None:
             if not waits:
-                raise LedgerError(
+                raise TransactionError(
                     f"change {self.open.number} ({self.open.name}) of {self.open.steps[0].who} is"
                     f" {self.open.state}; confirm or undo it first"
                 )
             if len(self._waiting) >= MOST_WAITING:
-                raise LedgerError(f"{MOST_WAITING} changes wait already")
+                raise TransactionError(f"{MOST_WAITING} changes wait already")
         self._number += 1
         change = Change(self._number, name, what, Step(PROPOSED, now, who, why))
         if self.open is None:
@@ -106,11 +106,11 @@
         return change
 
     def move(self, change: Change, state: str, who: str, why: str, now: int) -> None:
-        """To the next state. Raises LedgerError where that can't follow."""
+        """To the next state. Raises TransactionError where that can't follow."""
         if state not in FOLLOWS[change.state]:
-            raise LedgerError(f"change {change.number} is {change.state} and can't become {state}")
+            raise TransactionError(f"change {change.number} is {change.state} and can't become {state}")
         if change is not self.open and state != UNDONE:
-            raise LedgerError(f"change {change.number} waits for change {self.open.number if self.open else 0}")
+            raise TransactionError(f"change {change.number} waits for change {self.open.number if self.open else 0}")
         change.steps.append(Step(state, now, who, why))
         if not change.over:
             return
--- a/pepperusher/configuration/commands.py
+++ b/pepperusher/configuration/commands.py
@@ -8,15 +8,15 @@
 import click
 
 from pepperusher.configuration import loader, validation
-from pepperusher.configuration.loader import OwnError
-from pepperusher.terms import Ground
+from pepperusher.configuration.loader import ConfigurationError
+from pepperusher.terms import PolicySettings
 
 
-def checked(path: str, ground: Ground, values: tuple[str, ...]) -> None:
+def checked(path: str, policy_settings: PolicySettings, values: tuple[str, ...]) -> None:
     """Prints what is in force and where each value came from; ends with 1 and all that is wrong."""
     try:
-        read = loader.read(path, ground, loader.from_environment(os.environ), loader.from_command_line(values))
-    except OwnError as error:
+        read = loader.read(path, policy_settings, loader.from_environment(os.environ), loader.from_command_line(values))
+    except ConfigurationError as error:
         for fault in error.faults:
             click.echo(str(fault), err=True)
         raise click.ClickException(f"{path}: {len(error.faults)} wrong") from None
--- a/pepperusher/configuration/key_locations.py
+++ b/pepperusher/configuration/key_locations.py
@@ -21,7 +21,7 @@
     return [part.strip("\"'") for part in PART.findall(dotted)]
 
 
-class Lines:
+class KeyLocations:
     """`at` gives the line (from 1) of a key path such as "routes[2].match.path"; 0 where nothing is known of
     it."""
 
--- a/pepperusher/configuration/loader.py
+++ b/pepperusher/configuration/loader.py
@@ -16,9 +16,9 @@
 
 from pepperusher import table_conversion
 from pepperusher.configuration import validation
-from pepperusher.configuration.key_locations import Lines
+from pepperusher.configuration.key_locations import KeyLocations
 from pepperusher.configuration.tables import Own
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 PREFIX = "PEPPERUSHER_"
 DEFAULT, FILE, ENVIRONMENT, COMMAND_LINE = "default", "file", "environment", "command line"
@@ -42,7 +42,7 @@
         return f"{where}: {self.key or 'the file'}: {self.what} [{self.rule}]"
 
 
-class OwnError(ValueError):
+class ConfigurationError(ValueError):
     """A file that is not taken; `faults` are all that is wrong, the text is one line."""
 
     def __init__(self, faults: list[Fault]) -> None:
@@ -79,12 +79,12 @@
 
 
 def from_command_line(words: Iterable[str]) -> dict[str, Any]:
-    """ "a.b=v" as {"a.b": v}. Raises OwnError."""
+    """ "a.b=v" as {"a.b": v}. Raises ConfigurationError."""
     given = {}
     for word in words:
         key, equals, value = word.partition("=")
         if not equals or not key.strip():
-            raise OwnError([Fault(COMMAND_LINE, 0, word, "form", "is no key=value")])
+            raise ConfigurationError([Fault(COMMAND_LINE, 0, word, "form", "is no key=value")])
         given[key.strip()] = _scalar(value.strip())
     return given
 
@@ -115,19 +115,19 @@
 def parse(
     text: str,
     source: str = "the file",
-    ground: Ground | None = None,
+    policy_settings: PolicySettings | None = None,
     environment: Mapping[str, Any] | None = None,
     command_line: Mapping[str, Any] | None = None,
 ) -> Read:
-    """Raises OwnError with all that is wrong. `environment` and `command_line` are {"a.b": value}."""
+    """Raises ConfigurationError with all that is wrong. `environment` and `command_line` are {"a.b": value}."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise OwnError([Fault(source, _line_of(error), "", "form", f"is not TOML: {error}")]) from None
+        raise ConfigurationError([Fault(source, _line_of(error), "", "form", f"is not TOML: {error}")]) from None
     except RecursionError:
-        raise OwnError([Fault(source, 0, "", "form", "is nested too deep")]) from None
+        raise ConfigurationError([Fault(source, 0, "", "form", "is nested too deep")]) from None
     raw = table_conversion.renamed(raw, Own)
-    lines = Lines(text)
+    lines = KeyLocations(text)
     origins = dict.fromkeys(_leaves(raw), FILE)
     faults: list[Fault] = []
     for origin, given in ((ENVIRONMENT, environment or {}), (COMMAND_LINE, command_line or {})):
@@ -147,9 +147,9 @@
     own, wrong_values = table_conversion.converted(raw, Own)
     faults += [fault(one.key, "known key" if one.unknown else "form", one.what) for one in wrong_values]
     if own is not None:
-        faults += [fault(*one) for one in validation.check(own, ground)]
+        faults += [fault(*one) for one in validation.check(own, policy_settings)]
     if faults:
-        raise OwnError(sorted(faults, key=lambda one: (one.source != source, one.line, one.key)))
+        raise ConfigurationError(sorted(faults, key=lambda one: (one.source != source, one.line, one.key)))
     assert own is not None
     digest = hashlib.sha256(
         msgspec.json.encode(own, enc_hook=table_conversion.hook, order="deterministic")
@@ -171,22 +171,22 @@
 
 def read(
     path: str | Path,
-    ground: Ground | None = None,
+    policy_settings: PolicySettings | None = None,
     environment: Mapping[str, Any] | None = None,
     command_line: Mapping[str, Any] | None = None,
 ) -> Read:
-    """Raises OwnError."""
+    """Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
             data = file.read(LARGEST + 1)
         if len(data) > LARGEST:
-            raise OwnError([Fault(str(path), 0, "", "form", f"is over {LARGEST} bytes")])
+            raise ConfigurationError([Fault(str(path), 0, "", "form", f"is over {LARGEST} bytes")])
         text = data.decode()
     except OSError as error:
-        raise OwnError([Fault(str(path), 0, "", "form", error.strerror or str(error))]) from None
+        raise ConfigurationError([Fault(str(path), 0, "", "form", error.strerror or str(error))]) from None
     except UnicodeDecodeError:
-        raise OwnError([Fault(str(path), 0, "", "form", "is not text in UTF-8")]) from None
-    return parse(text, str(path), ground, environment, command_line)
+        raise ConfigurationError([Fault(str(path), 0, "", "form", "is not text in UTF-8")]) from None
+    return parse(text, str(path), policy_settings, environment, command_line)
 
 
 # --- what there is to say of it --------------------------------------------------------------------
--- a/pepperusher/configuration/validation.py
+++ b/pepperusher/configuration/validation.py
@@ -12,7 +12,7 @@
 from pepperusher.configuration.tables import Distribution, Group, Own, Route
 from pepperusher.routes import match
 from pepperusher.routes.match import Pattern, TemplateError
-from pepperusher.terms import REPLAYABLE, SINGLE_USE, Ground, UseCase
+from pepperusher.terms import REPLAYABLE, SINGLE_USE, PolicySettings, UseCase
 
 MOST_ATTEMPTS = 3
 LONGEST_HISTORY = 10_000
@@ -41,7 +41,7 @@
 }
 
 
-class Broken(NamedTuple):
+class RuleViolation(NamedTuple):
     """One thing wrong: the key's path, the rule's name, and what is wrong."""
 
     key: str
@@ -52,16 +52,16 @@
 Tell = Callable[[str, str, str], None]
 
 
-def check(own: Own, ground: Ground | None) -> list[Broken]:
+def check(own: Own, policy_settings: PolicySettings | None) -> list[RuleViolation]:
     """All that is wrong, in the file's order. Without a `ground` what hangs on the platform's settings is not
     looked at."""
-    found: list[Broken] = []
+    found: list[RuleViolation] = []
 
     def tell(key: str, rule: str, what: str) -> None:
         assert rule in RULES, rule
-        found.append(Broken(key, rule, what))
+        found.append(RuleViolation(key, rule, what))
 
-    uses = {use.name: use for use in ground.use_cases} if ground is not None else None
+    uses = {use.name: use for use in policy_settings.use_cases} if policy_settings is not None else None
     patterns: list[Pattern | None] = []
     for number, route in enumerate(own.routes):
         at = f"routes[{number}]"
@@ -71,7 +71,7 @@
             use = uses.get(route.use_case)
             if use is None:
                 tell(f"{at}.use_case", "known use case", f"the settings have no {route.use_case}")
-        _attempts(route, at, use, ground, tell)
+        _attempts(route, at, use, policy_settings, tell)
         _times(route, at, use, uses, tell)
         _limits(route, at, tell)
         if not 0 <= route.priority <= 9:
@@ -112,7 +112,7 @@
         seen.add(name)
 
 
-def _attempts(route: Route, at: str, use: UseCase | None, ground: Ground | None, tell: Tell) -> None:
+def _attempts(route: Route, at: str, use: UseCase | None, policy_settings: PolicySettings | None, tell: Tell) -> None:
     wanted = route.attempts
     if route.second_copy:
         tell(f"{at}.second_copy", "one at a time", "the rules allow no second copy while a first is out")
@@ -123,11 +123,11 @@
                 "three attempts",
                 f"{wanted} is not from 1 to {MOST_ATTEMPTS}",
             )
-        elif ground is not None and wanted > ground.most_attempts:
+        elif policy_settings is not None and wanted > policy_settings.most_attempts:
             tell(
                 f"{at}.attempts",
                 "within the settings",
-                f"{wanted} is over the settings' most-transmissions, {ground.most_attempts}",
+                f"{wanted} is over the settings' most-transmissions, {policy_settings.most_attempts}",
             )
         if (
             use is not None
--- a/pepperusher/consensus/messages.py
+++ b/pepperusher/consensus/messages.py
@@ -34,7 +34,7 @@
     table: Any = None
 
 
-class Kept(NamedTuple):
+class PersistentState(NamedTuple):
     """What a voter must not forget: its term, and for whom it voted in it ("" for nobody)."""
 
     term: int
@@ -47,13 +47,13 @@
     """
 
     number: int
-    kept: Kept | None = None
+    kept: PersistentState | None = None
     base: Base | None = None
     start: int = 0
     entries: tuple[Entry, ...] = ()
 
 
-class Ask(NamedTuple):
+class VoteRequest(NamedTuple):
     """A vote is asked for; with `pre` only whether one would be given, and no term rises by it."""
 
     term: int
@@ -63,7 +63,7 @@
     last_term: int
 
 
-class Voted(NamedTuple):
+class VoteReply(NamedTuple):
     term: int
     by: str
     pre: bool
@@ -95,7 +95,7 @@
     round: int
 
 
-class Appended(NamedTuple):
+class AppendReply(NamedTuple):
     """`match` is how far its log is the leader's, on disk; where `ok` is false, how far it is at the most."""
 
     term: int
@@ -114,10 +114,10 @@
     started: int
 
 
-Message = Ask | Voted | Append | Install | Appended | Hello
+Message = VoteRequest | VoteReply | Append | Install | AppendReply | Hello
 
 
-class Out(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message, to go once write number `after` is on disk."""
 
     to: str
--- a/pepperusher/consensus/raft.py
+++ b/pepperusher/consensus/raft.py
@@ -19,16 +19,16 @@
 
 from pepperusher.consensus.messages import (
     Append,
-    Appended,
-    Ask,
+    AppendReply,
+    VoteRequest,
     Base,
     Entry,
     Hello,
     Install,
-    Kept,
+    PersistentState,
     Message,
-    Out,
-    Voted,
+    OutgoingMessage,
+    VoteReply,
     Write,
     name_of,
 )
@@ -62,7 +62,7 @@
         self.round = 0
 
 
-class Agree:
+class RaftVoter:
     """`named` are the names of all voters as the own file has them. What was on disk is handed over at the
     start: `kept` and `base` are None for one that has nothing.
     """
@@ -75,7 +75,7 @@
         chance: Random,
         now: int,
         started: int,
-        kept: Kept | None = None,
+        kept: PersistentState | None = None,
         base: Base | None = None,
         entries: tuple[Entry, ...] = (),
     ) -> None:
@@ -84,11 +84,11 @@
         self.bounds = bounds
         self.role = FOLLOWS
         self.leader = ""
-        self.kept = kept or Kept(0, "")
+        self.kept = kept or PersistentState(0, "")
         self.base = base
         self.entries = list(entries)
         self.commit = base.index if base is not None else 0
-        self.out: list[Out] = []
+        self.out: list[OutgoingMessage] = []
         self.writes: list[Write] = []
         self.lease_until = 0  # by this one's clock; while it leads
         self._chance = chance
@@ -153,7 +153,7 @@
 
     def _write(
         self,
-        kept: Kept | None = None,
+        kept: PersistentState | None = None,
         base: Base | None = None,
         start: int = 0,
         entries: tuple[Entry, ...] = (),
@@ -169,12 +169,12 @@
         self._ends = [(number, min(end, last)) for number, end in self._ends]
 
     def _keep(self, term: int, vote: str) -> int:
-        self.kept = Kept(term, vote)
+        self.kept = PersistentState(term, vote)
         return self._write(self.kept)
 
     def _send(self, to: str, message: Message) -> None:
         """After all that has been decided so far is on disk: nothing is said that a crash could take back."""
-        self.out.append(Out(to, message, self._number))
+        self.out.append(OutgoingMessage(to, message, self._number))
 
     def on_disk(self, number: int, now: int) -> None:
         """All writes up to this one will outlive a crash."""
@@ -258,7 +258,7 @@
         assert last_term is not None
         for voter in self.voters:
             if voter != self.me:
-                self._send(voter, Ask(term, self.me, pre, self.last, last_term))
+                self._send(voter, VoteRequest(term, self.me, pre, self.last, last_term))
 
     def _count_votes(self, now: int) -> None:
         if not self._majority(self._votes):
@@ -415,9 +415,9 @@
             self._greeted(message, now)
         elif self.base is None and not isinstance(message, Install | Append):
             return  # it has nothing to vote by
-        elif isinstance(message, Ask):
+        elif isinstance(message, VoteRequest):
             self._asked(message, now)
-        elif isinstance(message, Voted):
+        elif isinstance(message, VoteReply):
             self._voted(message, now)
         elif isinstance(message, Append):
             self._append(message, now)
@@ -436,7 +436,7 @@
             # It was named in the founding and has not heard of it.
             self._send(hello.by, Install(0, self.me, self.base, 0))
 
-    def _asked(self, ask: Ask, now: int) -> None:
+    def _asked(self, ask: VoteRequest, now: int) -> None:
         if ask.by not in self.voters and self._voters_at()[1] <= self.commit:
             return  # one that was taken out
         heard = self.role == LEADS or now - self._heard_at < self.bounds.least
@@ -445,7 +445,7 @@
         as_new = (ask.last_term, ask.last) >= (last_term, self.last)
         if ask.pre:
             yes = not heard and as_new and ask.term > self.kept.term
-            self._send(ask.by, Voted(ask.term if yes else self.kept.term, self.me, True, yes))
+            self._send(ask.by, VoteReply(ask.term if yes else self.kept.term, self.me, True, yes))
             return
         if heard and ask.term > self.kept.term:
             # Its leader counts on that: no term rises and no vote is given while one is heard.
@@ -455,9 +455,9 @@
         if yes and not self.kept.vote:
             self._keep(ask.term, ask.by)
             self._wait_anew(now)
-        self._send(ask.by, Voted(self.kept.term, self.me, False, yes))
+        self._send(ask.by, VoteReply(self.kept.term, self.me, False, yes))
 
-    def _voted(self, voted: Voted, now: int) -> None:
+    def _voted(self, voted: VoteReply, now: int) -> None:
         if voted.pre and voted.yes:
             if self.role == ASKS_FIRST and voted.term == self.kept.term + 1:
                 self._votes.add(voted.by)
@@ -477,11 +477,11 @@
 
     def _append(self, append: Append, now: int) -> None:
         if append.term < self.kept.term:
-            self._send(append.by, Appended(self.kept.term, self.me, False, self.last, append.round))
+            self._send(append.by, AppendReply(self.kept.term, self.me, False, self.last, append.round))
             return
         self._heard(append.term, append.by, now)
         if self.base is None:
-            self._send(append.by, Appended(self.kept.term, self.me, False, 0, append.round))
+            self._send(append.by, AppendReply(self.kept.term, self.me, False, 0, append.round))
             return
         before, entries = append.before, append.entries
         if before < self.base.index:
@@ -489,7 +489,7 @@
             skipped = self.base.index - before
             before, entries = self.base.index, entries[skipped:]
         elif self.term_at(before) != append.before_term:
-            self._send(append.by, Appended(self.kept.term, self.me, False, min(self.last, before - 1), append.round))
+            self._send(append.by, AppendReply(self.kept.term, self.me, False, min(self.last, before - 1), append.round))
             return
         for place, entry in enumerate(entries):
             at = before + 1 + place
@@ -502,7 +502,7 @@
                 break
         match = max(before + len(entries), self.base.index)
         self.commit = max(self.commit, min(append.commit, match))
-        self._send(append.by, Appended(self.kept.term, self.me, True, match, append.round))
+        self._send(append.by, AppendReply(self.kept.term, self.me, True, match, append.round))
 
     def _install(self, install: Install, now: int) -> None:
         if install.term == 0:
@@ -511,19 +511,19 @@
                 self._wait_anew(now)
             return
         if install.term < self.kept.term:
-            self._send(install.by, Appended(self.kept.term, self.me, False, self.last, install.round))
+            self._send(install.by, AppendReply(self.kept.term, self.me, False, self.last, install.round))
             return
         self._heard(install.term, install.by, now)
         if self.base is None or install.base.index > self.commit:
             self._stand_on(install.base)
-        self._send(install.by, Appended(self.kept.term, self.me, True, install.base.index, install.round))
+        self._send(install.by, AppendReply(self.kept.term, self.me, True, install.base.index, install.round))
 
     def _stand_on(self, base: Base) -> None:
         self.base, self.entries, self.commit = base, [], base.index
         self._cut(base.index)
         self._write(self.kept, base, base.index + 1)
 
-    def _appended(self, answer: Appended, now: int) -> None:
+    def _appended(self, answer: AppendReply, now: int) -> None:
         self._later_term(answer.term, now)
         if self.role != LEADS or answer.term != self.kept.term:
             return
--- a/pepperusher/console/admin_commands.py
+++ b/pepperusher/console/admin_commands.py
@@ -9,29 +9,29 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from pepperusher.facade import Entry
-from pepperusher.endpoint_filter import Narrowed
+from pepperusher.facade import Endpoint
+from pepperusher.endpoint_filter import EndpointFilter
 
 
-class Order(NamedTuple):
+class AdminCommand(NamedTuple):
     on: bool
     at: int
 
 
-NEVER = Order(False, 0)
+NEVER = AdminCommand(False, 0)
 
 
-class Orders:
+class AdminCommands:
     """`kept` is for how long a lifted ban is remembered: at least until whom it was lifted from is warm."""
 
     def __init__(self, kept: int) -> None:
         self._kept = kept
-        self.bans: dict[str, Order] = {}  # one in force stays till it is lifted, a lifted one for `kept`
+        self.bans: dict[str, AdminCommand] = {}  # one in force stays till it is lifted, a lifted one for `kept`
         self.drain = NEVER
-        self._narrowed = Narrowed(self._marked)
+        self._narrowed = EndpointFilter(self._marked)
         self.lines = self._narrowed.lines
 
-    def _marked(self, entry: Entry) -> Entry:
+    def _marked(self, entry: Endpoint) -> Endpoint:
         order = self.bans.get(entry.id)
         if order is None or not entry.ready:
             return entry
@@ -43,17 +43,17 @@
     def banned(self, backend: str) -> bool:
         return self.bans.get(backend, NEVER).on
 
-    def ban(self, backend: str, on: bool, now: int) -> list[Entry]:
+    def ban(self, backend: str, on: bool, now: int) -> list[Endpoint]:
         """The lines that change by it; none where it was so already."""
         if self.banned(backend) == on:
             return []
-        return self.merge({backend: Order(on, max(now, self.bans.get(backend, NEVER).at + 1))}, NEVER)
+        return self.merge({backend: AdminCommand(on, max(now, self.bans.get(backend, NEVER).at + 1))}, NEVER)
 
     def send_away(self, on: bool, now: int) -> None:
         if self.drain.on != on:
-            self.drain = Order(on, max(now, self.drain.at + 1))
+            self.drain = AdminCommand(on, max(now, self.drain.at + 1))
 
-    def merge(self, bans: Mapping[str, Order], drain: Order) -> list[Entry]:
+    def merge(self, bans: Mapping[str, AdminCommand], drain: AdminCommand) -> list[Endpoint]:
         """Another's orders beside these. The lines that change by it."""
 
         def turn() -> None:
--- a/pepperusher/console/admin_handlers.py
+++ b/pepperusher/console/admin_handlers.py
@@ -8,18 +8,18 @@
 from collections.abc import Awaitable, Callable
 
 from pepperusher.console import console_calls
-from pepperusher.console.admin_listener import PLACES, Door
-from pepperusher.console.admin_commands import NEVER, Order, Orders
-from pepperusher.console.process_slot import Seat, seats
-from pepperusher.console.process_liveness import Pulse
+from pepperusher.console.admin_listener import PLACES, AdminListener
+from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
+from pepperusher.console.process_slot import ProcessSlot, process_slots
+from pepperusher.console.process_liveness import ProcessLiveness
 from pepperusher.console.state import BadState, State
 from pepperusher.net import clock
-from pepperusher.net.extension import Companion, Host
+from pepperusher.net.extension import Extension, ExtensionHost
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, plain
-from pepperusher.net.handover_state import PassedOn
-from pepperusher.net.bootstrap import Told
-from pepperusher.terms import Ground
+from pepperusher.net.handover_state import HandoverState
+from pepperusher.net.bootstrap import BootstrapConfiguration
+from pepperusher.terms import PolicySettings
 
 NOT_YET = plain(503, "no backends known yet, or about to stop")
 NOT_KEPT = plain(500, "in force, but not kept for the next process: see the log")
@@ -34,22 +34,22 @@
 HALF = 0.5
 
 
-class Desk(Companion):
+class AdminHandlers(Extension):
     # Its listener, two locks, and room for connections that just lost their place.
     descriptors = 5 + PLACES
     shares_address = True
 
-    def __init__(self, address: tuple[str, int], ground: Ground, log: Log) -> None:
+    def __init__(self, address: tuple[str, int], policy_settings: PolicySettings, log: Log) -> None:
         self._address = address
         self._log = log
-        self.orders = Orders(max(KEPT, ground.warm_after))
-        self._door = Door(self.answer, log)
+        self.orders = AdminCommands(max(KEPT, policy_settings.warm_after))
+        self._door = AdminListener(self.answer, log)
         self.narrow = self.orders.lines
-        self._proxy: Host
+        self._proxy: ExtensionHost
         self.port = 0
         # The first is whose holder reigns, the second whose holder is next; None without a folder for them.
-        self._first: Seat | None = None
-        self._next: Seat | None = None
+        self._first: ProcessSlot | None = None
+        self._next: ProcessSlot | None = None
         # How many proxies hold this one's orders, of how many; None where it is in no group.
         self.held: Callable[[], Awaitable[tuple[int, int] | None]] | None = None
         self._token = f"{os.getpid()}-{clock.now()}"
@@ -58,14 +58,14 @@
         self._next_serves = False
         self._sits = False  # whether this process reigns
         self._looking: asyncio.Task[None] | None = None
-        self._pulse = Pulse()  # of the other process, where that one leaves marks
+        self._pulse = ProcessLiveness()  # of the other process, where that one leaves marks
         self._beats = False
         self._other_serves = False
         self._took = False  # whether this one has all new connections, since the other stands still
 
     # --- the places ---------------------------------------------------------------------------------
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         """Before anything is served: takes the first place, or the next one and what the process before has
         to pass on."""
         self._proxy = host
@@ -74,7 +74,7 @@
             self._log.say("no $TMPDIR: bans end with this process, and none can take its place")
             return
         try:
-            self._first, self._next = seats(folder, host.name)
+            self._first, self._next = process_slots(folder, host.name)
         except OSError as error:
             self._log.say(
                 f"{folder}: {error.strerror or error}: bans end with this process, and none can take its place"
@@ -91,7 +91,7 @@
         left = await self._told()
         if left is not None:
             self._merge(left)
-        self._proxy.follow(left.passed_on if left is not None else PassedOn())
+        self._proxy.follow(left.passed_on if left is not None else HandoverState())
         self._log.say(
             "taking the place of a process that serves" + ("" if left is not None else ", which tells nothing")
         )
@@ -109,7 +109,7 @@
                 self._kept()  # another may be ending in that place
             await asyncio.sleep(LOOK_EVERY / 5)
 
-    def _read(self, seat: Seat) -> State | None:
+    def _read(self, seat: ProcessSlot) -> State | None:
         try:
             read = seat.read()
             if read is not None and not seat.held:
@@ -126,7 +126,7 @@
             self._proxy.send_away(self.orders.drain.on)
 
     def _state(self) -> State:
-        passed = self._proxy.passed_on() if self._sits and self._seen else PassedOn()
+        passed = self._proxy.passed_on() if self._sits and self._seen else HandoverState()
         seen = self._seen if self._sits else self._token
         return State(self.orders.bans, self.orders.drain, seen, self._serves, beats=True, **passed._asdict())
 
@@ -177,7 +177,7 @@
                 self._tell()
         self._feel(self._next)
 
-    def _feel(self, other: Seat) -> None:
+    def _feel(self, other: ProcessSlot) -> None:
         """While the other process stands still all new connections are this one's; its queue is lost for as
         long as it stands, but for what the kernel gives back as it ends.
         """
@@ -265,7 +265,7 @@
             return False
         return True
 
-    def take(self, bans: dict[str, Order]) -> None:
+    def take(self, bans: dict[str, AdminCommand]) -> None:
         """Orders that were called at another proxy, beside those here."""
         self._proxy.narrowed(self, self.orders.merge(bans, NEVER))
         self._kept()
@@ -281,8 +281,8 @@
     def _answered(self, method: bytes, target: bytes) -> tuple[Answer, bool]:
         """The answer, and whether others are to hold what was called."""
         try:
-            word = console_calls.word_of(method, target)
-        except console_calls.BadWords as bad:
+            word = console_calls.console_call_of(method, target)
+        except console_calls.BadConsoleCall as bad:
             return plain(bad.status, str(bad)), False
         if word.what == console_calls.READY:
             ready = self._proxy.can_serve
@@ -305,6 +305,6 @@
         return plain(200, "banned" if on else "in use"), True
 
 
-def alone(told: Told, log: Log) -> list[Companion]:
+def admin_handlers_alone(told: BootstrapConfiguration, log: Log) -> list[Extension]:
     """What a proxy has beside it whose operators have an address, and no file of its own."""
-    return [] if told.console is None else [Desk(told.console, told.ground, log)]
+    return [] if told.console is None else [AdminHandlers(told.console, told.policy_settings, log)]
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -10,7 +10,7 @@
 import h11
 
 from pepperusher.net.buffers import Body, Pool
-from pepperusher.net.connection import Line
+from pepperusher.net.connection import StreamConnection
 from pepperusher.net.log import Log
 from pepperusher.net.message import HEAD, Answer, BadMessage, framed_answer, plain, read_head, read_held
 
@@ -24,13 +24,13 @@
 BROKEN = plain(500, "an error in the console")
 
 
-class Door:
+class AdminListener:
     def __init__(self, answer: Callable[[bytes, bytes], Awaitable[Answer]], log: Log) -> None:
         self._answer = answer
         self._log = log
         self._pool = Pool(1)
         # No whole call yet, the oldest first; emptied as calls come and lines end.
-        self._asking: dict[Line, None] = {}
+        self._asking: dict[StreamConnection, None] = {}
         self._open: set[asyncio.Task[None]] = set()  # PLACES at the most, and those that just lost theirs
         self._server: asyncio.Server
 
@@ -44,8 +44,8 @@
     def close(self) -> None:
         self._server.close()
 
-    def _taken(self) -> Line:
-        line = Line()
+    def _taken(self) -> StreamConnection:
+        line = StreamConnection()
         if len(self._open) >= PLACES:
             # Not one whose call is in the kernel.
             oldest = next((one for one in self._asking if one.quiet()), None)
@@ -58,7 +58,7 @@
         serving.add_done_callback(self._open.discard)
         return line
 
-    async def _serve(self, line: Line) -> None:
+    async def _serve(self, line: StreamConnection) -> None:
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD)
         body = Body(self._pool)
         try:
--- a/pepperusher/console/console_calls.py
+++ b/pepperusher/console/console_calls.py
@@ -12,7 +12,7 @@
 VERBS = {b"disable": BAN, b"enable": LIFT}
 
 
-class BadWords(Exception):
+class BadConsoleCall(Exception):
     """No call of the console's; its text is the answer's one line."""
 
     def __init__(self, status: int, text: str) -> None:
@@ -20,22 +20,22 @@
         self.status = status
 
 
-class Word(NamedTuple):
+class ConsoleCall(NamedTuple):
     what: str
     backend: str = ""
 
 
-def word_of(method: bytes, target: bytes) -> Word:
+def console_call_of(method: bytes, target: bytes) -> ConsoleCall:
     path = target.partition(b"?")[0]
     if (call := CALLS.get(path)) is not None:
-        wanted, word = call[0], Word(call[1])
+        wanted, word = call[0], ConsoleCall(call[1])
     elif (named := BACKENDS.fullmatch(path)) is not None:
         try:
-            wanted, word = b"POST", Word(VERBS[named[2]], unquote_to_bytes(named[1]).decode())
+            wanted, word = b"POST", ConsoleCall(VERBS[named[2]], unquote_to_bytes(named[1]).decode())
         except UnicodeDecodeError:
-            raise BadWords(400, "the backend's id is no text") from None
+            raise BadConsoleCall(400, "the backend's id is no text") from None
     else:
-        raise BadWords(404, "no such call")
+        raise BadConsoleCall(404, "no such call")
     if method != wanted:
-        raise BadWords(405, f"this call is a {wanted.decode()}")
+        raise BadConsoleCall(405, f"this call is a {wanted.decode()}")
     return word
--- a/pepperusher/console/process_liveness.py
+++ b/pepperusher/console/process_liveness.py
@@ -15,7 +15,7 @@
 LATE = 120_000
 
 
-class Pulse:
+class ProcessLiveness:
     def __init__(self) -> None:
         self.anew()
 
--- a/pepperusher/console/process_slot.py
+++ b/pepperusher/console/process_slot.py
@@ -13,7 +13,7 @@
 from pepperusher.console.state import LONGEST, BadState, State, state_of, text_of
 
 
-class Seat:
+class ProcessSlot:
     """One lock, and the state that its holder alone writes."""
 
     def __init__(self, folder: Path, name: str) -> None:
@@ -91,12 +91,12 @@
         os.close(self._lock)
 
 
-def seats(folder: str, proxy: str) -> tuple[Seat, Seat]:
+def process_slots(folder: str, proxy: str) -> tuple[ProcessSlot, ProcessSlot]:
     """Whoever reigns sits on the first, the next one on the second. Raises OSError."""
     name = "pepperusher." + re.sub(r"[^A-Za-z0-9_-]", lambda one: f"%{ord(one[0]):x}", proxy)[:100]
-    first = Seat(Path(folder), name)
+    first = ProcessSlot(Path(folder), name)
     try:
-        return first, Seat(Path(folder), f"{name}.next")
+        return first, ProcessSlot(Path(folder), f"{name}.next")
     except OSError:
         first.close()
         raise
--- a/pepperusher/console/state.py
+++ b/pepperusher/console/state.py
@@ -8,8 +8,8 @@
 import json
 from typing import Any, NamedTuple
 
-from pepperusher.console.admin_commands import NEVER, Order
-from pepperusher.net.handover_state import PassedOn
+from pepperusher.console.admin_commands import NEVER, AdminCommand
+from pepperusher.net.handover_state import HandoverState
 
 FORM = 1
 LONGEST = 16 * 1024 * 1024
@@ -23,11 +23,11 @@
 
 class State(NamedTuple):
     """`seen` names the next process that its writer knows of, `serves` whether its writer takes clients,
-    `beats` whether it leaves marks as it turns its loop. The others are those of `PassedOn`.
+    `beats` whether it leaves marks as it turns its loop. The others are those of `HandoverState`.
     """
 
-    bans: dict[str, Order]
-    drain: Order
+    bans: dict[str, AdminCommand]
+    drain: AdminCommand
     seen: str = ""
     serves: bool = False
     source: str = ""
@@ -38,15 +38,15 @@
     expires_at: int | None = None
 
     @property
-    def passed_on(self) -> PassedOn:
-        return PassedOn(self.source, self.listed, self.learned, self.told_by_source, self.expires_at)
+    def passed_on(self) -> HandoverState:
+        return HandoverState(self.source, self.listed, self.learned, self.told_by_source, self.expires_at)
 
 
 def text_of(state: State) -> str:
     return json.dumps({"form": FORM, **state._asdict()}, separators=(",", ":"))
 
 
-def _order(told: Any, of: str) -> Order:
+def _order(told: Any, of: str) -> AdminCommand:
     if (
         not isinstance(told, list)
         or len(told) != 2
@@ -56,7 +56,7 @@
         or not 0 <= told[1] <= LATEST
     ):
         raise BadState(f"{of} is no order")
-    return Order(told[0], told[1])
+    return AdminCommand(told[0], told[1])
 
 
 def state_of(text: str | bytes) -> State:
--- a/pepperusher/control/client.py
+++ b/pepperusher/control/client.py
@@ -9,12 +9,12 @@
 WITHIN = 10.0
 
 
-class Refused(RuntimeError):
+class RefusedError(RuntimeError):
     """No answer, or one that says no; its text is one line."""
 
 
 def ask(path: str, do: str, **said: Any) -> dict[str, Any]:
-    """The whole answer, its parts put together. Raises Refused."""
+    """The whole answer, its parts put together. Raises RefusedError."""
     question = (
         json.dumps({"do": do, **{key: value for key, value in said.items() if value is not None}}).encode() + b"\n"
     )
@@ -35,15 +35,15 @@
                 if not part.get("more"):
                     break
     except OSError as error:
-        raise Refused(f"{path}: {error.strerror or error}") from None
+        raise RefusedError(f"{path}: {error.strerror or error}") from None
     except ValueError:
-        raise Refused(f"{path}: an answer that can't be read") from None
+        raise RefusedError(f"{path}: an answer that can't be read") from None
     finally:
         taken.close()
     if "ok" not in whole:
-        raise Refused(f"{path}: no answer")
+        raise RefusedError(f"{path}: no answer")
     if not whole["ok"]:
-        raise Refused("\n".join([str(whole.get("why", "refused")), *map(str, whole.get("faults", []))]))
+        raise RefusedError("\n".join([str(whole.get("why", "refused")), *map(str, whole.get("faults", []))]))
     whole.pop("more", None)
     return whole
 
--- a/pepperusher/control/commands.py
+++ b/pepperusher/control/commands.py
@@ -14,7 +14,7 @@
 import click
 
 from pepperusher.control import client
-from pepperusher.control.client import Refused
+from pepperusher.control.client import RefusedError
 
 if TYPE_CHECKING:
     from pepperusher.distribution.publisher import Rollout
@@ -39,7 +39,7 @@
         raise click.UsageError("Missing option '--socket'.", context)
     try:
         answer = client.ask(path, do, **said)
-    except Refused as error:
+    except RefusedError as error:
         raise click.ClickException(str(error)) from None
     if as_json:
         click.echo(json.dumps(answer))
@@ -221,7 +221,7 @@
 
 def _asked(machine: str, key_file: str, ask: Callable[[tuple[str, int], bytes], Awaitable[T]]) -> T:
     """Of a control machine."""
-    from pepperusher.distribution.operator_client import NoAnswer
+    from pepperusher.distribution.operator_client import NoAnswerError
     from pepperusher.distribution.control_file import read_key
     from pepperusher.configuration.validation import address_of
 
@@ -230,7 +230,7 @@
 
     try:
         return asyncio.run(asked())
-    except (NoAnswer, ValueError) as error:
+    except (NoAnswerError, ValueError) as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -249,7 +249,7 @@
     from pepperusher.changes import shared_section
     from pepperusher.distribution import operator_client
     from pepperusher.configuration import loader
-    from pepperusher.configuration.loader import OwnError
+    from pepperusher.configuration.loader import ConfigurationError
 
     try:
         body = file.read_bytes()
@@ -258,11 +258,11 @@
             loader.parse(body.decode(), str(file))
     except OSError as error:
         raise click.ClickException(f"{file}: {error.strerror or error}") from None
-    except OwnError as error:
+    except ConfigurationError as error:
         raise click.ClickException("\n".join(map(str, error.faults))) from None
     except UnicodeDecodeError:
         raise click.ClickException(f"{file}: is not text in UTF-8") from None
-    except shared_section.NotShared as error:
+    except shared_section.NotSharedError as error:
         raise click.ClickException(f"{file}: {error}") from None
     version = _asked(machine, key_file, lambda at, key: operator_client.publish(at, key, kind, name, body))
     if context.obj[1]:
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -19,7 +19,16 @@
 from pepperusher.distribution.link import Calls, Link
 from pepperusher.distribution.subscriber import Apply, Close, Connect, Say, Send, Subscriber
 from pepperusher.distribution.wire import Session
-from pepperusher.distribution.messages import LONGEST_MESSAGE, Beat, Key, Message, Resource, Version, Word, one_line
+from pepperusher.distribution.messages import (
+    LONGEST_MESSAGE,
+    Heartbeat,
+    Key,
+    Message,
+    Resource,
+    Version,
+    FreshnessWord,
+    one_line,
+)
 from pepperusher.net import clock
 from pepperusher.packet_authentication import BadPacket
 
@@ -56,7 +65,7 @@
         local: str = "127.0.0.1",
         say: Callable[..., None] = _unheard,
         provisional: bool = False,
-        words: Callable[[Sequence[Word]], None] | None = None,
+        words: Callable[[Sequence[FreshnessWord]], None] | None = None,
     ) -> None:
         self._addresses = {f"{one[0]}:{one[1]}": (one[0], one[1]) for one in upstreams}
         self._near = [f"{one[0]}:{one[1]}" for one in upstreams if region and one[2:] == (region,)]
@@ -210,10 +219,10 @@
     def _came(self, upstream: str, link: Link, message: Message) -> None:
         if self._calls.links.get(upstream) is link and self._subscriber is not None:
             self._subscriber.received(upstream, message, clock.now())
-            if self._words is not None and isinstance(message, Beat) and message.words:
+            if self._words is not None and isinstance(message, Heartbeat) and message.words:
                 self._words(message.words)
             # By far the most are beats, and nothing is due sooner for them.
-            if self._subscriber.out or not isinstance(message, Beat):
+            if self._subscriber.out or not isinstance(message, Heartbeat):
                 self._later()
 
     def _ended(self, upstream: str, link: Link, why: str) -> None:
--- a/pepperusher/distribution/commands.py
+++ b/pepperusher/distribution/commands.py
@@ -12,9 +12,9 @@
 import click
 
 from pepperusher.distribution import operator_client, control_file
-from pepperusher.distribution.server import Server, Terms, descriptors_of
+from pepperusher.distribution.server import Server, ServerSettings, descriptors_of
 from pepperusher.net.log import Log
-from pepperusher.configuration.loader import OwnError
+from pepperusher.configuration.loader import ConfigurationError
 from pepperusher.configuration.validation import address_of
 from pepperusher.store.disk import Disk
 
@@ -22,7 +22,7 @@
 def _read(path: str) -> control_file.Read:
     try:
         return control_file.read(path)
-    except OwnError as error:
+    except ConfigurationError as error:
         raise click.ClickException("\n".join(map(str, error.faults))) from None
 
 
@@ -64,13 +64,13 @@
     """A running control machine's counts, by name, as JSON."""
     try:
         told = asyncio.run(operator_client.figures(address_of(machine), control_file.read_key(key_file)))
-    except (operator_client.NoAnswer, ValueError) as error:
+    except (operator_client.NoAnswerError, ValueError) as error:
         raise click.ClickException(str(error)) from None
     click.echo(json.dumps(told, indent=1))
 
 
-def terms_of(file: control_file.ControlFile) -> Terms:
-    return Terms(
+def terms_of(file: control_file.ControlFile) -> ServerSettings:
+    return ServerSettings(
         file.name, file.region, file.zone, address_of(file.listen), [address_of(one) for one in file.peers],
         file.epoch if file.origin else None, file.owns_facts, file.subscribers, file.local,
         None if file.relay is None else (address_of(file.relay.discovery), file.relay.endpoints),
--- a/pepperusher/distribution/control_file.py
+++ b/pepperusher/distribution/control_file.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from pepperusher import table_conversion
-from pepperusher.configuration.key_locations import Lines
-from pepperusher.configuration.loader import LARGEST, Fault, OwnError
+from pepperusher.configuration.key_locations import KeyLocations
+from pepperusher.configuration.loader import LARGEST, Fault, ConfigurationError
 from pepperusher.configuration.validation import address_of
 from pepperusher.configuration.tables import Table
 
@@ -92,24 +92,24 @@
 
 
 def read(path: str | Path) -> Read:
-    """Raises OwnError with all that is wrong."""
+    """Raises ConfigurationError with all that is wrong."""
     source = str(path)
     try:
         with open(path, "rb") as file:
             data = file.read(LARGEST + 1)
         if len(data) > LARGEST:
-            raise OwnError([Fault(source, 0, "", "form", f"is over {LARGEST} bytes")])
+            raise ConfigurationError([Fault(source, 0, "", "form", f"is over {LARGEST} bytes")])
         text = data.decode()
         raw = tomllib.loads(text)
     except OSError as error:
-        raise OwnError([Fault(source, 0, "", "form", error.strerror or str(error))]) from None
+        raise ConfigurationError([Fault(source, 0, "", "form", error.strerror or str(error))]) from None
     except UnicodeDecodeError:
-        raise OwnError([Fault(source, 0, "", "form", "is not text in UTF-8")]) from None
+        raise ConfigurationError([Fault(source, 0, "", "form", "is not text in UTF-8")]) from None
     except tomllib.TOMLDecodeError as error:
-        raise OwnError([Fault(source, 0, "", "form", f"is not TOML: {error}")]) from None
+        raise ConfigurationError([Fault(source, 0, "", "form", f"is not TOML: {error}")]) from None
     except RecursionError:
-        raise OwnError([Fault(source, 0, "", "form", "is nested too deep")]) from None
-    lines = Lines(text)
+        raise ConfigurationError([Fault(source, 0, "", "form", "is nested too deep")]) from None
+    lines = KeyLocations(text)
     file_, wrong = table_conversion.converted(raw, ControlFile)
     faults = [
         Fault(source, lines.at(one.key), one.key, "known key" if one.unknown else "form", one.what) for one in wrong
@@ -149,6 +149,6 @@
         except ValueError as error:
             tell("key_file", "form", str(error))
     if faults:
-        raise OwnError(sorted(faults, key=lambda one: (one.line, one.key)))
+        raise ConfigurationError(sorted(faults, key=lambda one: (one.line, one.key)))
     assert file_ is not None
     return Read(file_, key)
--- a/pepperusher/distribution/freshness.py
+++ b/pepperusher/distribution/freshness.py
@@ -1,6 +1,6 @@
 """How old the owner's word of each fact is, as it goes from machine to machine; free of I/O.
 
-A fact that does not change and one whose owner is cut off look alike by their versions. So the owner says `Word`:
+A fact that does not change and one whose owner is cut off look alike by their versions. So the owner says `ConsoleCall`:
 of this version, and of this moment in its own time, so long ago. Each passes it on with the age grown by what it
 lay there, so no clocks are compared.
 """
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperusher.distribution.messages import MOST_RESOURCES, Version, Word
+from pepperusher.distribution.messages import MOST_RESOURCES, Version, FreshnessWord
 
 # A word that nobody has said anything newer than for so long is of use to nobody.
 KEPT = 60_000_000
 
 
-class Heard(NamedTuple):
+class FreshnessReport(NamedTuple):
     """`stamp` is the owner's time and orders its words; `told_at` is when that was, by the clock here."""
 
     version: Version
@@ -28,9 +28,9 @@
 class Freshness:
     def __init__(self) -> None:
         # By a fact's name, the newest word of it: MOST_RESOURCES at the most, emptied KEPT after it was heard.
-        self._heard: dict[str, Heard] = {}
+        self._heard: dict[str, FreshnessReport] = {}
 
-    def said(self, word: Word, now: int) -> bool:
+    def said(self, word: FreshnessWord, now: int) -> bool:
         """Whether it is newer than what was heard. Of one moment the first hearing counts: passed round among
         machines a word would else get younger with each, by the time that it was on the way.
         """
@@ -40,7 +40,7 @@
             return False
         if last is None and len(self._heard) >= MOST_RESOURCES:
             return False
-        self._heard[word.name] = Heard(version, word.stamp, now - word.age, now)
+        self._heard[word.name] = FreshnessReport(version, word.stamp, now - word.age, now)
         return True
 
     def own(self, name: str, version: Version, told_at: int, now: int) -> None:
@@ -49,17 +49,17 @@
         if last is not None and version < last.version:
             return
         stamp = max(told_at, last.stamp + 1 if last is not None else 0)
-        self._heard[name] = Heard(version, stamp, told_at, now)
+        self._heard[name] = FreshnessReport(version, stamp, told_at, now)
 
-    def of(self, names: Iterable[str], now: int) -> list[Word]:
+    def of(self, names: Iterable[str], now: int) -> list[FreshnessWord]:
         """To be passed on."""
         return [
-            Word(name, *one.version, one.stamp, max(0, now - one.told_at))
+            FreshnessWord(name, *one.version, one.stamp, max(0, now - one.told_at))
             for name in names
             if (one := self._heard.get(name)) is not None
         ]
 
-    def get(self, name: str) -> Heard | None:
+    def get(self, name: str) -> FreshnessReport | None:
         return self._heard.get(name)
 
     @property
--- a/pepperusher/distribution/messages.py
+++ b/pepperusher/distribution/messages.py
@@ -121,7 +121,7 @@
         return Version(self.epoch, self.number)
 
 
-class Have(_Message, tag=15):
+class HaveVersion(_Message, tag=15):
     kind: Name
     name: Name
     mark: Mark
@@ -143,11 +143,11 @@
     zone: Annotated[str, Meta(max_length=100)]
     bodies: bool
     names: Annotated[list[tuple[Name, Name]], Meta(max_length=MOST_NAMES)]
-    have: Annotated[list[Have], Meta(max_length=MOST_RESOURCES)]
+    have: Annotated[list[HaveVersion], Meta(max_length=MOST_RESOURCES)]
     refused: Annotated[list[Ack], Meta(max_length=MOST_NAMES)]
 
 
-class Want(_Message, tag=3):
+class SubscribeRequest(_Message, tag=3):
     """The body: what came does not fit what is there, or this one was only offered it. `base` is what a delta
     may be made from; without one it comes whole.
     """
@@ -162,13 +162,13 @@
         return self.kind, self.name
 
 
-class Bodies(_Message, tag=4):
+class BodiesSwitch(_Message, tag=4):
     """From now on bodies, or offers alone: of a proxy's two upstreams one sends bodies."""
 
     on: bool
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class FreshnessWord(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """Of the fact `endpoints/name`: its owner's own source last spoke at `stamp`, in the owner's time, `age` us
     before this is sent, and then this version was all that it had told.
     """
@@ -180,7 +180,7 @@
     age: Count
 
 
-class Beat(_Message, tag=5):
+class Heartbeat(_Message, tag=5):
     """The sender is there. From a control machine: when the origin last spoke, in the origin's time, and how
     long ago in us that reached the sender; and words of the facts that the other side subscribes to.
     """
@@ -188,7 +188,7 @@
     epoch: Count = 0
     stamp: Count = 0
     age: Count = 0
-    words: list[Word] = []
+    words: list[FreshnessWord] = []
 
 
 class Offer(_Message, tag=6):
@@ -248,7 +248,7 @@
     why: Reason = ""
 
 
-class AskRollout(_Message, tag=11):
+class RolloutRequest(_Message, tag=11):
     """`wide`: of all control machines, and not of the one that is asked alone. `number` is for the answer."""
 
     number: Count
@@ -288,7 +288,7 @@
     why: Reason
 
 
-class AskFigures(_Message, tag=14):
+class FiguresRequest(_Message, tag=14):
     pass
 
 
@@ -299,6 +299,6 @@
 
 
 Message = (
-    Hello | Ack | Want | Bodies | Beat | Offer | Snapshot | Delta | Publish | Published | AskRollout | Rows
-    | Refused | AskFigures | Figures
+    Hello | Ack | SubscribeRequest | BodiesSwitch | Heartbeat | Offer | Snapshot | Delta | Publish | Published | RolloutRequest | Rows
+    | Refused | FiguresRequest | Figures
 )  # fmt: skip
--- a/pepperusher/distribution/operator_client.py
+++ b/pepperusher/distribution/operator_client.py
@@ -12,19 +12,19 @@
 from pepperusher.distribution.publisher import Rollout, rollout_of
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
-    LONGEST_ANSWER, NEVER, OPERATOR, AskFigures, AskRollout, Figures, Hello, Message, Publish, Published,
+    LONGEST_ANSWER, NEVER, OPERATOR, FiguresRequest, RolloutRequest, Figures, Hello, Message, Publish, Published,
     Refused, Rows, Version,
 )  # fmt: skip
 
 WITHIN = 10.0
 
 
-class NoAnswer(RuntimeError):
+class NoAnswerError(RuntimeError):
     """No answer, or one that says no; its text is one line."""
 
 
 async def ask(address: tuple[str, int], key: bytes, message: Message, within: float = WITHIN) -> Message:
-    """Raises NoAnswer."""
+    """Raises NoAnswerError."""
     loop = asyncio.get_running_loop()
     told: asyncio.Future[Message] = loop.create_future()
     at = f"{address[0]}:{address[1]}"
@@ -41,7 +41,7 @@
 
     def ended(link: Link, why: str) -> None:
         if not told.done():
-            told.set_exception(NoAnswer(f"{at}: {why} (another key, or no control machine?)"))
+            told.set_exception(NoAnswerError(f"{at}: {why} (another key, or no control machine?)"))
 
     link = Link(Session(key, True, LONGEST_ANSWER), opened, came, ended, Counter())
     try:
@@ -49,41 +49,41 @@
             await loop.create_connection(lambda: link, *address)
             answer = await told
     except TimeoutError:
-        raise NoAnswer(f"{at}: no answer within {within:g} s") from None
+        raise NoAnswerError(f"{at}: no answer within {within:g} s") from None
     except OSError as error:
-        raise NoAnswer(f"{at}: {error.strerror or error}") from None
+        raise NoAnswerError(f"{at}: {error.strerror or error}") from None
     finally:
         link.abort("answered")
         if told.done() and not told.cancelled():
             told.exception()
     if isinstance(answer, Refused):
-        raise NoAnswer(f"{at}: {answer.why}")
+        raise NoAnswerError(f"{at}: {answer.why}")
     return answer
 
 
 async def publish(address: tuple[str, int], key: bytes, kind: str, name: str, body: bytes) -> Version:
-    """The version that it became, on the origin's disk. Raises NoAnswer, with why it was not taken."""
+    """The version that it became, on the origin's disk. Raises NoAnswerError, with why it was not taken."""
     answer = await ask(address, key, Publish(kind, name, body))
     if not isinstance(answer, Published):
-        raise NoAnswer(f"{address[0]}:{address[1]}: an answer to something else")
+        raise NoAnswerError(f"{address[0]}:{address[1]}: an answer to something else")
     if answer.why:
-        raise NoAnswer(answer.why)
+        raise NoAnswerError(answer.why)
     return Version(answer.epoch, answer.number)
 
 
 async def rollout(address: tuple[str, int], key: bytes, kind: str, name: str) -> Rollout:
-    """How far the newest version is, by all control machines that answer. Raises NoAnswer."""
-    answer = await ask(address, key, AskRollout(0, kind, name, True))
+    """How far the newest version is, by all control machines that answer. Raises NoAnswerError."""
+    answer = await ask(address, key, RolloutRequest(0, kind, name, True))
     if not isinstance(answer, Rows):
-        raise NoAnswer(f"{address[0]}:{address[1]}: an answer to something else")
+        raise NoAnswerError(f"{address[0]}:{address[1]}: an answer to something else")
     if Version(*answer.version) == NEVER:
-        raise NoAnswer(f"{kind}/{name} is known to no control machine")
+        raise NoAnswerError(f"{kind}/{name} is known to no control machine")
     return rollout_of([answer], answer.silent)
 
 
 async def figures(address: tuple[str, int], key: bytes) -> dict[str, int | str]:
-    """Raises NoAnswer."""
-    answer = await ask(address, key, AskFigures())
+    """Raises NoAnswerError."""
+    answer = await ask(address, key, FiguresRequest())
     if not isinstance(answer, Figures):
-        raise NoAnswer(f"{address[0]}:{address[1]}: an answer to something else")
+        raise NoAnswerError(f"{address[0]}:{address[1]}: an answer to something else")
     return answer.counts
--- a/pepperusher/distribution/publisher.py
+++ b/pepperusher/distribution/publisher.py
@@ -21,7 +21,7 @@
     PROXY,
     RELAY,
     Ack,
-    Beat,
+    Heartbeat,
     Delta,
     Hello,
     Key,
@@ -67,7 +67,7 @@
 MOST_PROXIES = 20_000
 
 
-class NotTaken(ValueError):
+class RejectedUpdateError(ValueError):
     """A change that can't be written now; its text is one line."""
 
 
@@ -79,7 +79,7 @@
     return int.from_bytes(number) / 2**64
 
 
-class Held:
+class StoredResource:
     """One resource, as this control machine has it."""
 
     __slots__ = (
@@ -123,7 +123,7 @@
         self.may_want_at = 0
 
 
-class Proxy:
+class ProxyRecord:
     """What is known of a proxy by its name, connected or not."""
 
     __slots__ = ("connection", "heard_at", "region", "in_force", "refused")
@@ -136,7 +136,7 @@
         self.refused: dict[Key, tuple[Version, str]] = {}
 
 
-class Line(NamedTuple):
+class PublisherEvent(NamedTuple):
     """For the log."""
 
     what: str
@@ -151,12 +151,12 @@
 
     def __init__(self, name: str, region: str, epoch: int | None, owner: bool, peers: int, now: int) -> None:
         self.name, self.region, self.epoch, self.owner = name, region, epoch, owner
-        self.held: dict[Key, Held] = {}  # MOST_RESOURCES at the most
+        self.held: dict[Key, StoredResource] = {}  # MOST_RESOURCES at the most
         self.subscribers: dict[int, Subscriber] = {}  # emptied as they leave
-        self.proxies: dict[str, Proxy] = {}  # emptied GONE_KEPT after they left
+        self.proxies: dict[str, ProxyRecord] = {}  # emptied GONE_KEPT after they left
         self.pending: dict[int, None] = {}
         self.replaced: list[int] = []  # connections whose name has come again: to be closed
-        self.lines: list[Line] = []
+        self.lines: list[PublisherEvent] = []
         self.keep: dict[Key, None] = {}  # resources that are to be written to disk
         self.counts: Counter[str] = Counter()
         self.confirmed: tuple[int, int] = (epoch or 0, now if epoch is not None else 0)
@@ -176,7 +176,7 @@
 
     def restore(self, newest: Resource, steady: Resource | None, halted: str, now: int) -> None:
         """From this machine's disk, at a start."""
-        held = self.held[newest.key] = Held(newest)
+        held = self.held[newest.key] = StoredResource(newest)
         held.halted = halted
         if steady is not None and steady.version == newest.version:
             held.steady = newest
@@ -185,7 +185,7 @@
             self._keep_base(held, steady)
         self._begin(held, now)
 
-    def _begin(self, held: Held, now: int) -> None:
+    def _begin(self, held: StoredResource, now: int) -> None:
         held.wave, held.wave_at, held.begun_at, held.heard = 0, now, now, 0
         if held.newest.fact:
             held.steady = held.newest
@@ -195,7 +195,7 @@
             self._rolling.add(held.newest.key)
         self._set_bar(held)
 
-    def _set_bar(self, held: Held) -> None:
+    def _set_bar(self, held: StoredResource) -> None:
         """How far the wave reaches."""
         places = [
             place_of(one.hello.name, held.newest.version)
@@ -206,38 +206,40 @@
         held.bar = max(WAVES[held.wave], *least, 0.0)
 
     def draft(self, kind: str, name: str, body: bytes, now: int) -> Resource:
-        """The version that a change would become here. Raises NotTaken.
+        """The version that a change would become here. Raises RejectedUpdateError.
 
         Its number is the time in milliseconds, or one more than the last where that is greater: an origin with
         an old disk that nobody can tell of what it lost must not give a number twice.
         """
         if kind not in KINDS:
-            raise NotTaken(f"{kind!r} is none of {', '.join(KINDS)}")
+            raise RejectedUpdateError(f"{kind!r} is none of {', '.join(KINDS)}")
         if not name or len(name) > 100 or not name.isprintable():
-            raise NotTaken(f"{name[:100]!r} is no name")
+            raise RejectedUpdateError(f"{name[:100]!r} is no name")
         if len(body) > LONGEST_BODY:
-            raise NotTaken(f"is over {LONGEST_BODY} bytes")
+            raise RejectedUpdateError(f"is over {LONGEST_BODY} bytes")
         fact, held = KINDS[kind], self.held.get((kind, name))
         if fact and not (self.owner and name.startswith(f"{self.region}/")):
-            raise NotTaken(f"{self.name} does not own the facts of {name.partition('/')[0]}")
+            raise RejectedUpdateError(f"{self.name} does not own the facts of {name.partition('/')[0]}")
         if not fact and self.epoch is None:
-            raise NotTaken(f"{self.name} is not the origin")
+            raise RejectedUpdateError(f"{self.name} is not the origin")
         if not fact and len(self.compared) < (self._peers + 1) // 2:
-            raise NotTaken(
+            raise RejectedUpdateError(
                 f"{self.name} has compared with {len(self.compared)} of {self._peers} other control machines since"
                 f" its start, and begins to write at {(self._peers + 1) // 2}"
             )
         if held is None and len(self.held) >= MOST_RESOURCES:
-            raise NotTaken(f"there are {MOST_RESOURCES} resources already")
+            raise RejectedUpdateError(f"there are {MOST_RESOURCES} resources already")
         last = held.newest.version if held is not None else NEVER
         ahead = max(last, self._ahead.get((kind, name), NEVER))
         # A fact has the one owner and no origin: whichever machine that is goes on from what there is.
         epoch = (ahead.epoch or 1) if fact or self.epoch is None else self.epoch
         if epoch < ahead.epoch:
-            raise NotTaken(f"epoch {epoch} of {self.name} is below {ahead.epoch}, which is in use")
+            raise RejectedUpdateError(f"epoch {epoch} of {self.name} is below {ahead.epoch}, which is in use")
         if self._fetched.get((kind, name), NEVER) > last and epoch == ahead.epoch:
             # Whoever writes would go by what was, and undo the newer without having seen it.
-            raise NotTaken(f"{ahead} is in use and {self.name} has {last}: it is being fetched; or raise the epoch")
+            raise RejectedUpdateError(
+                f"{ahead} is in use and {self.name} has {last}: it is being fetched; or raise the epoch"
+            )
         return resource(kind, name, Version(epoch, max(ahead.number + 1, now // 1_000)), body)
 
     def take(self, one: Resource, now: int, halted: str = "", steady: bool = False) -> str | None:
@@ -259,7 +261,7 @@
         if held is None:
             if len(self.held) >= MOST_RESOURCES:
                 return f"there are {MOST_RESOURCES} resources already"
-            held = self.held[one.key] = Held(one)
+            held = self.held[one.key] = StoredResource(one)
             for id, sub in self.subscribers.items():
                 if sub.names is None or one.key in sub.names:
                     held.subscribers.add(id)
@@ -289,7 +291,7 @@
         self.counts["versions"] += 1
         return None
 
-    def _keep_base(self, held: Held, one: Resource) -> None:
+    def _keep_base(self, held: StoredResource, one: Resource) -> None:
         """To make deltas from, whatever becomes steady later; in the order of versions, of which the oldest go."""
         held.before[one.version] = one
         for version in sorted(held.before):
@@ -310,10 +312,12 @@
         held.cache.clear()
         self._rolling.discard(key)
         self.keep[key] = None
-        self.lines.append(Line("a change is halted", {"resource": "/".join(key), "version": str(version), "why": why}))
+        self.lines.append(
+            PublisherEvent("a change is halted", {"resource": "/".join(key), "version": str(version), "why": why})
+        )
         self._mark(held)
 
-    def _mark(self, held: Held) -> None:
+    def _mark(self, held: StoredResource) -> None:
         """Whoever subscribes may have something coming."""
         key = held.newest.key
         for id in held.subscribers:
@@ -326,7 +330,9 @@
         """
         self.counts["forked"] += 1
         self.lines.append(
-            Line("two contents under one version", {"resource": "/".join(key), "version": str(version), "by": by})
+            PublisherEvent(
+                "two contents under one version", {"resource": "/".join(key), "version": str(version), "by": by}
+            )
         )
 
     # --- who subscribes -----------------------------------------------------------------------------
@@ -345,7 +351,7 @@
             proxy = self.proxies.get(hello.name)
             if proxy is None:
                 self._make_room()
-                proxy = self.proxies[hello.name] = Proxy(hello.region)
+                proxy = self.proxies[hello.name] = ProxyRecord(hello.region)
             if proxy.connection is not None:
                 self.replaced.append(proxy.connection)
             proxy.connection, proxy.heard_at, proxy.region = id, now, hello.region
@@ -386,7 +392,7 @@
                 self._ahead[key] = mark.version
             self.counts["behind"] += 1
             self.lines.append(
-                Line(
+                PublisherEvent(
                     "older here than elsewhere",
                     {"resource": "/".join(key), "here": str(last), "there": str(mark.version), "by": by},
                 )
@@ -483,7 +489,7 @@
 
     # --- what they are sent -------------------------------------------------------------------------
 
-    def _for(self, name: str, held: Held) -> Resource | None:
+    def _for(self, name: str, held: StoredResource) -> Resource | None:
         """The version that a proxy is to have now."""
         if held.done:
             return held.newest
@@ -545,7 +551,7 @@
         sub.known[key] = mark_of(one)
         return self._update(held, one, known)
 
-    def _snapshot(self, held: Held, one: Resource) -> bytes:
+    def _snapshot(self, held: StoredResource, one: Resource) -> bytes:
         if one is not held.newest:
             return wire.encoded(Snapshot(*one.key, mark_of(one), one.body))
         made = held.cache.get(None)
@@ -554,7 +560,7 @@
         self.counts["snapshots"] += 1
         return made
 
-    def _update(self, held: Held, one: Resource, known: Mark | None) -> bytes:
+    def _update(self, held: StoredResource, one: Resource, known: Mark | None) -> bytes:
         base = held.before.get(known.version) if known is not None else None
         if base is None and known is not None and held.steady is not None and held.steady.version == known.version:
             base = held.steady  # older than all that is kept before the newest
@@ -630,7 +636,7 @@
             self.keep[key] = None
             self._mark(held)
 
-    def _ask_others(self, held: Held) -> None:
+    def _ask_others(self, held: StoredResource) -> None:
         """Of the wave nobody is there: the nearest of those that came since, or the others are told that nobody is
         to be asked here.
         """
@@ -643,7 +649,7 @@
         if held.bar > bar:
             self._mark(held)
 
-    def _heard(self, held: Held, waves: int) -> None:
+    def _heard(self, held: StoredResource, waves: int) -> None:
         """Of so many waves: the others are told."""
         if held.heard < waves:
             held.heard = waves
@@ -652,7 +658,7 @@
                     self.subscribers[id].dirty[held.newest.key] = None
                     self.pending[id] = None
 
-    def _heard_elsewhere(self, held: Held, now: int) -> bool:
+    def _heard_elsewhere(self, held: StoredResource, now: int) -> bool:
         """Whether the other control machines have heard of this wave, as far as they are waited for."""
         for those in self._elsewhere.values():
             version, heard = those.get(held.newest.key, (NEVER, 0))
@@ -683,10 +689,10 @@
         if self.epoch is None and at is not None:
             self.confirmed, self.confirmed_at = confirmed, at
 
-    def beat(self, now: int) -> Beat:
+    def beat(self, now: int) -> Heartbeat:
         if not self.confirmed[1]:
-            return Beat()
-        return Beat(*self.confirmed, max(0, now - self.confirmed_at))
+            return Heartbeat()
+        return Heartbeat(*self.confirmed, max(0, now - self.confirmed_at))
 
     # --- what operators ask -------------------------------------------------------------------------
 
--- a/pepperusher/distribution/relay.py
+++ b/pepperusher/distribution/relay.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from pepperusher.distribution.messages import LONGEST_BODY, Version
-from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Endpoint
 from pepperusher.net import clock
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.log import Log
@@ -34,7 +34,7 @@
         self.told = False  # since the start
         self.changed = False  # since it was written last
 
-    def listed(self, entries: Iterable[Entry], whole: bool, now: int) -> None:
+    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
         if whole or any(True for _ in entries):
             self.told = self.changed = True
         self._pause = 0
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -20,7 +20,7 @@
 from pepperusher.distribution.admission import Admission
 from pepperusher.distribution.freshness import Freshness
 from pepperusher.distribution.link import Calls, Link
-from pepperusher.distribution.publisher import NotTaken, Publisher, best, rollout_of
+from pepperusher.distribution.publisher import RejectedUpdateError, Publisher, best, rollout_of
 from pepperusher.distribution.subscriber import Apply, Close, Connect, Say, Send, Subscriber
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
@@ -33,10 +33,10 @@
     PROXY,
     RELAY,
     Ack,
-    AskFigures,
-    AskRollout,
-    Beat,
-    Bodies,
+    FiguresRequest,
+    RolloutRequest,
+    Heartbeat,
+    BodiesSwitch,
     Figures,
     Hello,
     Message,
@@ -48,7 +48,7 @@
     Row,
     Rows,
     Version,
-    Want,
+    SubscribeRequest,
     one_line,
 )
 from pepperusher.net import clock
@@ -91,7 +91,7 @@
 KEEP_AGAIN = 1.0
 
 
-class Terms(NamedTuple):
+class ServerSettings(NamedTuple):
     """What the role's file says; `origin` is its epoch where it is the one that may write."""
 
     name: str
@@ -106,7 +106,7 @@
     relay: tuple[tuple[str, int], str] | None = None  # where discovery answers, and the name of its list as a fact
 
 
-def descriptors_of(terms: Terms) -> int:
+def descriptors_of(terms: ServerSettings) -> int:
     """What it may come to hold at once: all whom it admits, strangers among them, and its own connections."""
     return terms.subscribers + MOST_STRANGERS + MOST_RELAYS + MOST_OPERATORS + len(terms.peers) + HELD_BESIDE
 
@@ -127,7 +127,7 @@
 
 
 class Server:
-    def __init__(self, terms: Terms, key: bytes, disk: Disk, say: Callable[..., None], seed: int) -> None:
+    def __init__(self, terms: ServerSettings, key: bytes, disk: Disk, say: Callable[..., None], seed: int) -> None:
         self._terms, self._key, self._disk, self._say = terms, key, disk, say
         now = clock.now()
         self.publisher = Publisher(terms.name, terms.region, terms.epoch, terms.owner, len(terms.peers), now)
@@ -308,7 +308,7 @@
         if one.greeting is not None:
             if len(one.said) >= MOST_SAID:
                 raise BadPacket("too many messages")
-            if not isinstance(message, Beat):
+            if not isinstance(message, Heartbeat):
                 one.said.append(message)
         elif one.hello is None:
             if not isinstance(message, Hello):
@@ -321,18 +321,18 @@
     def _served(self, id: int, one: _Connection, hello: Hello, message: Message, now: int) -> None:
         """Raises BadPacket for what it may not say."""
         publisher = self.publisher
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             if hello.role != OPERATOR:
                 publisher.heard(id, now)
         elif hello.role == OPERATOR:
             self._operator(one, message)
         elif isinstance(message, Ack):
             publisher.ack(id, message, now)
-        elif isinstance(message, Want):
+        elif isinstance(message, SubscribeRequest):
             publisher.want(id, message.key, message.steady, message.base, now)
-        elif isinstance(message, Bodies):
+        elif isinstance(message, BodiesSwitch):
             publisher.bodies(id, message.on)
-        elif isinstance(message, AskRollout) and hello.role == RELAY:
+        elif isinstance(message, RolloutRequest) and hello.role == RELAY:
             self._say_to(one, publisher.rows(message.number, (message.kind, message.name), now))
         else:
             raise BadPacket("sound, but nothing that it may say")
@@ -353,7 +353,7 @@
         self._admit()
         if one.greeting is not None:
             self.counts["waited to be served"] += 1
-            self._say_to(one, Beat())
+            self._say_to(one, Heartbeat())
 
     def _admit(self) -> None:
         """Serves whose turn it is, and comes back for the next."""
@@ -464,7 +464,7 @@
             elif one.hello is None:
                 if now - one.beat_at >= BEAT_EVERY:
                     one.beat_at = now
-                    one.link.send(wire.encoded(Beat()))
+                    one.link.send(wire.encoded(Heartbeat()))
             elif one.hello.role != OPERATOR and now - one.beat_at >= BEAT_EVERY:
                 one.beat_at = now
                 if one.link.idle:
@@ -484,10 +484,10 @@
             return tuple(self.freshness.names)
         return tuple(name for kind, name in hello.names if kind == ENDPOINTS and self.freshness.get(name))
 
-    def _beat(self, one: _Connection, now: int) -> Beat:
+    def _beat(self, one: _Connection, now: int) -> Heartbeat:
         beat = self.publisher.beat(now)
         facts = self._facts_of(one.hello) if one.hello is not None else ()
-        return Beat(beat.epoch, beat.stamp, beat.age, self.freshness.of(facts, now)) if facts else beat
+        return Heartbeat(beat.epoch, beat.stamp, beat.age, self.freshness.of(facts, now)) if facts else beat
 
     def _encoded_beat(self, one: _Connection, now: int, made: dict[tuple[str, ...], bytes]) -> bytes:
         """One for all that hear of the same facts."""
@@ -547,7 +547,7 @@
             return held.newest.version
         try:
             made = publisher.draft(ENDPOINTS, name, body, now)
-        except NotTaken as no:
+        except RejectedUpdateError as no:
             self.counts["facts not written"] += 1
             if self.counts["facts not written"] % 100 == 1:
                 self._say("a fact is not written yet", name=name, why=str(no))
@@ -594,9 +594,9 @@
     def _operator(self, one: _Connection, message: Message) -> None:
         if isinstance(message, Publish):
             self._go(self._publish(one, message))
-        elif isinstance(message, AskRollout):
+        elif isinstance(message, RolloutRequest):
             self._go(self._rollout(one, message))
-        elif isinstance(message, AskFigures):
+        elif isinstance(message, FiguresRequest):
             self._say_to(one, Figures(self._figures()))
         else:
             raise BadPacket("sound, but nothing that it may say")
@@ -620,7 +620,7 @@
         async with self._drafting:
             try:
                 made = publisher.draft(said.kind, said.name, said.body, clock.now())
-            except NotTaken as no:
+            except RejectedUpdateError as no:
                 self._say_to(one, Published(*NEVER, one_line(str(no))))
                 return
             held = publisher.held.get(made.key)
@@ -646,7 +646,7 @@
         self._say_to(one, Published(*made.version))
         self._pump_soon()
 
-    async def _rollout(self, one: _Connection, asked: AskRollout) -> None:
+    async def _rollout(self, one: _Connection, asked: RolloutRequest) -> None:
         """This control machine's part, and with `wide` all others' too."""
         parts = [self.publisher.rows(asked.number, (asked.kind, asked.name), clock.now())]
         silent: list[str] = []
@@ -661,7 +661,7 @@
                 told: asyncio.Future[Rows] = asyncio.get_running_loop().create_future()
                 self._asked[number] = upstream, told
                 those[upstream] = told
-                link.send(wire.encoded(AskRollout(number, asked.kind, asked.name, False)))
+                link.send(wire.encoded(RolloutRequest(number, asked.kind, asked.name, False)))
             if those:
                 await asyncio.wait(those.values(), timeout=ASKED_WITHIN)
             for upstream, told in those.items():
@@ -757,7 +757,7 @@
         if isinstance(message, Offer):
             self.publisher.offered(upstream, message, now)
         self._after()
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             # After what came before it is taken: a word is of a version.
             newer = [word.name for word in message.words if self.freshness.said(word, now)]
             if newer:
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -26,10 +26,10 @@
     PROXY,
     RELAY,
     Ack,
-    Beat,
-    Bodies,
+    Heartbeat,
+    BodiesSwitch,
     Delta,
-    Have,
+    HaveVersion,
     Hello,
     Key,
     Mark,
@@ -39,7 +39,7 @@
     Resource,
     Snapshot,
     Version,
-    Want,
+    SubscribeRequest,
     digest_of,
     mark_of,
     one_line,
@@ -254,7 +254,7 @@
         for one in self._upstreams.values():
             if one.state == UP and one.bodies != (one is sender):
                 one.bodies = one is sender
-                self.out.append(Send(one.name, Bodies(one.bodies)))
+                self.out.append(Send(one.name, BodiesSwitch(one.bodies)))
 
     def _sender(self, now: int) -> _Upstream | None:
         """Who is to send bodies: the first that it is connected to. One that comes before those in front of it waits
@@ -321,7 +321,7 @@
         one.bodies = False
         one.bodies = self._sender(now) is one
         refused = [Ack(*key, *mark.version, reason) for key, (mark, reason) in self.refused.items()]
-        have = [Have(*key, mark_of(self.held[key])) for key in self.held]
+        have = [HaveVersion(*key, mark_of(self.held[key])) for key in self.held]
         names = [] if self._names is None else sorted(self._names)
         self.out.append(
             Send(
@@ -352,7 +352,7 @@
                 self._close(one, "silent", now)
             elif one.state == UP and now - one.beat_at >= BEAT_EVERY:
                 one.beat_at = now
-                self.out.append(Send(one.name, Beat()))
+                self.out.append(Send(one.name, Heartbeat()))
         self._settle(now)
         self._ask(now)
         for one in self._upstreams.values():
@@ -406,9 +406,9 @@
         if one.spoke_at is None:
             self._next_wait = AGAIN_LEAST
         one.spoke_at = now
-        if not isinstance(message, Beat):
+        if not isinstance(message, Heartbeat):
             self._stirred(now)
-        if isinstance(message, Beat):
+        if isinstance(message, Heartbeat):
             self._beat(one, message, now)
         elif isinstance(message, Offer):
             self._offer(one, message, now)
@@ -425,7 +425,7 @@
         else:
             raise BadPacket("sound, but nothing that a control machine says")
 
-    def _beat(self, one: _Upstream, beat: Beat, now: int) -> None:
+    def _beat(self, one: _Upstream, beat: Heartbeat, now: int) -> None:
         if (beat.epoch, beat.stamp) <= self.confirmed:
             return
         behind = any(
@@ -506,7 +506,7 @@
         one = next((one for one, _, _ in offers if one.name != asked), offers[0][0])
         self._wants[slot] = now + wait, min(2 * wait, WANT_MOST), one.name
         held = None if steady or key in self._misfits else self.held.get(key)
-        self.out.append(Send(one.name, Want(*key, steady, held and mark_of(held))))
+        self.out.append(Send(one.name, SubscribeRequest(*key, steady, held and mark_of(held))))
         self.counts["wants"] += 1
 
     def _first_speaks(self, slot: Slot, last: Version, now: int) -> bool:
--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -16,7 +16,7 @@
 
 from pepperusher.distribution import messages
 from pepperusher.distribution.messages import Message
-from pepperusher.packet_authentication import BadPacket, Seal
+from pepperusher.packet_authentication import BadPacket, PacketAuthenticator
 
 MARK = b"pd"
 FORM = 1
@@ -56,8 +56,8 @@
         self._key = hashlib.sha256(b"distribution " + key).digest()
         self._chance = os.urandom(CHANCE)
         self._calls = calls
-        self._in: Seal | None = None
-        self._out: Seal | None = None
+        self._in: PacketAuthenticator | None = None
+        self._out: PacketAuthenticator | None = None
         self._read = self._written = 0
         self._buffer = bytearray()  # one frame and less
         self._parts = bytearray()  # one message and less
@@ -81,7 +81,7 @@
         both = self._chance + theirs if self._calls else theirs + self._chance
         keys = {side: hashlib.blake2b(side + both, key=self._key, digest_size=32).digest() for side in (CALLER, CALLED)}
         mine, other = (CALLER, CALLED) if self._calls else (CALLED, CALLER)
-        self._out, self._in = Seal(keys[mine], MARK, FORM), Seal(keys[other], MARK, FORM)
+        self._out, self._in = PacketAuthenticator(keys[mine], MARK, FORM), PacketAuthenticator(keys[other], MARK, FORM)
 
     def part(self, message: bytes, at: int) -> tuple[bytes, int]:
         """The next frame of a message, and where the rest begins; its length at the end."""
--- a/pepperusher/endpoint.py
+++ b/pepperusher/endpoint.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class Entry(NamedTuple):
+class Endpoint(NamedTuple):
     """One line of the list of backends. `born` 0 is long ago; not `ready` means it drains, or is `gone`."""
 
     id: str
@@ -20,4 +20,4 @@
 
 
 # What one makes of lines, whole or not, before they are acted on.
-Narrow = Callable[[list[Entry], bool], list[Entry]]
+Narrow = Callable[[list[Endpoint], bool], list[Endpoint]]
--- a/pepperusher/endpoint_filter.py
+++ b/pepperusher/endpoint_filter.py
@@ -7,16 +7,16 @@
 
 from collections.abc import Callable, Iterable
 
-from pepperusher.facade import Entry
+from pepperusher.facade import Endpoint
 
 
-class Narrowed:
-    def __init__(self, mark: Callable[[Entry], Entry]) -> None:
+class EndpointFilter:
+    def __init__(self, mark: Callable[[Endpoint], Endpoint]) -> None:
         self._mark = mark
         # Discovery's last word of each that is ready; emptied with the list.
-        self._told: dict[str, Entry] = {}
+        self._told: dict[str, Endpoint] = {}
 
-    def lines(self, entries: Iterable[Entry], whole: bool) -> list[Entry]:
+    def lines(self, entries: Iterable[Endpoint], whole: bool) -> list[Endpoint]:
         """An endpoint update, as the decisions are to have it: a line for each, in the same order."""
         if whole:
             self._told.clear()
@@ -30,14 +30,14 @@
             made.append(self._mark(entry))
         return made
 
-    def turned(self, turn: Callable[[], None]) -> list[Entry]:
+    def turned(self, turn: Callable[[], None]) -> list[Endpoint]:
         """Other marks from now on, by `turn`; the lines that change by it, of backends that discovery has as
         ready alone."""
         before = {name: self._mark(entry) for name, entry in self._told.items()}
         turn()
         return [after for name, entry in self._told.items() if (after := self._mark(entry)) != before[name]]
 
-    def ready(self) -> list[Entry]:
+    def ready(self) -> list[Endpoint]:
         """Those that discovery has as ready."""
         return list(self._told.values())
 
--- a/pepperusher/extensions.py
+++ b/pepperusher/extensions.py
@@ -5,14 +5,14 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from pepperusher.net.extension import Companion
-from pepperusher.net.configuration_manager import House, given_of
+from pepperusher.net.extension import Extension
+from pepperusher.net.configuration_manager import ConfigurationManager, given_of
 from pepperusher.net.log import Log
-from pepperusher.net.bootstrap import Told
+from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.configuration.tables import Own
 
 if TYPE_CHECKING:
-    from pepperusher.net.distributed_configuration import Distributed
+    from pepperusher.net.distributed_configuration import DistributedConfiguration
 
 
 def _kept(own: Own) -> str:
@@ -24,28 +24,28 @@
     return kept(own)
 
 
-def company(own: str | Path, given: tuple[str, ...], told: Told, log: Log) -> list[Companion]:
-    """In the order in which they narrow the list: operators' orders have the last word. Raises OwnError."""
-    house = House(own, given_of(given), told.ground, log, _kept)
-    made: list[Companion] = [house]
+def extensions_of(own: str | Path, given: tuple[str, ...], told: BootstrapConfiguration, log: Log) -> list[Extension]:
+    """In the order in which they narrow the list: operators' orders have the last word. Raises ConfigurationError."""
+    house = ConfigurationManager(own, given_of(given), told.policy_settings, log, _kept)
+    made: list[Extension] = [house]
     desk = node = None
     if told.console is not None:
-        from pepperusher.console.admin_handlers import Desk
+        from pepperusher.console.admin_handlers import AdminHandlers
 
-        desk = Desk(told.console, told.ground, log)
+        desk = AdminHandlers(told.console, told.policy_settings, log)
     if house.own.group.listen is not None:
         from pepperusher.net.node import Node
 
         with_desk = (desk.orders, desk.take) if desk is not None else (None, None)
-        node = Node(house.own.group, told.ground, told.name, log.tell, *with_desk)
+        node = Node(house.own.group, told.policy_settings, told.name, log.tell, *with_desk)
         made.append(node)
         if desk is not None:
             desk.held = node.held
-    distributed: Distributed | None = None
+    distributed: DistributedConfiguration | None = None
     if house.own.distribution.machines:
-        from pepperusher.net.distributed_configuration import Distributed
+        from pepperusher.net.distributed_configuration import DistributedConfiguration
 
-        distributed = Distributed(house.own.distribution, house, told.name, str(own), log.tell)
+        distributed = DistributedConfiguration(house.own.distribution, house, told.name, str(own), log.tell)
         made.append(distributed)
     if house.own.control.socket is not None:
         from pepperusher.net.answers import Answers
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -10,10 +10,10 @@
 from typing import NamedTuple
 
 from pepperusher import terms
-from pepperusher.endpoint import Entry as Entry
-from pepperusher.invariants import must_hold
+from pepperusher.endpoint import Endpoint as Endpoint
+from pepperusher.invariants import check_invariant
 from pepperusher.policy import OPEN_FOR, Balancer
-from pepperusher.terms import Backend, Ground, Listing, Ticket
+from pepperusher.terms import Backend, PolicySettings, Listing, Ticket
 
 # What to do next with a ticket.
 SEND, HOLD, BOUNCE, SCRAP, NOTHING = "send", "hold", "bounce", "scrap", "nothing"
@@ -57,56 +57,58 @@
 class Facade:
     """One proxy's decisions, asked in turn."""
 
-    def __init__(self, ground: Ground, now: int, say: Callable[[str], None]) -> None:
-        self._on_sockets(ground)
-        self._balancer = Balancer(ground, now, say)
-        self._take_up(ground)
+    def __init__(self, policy_settings: PolicySettings, now: int, say: Callable[[str], None]) -> None:
+        self._on_sockets(policy_settings)
+        self._balancer = Balancer(policy_settings, now, say)
+        self._take_up(policy_settings)
         self._sharers: int | None = None
         self._backends: dict[str, Backend] = {}  # emptied by endpoint updates, long after they left it
         self._unlisted: dict[str, int] = {}  # since when; emptied likewise, and when they come back
         self._latest: int | None = None
         self._tickets: set[Ticket] = set()  # in hand; emptied as they are settled
 
-    def _on_sockets(self, ground: Ground) -> None:
+    def _on_sockets(self, policy_settings: PolicySettings) -> None:
         """Nobody pushes the list there: a watch has to be asked for, whatever the settings call it. Where they call it pushed,
         a change binds from the moment it is known nearby, so a lost watch is asked for anew within half a drain's grace;
         where it is asked for, the settings leave time, and every proxy asks the one discovery. But a change
         counts 6 s after discovery had it and could be reached, whatever they leave."""
-        ground.must_ask = True
-        ground.ask_within = ground.drain_within if ground.pushed else min(ground.ask_within, ASK_WITHIN)
-
-    def _take_up(self, ground: Ground) -> None:
-        self._use_cases = {use.name: use for use in ground.use_cases}
-        self._customers = {customer.name: customer for customer in ground.customers}
-        self._most = ground.most_attempts
-        self._by_answers = ground.reported_by == terms.BY_ANSWERS
+        policy_settings.must_ask = True
+        policy_settings.ask_within = (
+            policy_settings.drain_within if policy_settings.pushed else min(policy_settings.ask_within, ASK_WITHIN)
+        )
+
+    def _take_up(self, policy_settings: PolicySettings) -> None:
+        self._use_cases = {use.name: use for use in policy_settings.use_cases}
+        self._customers = {customer.name: customer for customer in policy_settings.customers}
+        self._most = policy_settings.most_attempts
+        self._by_answers = policy_settings.reported_by == terms.BY_ANSWERS
         # A backend off the list may come back under its id. Its breaker tells something while it could still
         # be open
         # for a ticket that is in hand now; kept for longer, ids that are ever new would pile up.
-        self._remembered = OPEN_FOR + ground.longest_wait
+        self._remembered = OPEN_FOR + policy_settings.longest_wait
 
-    def retuned(self, ground: Ground, now: int) -> None:
+    def retuned(self, policy_settings: PolicySettings, now: int) -> None:
         """Other settings from now on, all of them at once.
 
         A ticket in hand keeps the use case that it was taken under, and goes out no more often than either ground allows:
         the module asks its own figure too. What is known of use cases and customers that stay is kept.
         """
-        self._on_sockets(ground)
+        self._on_sockets(policy_settings)
         for ticket in self._tickets:
             ticket.most = min(ticket.most, self._most)
-        for at, use in enumerate(ground.use_cases):
+        for at, use in enumerate(policy_settings.use_cases):
             was = self._use_cases.get(use.name)
             if was is not None:
                 for name in terms.LEARNED:
                     setattr(use, name, getattr(was, name))
                 if use.same_terms(was):
-                    ground.use_cases[at] = was
-        for customer in ground.customers:
+                    policy_settings.use_cases[at] = was
+        for customer in policy_settings.customers:
             if (known := self._customers.get(customer.name)) is not None:
                 customer.allowance, customer.counted_at, customer.asked = known.allowance, known.counted_at, known.asked
-        self._balancer.retuned(ground, now)
+        self._balancer.retuned(policy_settings, now)
         self.shared_by(self._sharers)
-        self._take_up(ground)
+        self._take_up(policy_settings)
 
     def shared_by(self, sharers: int | None) -> None:
         """Of how many proxies this one is one, where they share what a customer or a cold backend may get; None where nobody
@@ -229,14 +231,14 @@
         """The attempt that was out has ended; tells what to do next. Not `again`: whatever it was, it
         was the last."""
         sent = ticket.attempts[-1]
-        must_hold(sent.ended is None, "an attempt ends once")
+        check_invariant(sent.ended is None, "an attempt ends once")
         if sent.ended is not None:
             return OVER
         self._back(sent, now)
         if not again:
             ticket.most = min(ticket.most, len(ticket.attempts))
         answer = self._balancer.after(sent, HOW[how], how == "done", now)
-        must_hold(sent.backend.in_flight >= 0, "calls in flight are never under none")
+        check_invariant(sent.backend.in_flight >= 0, "calls in flight are never under none")
         if answer == terms.AGAIN:
             return self.pick(ticket, now)
         if answer == terms.NOTHING:
@@ -259,7 +261,7 @@
         ticket.over = True
         # Each points to its ticket: they would stay until a collection.
         ticket.attempts.clear()
-        must_hold(ticket in self._tickets, "a ticket is settled once")
+        check_invariant(ticket in self._tickets, "a ticket is settled once")
         self._tickets.discard(ticket)
 
     def close_at(self, latest: int) -> None:
@@ -270,7 +272,7 @@
 
     # --- the list ---------------------------------------------------------------------------------
 
-    def listed(self, entries: Iterable[Entry], whole: bool, now: int) -> None:
+    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
         lines = []
         seen = set()
         for entry in entries:
--- a/pepperusher/group/broadcasts.py
+++ b/pepperusher/group/broadcasts.py
@@ -7,7 +7,7 @@
 import hashlib
 from collections.abc import Iterator
 
-from pepperusher.group.messages import Notice
+from pepperusher.group.messages import Broadcast
 
 # Things at once; one more is not taken, and counted.
 MOST = 500
@@ -16,27 +16,27 @@
 AHEAD = 3_600_000_000
 
 
-class Notices:
+class Broadcasts:
     """`kept` is for how long one that is off is remembered: so long a member cut off still takes it back.
     Emptied by age; one that is on stays until it is off.
     """
 
     def __init__(self, kept: int) -> None:
         self._kept = kept
-        self._of: dict[tuple[str, str], Notice] = {}
+        self._of: dict[tuple[str, str], Broadcast] = {}
         self.refused = 0
         self.digest = 0
 
-    def __iter__(self) -> Iterator[Notice]:
+    def __iter__(self) -> Iterator[Broadcast]:
         return iter(self._of.values())
 
     def __len__(self) -> int:
         return len(self._of)
 
-    def get(self, kind: str, key: str) -> Notice | None:
+    def get(self, kind: str, key: str) -> Broadcast | None:
         return self._of.get((kind, key))
 
-    def take(self, notice: Notice, now: int) -> bool:
+    def take(self, notice: Broadcast, now: int) -> bool:
         """Whether it is news."""
         known = self._of.get((notice.kind, notice.key))
         if known is not None and notice.rank <= known.rank:
--- a/pepperusher/group/gossip_queue.py
+++ b/pepperusher/group/gossip_queue.py
@@ -21,7 +21,7 @@
     return TOLD * ceil(log2(members + 2))
 
 
-class Rumour(NamedTuple):
+class GossipItem(NamedTuple):
     told: int
     age: int  # rises: of two told alike the newer goes first
     key: tuple[int, str]
@@ -29,23 +29,23 @@
     part: bytes
 
 
-class Rumours:
+class GossipQueue:
     """One for each thing, the newest; emptied by telling."""
 
     def __init__(self) -> None:
-        self._of: dict[tuple[int, str], Rumour] = {}
+        self._of: dict[tuple[int, str], GossipItem] = {}
         self._ages = count(0, -1)
 
     def __len__(self) -> int:
         return len(self._of)
 
     def put(self, sort: int, of: str, part: bytes) -> None:
-        self._of[sort, of] = Rumour(0, next(self._ages), (sort, of), sort, part)
+        self._of[sort, of] = GossipItem(0, next(self._ages), (sort, of), sort, part)
 
     def drop(self, sort: int, of: str) -> None:
         self._of.pop((sort, of), None)
 
-    def pick(self, room: int, most: int, members: int) -> list[Rumour]:
+    def pick(self, room: int, most: int, members: int) -> list[GossipItem]:
         """Those for one packet, within so many bytes; each counts as told."""
         made = []
         limit = times(members)
--- a/pepperusher/group/membership.py
+++ b/pepperusher/group/membership.py
@@ -14,7 +14,7 @@
 from math import log, log10
 from typing import NamedTuple
 
-from pepperusher.group.messages import ALIVE, HEALTH, LEFT, LOST, PHASES, SUSPECTED, Charge, Said
+from pepperusher.group.messages import ALIVE, HEALTH, LEFT, LOST, PHASES, SUSPECTED, Suspicion, MemberRecord
 
 # Names on the roll at the most. One more takes the place of who has left longest, and else is not taken.
 MOST = 2_000
@@ -59,7 +59,7 @@
         "warned",
     )
 
-    def __init__(self, said: Said, now: int) -> None:
+    def __init__(self, said: MemberRecord, now: int) -> None:
         self.said = said
         self.health = ALIVE
         self.since = now  # of phase and health as they are
@@ -100,7 +100,7 @@
             self.proved, self.newest, self.came = token, 0, 0
 
 
-class Roll:
+class Membership:
     """All but this proxy itself."""
 
     def __init__(self, period: int) -> None:
@@ -130,7 +130,7 @@
 
     # --- what it is told --------------------------------------------------------------------------
 
-    def take(self, said: Said, now: int) -> list[Change]:
+    def take(self, said: MemberRecord, now: int) -> list[Change]:
         """A member's own word, from itself or passed on; nothing where it is no news."""
         known = self._members.get(said.name)
         if known is None:
@@ -206,7 +206,7 @@
         one = self._members.get(name)
         return one is None or self._wrong(one, now) <= WRONG_MOST
 
-    def charge(self, charge: Charge, now: int) -> list[Change]:
+    def charge(self, charge: Suspicion, now: int) -> list[Change]:
         """Somebody, or this proxy itself, gets no answer from a member. No news where the member has spoken
         since.
         """
@@ -286,7 +286,7 @@
         return True
 
 
-def _figures(said: Said) -> dict[str, object]:
+def _figures(said: MemberRecord) -> dict[str, object]:
     return {
         "phase": PHASES[said.phase],
         "number": said.number,
--- a/pepperusher/group/messages.py
+++ b/pepperusher/group/messages.py
@@ -27,7 +27,7 @@
 Token = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
-class Said(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A member's own word. `number` and `token` are its life: the first rises with each start under a name,
     the second tells two processes apart. `turn` rises with each word of one life. `place` is which of its
     tier it is, from 0.
@@ -63,7 +63,7 @@
         return self.phase in (SENT_AWAY, LEFT) and not self.doubled
 
 
-class Charge(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class Suspicion(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """`by` gets no answer from `of`, as it was at this turn of this life. Nobody is lost by another's word:
     whoever hears it starts to doubt, and concludes for itself.
     """
@@ -75,7 +75,7 @@
     by: Name
 
 
-class Notice(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class Broadcast(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """News for all: one thing is on or off since a time. The later counts, and of two at one time the one
     that is on.
     """
@@ -105,11 +105,11 @@
     kind: Annotated[int, Meta(ge=0, le=TELL)]
     number: Count
     seq: Count
-    sender: Said
+    sender: MemberRecord
     to: Annotated[str, Meta(max_length=100)]
     held: Token
-    target: Said | None
-    said: list[Said]
-    charges: list[Charge]
-    notices: list[Notice]
+    target: MemberRecord | None
+    said: list[MemberRecord]
+    charges: list[Suspicion]
+    notices: list[Broadcast]
     version: Count = 0  # of discovery's list, as the sender has it
--- a/pepperusher/group/shares.py
+++ b/pepperusher/group/shares.py
@@ -13,15 +13,15 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperusher.group.membership import Roll
-from pepperusher.group.messages import ALIVE, LEFT, Said
+from pepperusher.group.membership import Membership
+from pepperusher.group.messages import ALIVE, LEFT, MemberRecord
 
 MAJORITY, PART, NOBODY = "majority", "part", "nobody"
 # Where no more than one in so many answers, one in so many of the roll is taken to be there.
 HARDLY = 8
 
 
-class Reach(NamedTuple):
+class Reachability(NamedTuple):
     """How many of the roll, this proxy included, it takes to be there; how many are silent, gone, and never
     met.
     """
@@ -38,7 +38,7 @@
         return self.word == MAJORITY
 
 
-def reach(told: int, me: Said, roll: Roll, answered: bool, hardly: bool = False) -> Reach:
+def reach(told: int, me: MemberRecord, roll: Membership, answered: bool, hardly: bool = False) -> Reachability:
     """`told` is how many proxies the settings count in this tier. Unless anybody `answered` of late nobody is
     there, whatever it holds of them: it may just have gone on after it stood still. Where `hardly` anybody
     does, of those that it turns to by chance, hardly anybody is: the others are not suspected only since
@@ -65,10 +65,10 @@
         word = MAJORITY
     else:
         word = PART if here > 1 else NOBODY
-    return Reach(word, here, silent, gone, never)
+    return Reachability(word, here, silent, gone, never)
 
 
-def size(told: int, me: Said, words: Iterable[Said]) -> int:
+def size(told: int, me: MemberRecord, words: Iterable[MemberRecord]) -> int:
     """Of how many this proxy is one where they share: the settings' count, less the places whose last word
     was that they are gone. Never fewer than the places that are known to be held.
     """
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -24,10 +24,10 @@
 
 from pepperusher.group import shares
 from pepperusher.group.health import Health
-from pepperusher.group.broadcasts import Notices
-from pepperusher.group.shares import Reach
-from pepperusher.group.membership import Change, Member, Roll
-from pepperusher.group.gossip_queue import CHARGE, NOTICE, SAID, Rumours
+from pepperusher.group.broadcasts import Broadcasts
+from pepperusher.group.shares import Reachability
+from pepperusher.group.membership import Change, Member, Membership
+from pepperusher.group.gossip_queue import CHARGE, NOTICE, SAID, GossipQueue
 from pepperusher.group.wire import DATAGRAM, HEAD, BadPacket, Wire
 from pepperusher.group.messages import (
     ACK,
@@ -42,12 +42,12 @@
     PING,
     SENT_AWAY,
     TELL,
-    Charge,
-    Notice,
+    Suspicion,
+    Broadcast,
     Packet,
-    Said,
+    MemberRecord,
 )
-from pepperusher.invariants import must_hold
+from pepperusher.invariants import check_invariant
 
 SECOND = 1_000_000
 # Others asked to try one that does not answer.
@@ -82,7 +82,7 @@
 LATE = 2
 
 
-class Terms(NamedTuple):
+class SwimSettings(NamedTuple):
     """Times in microseconds; `told` is how many proxies the settings count in this tier."""
 
     period: int
@@ -119,24 +119,24 @@
 
 
 class Swim:
-    def __init__(self, me: Said, terms: Terms, wire: Wire, chance: Random, now: int) -> None:
+    def __init__(self, me: MemberRecord, terms: SwimSettings, wire: Wire, chance: Random, now: int) -> None:
         self.me = me
         self.terms = terms
-        self.roll = Roll(terms.period)
-        self.notices = Notices(terms.kept)
+        self.roll = Membership(terms.period)
+        self.notices = Broadcasts(terms.kept)
         self.health = Health()
         self.out: list[tuple[tuple[str, int], bytes]] = []
         self.changes: list[Change] = []
-        self.news: list[Notice] = []
+        self.news: list[Broadcast] = []
         # By words of this module and of wire, so it grows with the code alone.
         self.counts: dict[str, int] = {}
         self.list = 0  # the version of discovery's list that this proxy has
         self.wants_roll: tuple[str, int] | None = None  # whom a stream would bring it up to date from
         self._wire = wire
         self._chance = chance
-        self._rumours = Rumours()
+        self._rumours = GossipQueue()
         self._part = wire.part(me)
-        self._parts: dict[str, tuple[Said, bytes]] = {}  # packed words of the roll; one for each name on it
+        self._parts: dict[str, tuple[MemberRecord, bytes]] = {}  # packed words of the roll; one for each name on it
         self._number = 0
         self._seq = chance.getrandbits(48)
         self._round: list[str] = []  # whose turn to be probed it is; emptied by probing
@@ -173,7 +173,7 @@
         answered = sum(one for _, one in self._turned)
         return len(self._turned) == SAMPLED and shares.HARDLY * answered <= to
 
-    def reach(self, now: int) -> Reach:
+    def reach(self, now: int) -> Reachability:
         return shares.reach(self.terms.told, self.me, self.roll, self._answered(now), self._hardly())
 
     def size(self) -> int:
@@ -205,7 +205,7 @@
         """How many have answered since the last `say`, of how many that are there."""
         return len(self._farewell), len(self._live())
 
-    def tell(self, notice: Notice, now: int) -> bool:
+    def tell(self, notice: Broadcast, now: int) -> bool:
         """News of this proxy's own for all; whether it is any."""
         if not self.notices.take(notice, now):
             return False
@@ -375,9 +375,9 @@
         one = self.roll.get(probe.name)
         if one is not None:
             said = one.said
-            self._charge(Charge(said.name, said.number, said.token, said.turn, self.me.name), now)
+            self._charge(Suspicion(said.name, said.number, said.token, said.turn, self.me.name), now)
 
-    def _charge(self, charge: Charge, now: int) -> None:
+    def _charge(self, charge: Suspicion, now: int) -> None:
         if changed := self.roll.charge(charge, now):
             self.changes += changed
             # By whom it is told counts, not who told it: each doubter is one, however many pass it on.
@@ -450,7 +450,7 @@
         address: tuple[str, int],
         seq: int,
         to: str,
-        target: Said | None = None,
+        target: MemberRecord | None = None,
         owed: Sequence[tuple[int, bytes]] = (),
         fill: int = FILL,
     ) -> None:
@@ -465,7 +465,9 @@
             # It is told before all others, so that it can answer.
             said = known.said
             for doubter in sorted(known.doubters)[:2]:
-                words.append((CHARGE, self._wire.part(Charge(said.name, said.number, said.token, said.turn, doubter))))
+                words.append(
+                    (CHARGE, self._wire.part(Suspicion(said.name, said.number, said.token, said.turn, doubter)))
+                )
         words += owed
         room -= sum(len(one) for _, one in words)
         for one in self._rumours.pick(room, 24, len(self.roll)):
@@ -497,7 +499,7 @@
         for sort, part in words:
             by_sort[sort].append(part)
         made = self._wire.pack(kind, self._number, seq, self._part, to, self.notices.digest, aim, *by_sort, self.list)
-        must_hold(len(made) <= DATAGRAM, "a packet fits one datagram")
+        check_invariant(len(made) <= DATAGRAM, "a packet fits one datagram")
         return made
 
     # --- what comes ------------------------------------------------------------------------------------
@@ -573,7 +575,7 @@
                 self._send(PING, sender.address, seq, sender.name, None, (), 0)
         return None
 
-    def _take(self, said: Said, now: int) -> bool:
+    def _take(self, said: MemberRecord, now: int) -> bool:
         """A member's own word, from wherever; whether it is news."""
         if said.name == self.me.name:
             if said.token != self.me.token:
@@ -622,7 +624,7 @@
                 owed.append((NOTICE, self._wire.part(known_notice)))
         return owed
 
-    def _charged(self, charge: Charge) -> None:
+    def _charged(self, charge: Suspicion) -> None:
         """Others doubt this member: it has a next word, and doubts itself a little."""
         if (charge.number, charge.token) != self.me.life or charge.turn < self.me.turn:
             return
@@ -657,7 +659,7 @@
         probe.done = True
         self.health.better()
 
-    def _asked(self, packet: Packet, target: Said, now: int) -> None:
+    def _asked(self, packet: Packet, target: MemberRecord, now: int) -> None:
         if target.name == self.me.name or len(self._relays) >= RELAYS_MOST:
             return
         self._take(target, now)
@@ -673,7 +675,7 @@
 
     # --- two under one name --------------------------------------------------------------------------
 
-    def _rival(self, said: Said, now: int) -> None:
+    def _rival(self, said: MemberRecord, now: int) -> None:
         """Another life under this name. One that is over never rises; one that rises lives, as this does."""
         seen = self._rivals.get(said.token)
         if seen is not None and said.number > seen and said.phase != LEFT:
--- a/pepperusher/group/wire.py
+++ b/pepperusher/group/wire.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from pepperusher.group.messages import Charge, Notice, Packet, Said
-from pepperusher.packet_authentication import SUM, BadPacket, Seal
+from pepperusher.group.messages import Suspicion, Broadcast, Packet, MemberRecord
+from pepperusher.packet_authentication import SUM, BadPacket, PacketAuthenticator
 
 MARK = b"pu"
 FORM = 1
@@ -40,12 +40,12 @@
     """`key` is the group's: whoever has another is a stranger."""
 
     def __init__(self, key: str) -> None:
-        sealed = Seal(hashlib.sha256(key.encode()).digest(), MARK, FORM)
+        sealed = PacketAuthenticator(hashlib.sha256(key.encode()).digest(), MARK, FORM)
         self.seal, self.open = sealed.seal, sealed.open
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Packet).decode
 
-    def part(self, word: Said | Charge | Notice) -> bytes:
+    def part(self, word: MemberRecord | Suspicion | Broadcast) -> bytes:
         """A word as it will stand in a packet; packed once, however often it is told."""
         return self._encode(word)
 
--- a/pepperusher/invariants.py
+++ b/pepperusher/invariants.py
@@ -5,7 +5,7 @@
 broken: dict[str, int] = {}  # keyed by the texts in the code, so it grows with the code alone
 
 
-def must_hold(truth: bool, what: str) -> None:
+def check_invariant(truth: bool, what: str) -> None:
     if not truth:
         assert False, what
         broken[what] = broken.get(what, 0) + 1
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -7,13 +7,13 @@
 from typing import Any, Protocol
 
 from pepperusher import __version__
-from pepperusher.changes.transaction_log import Change, LedgerError
+from pepperusher.changes.transaction_log import Change, TransactionError
 from pepperusher.control.socket import Control
 from pepperusher.control.messages import ROWS
 from pepperusher.net import clock
-from pepperusher.net.extension import Companion, Host
-from pepperusher.net.configuration_manager import House
-from pepperusher.configuration.loader import OwnError
+from pepperusher.net.extension import Extension, ExtensionHost
+from pepperusher.net.configuration_manager import ConfigurationManager
+from pepperusher.configuration.loader import ConfigurationError
 
 
 def _change(change: Change) -> dict[str, Any]:
@@ -51,11 +51,15 @@
     def said(self) -> dict[str, Any]: ...
 
 
-class Answers(Companion):
+class Answers(Extension):
     """The control socket that the own file names, for as long as the proxy serves."""
 
     def __init__(
-        self, house: House, members: Members | None, say: Callable[..., None], shared: Shared | None = None
+        self,
+        house: ConfigurationManager,
+        members: Members | None,
+        say: Callable[..., None],
+        shared: Shared | None = None,
     ) -> None:
         self._house = house
         self._shared = shared
@@ -63,9 +67,9 @@
         said = house.standing.version.read.own.control
         assert said.socket is not None
         self._control = Control(said.socket, said.connections, said.within / 1e6, self.to, say)
-        self._host: Host
+        self._host: ExtensionHost
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
@@ -80,14 +84,14 @@
             if command in ("propose", "confirm", "undo", "drain"):
                 yield {"ok": True, "change": _change(await self._change(command, said))}
                 return
-        except OwnError as error:
+        except ConfigurationError as error:
             yield {
                 "ok": False,
                 "why": "the file is not taken",
                 "faults": [str(fault) for fault in error.faults],
             }
             return
-        except LedgerError as error:
+        except TransactionError as error:
             yield {"ok": False, "why": str(error)}
             return
         if command in ("members", "forget"):
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -10,8 +10,8 @@
 from pepperusher.net.buffers import Pool
 from pepperusher.net.budget import Budget
 from pepperusher.net.exchange import Attempt, Exchange, Placed
-from pepperusher.net.body_streaming import Onward
-from pepperusher.net.connection import Line, reach
+from pepperusher.net.body_streaming import ResponseForwarder
+from pepperusher.net.connection import StreamConnection, reach
 from pepperusher.net.message import HEAD, Answer, Request
 
 # No connection to a backend is opened above this part of all descriptors: the rest is for callers, who must
@@ -32,7 +32,7 @@
 
     __slots__ = ("line", "address", "answered", "parser", "idle_since")
 
-    def __init__(self, line: Line, address: tuple[str, int]) -> None:
+    def __init__(self, line: StreamConnection, address: tuple[str, int]) -> None:
         self.line = line
         self.address = address
         self.answered = False  # it has carried a ticket
@@ -205,7 +205,7 @@
             return "unreached"
         return Link(reaching.result(), address)
 
-    def _connected(self, reaching: asyncio.Future[Line]) -> None:
+    def _connected(self, reaching: asyncio.Future[StreamConnection]) -> None:
         """The descriptor goes back to the budget when the connection ends, or at once if there is none."""
         if reaching.cancelled() or reaching.exception() is not None:
             self._budget.give()
@@ -215,7 +215,13 @@
     # --- one attempt -------------------------------------------------------------------------
 
     async def attempt(
-        self, backend: str, request: Request, out: Attempt, patience: int, placed: Placed, onward: Onward | None = None
+        self,
+        backend: str,
+        request: Request,
+        out: Attempt,
+        patience: int,
+        placed: Placed,
+        onward: ResponseForwarder | None = None,
     ) -> tuple[str, Answer | None]:
         """How it ended, and the answer if a whole one came and was not passed on. Never sends a second
         time. The backend is told what is left of `patience`, in microseconds, when the request is written."""
@@ -236,7 +242,13 @@
         return how, answer
 
     async def _attempt(
-        self, door: Door, request: Request, out: Attempt, patience: int, placed: Placed, onward: Onward | None
+        self,
+        door: Door,
+        request: Request,
+        out: Attempt,
+        patience: int,
+        placed: Placed,
+        onward: ResponseForwarder | None,
     ) -> tuple[str, Answer | None]:
         until = clock.now() + patience
         link = self._latest(door)
--- a/pepperusher/net/body_streaming.py
+++ b/pepperusher/net/body_streaming.py
@@ -7,11 +7,11 @@
 
 import h11
 
-from pepperusher.net.connection import Line
+from pepperusher.net.connection import StreamConnection
 from pepperusher.net.message import MOST, Answer, BadMessage, read_data
 
 
-class Inflow:
+class RequestBodyReader:
     """The rest of a request's body. `waits` is told while it is its caller's turn.
 
     Once `touched`, what was read is gone: there is no second attempt.
@@ -19,7 +19,9 @@
 
     __slots__ = ("_parser", "_line", "_waits", "_length", "touched", "bad")
 
-    def __init__(self, parser: h11.Connection, line: Line, held: int, waits: Callable[[bool], None]) -> None:
+    def __init__(
+        self, parser: h11.Connection, line: StreamConnection, held: int, waits: Callable[[bool], None]
+    ) -> None:
         self._parser = parser
         self._line = line
         self._waits = waits
@@ -51,7 +53,7 @@
     return answer
 
 
-class Onward:
+class ResponseForwarder:
     """The way back to a caller, for an answer that is passed on as it comes. `dress` makes its head the
     caller's."""
 
@@ -61,7 +63,7 @@
     __slots__ = ("_parser", "_line", "_waits", "_closes", "dress", "begun", "ended")
 
     def __init__(
-        self, parser: h11.Connection, line: Line, waits: Callable[[bool], None], closes: Callable[[], bool]
+        self, parser: h11.Connection, line: StreamConnection, waits: Callable[[bool], None], closes: Callable[[], bool]
     ) -> None:
         self._parser = parser
         self._line = line
--- a/pepperusher/net/bootstrap.py
+++ b/pepperusher/net/bootstrap.py
@@ -5,9 +5,9 @@
 import json
 from typing import Any
 
-from pepperusher.settings import GroundError, ground, part, span
+from pepperusher.settings import SettingsError, read_settings, part, span
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, address_of, endpoint_update_of
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 SOCKETS = 1024
 MEMORY_MB = 512
@@ -28,18 +28,18 @@
 EACH = (("settings", "use-cases"), ("settings", "customers"))
 
 
-class ToldError(ValueError):
+class BootstrapError(ValueError):
     """A configuration that cannot be served from; its text is one clear line."""
 
 
-class Told:
+class BootstrapConfiguration:
     __slots__ = (
         "name",
         "listen",
         "discovery",
         "sockets",
         "known",
-        "ground",
+        "policy_settings",
         "connect_within",
         "idle_most",
         "console",
@@ -52,7 +52,7 @@
     discovery: tuple[str, int]
     sockets: int
     known: EndpointUpdate | None
-    ground: Ground
+    policy_settings: PolicySettings
     connect_within: int
     idle_most: int
     console: tuple[str, int] | None  # None where operators have no address of their own
@@ -64,7 +64,7 @@
     try:
         return address_of(given or of.get(name))
     except BadList as error:
-        raise ToldError(f"{name}: {error}") from None
+        raise BootstrapError(f"{name}: {error}") from None
 
 
 def _at(of: Any, where: tuple[str, ...]) -> Any:
@@ -84,19 +84,19 @@
     return made
 
 
-def _check(made: Told, settings: dict[str, Any]) -> None:
+def _check(made: BootstrapConfiguration, settings: dict[str, Any]) -> None:
     """What can't be worked by, though each figure can be read."""
-    names = [use.name for use in made.ground.use_cases]
-    for use in made.ground.use_cases:
+    names = [use.name for use in made.policy_settings.use_cases]
+    for use in made.policy_settings.use_cases:
         if use.outer_limit <= 0:
-            raise ToldError(f"settings: use-cases: {use.name}: outer-limit is no number above 0")
+            raise BootstrapError(f"settings: use-cases: {use.name}: outer-limit is no number above 0")
         if use.promised < 0:
-            raise ToldError(f"settings: use-cases: {use.name}: promised-time is under 0")
+            raise BootstrapError(f"settings: use-cases: {use.name}: promised-time is under 0")
         if names.count(use.name) > 1:
-            raise ToldError(f"settings: use-cases: {use.name} stands there twice")
+            raise BootstrapError(f"settings: use-cases: {use.name} stands there twice")
     most = part(settings, "policy-limits", dict).get("most-transmissions", 1)
     if not most >= 1 or most != int(most):
-        raise ToldError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
+        raise BootstrapError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
 
 
 def read(
@@ -105,8 +105,8 @@
     listen: str | None = None,
     discovery: str | None = None,
     console: str | None = None,
-    before: Told | None = None,
-) -> Told:
+    before: BootstrapConfiguration | None = None,
+) -> BootstrapConfiguration:
     """The file at `path`; what is given beside it goes before it.
 
     `before` is what a file that was replaced under way had told: the discovery that the new one names is the newer word, and
@@ -116,16 +116,16 @@
         with open(path, encoding="utf-8") as file:
             of = json.load(file)
     except OSError as error:
-        raise ToldError(f"{path}: {error.strerror or error}") from None
+        raise BootstrapError(f"{path}: {error.strerror or error}") from None
     except (ValueError, RecursionError):
-        raise ToldError(f"{path}: is not JSON") from None
+        raise BootstrapError(f"{path}: is not JSON") from None
     if not isinstance(of, dict):
-        raise ToldError(f"{path}: is not an object")
-    made = Told()
+        raise BootstrapError(f"{path}: is not an object")
+    made = BootstrapConfiguration()
     made.keys = _keys(of)
     for where, keys in (before.keys if before is not None else {}).items():
         if missing := sorted(keys - made.keys.get(where, frozenset())):
-            raise ToldError(f"{where}: {missing[0]}: missing" if where else f"{missing[0]}: missing")
+            raise BootstrapError(f"{where}: {missing[0]}: missing" if where else f"{missing[0]}: missing")
     made.name = name or str(of.get("name", "proxy"))
     made.listen = _address(listen, of, "listen")
     made.discovery = _address(None if before is not None and "discovery" in of else discovery, of, "discovery")
@@ -133,30 +133,30 @@
     try:
         seed = int(str(of.get("seed", "0")), 16)
     except ValueError:
-        raise ToldError(f"seed: {of['seed']!r} is not a hexadecimal number") from None
+        raise BootstrapError(f"seed: {of['seed']!r} is not a hexadecimal number") from None
     try:
         limits, settings = part(of, "limits", dict), part(of, "settings", dict)
         if not settings:
-            raise ToldError("settings: missing")
+            raise BootstrapError("settings: missing")
         sockets = limits.get("sockets", SOCKETS)
         if not isinstance(sockets, (int, float)) or not 64 <= sockets <= 1_000_000:
-            raise ToldError(f"limits: sockets: {sockets!r} is not a number from 64 up")
+            raise BootstrapError(f"limits: sockets: {sockets!r} is not a number from 64 up")
         made.sockets = int(sockets)
         memory = limits.get("memory_mb", MEMORY_MB)
         if isinstance(memory, bool) or not isinstance(memory, (int, float)) or not 16 <= memory <= 1_000_000:
-            raise ToldError(f"limits: memory_mb: {memory!r} is not a number from 16 up")
+            raise BootstrapError(f"limits: memory_mb: {memory!r} is not a number from 16 up")
         made.memory = int(memory * 1024 * 1024)
-        made.ground = ground(settings, seed)
-        if not made.ground.use_cases:
-            raise ToldError("settings: use-cases: there is none")
+        made.policy_settings = read_settings(settings, seed)
+        if not made.policy_settings.use_cases:
+            raise BootstrapError("settings: use-cases: there is none")
         _check(made, settings)
         allowed = part(settings, "policy-limits", dict)
         made.connect_within = span(allowed, "connect-timeout", CONNECT_WITHIN)
         made.idle_most = span(allowed, "keepalive", KEEPALIVE)
-    except GroundError as error:
-        raise ToldError(f"settings: {error}") from None
+    except SettingsError as error:
+        raise BootstrapError(f"settings: {error}") from None
     try:
         made.known = endpoint_update_of(of["known"]) if of.get("known") else None
     except BadList as error:
-        raise ToldError(f"known: {error}") from None
+        raise BootstrapError(f"known: {error}") from None
     return made
--- a/pepperusher/net/budget.py
+++ b/pepperusher/net/budget.py
@@ -5,7 +5,7 @@
 from asyncio import Event, timeout
 from collections.abc import Callable
 
-from pepperusher.invariants import must_hold
+from pepperusher.invariants import check_invariant
 
 # Left free: the listener, discovery, the loop's own, files that the interpreter opens, and connections that
 # are closed but not yet let go by the loop.
@@ -66,7 +66,7 @@
 
     def give(self) -> None:
         self.open -= 1
-        must_hold(self.open >= 0, "a descriptor is given back once")
+        check_invariant(self.open >= 0, "a descriptor is given back once")
         self._closing = max(0, self._closing - 1)
         self._freed.set()
 
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -12,11 +12,11 @@
 from pepperusher.net import clock
 from pepperusher.net.buffers import HELD, Body, Pool
 from pepperusher.net.budget import HALF, SHORT, Budget
-from pepperusher.net.connection import Line, adopt
+from pepperusher.net.connection import StreamConnection, adopt
 from pepperusher.net.listening import NOBODY, listener, steer
 from pepperusher.net.log import Log
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
-from pepperusher.net.body_streaming import Inflow, Onward
+from pepperusher.net.body_streaming import RequestBodyReader, ResponseForwarder
 from pepperusher.net.message import (
     HEAD,
     MOST,
@@ -100,7 +100,7 @@
     __slots__ = ("request", "came", "onward", "on_leave", "left", "bad", "ticket", "_away")
 
     def __init__(
-        self, request: Request, came: int, onward: Onward | None = None, away: Callable[[], bool] = bool
+        self, request: Request, came: int, onward: ResponseForwarder | None = None, away: Callable[[], bool] = bool
     ) -> None:
         self._away = away
         self.request = request
@@ -139,7 +139,7 @@
 
     __slots__ = ("line", "parser", "waiting_since", "answered", "useful", "before", "spent")
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: StreamConnection) -> None:
         self.line = line
         self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD)
         # For the caller: to ask or to ask again, to end what it began, to take an answer; None while we work
@@ -330,9 +330,11 @@
         request = Request(head.method, head.target, list(head.headers), body.whole())
         came = line.came_at()
         if not whole:
-            request = request._replace(rest=Inflow(parser, line, body.length, caller.waits), length=length_of(head))
+            request = request._replace(
+                rest=RequestBodyReader(parser, line, body.length, caller.waits), length=length_of(head)
+            )
             came = clock.now()
-        onward = Onward(parser, line, caller.takes, lambda: self._closes(caller, call))
+        onward = ResponseForwarder(parser, line, caller.takes, lambda: self._closes(caller, call))
         call = Call(request, came, onward, line.left)
         if line.ended:
             call.leave()
@@ -395,7 +397,7 @@
         await self._linger(line, LINGER, LINGER_MOST)
 
     @staticmethod
-    async def _linger(line: Line, within: float, left: int) -> None:
+    async def _linger(line: StreamConnection, within: float, left: int) -> None:
         """Reads on for a while, so that the answer is not lost in a reset."""
         try:
             async with asyncio.timeout(within):
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -14,22 +14,22 @@
 from typing import TYPE_CHECKING, Any
 
 from pepperusher.changes import shared_section
-from pepperusher.changes.confirmed_file import Kept
-from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, UNDONE, Change, LedgerError
-from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, Pass, Standing
-from pepperusher.facade import Entry
+from pepperusher.changes.confirmed_file import ConfirmedFile
+from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, UNDONE, Change, TransactionError
+from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, AdmittedTicket, ActiveConfiguration
+from pepperusher.facade import Endpoint
 from pepperusher.net import clock
 from pepperusher.net.callers import Call
-from pepperusher.net.extension import Companion, Host
+from pepperusher.net.extension import Extension, ExtensionHost
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, Request, plain
 from pepperusher.configuration import loader
-from pepperusher.configuration.loader import OwnError, Read
+from pepperusher.configuration.loader import ConfigurationError, Read
 from pepperusher.configuration.tables import Own
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 if TYPE_CHECKING:
-    from pepperusher.net.request_store import Shelf
+    from pepperusher.net.request_store import RequestStore
 
 LOOK_EVERY = 0.1
 LONGEST_ADVICE = 10_000_000
@@ -43,11 +43,11 @@
 
 
 def given_of(words: tuple[str, ...]) -> dict[str, Any]:
-    """What the command line sets. Raises OwnError."""
+    """What the command line sets. Raises ConfigurationError."""
     return loader.from_command_line(words)
 
 
-class House(Companion):
+class ConfigurationManager(Extension):
     """`path` is the file, `given` the command line's values. `shared` gives what is kept of what is shared with
     other proxies, where the file says that any is."""
 
@@ -55,21 +55,21 @@
         self,
         path: str | Path,
         given: Mapping[str, Any],
-        ground: Ground,
+        policy_settings: PolicySettings,
         log: Log,
         shared: Callable[[Own], str] | None = None,
     ) -> None:
         say = log.tell
         self._hanging: asyncio.Task[None] | None = None
         self.kept_out: dict[str, int] = {}  # by the words of STATUS, so it grows with the code alone
-        self._longest_advice = ground.longest_advice or LONGEST_ADVICE
+        self._longest_advice = policy_settings.longest_advice or LONGEST_ADVICE
         self._path = Path(path)
         self._given = dict(given)
         self._environment = loader.from_environment(os.environ)
-        self._ground = ground
+        self._policy_settings = policy_settings
         self._say = say
-        self._kept: Kept | None = None
-        self._host: Host | None = None
+        self._kept: ConfirmedFile | None = None
+        self._host: ExtensionHost | None = None
         self._watching: asyncio.Task[None] | None = None
         # One carrying out of a change at a time: its writes are waited for.
         self._turn = asyncio.Lock()
@@ -77,14 +77,14 @@
         self.shared = ""  # behind the file's own text, as `changes.shared_section` puts it there
         self._kept_shared = shared
         self._sharing: tuple[Change, str] | None = None  # the last change of it, and what was shared before
-        self.standing = Standing(self._begin(), clock.now(), self._list_again, say)
+        self.standing = ActiveConfiguration(self._begin(), clock.now(), self._list_again, say)
         self.gate = self
         self.narrow = self.standing.overlay.lines
-        self.shelf: Shelf | None = None
+        self.shelf: RequestStore | None = None
         if self.standing.version.read.own.store.folder is not None:
-            from pepperusher.net.request_store import Shelf
+            from pepperusher.net.request_store import RequestStore
 
-            self.shelf = Shelf(self.standing.version.read.own.store, say)
+            self.shelf = RequestStore(self.standing.version.read.own.store, say)
         form = self.standing.version.read.own.said.form
         if form != "plain":
             from pepperusher.net.structured_log import form_of
@@ -100,14 +100,14 @@
         self.kept_out[what] = self.kept_out.get(what, 0) + 1
 
     def _begin(self) -> Read:
-        """What to start with. Raises OwnError, or OSError of the folder that is to last."""
+        """What to start with. Raises ConfigurationError, or OSError of the folder that is to last."""
         read = self._read()
         if self._kept_shared is not None:
             read = self._begin_shared(read, self._kept_shared(read.own))
         folder = read.own.changes.state
         if folder is None:
             return read
-        self._kept = Kept(Path(folder))
+        self._kept = ConfirmedFile(Path(folder))
         try:
             begin = self._kept.begin(read.text)
             if begin.instead:
@@ -136,37 +136,37 @@
         return made
 
     def _read(self) -> Read:
-        read = loader.read(self._path, self._ground, self._environment, self._given)
+        read = loader.read(self._path, self._policy_settings, self._environment, self._given)
         return self._parse(read.text, str(self._path)) if self.shared else read
 
     def _parse(self, text: str, source: str) -> Read:
         """With what is shared as it stands, whatever a text has of it."""
         text = self._put(text, self.shared, source) if self.shared else text
-        return loader.parse(text, source, self._ground, self._environment, self._given)
+        return loader.parse(text, source, self._policy_settings, self._environment, self._given)
 
     @staticmethod
     def _put(text: str, shared: str, source: str) -> str:
-        """Raises OwnError."""
+        """Raises ConfigurationError."""
         try:
             return shared_section.put(text, shared)
-        except shared_section.NotShared as error:
-            raise OwnError([loader.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
+        except shared_section.NotSharedError as error:
+            raise ConfigurationError([loader.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
 
-    def told_anew(self, ground: Ground) -> None:
+    def told_anew(self, policy_settings: PolicySettings) -> None:
         """The operators' settings as they are now; the own file is read against them from here on, and proposed
         as it stands."""
-        self._ground = ground
-        self._longest_advice = ground.longest_advice or LONGEST_ADVICE
+        self._policy_settings = policy_settings
+        self._longest_advice = policy_settings.longest_advice or LONGEST_ADVICE
         self.hang_up()
 
     def leaving(self, until: int) -> None:
         self.standing.close_at(until)
 
-    def _list_again(self, lines: list[Entry]) -> None:
+    def _list_again(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
             self._host.narrowed(self, lines)
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
@@ -189,15 +189,15 @@
     async def _hung_up(self) -> None:
         try:
             await self.propose_file("SIGHUP", "the file was read anew")
-        except OwnError as error:
+        except ConfigurationError as error:
             for fault in error.faults:
                 self._say("the file is not taken", why=str(fault))
-        except LedgerError as error:
+        except TransactionError as error:
             self._say("no change", why=str(error))
 
     # --- tickets ----------------------------------------------------------------------------------
 
-    def ask(self, request: Request, use_case: str, customer: str, given: int | None, usual: int) -> Pass:
+    def ask(self, request: Request, use_case: str, customer: str, given: int | None, usual: int) -> AdmittedTicket:
         version = self.standing.version
         headers: dict[str, str] = {}
         host = b""
@@ -218,14 +218,14 @@
             clock.now(),
         )
 
-    async def admit(self, made: Pass, call: Call) -> bool:
+    async def admit(self, made: AdmittedTicket, call: Call) -> bool:
         """Whether it may go in, waited for where it must be. One that may not is over with it."""
         if not await self._admitted(made, call):
             self.standing.over(made, "left" if call.left else "bounced", False, clock.now())
             return False
         return True
 
-    async def _admitted(self, made: Pass, call: Call) -> bool:
+    async def _admitted(self, made: AdmittedTicket, call: Call) -> bool:
         if call.left:
             return False
         if made.how != WAITS or made.waiting is None:
@@ -261,34 +261,34 @@
             timer.cancel()
             call.on_leave = None
 
-    def refusal(self, made: Pass) -> Answer | None:
+    def refusal(self, made: AdmittedTicket) -> Answer | None:
         """What one that may not go in is told; None where its client left."""
         if made.how not in STATUS:
             return None
         self._count(f"kept out {made.how}")
         advice = (
             [(b"retry-after", f"{min(made.advice, self._longest_advice) / 1e6:.3f}".encode())]
-            if self._ground.may_advise
+            if self._policy_settings.may_advise
             else []
         )
         return self.named(made, plain(STATUS[made.how], WHY[made.how], *advice))
 
-    def goes(self, made: Pass, wait: int) -> int:
+    def goes(self, made: AdmittedTicket, wait: int) -> int:
         """It goes out now; for how long at the most."""
         self.standing.first(made, clock.now())
         return made.terms.patient(wait)
 
-    def again(self, made: Pass, how: str) -> bool:
+    def again(self, made: AdmittedTicket, how: str) -> bool:
         return self.standing.again(made, how, clock.now())
 
-    def unspent(self, made: Pass, how: str) -> None:
+    def unspent(self, made: AdmittedTicket, how: str) -> None:
         """It might have gone out once more and did not."""
         self.standing.unspent(made, how, clock.now())
 
-    def over(self, made: Pass, end: str, worked: bool) -> None:
+    def over(self, made: AdmittedTicket, end: str, worked: bool) -> None:
         self.standing.over(made, end, worked, clock.now())
 
-    def named(self, made: Pass, answer: Answer | None) -> Answer | None:
+    def named(self, made: AdmittedTicket, answer: Answer | None) -> Answer | None:
         """An answer that names the version of its terms, where the file has it so."""
         if answer is None or not made.version.read.own.said.version:
             return answer
@@ -297,25 +297,25 @@
     # --- changes ----------------------------------------------------------------------------------
 
     async def propose_file(self, who: str, why: str) -> Change:
-        """As it stands now. Raises OwnError, LedgerError."""
+        """As it stands now. Raises ConfigurationError, TransactionError."""
         return await self._propose(await asyncio.to_thread(self._read), who, why)
 
     async def propose_text(self, text: str, who: str, why: str) -> Change:
-        """Raises OwnError, LedgerError."""
+        """Raises ConfigurationError, TransactionError."""
         return await self._propose(await asyncio.to_thread(self._parse, text, "what is proposed"), who, why)
 
     async def propose_shared(self, shared: str, who: str, why: str) -> Change | None:
-        """Another text in place of what is shared; None where all stands as it would have it. Raises OwnError,
-        and LedgerError where another change is open."""
+        """Another text in place of what is shared; None where all stands as it would have it. Raises ConfigurationError,
+        and TransactionError where another change is open."""
 
         def parsed() -> Read:
             text = self._put(self.standing.version.read.text, shared, "what is shared")
-            return loader.parse(text, "what is shared", self._ground, self._environment, self._given)
+            return loader.parse(text, "what is shared", self._policy_settings, self._environment, self._given)
 
         read = await asyncio.to_thread(parsed)
         if self.standing.ledger.open is not None:
             # It does not wait as others may: what it is put behind could be another by then.
-            raise LedgerError(f"change {self.standing.ledger.open.number} is open")
+            raise TransactionError(f"change {self.standing.ledger.open.number} is open")
         if read.digest == self.standing.version.read.digest:
             self.shared = shared
             return None
@@ -333,17 +333,17 @@
 
     async def drain(self, id: str, lift: bool, who: str, why: str) -> Change:
         """A mark by hand, as a change like any other; `lift` takes one off again that was put on so. Raises
-        OwnError, LedgerError."""
+        ConfigurationError, TransactionError."""
         text = self.standing.version.read.text
         block = DRAIN.format(id=json.dumps(id))
         if lift:
             if block not in text:
-                raise LedgerError(f"{id} was not drained by hand")
+                raise TransactionError(f"{id} was not drained by hand")
             return await self.propose_text(text.replace(block, "", 1), who, why)
         if not any(one.id == id for one in self.standing.overlay.ready()):
-            raise LedgerError(f"{id} is no backend that is listed as ready")
+            raise TransactionError(f"{id} is no backend that is listed as ready")
         if id in self.standing.version.marks:
-            raise LedgerError(f"{id} has a mark already")
+            raise TransactionError(f"{id} has a mark already")
         return await self.propose_text(text + block, who, why)
 
     async def _propose(self, read: Read, who: str, why: str) -> Change:
@@ -376,18 +376,20 @@
             self.standing.apply(change, clock.now())
 
     async def confirm(self, number: int | None, who: str, why: str) -> Change:
-        """Raises LedgerError."""
+        """Raises TransactionError."""
         change = self.standing.ledger.find(number)
         async with self._turn:
             if change.state != APPLIED:
-                raise LedgerError(f"change {change.number} is {change.state}, and only an applied one can be confirmed")
+                raise TransactionError(
+                    f"change {change.number} is {change.state}, and only an applied one can be confirmed"
+                )
             if self._kept is not None:
                 try:
                     await asyncio.to_thread(self._kept.confirm, change.what.text)
                 except OSError as error:
-                    raise LedgerError(f"it can't be written: {error.strerror or error}") from None
+                    raise TransactionError(f"it can't be written: {error.strerror or error}") from None
             if change.state != APPLIED:
-                raise LedgerError(f"change {change.number} was undone meanwhile")
+                raise TransactionError(f"change {change.number} was undone meanwhile")
             self.standing.confirm(change, who, why, clock.now())
             # The history tells of it; a file's text for each of its changes would be memory for nothing.
             change.what = None
@@ -395,7 +397,7 @@
         return change
 
     async def undo(self, number: int | None, who: str, why: str) -> Change:
-        """At once; what lasts is written after. Raises LedgerError."""
+        """At once; what lasts is written after. Raises TransactionError."""
         change = self.standing.ledger.find(number)
         self.standing.undo(change, who, why, clock.now())
         self._unshare(change)
@@ -420,10 +422,10 @@
             try:
                 change.what = await asyncio.to_thread(self._parse, change.what.text, "what is proposed")
                 if change.what.digest == self.standing.version.read.digest:
-                    raise LedgerError("it is what stands already")
+                    raise TransactionError("it is what stands already")
                 await self._carry_out(change)
                 return
-            except (OwnError, LedgerError) as error:
+            except (ConfigurationError, TransactionError) as error:
                 self.standing.undo(change, "the proxy", str(error), clock.now())
                 change = self.standing.ledger.next()
 
@@ -440,7 +442,7 @@
                         await self.confirm(change.number, "the proxy", due[1])
                     else:
                         await self.undo(change.number, "the proxy", due[1])
-            except LedgerError as error:
+            except TransactionError as error:
                 self._say("a change goes on", why=str(error))
             except Exception as error:  # without the watch a bad change would stand
                 self._say("the watch on changes met an error", why=f"{type(error).__name__}: {error}")
--- a/pepperusher/net/connection.py
+++ b/pepperusher/net/connection.py
@@ -18,7 +18,7 @@
 READ = 16 * 1024
 
 
-class Line(asyncio.StreamReaderProtocol):
+class StreamConnection(asyncio.StreamReaderProtocol):
     """The two streams of a connection. Watching costs no task: most of the time nothing happens."""
 
     def __init__(self) -> None:
@@ -292,11 +292,11 @@
         self.transport.abort()
 
 
-async def reach(address: tuple[str, int]) -> Line:
-    _, line = await asyncio.get_running_loop().create_connection(Line, *address)
+async def reach(address: tuple[str, int]) -> StreamConnection:
+    _, line = await asyncio.get_running_loop().create_connection(StreamConnection, *address)
     return line
 
 
-async def adopt(taken: socket.socket) -> Line:
-    _, line = await asyncio.get_running_loop().create_connection(Line, sock=taken)
+async def adopt(taken: socket.socket) -> StreamConnection:
+    _, line = await asyncio.get_running_loop().create_connection(StreamConnection, sock=taken)
     return line
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import Any
 
-from pepperusher.endpoint import Entry, Narrow
+from pepperusher.endpoint import Endpoint, Narrow
 from pepperusher.net import call_schedule, clock
 from pepperusher.net.call_schedule import CallSchedule
 from pepperusher.net.discovery_source import ABREAST, Call, Refused, Silent, Source
 from pepperusher.net.endpoint_metrics import EndpointMetrics
 from pepperusher.net.endpoint_table import Decides, EndpointTable, Reaches
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of, merged, text_of_address
-from pepperusher.net.connection import Line, reach
+from pepperusher.net.connection import StreamConnection, reach
 from pepperusher.net.list_confirmation import LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation
 from pepperusher.net.log import Log
 from pepperusher.net.watch_stream import WatchStream
@@ -87,7 +87,7 @@
         self._list_source, self._list_version = source, update.version
         self._table.apply(update, source.address)
 
-    def put(self, entries: list[Entry], whole: bool = False, past: int = 0) -> None:
+    def put(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
         """As `EndpointTable.put`."""
         self._table.put(entries, whole, past)
 
@@ -415,7 +415,7 @@
         finally:
             line.abort()
 
-    async def _read(self, line: Line, source: Source, call: Call) -> str:
+    async def _read(self, line: StreamConnection, source: Source, call: Call) -> str:
         # Versions of another address mean nothing here, nor those of before a new beginning: without one the whole list
         # comes.
         asked = None if source.begun_anew else source.version
--- a/pepperusher/net/discovery_source.py
+++ b/pepperusher/net/discovery_source.py
@@ -6,7 +6,7 @@
 
 from pepperusher.net.call_schedule import CallSchedule
 from pepperusher.net.endpoint_update import text_of_address
-from pepperusher.net.connection import Line
+from pepperusher.net.connection import StreamConnection
 
 # As many calls stand at once: for a fifth the oldest is given up, after a silence 10 s old, otherwise 16 s.
 ABREAST = 4
@@ -39,7 +39,7 @@
         self.number = number
         self.address = address
         self.asked_at = asked_at
-        self.line: Line | None = None  # once the connection is up
+        self.line: StreamConnection | None = None  # once the connection is up
         self.spoken = False
         self.leaving = False  # another has its place; what still comes may be newer than the list
         self.task: asyncio.Task[str]
--- a/pepperusher/net/distributed_configuration.py
+++ b/pepperusher/net/distributed_configuration.py
@@ -14,19 +14,19 @@
 from typing import TYPE_CHECKING, Any
 
 from pepperusher.changes import shared_section
-from pepperusher.changes.transaction_log import CONFIRMED, UNDONE, Change, LedgerError
+from pepperusher.changes.transaction_log import CONFIRMED, UNDONE, Change, TransactionError
 from pepperusher.distribution import resource_cache
 from pepperusher.distribution.client import Client
 from pepperusher.distribution.control_file import read_key
 from pepperusher.distribution.subscriber import CONNECTING_MOST, UPSTREAMS
 from pepperusher.distribution.messages import CONFIG, Key, Resource
 from pepperusher.net import clock
-from pepperusher.net.extension import Companion, Host
-from pepperusher.net.configuration_manager import House
-from pepperusher.configuration.loader import Fault, OwnError
+from pepperusher.net.extension import Extension, ExtensionHost
+from pepperusher.net.configuration_manager import ConfigurationManager
+from pepperusher.configuration.loader import Fault, ConfigurationError
 from pepperusher.configuration.validation import address_of
 from pepperusher.configuration.tables import Distribution, Own
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 if TYPE_CHECKING:
     from pepperusher.net.endpoint_relay import EndpointRelay
@@ -43,11 +43,11 @@
 
 
 def _shared(one: Resource) -> str:
-    """Raises NotShared."""
+    """Raises NotSharedError."""
     try:
         text = one.body.decode()
     except UnicodeDecodeError:
-        raise shared_section.NotShared("is not text in UTF-8") from None
+        raise shared_section.NotSharedError("is not text in UTF-8") from None
     shared_section.tables(text)
     return shared_section.block(_title(one), text)
 
@@ -60,21 +60,25 @@
     try:
         for one in resource_cache.read(Path(said.keep), {(CONFIG, said.config)})[0]:
             return _shared(one)
-    except shared_section.NotShared:
+    except shared_section.NotSharedError:
         pass
     return ""
 
 
-class Distributed(Companion):
+class DistributedConfiguration(Extension):
     descriptors = UPSTREAMS + CONNECTING_MOST
 
-    def __init__(self, said: Distribution, house: House, name: str, source: str, say: Callable[..., None]) -> None:
-        """Raises OwnError for a key that can't be read."""
+    def __init__(
+        self, said: Distribution, house: ConfigurationManager, name: str, source: str, say: Callable[..., None]
+    ) -> None:
+        """Raises ConfigurationError for a key that can't be read."""
         assert said.key_file is not None and (said.config or said.endpoints)
         try:
             key = read_key(said.key_file)
         except ValueError as error:
-            raise OwnError([Fault(source, 0, "distribution.key_file", "sound distribution", str(error))]) from None
+            raise ConfigurationError(
+                [Fault(source, 0, "distribution.key_file", "sound distribution", str(error))]
+            ) from None
         self._house, self._say = house, say
         self._key: Key | None = None if said.config is None else (CONFIG, said.config)
         self._relay: EndpointRelay | None = None
@@ -94,11 +98,11 @@
             provisional=True, words=None if self._relay is None else self._relay.words,
         )  # fmt: skip
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         if self._relay is not None:
             self._relay.enter(host)
 
-    def told_anew(self, ground: Ground) -> None:
+    def told_anew(self, policy_settings: PolicySettings) -> None:
         if self._relay is not None:
             self._relay.look()
 
@@ -128,7 +132,7 @@
         key = self._key
         try:
             shared = _shared(one)
-        except shared_section.NotShared as error:
+        except shared_section.NotSharedError as error:
             return str(error)
         house = self._house
         if house.shared == shared:
@@ -139,9 +143,9 @@
             try:
                 change = await house.propose_shared(shared, "a control machine", _title(one))
                 break
-            except OwnError as error:
+            except ConfigurationError as error:
                 return str(error)
-            except LedgerError as error:
+            except TransactionError as error:
                 if asyncio.get_running_loop().time() >= until:
                     return str(error)
                 await asyncio.sleep(LOOK_EVERY)
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -13,9 +13,9 @@
 
 from pepperusher.distribution.endpoint_source import CONTROL, DISCOVERY, NAMES, START_AFTER, EndpointSource
 from pepperusher.distribution.freshness import Freshness
-from pepperusher.distribution.messages import ENDPOINTS, Key, Resource, Word
+from pepperusher.distribution.messages import ENDPOINTS, Key, Resource, FreshnessWord
 from pepperusher.net import clock
-from pepperusher.net.extension import Host
+from pepperusher.net.extension import ExtensionHost
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of
 
 # Its timer came later than that: the process stood still, and what waits in its sockets is read before a word counts
@@ -31,7 +31,7 @@
         self._name, self._say = name, say
         self._chance = Random(seed)
         self._freshness = Freshness()  # of this one fact
-        self._host: Host | None = None
+        self._host: ExtensionHost | None = None
         self._source: EndpointSource | None = None
         self._list: tuple[EndpointUpdate, str] | None = None  # as control machines have it, and of which discovery
         self._number: int | None = None  # discovery's, of what is in force
@@ -40,16 +40,16 @@
         self._due = 0
         self._by: int | None = None  # as it was said last
 
-    def enter(self, host: Host) -> None:
+    def enter(self, host: ExtensionHost) -> None:
         """Before discovery is asked for the first time."""
         self._host = host
-        now, discovery, ground = clock.now(), host.discovery, host.ground
+        now, discovery, policy_settings = clock.now(), host.discovery, host.policy_settings
         self._number = None if discovery.wanting else discovery.version
         # Where lists are pushed, nobody is let in before discovery was asked.
-        self._source = EndpointSource(now, self._chance, self._number, 0 if ground.pushed else START_AFTER)
-        if not ground.pushed:
+        self._source = EndpointSource(now, self._chance, self._number, 0 if policy_settings.pushed else START_AFTER)
+        if not policy_settings.pushed:
             discovery.rest()
-        self._asks = ground.pushed
+        self._asks = policy_settings.pushed
         self._look()
 
     def stop(self) -> None:
@@ -80,7 +80,7 @@
             return None
         return self._list[0].version
 
-    def words(self, words: Sequence[Word]) -> None:
+    def words(self, words: Sequence[FreshnessWord]) -> None:
         now = clock.now()
         if [word for word in words if word.name == self._name and self._freshness.said(word, now)]:
             heard = self._freshness.get(self._name)
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, Protocol
 
-from pepperusher.endpoint import Entry, Narrow
+from pepperusher.endpoint import Endpoint, Narrow
 from pepperusher.net import clock
 from pepperusher.net.endpoint_update import GONE, EndpointUpdate, text_of_address
 from pepperusher.net.log import Log
@@ -19,7 +19,7 @@
     """What a list is told to, and what says when to ask again: a proxy's decisions, or a control machine's part for
     it."""
 
-    def listed(self, entries: Iterable[Entry], whole: bool, now: int) -> None: ...
+    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None: ...
 
     def list_failed(self, now: int) -> None: ...
 
@@ -43,10 +43,10 @@
         self._log = log
         self._narrows = narrows
         # What the list says of each, and where it is reached; emptied with the list.
-        self._told: dict[str, tuple[Entry, tuple[str, int]]] = {}
+        self._told: dict[str, tuple[Endpoint, tuple[str, int]]] = {}
         self._stopped = StoppedEndpoints()
         # Ready by an older list than the one that stopped them, and taken as draining for now.
-        self._held: dict[str, Entry] = {}
+        self._held: dict[str, Endpoint] = {}
 
     @property
     def size(self) -> int:
@@ -90,14 +90,14 @@
             if address == GONE:
                 self._told.pop(entry.id, None)
 
-    def _unlisted_by(self, update: EndpointUpdate) -> list[Entry]:
+    def _unlisted_by(self, update: EndpointUpdate) -> list[Endpoint]:
         """Those known that a whole list leaves out."""
         if not update.whole:
             return []
         named = {entry.id for entry in update.entries}
         return [entry for name, (entry, _) in self._told.items() if name not in named]
 
-    def _log_changes(self, update: EndpointUpdate, unlisted: list[Entry], by: tuple[str, int]) -> None:
+    def _log_changes(self, update: EndpointUpdate, unlisted: list[Endpoint], by: tuple[str, int]) -> None:
         """Which endpoints are to have nothing more from here on, or may have it again, and by which word."""
         changes = [f"{entry.id} not listed" for entry in unlisted if entry.ready]
         for entry in update.entries:
@@ -109,7 +109,7 @@
             more = f" and {len(changes) - NAMED_MOST} more" if len(changes) > NAMED_MOST else ""
             self._log.say(f"version {update.version} of {text_of_address(by)}: {', '.join(changes[:NAMED_MOST])}{more}")
 
-    def put(self, entries: list[Entry], whole: bool = False, past: int = 0) -> None:
+    def put(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
         """Lines to be acted on, once those who narrow them had their say; the first `past` of these had it.
         What is drained by a mark or an order has no connection kept either."""
         for narrow in self._narrows[past:]:
@@ -141,13 +141,13 @@
         """Those that an older update has as ready, though a newer one has stopped them and they have not started since."""
         return self._stopped.lifted_by(update, clock.now())
 
-    def hold(self, entries: Iterable[Entry]) -> dict[str, Entry]:
+    def hold(self, entries: Iterable[Endpoint]) -> dict[str, Endpoint]:
         """They are ready by an older list alone, and were applied as draining; `release` takes what this returns."""
         held = {entry.id: entry for entry in entries}
         self._held.update(held)
         return held
 
-    def release(self, held: dict[str, Entry]) -> None:
+    def release(self, held: dict[str, Endpoint]) -> None:
         """It was no late list: what it had as ready, and nobody has told of since, is."""
         back = [entry for name, entry in held.items() if self._held.get(name) is entry]
         for entry in back:
--- a/pepperusher/net/endpoint_update.py
+++ b/pepperusher/net/endpoint_update.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any, NamedTuple
 
-from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Endpoint
 
 # The address of an endpoint that is gone.
 GONE = ("", 0)
@@ -20,7 +20,7 @@
 class EndpointUpdate(NamedTuple):
     version: int
     whole: bool
-    entries: list[Entry]
+    entries: list[Endpoint]
     addresses: list[tuple[str, int]]
 
 
@@ -50,7 +50,7 @@
         gone = one.get("state") == "gone"
         addresses.append(GONE if gone else address_of(one.get("addr")))
         entries.append(
-            Entry(
+            Endpoint(
                 name,
                 str(one.get("zone", "")),
                 cell,
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -9,8 +9,8 @@
 import h11
 
 from pepperusher.net.buffers import HELD, Body, Pool
-from pepperusher.net.body_streaming import Onward
-from pepperusher.net.connection import Line
+from pepperusher.net.body_streaming import ResponseForwarder
+from pepperusher.net.connection import StreamConnection
 from pepperusher.net.message import (
     INTERIM,
     Answer,
@@ -99,7 +99,7 @@
 
     def __init__(
         self,
-        line: Line,
+        line: StreamConnection,
         parser: h11.Connection,
         pool: Pool,
         out: Attempt,
@@ -120,7 +120,7 @@
         self._head: h11.Request | h11.Response | None = None  # where it came before the body was written
         self._ahead = 0
 
-    async def run(self, request: Request, onward: Onward | None) -> tuple[str, Answer | None]:
+    async def run(self, request: Request, onward: ResponseForwarder | None) -> tuple[str, Answer | None]:
         """How it ended, and the answer if a whole one came and was not passed on yet."""
         out = self._out
         out.stopped_by(self._line.abort)
@@ -218,7 +218,7 @@
 
     # --- the answer -------------------------------------------------------------------------------
 
-    async def _receive(self, onward: Onward | None) -> tuple[str, Answer | None]:
+    async def _receive(self, onward: ResponseForwarder | None) -> tuple[str, Answer | None]:
         head = self._head or await read_head(self._parser, self._line, self._listen)
         if head is None:
             return self._out.how or ("reset" if self._out.written else "unreached"), None
@@ -257,7 +257,9 @@
             self._body.add(data)
         return False
 
-    async def _pass_on(self, how: str, answer: Answer, length: int | None, onward: Onward) -> tuple[str, Answer | None]:
+    async def _pass_on(
+        self, how: str, answer: Answer, length: int | None, onward: ResponseForwarder
+    ) -> tuple[str, Answer | None]:
         for timer in (self._overdue, self._silent):
             if timer is not None:
                 timer.cancel()
--- a/pepperusher/net/extension.py
+++ b/pepperusher/net/extension.py
@@ -9,18 +9,18 @@
 
 from typing import TYPE_CHECKING, Any, Protocol
 
-from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Endpoint
 from pepperusher.endpoint import Narrow as Narrow
 from pepperusher.facade import Facade
 
 if TYPE_CHECKING:
     from pepperusher.net.discovery import Discovery
     from pepperusher.net.message import Answer, Request
-    from pepperusher.net.handover_state import PassedOn
-    from pepperusher.terms import Ground
+    from pepperusher.net.handover_state import HandoverState
+    from pepperusher.terms import PolicySettings
 
 
-class Host(Protocol):
+class ExtensionHost(Protocol):
     """The proxy, as its companions see it."""
 
     @property
@@ -43,16 +43,16 @@
 
     def keep_to(self, part: float) -> None: ...
 
-    def passed_on(self) -> PassedOn: ...
+    def passed_on(self) -> HandoverState: ...
 
-    def follow(self, passed: PassedOn) -> None:
+    def follow(self, passed: HandoverState) -> None:
         """Takes the place of another process, which passed this on, or nothing."""
 
-    def narrowed(self, by: Companion, lines: list[Entry]) -> None:
+    def narrowed(self, by: Extension, lines: list[Endpoint]) -> None:
         """The lines that change by what `by` narrows now; those behind it have their say of them."""
 
     @property
-    def ground(self) -> Ground: ...
+    def policy_settings(self) -> PolicySettings: ...
 
     @property
     def discovery(self) -> Discovery:
@@ -81,7 +81,7 @@
     def sent_away(self) -> bool: ...
 
 
-class Gate(Protocol):
+class AdmissionGate(Protocol):
     """Through whom each ticket goes, where there is one: in, out again, and over."""
 
     shelf: Any
@@ -103,21 +103,21 @@
     def named(self, made: Any, answer: Answer | None) -> Answer | None: ...
 
 
-class Companion:
+class Extension:
     """One of them. The proxy calls these in the order of the list, `stop` in the other."""
 
     descriptors = 0  # that it takes for itself, beside those of tickets
     shares_address = False  # whether another process may listen at the proxy's address
     narrow: Narrow | None = None  # what it makes of lines of the list
-    gate: Gate | None = None
+    gate: AdmissionGate | None = None
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         """Before anything is served."""
 
     async def start(self) -> None:
         """Once callers can connect. Raises OSError where it can't be had."""
 
-    def told_anew(self, ground: Ground) -> None:
+    def told_anew(self, policy_settings: PolicySettings) -> None:
         """Other settings are in force."""
 
     def leaving(self, until: int) -> None:
--- a/pepperusher/net/handover_state.py
+++ b/pepperusher/net/handover_state.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 
-class PassedOn(NamedTuple):
+class HandoverState(NamedTuple):
     """`source` is where discovery answers its writer, and `listed` the list that this goes by, in discovery's own form.
     `told_by_source` where that list's version is one of `source`, so that only changes after it need to be asked for.
     `expires_at` is when the list expires unless discovery confirms it, in microseconds of the machine's monotonic clock;
--- a/pepperusher/net/load_reports.py
+++ b/pepperusher/net/load_reports.py
@@ -17,7 +17,7 @@
 
 
 def pairs_of(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, Any]]:
-    """Names and values as they stand there, for `ground.load` to read; none for none."""
+    """Names and values as they stand there, for `settings.load` to read; none for none."""
     return [
         pair
         for name, value in headers
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -9,7 +9,7 @@
 import h11
 
 from pepperusher.net.buffers import Body
-from pepperusher.net.connection import Line
+from pepperusher.net.connection import StreamConnection
 
 # A body at the most, whether it is held or flows.
 MOST = 32 * 1024 * 1024
@@ -101,7 +101,7 @@
 
 
 async def read_head(
-    parser: h11.Connection, line: Line, came: Callable[[], None] | None = None
+    parser: h11.Connection, line: StreamConnection, came: Callable[[], None] | None = None
 ) -> h11.Request | h11.Response | None:
     """The next message's head; None where the line ended before one began. `came` is told when a part of it
     has."""
@@ -124,7 +124,7 @@
                 return None
 
 
-async def read_data(parser: h11.Connection, line: Line) -> bytes:
+async def read_data(parser: h11.Connection, line: StreamConnection) -> bytes:
     """The next part of the body behind a head that was read; nothing at its end."""
     with _bad_messages():
         while True:
@@ -147,7 +147,7 @@
                 raise BadMessage(400, "the message broke off")
 
 
-async def read_held(parser: h11.Connection, line: Line, body: Body) -> bool:
+async def read_held(parser: h11.Connection, line: StreamConnection, body: Body) -> bool:
     """Reads a body into `body`, as far as that holds it; whether it is whole."""
     while not body.full:
         data = await read_data(parser, line)
