--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
-from pepperusher.console.admin_commands import NEVER, Order, Orders
+from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.group import endpoint_borrowing
-from pepperusher.group.swim import Swim, Terms
+from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
 from pepperusher.group.messages import (
     ALIVE,
@@ -29,14 +29,14 @@
     STARTING,
     WANTS_LIST,
     WANTS_ROLL,
-    Notice,
-    Said,
+    Broadcast,
+    MemberRecord,
 )
 from pepperusher.net import clock
-from pepperusher.net.extension import Companion, Host
+from pepperusher.net.extension import Extension, ExtensionHost
 from pepperusher.configuration import validation
 from pepperusher.configuration.tables import Group
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 # Datagrams read in one turn of the loop: a flood of them has its turn among tickets, and no more.
 BATCH = 64
@@ -70,7 +70,7 @@
 KEPT = 3_600_000_000
 
 
-class Node(Companion):
+class Node(Extension):
     """`orders` are the operators' orders where there is a console, which puts them in force; else this has
     its own.
     """
@@ -81,17 +81,17 @@
     def __init__(
         self,
         said: Group,
-        ground: Ground,
+        policy_settings: PolicySettings,
         name: str,
         say: Callable[..., None],
-        orders: Orders | None = None,
-        put: Callable[[dict[str, Order]], None] | None = None,
+        orders: AdminCommands | None = None,
+        put: Callable[[dict[str, AdminCommand]], None] | None = None,
     ) -> None:
         assert said.listen is not None
-        self._said, self._ground, self._name, self._say = said, ground, name, say
+        self._said, self._policy_settings, self._name, self._say = said, policy_settings, name, say
         self._listen = validation.address_of(said.listen)
         self._wire = Wire(said.key)
-        self._host: Host
+        self._host: ExtensionHost
         self.swim: Swim | None = None  # None until this process has the proxy's address in the group
         self.sharers: int | None = None
         self._version = -1
@@ -107,19 +107,19 @@
         self._told_at = 0
         self._unsent = 0
         if orders is None:
-            orders = Orders(max(KEPT, ground.warm_after))
+            orders = AdminCommands(max(KEPT, policy_settings.warm_after))
             self.narrow = orders.lines
             put = self._put
         self._own_orders = put == self._put
         assert put is not None
         self._orders, self._in_force = orders, put
 
-    def _put(self, bans: dict[str, Order]) -> None:
+    def _put(self, bans: dict[str, AdminCommand]) -> None:
         self._host.narrowed(self, self._orders.merge(bans, NEVER))
 
     # --- start and end ------------------------------------------------------------------------------
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
@@ -148,7 +148,7 @@
         address = (
             (self._listen[0], port) if self._said.advertise is None else validation.address_of(self._said.advertise)
         )
-        me = Said(
+        me = MemberRecord(
             self._name,
             *address,
             now,
@@ -156,11 +156,11 @@
             0,
             STARTING,
             False,
-            self._ground.stage,
-            self._ground.ordinal,
+            self._policy_settings.stage,
+            self._policy_settings.ordinal,
         )
         seeds = tuple(map(validation.address_of, self._said.seeds))
-        terms = Terms(self._said.period, self._said.within, seeds, self._ground.group_size, KEPT)
+        terms = SwimSettings(self._said.period, self._said.within, seeds, self._policy_settings.group_size, KEPT)
         self._chance = Random(me.token)
         self.swim = Swim(me, terms, self._wire, self._chance, now)
         asyncio.get_running_loop().add_reader(made, self._come)
@@ -185,11 +185,11 @@
             raise
         return made
 
-    def told_anew(self, ground: Ground) -> None:
+    def told_anew(self, policy_settings: PolicySettings) -> None:
         """A size that the settings have now goes before what was reckoned from the one before."""
-        self._ground = ground
+        self._policy_settings = policy_settings
         if self.swim is not None:
-            self.swim.retuned(ground.group_size, ground.stage, ground.ordinal)
+            self.swim.retuned(policy_settings.group_size, policy_settings.stage, policy_settings.ordinal)
             self._share()
 
     def leaving(self, until: int) -> None:
@@ -279,7 +279,7 @@
             self._say(f"group: {change.what}", of=change.name, **change.figures)
         if swim.news:
             news, swim.news = swim.news, []
-            self._in_force({one.key: Order(one.on, one.at) for one in news if one.kind == BAN})
+            self._in_force({one.key: AdminCommand(one.on, one.at) for one in news if one.kind == BAN})
             for one in news:
                 self._say("group: an order", kind=one.kind, key=one.key, on=one.on, at=one.at)
         if swim.roll.version != self._version:
@@ -295,7 +295,7 @@
         if size != self.sharers:
             self.sharers = size
             self._host.facade.shared_by(size)
-            self._say("group: shares", of=size, told=self._ground.group_size)
+            self._say("group: shares", of=size, told=self._policy_settings.group_size)
 
     # --- streams --------------------------------------------------------------------------------------
 
@@ -364,7 +364,7 @@
                     for one in self.swim.roll
                     if one.health == ALIVE
                     and one.said.phase in (SERVING, SENT_AWAY)
-                    and one.said.tier == self._ground.stage
+                    and one.said.tier == self._policy_settings.stage
                 ]
                 asked = self._chance.sample(there, min(LENDERS, len(there)))
                 made = await asyncio.gather(*map(self._list_of, asked))
@@ -451,7 +451,7 @@
         for backend, order in self._orders.bans.items():
             known = self.swim.notices.get(BAN, backend)
             if known is None or (order.at, order.on) > known.rank:
-                self.swim.tell(Notice(BAN, backend, order.on, order.at), now)
+                self.swim.tell(Broadcast(BAN, backend, order.on, order.at), now)
 
     async def held(self) -> tuple[int, int] | None:
         """How many proxies hold the orders that this one holds, of how many, as far as it is known within a
@@ -476,7 +476,7 @@
         return {
             "reach": self.swim.reach(now)._asdict(),
             "sharers": self.sharers,
-            "told": self._ground.group_size,
+            "told": self._policy_settings.group_size,
             "doubt": self.swim.health.score,
             "counts": dict(self.swim.counts),
             "unsent": self._unsent,
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -11,24 +11,24 @@
 from typing import Any
 
 from pepperusher import invariants
-from pepperusher.facade import BOUNCE, HOLD, REFERENCED, REPLAYABLE, SCRAP, SEND, Entry, Facade, Step
+from pepperusher.facade import BOUNCE, HOLD, REFERENCED, REPLAYABLE, SCRAP, SEND, Endpoint, Facade, Step
 from pepperusher.settings import load
 from pepperusher.net import clock, load_reports
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
 from pepperusher.net.callers import SHY, Call, Callers
-from pepperusher.net.extension import Companion
+from pepperusher.net.extension import Extension
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.endpoint_update import address_of, endpoint_update_of, text_of_address
 from pepperusher.net.exchange import PASSED_ON, Attempt, Placed
 from pepperusher.net.log import Log
 from pepperusher.net.message import Answer, Request, end_to_end, plain
-from pepperusher.net.handover_state import PassedOn
+from pepperusher.net.handover_state import HandoverState
 from pepperusher.net.request_headers import BadRequest, duration_of, read_headers, timeout_of
 from pepperusher.net.process_pause import ProcessPause
-from pepperusher.net.bootstrap import Told, ToldError
-from pepperusher.terms import Ground
+from pepperusher.net.bootstrap import BootstrapConfiguration, BootstrapError
+from pepperusher.terms import PolicySettings
 
 READY = plain(200, "ready")
 BROKEN = plain(500, "an error in the proxy")
@@ -62,7 +62,7 @@
 ENDS = {BOUNCE: "bounced", SCRAP: "scrapped"}
 
 # Makes what a proxy has beside it, from what it is told at its start.
-Company = Callable[[Told, Log], Sequence[Companion]]
+ExtensionFactory = Callable[[BootstrapConfiguration, Log], Sequence[Extension]]
 
 
 def _descriptors(wanted: int) -> int:
@@ -75,27 +75,32 @@
 
 
 class Proxy:
-    def __init__(self, told: Told, again: Callable[[Told], Told], company: Company | None = None) -> None:
+    def __init__(
+        self,
+        told: BootstrapConfiguration,
+        again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
+        make_extensions: ExtensionFactory | None = None,
+    ) -> None:
         self._told = told
         self._again = again
         self._log = Log(told.name)
-        self._company = company(told, self._log) if company is not None else ()
-        gates = [one.gate for one in self._company if one.gate is not None]
-        invariants.must_hold(len(gates) <= 1, "a ticket goes through one gate")
+        self._extensions = make_extensions(told, self._log) if make_extensions is not None else ()
+        gates = [one.gate for one in self._extensions if one.gate is not None]
+        invariants.check_invariant(len(gates) <= 1, "a ticket goes through one gate")
         self._gate = gates[0] if gates else None
         self._pool = Pool(256, told.memory // HELD_PART)
-        self._budget = Budget(_descriptors(told.sockets), sum(one.descriptors for one in self._company))
-        self._facade = Facade(told.ground, clock.now(), self._log.say)
+        self._budget = Budget(_descriptors(told.sockets), sum(one.descriptors for one in self._extensions))
+        self._facade = Facade(told.policy_settings, clock.now(), self._log.say)
         # Callers first: where descriptors run out, it is theirs that are closed first, since they cost least.
-        self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.ground.longest_wait)
+        self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.policy_settings.longest_wait)
         self._backends = Backends(self._budget, self._pool, told.connect_within, told.idle_most)
         self._discovery = Discovery(
             told.discovery,
             self._facade,
             self._backends,
             self._log,
-            [one.narrow for one in self._company if one.narrow is not None],
-            told.ground.seed,
+            [one.narrow for one in self._extensions if one.narrow is not None],
+            told.policy_settings.seed,
         )
         self._names: set[bytes] = set()  # of the tickets in hand; emptied as they end
         self._stopping = asyncio.Event()
@@ -110,9 +115,9 @@
 
     # --- one ticket -------------------------------------------------------------------------------
 
-    def _tell(self, what: str, does: Callable[[Companion], None]) -> None:
+    def _tell(self, what: str, does: Callable[[Extension], None]) -> None:
         """Each companion in its turn: what one trips over keeps nothing from the others, and no ticket from its answer."""
-        for one in self._company:
+        for one in self._extensions:
             try:
                 does(one)
             except Exception as error:
@@ -135,7 +140,7 @@
                 answer = await self._ticket(call, told)
             finally:
                 self._names.discard(name)
-            invariants.must_hold(
+            invariants.check_invariant(
                 answer is not None or call.left or call.begun, "a ticket ends with an answer unless its client left"
             )
             return answer or (LEFT if call.left and not call.begun else BROKEN)
@@ -377,11 +382,11 @@
         self._budget.share(part)
         self._log.say(f"keeps to {self._budget.most} connections")
 
-    def passed_on(self) -> PassedOn:
+    def passed_on(self) -> HandoverState:
         """For the next process."""
         listed, told_by_source = self._discovery.list_in_use()
         due = self._discovery.confirmation.binding_due_at
-        return PassedOn(
+        return HandoverState(
             self._discovery.source,
             listed,
             self._facade.learned(clock.now()),
@@ -389,7 +394,7 @@
             None if due is None else round(due * 1e6),
         )
 
-    def follow(self, passed: PassedOn) -> None:
+    def follow(self, passed: HandoverState) -> None:
         """Goes on from what the process before passed on, as far as it can be read."""
         self._discovery.take_over(None if passed.expires_at is None else passed.expires_at / 1e6)
         try:
@@ -409,20 +414,20 @@
         """The file's: it may have been replaced since the environment was set."""
         try:
             return text_of_address(self._again(self._told).discovery)
-        except ToldError:
+        except BootstrapError:
             return ""
 
     def knows(self, backend: str) -> bool:
         return self._facade.knows(backend)
 
-    def narrowed(self, by: Companion, lines: list[Entry]) -> None:
+    def narrowed(self, by: Extension, lines: list[Endpoint]) -> None:
         """Lines of the list as `by` has them now: those whose say comes behind its own have it too."""
-        before = [one for one in self._company if one.narrow is not None]
+        before = [one for one in self._extensions if one.narrow is not None]
         self._discovery.put(lines, False, before.index(by) + 1)
 
     @property
-    def ground(self) -> Ground:
-        return self._told.ground
+    def policy_settings(self) -> PolicySettings:
+        return self._told.policy_settings
 
     @property
     def discovery(self) -> Discovery:
@@ -464,7 +469,7 @@
     # --- start and end ----------------------------------------------------------------------------
 
     async def serve(self) -> None:
-        told = self._told.ground
+        told = self._told.policy_settings
         if self._told.known is not None:
             self._discovery.take(self._told.known)
         loop = asyncio.get_running_loop()
@@ -476,15 +481,15 @@
             loop.add_signal_handler(number, self.stop)
         # Without a handler it ends the process, and with it every ticket in hand.
         loop.add_signal_handler(signal.SIGHUP, self.tell_anew)
-        for one in self._company:
+        for one in self._extensions:
             await one.enter(self)
         # What is known nearby binds from the first moment on; otherwise the settings leave time to ask.
         self._discovery.start(at_once=told.pushed)
         if told.pushed:
             # The list that this process was told may be old.
             await self._discovery.told(told.drain_within / 1e6)
-        self.port = self._callers.listen(self._told.listen, any(one.shares_address for one in self._company))
-        for one in self._company:
+        self.port = self._callers.listen(self._told.listen, any(one.shares_address for one in self._extensions))
+        for one in self._extensions:
             await one.start()
         sweep = loop.create_task(self._sweep())
         pace = loop.create_task(self._process_pause.watch())
@@ -497,7 +502,7 @@
         self._log.say(f"serving at {self._told.listen[0]}:{self.port}")
         await self._stopping.wait()
         await self._drain()
-        for one in reversed(self._company):
+        for one in reversed(self._extensions):
             await one.stop()
         self._discovery.stop()
         self._callers.over()
@@ -507,7 +512,7 @@
 
     def stop(self) -> None:
         if not self._stopping.is_set():
-            self._succeeded = any(one.succeeded for one in self._company)
+            self._succeeded = any(one.succeeded for one in self._extensions)
         self._stopping.set()
 
     def tell_anew(self) -> None:
@@ -515,23 +520,23 @@
         all else at a start."""
         try:
             told = self._again(self._told)
-        except ToldError as error:
+        except BootstrapError as error:
             self._log.say(f"the new configuration is not taken: {error}")
             self._discovery.reconfigured(None, self._process_pause.unwatched_for)
             return
         before = self._told
         self._log.say(
             f"configuration read anew, discovery at {text_of_address(told.discovery)},"
-            f" use cases {', '.join(use.name for use in told.ground.use_cases)}"
+            f" use cases {', '.join(use.name for use in told.policy_settings.use_cases)}"
         )
         if stays := [name for name in AT_A_START if getattr(told, name) != getattr(before, name)]:
             self._log.say(f"not before the next start: {', '.join(stays)}")
         self._told = told
-        self._facade.retuned(told.ground, clock.now())
+        self._facade.retuned(told.policy_settings, clock.now())
         self._backends.retuned(told.connect_within, told.idle_most)
-        self._callers.retuned(told.ground.longest_wait)
+        self._callers.retuned(told.policy_settings.longest_wait)
         self._discovery.reconfigured(told.discovery, self._process_pause.unwatched_for)
-        self._tell("told anew", lambda one: one.told_anew(told.ground))
+        self._tell("told anew", lambda one: one.told_anew(told.policy_settings))
 
     async def _drain(self) -> None:
         """Accepts to the last: what the kernel takes on our behalf is ours.
@@ -541,7 +546,7 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        killed = min(self._told.ground.longest_wait / 1e6, LONGEST_GRACE) + MOMENT
+        killed = min(self._told.policy_settings.longest_wait / 1e6, LONGEST_GRACE) + MOMENT
         self._log.say(
             f"stopping, {self._facade.in_hand} tickets in hand"
             + (", another process serves on" if self._succeeded else "")
@@ -596,7 +601,11 @@
             self._log.say(f"did not hold {times} times: {what}")
 
 
-def run(told: Told, again: Callable[[Told], Told], company: Company | None = None) -> None:
-    """`again` reads the configuration anew, beside the one in force; `company` makes the companions, where
+def run(
+    told: BootstrapConfiguration,
+    again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
+    make_extensions: ExtensionFactory | None = None,
+) -> None:
+    """`again` reads the configuration anew, beside the one in force; `make_extensions` makes the extensions, where
     there are any."""
-    asyncio.run(Proxy(told, again, company).serve())
+    asyncio.run(Proxy(told, again, make_extensions).serve())
--- a/pepperusher/net/request_store.py
+++ b/pepperusher/net/request_store.py
@@ -11,17 +11,17 @@
 
 from pepperusher.net import clock
 from pepperusher.configuration.tables import Store
-from pepperusher.store.disk import Disk, Taken
-from pepperusher.store.store_writer import KEPT, Keeper
+from pepperusher.store.disk import Disk, FolderLockedError
+from pepperusher.store.store_writer import KEPT, StoreWriter
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import RefusedError
-from pepperusher.store.tables import NEVER_RAN, SENT, Past, Tables
+from pepperusher.store.tables import NEVER_RAN, SENT, PastAttempt, Tables
 
 # What proves that an attempt never ran.
 NEVER = ("unreached", "full", "moot")
 
 
-class Shelf:
+class RequestStore:
     """Opened before anything is served; a store that can't be had is off, with one line, and the proxy serves on."""
 
     def __init__(self, said: Store, say: Callable[..., None]) -> None:
@@ -29,19 +29,19 @@
         self._said = said
         self._say = say
         self._tables = Tables(said.marks, 0, 0)
-        self._keeper: Keeper | None = None
+        self._keeper: StoreWriter | None = None
         self._log: Log | None = Log(Disk(Path(said.folder)), said.sync)
         self.counts = {"kept": 0, "not kept": 0, "no room": 0}
         try:
             for kind, body in replay(self._log.open()):
                 self._tables.take(kind, body)
-        except (RefusedError, Taken, OSError) as error:
+        except (RefusedError, FolderLockedError, OSError) as error:
             self._log = None
             say("the store is off", folder=said.folder, why=str(error))
 
     def start(self) -> None:
         if self._log is not None:
-            self._keeper = Keeper(self._log, self._state, self._said.compact_at * 1024 * 1024, self._say)
+            self._keeper = StoreWriter(self._log, self._state, self._said.compact_at * 1024 * 1024, self._say)
 
     def _state(self) -> list[tuple[int, bytes]]:
         return self._tables.state(clock.now())
@@ -54,7 +54,7 @@
     def on(self) -> bool:
         return self._keeper is not None and not self._keeper.off
 
-    def past(self, use_case: str, mark: str) -> list[Past]:
+    def past(self, use_case: str, mark: str) -> list[PastAttempt]:
         """What was sent under this mark and is not forgotten, the first first."""
         return self._tables.marks.past(use_case, mark, clock.now())
 
--- a/pepperusher/net/stopped_endpoints.py
+++ b/pepperusher/net/stopped_endpoints.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Endpoint
 from pepperusher.net.endpoint_update import EndpointUpdate
 
 # So long after it was told, in microseconds, a stop is kept against an older list: by then a watch that tells
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._stops: dict[str, _Stop] = {}  # emptied by age, and as endpoints come back
 
-    def note(self, update: EndpointUpdate, unlisted: list[Entry], now: int) -> None:
+    def note(self, update: EndpointUpdate, unlisted: list[Endpoint], now: int) -> None:
         """An update that is taken; `unlisted` are those known before that it leaves out as a whole list."""
         for entry in update.entries:
             if entry.ready:
--- a/pepperusher/net/watch_stream.py
+++ b/pepperusher/net/watch_stream.py
@@ -10,7 +10,7 @@
 
 from pepperusher.net.discovery_source import Refused, Silent
 from pepperusher.net.endpoint_update import BadList, complete_objects
-from pepperusher.net.connection import Line
+from pepperusher.net.connection import StreamConnection
 from pepperusher.net.message import HEAD, Request, framed_request
 
 # A line that has begun is whole as soon as that, and a second later for each so many bytes that came: discovery may
@@ -34,7 +34,7 @@
 class WatchStream:
     """`silence` gives the seconds after which a watch that says nothing is dead."""
 
-    def __init__(self, line: Line, silence: Callable[[], float]) -> None:
+    def __init__(self, line: StreamConnection, silence: Callable[[], float]) -> None:
         self._line = line
         self._silence = silence
         self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD)
--- a/pepperusher/packet_authentication.py
+++ b/pepperusher/packet_authentication.py
@@ -16,7 +16,7 @@
     """Nothing to be believed; the text is why, in words that are few, since they are counted by it."""
 
 
-class Seal:
+class PacketAuthenticator:
     """`key` has 64 bytes at the most. `mark` tells one program's use of it from another's."""
 
     def __init__(self, key: bytes, mark: bytes, form: int) -> None:
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -44,7 +44,7 @@
     Attempt,
     Backend,
     Customer,
-    Ground,
+    PolicySettings,
     Listing,
     Side,
     Ticket,
@@ -86,11 +86,11 @@
 class Balancer:
     """The decisions of one proxy."""
 
-    def __init__(self, ground: Ground, now: int, say: Callable[[str], None]) -> None:
-        self._chance, self._say = Random(ground.seed).random, say
-        self._tune(ground)
+    def __init__(self, policy_settings: PolicySettings, now: int, say: Callable[[str], None]) -> None:
+        self._chance, self._say = Random(policy_settings.seed).random, say
+        self._tune(policy_settings)
         self._usual, self._unheard, self._list_lost = 0, 0, False
-        self._must_ask, self._asked = ground.must_ask, not ground.must_ask
+        self._must_ask, self._asked = policy_settings.must_ask, not policy_settings.must_ask
         self._ask_step, self._ask_at = 0, now
         self._backends: list[Backend] = []  # emptied by the list: holds what it names as ready
         # By location, this proxy's own first; emptied by the list, but for that.
@@ -98,31 +98,37 @@
         self._young: list[Backend] = []  # emptied by age
         self._started, self._spare, self._counted_at = now, SPARE_MOST, now
 
-    def _tune(self, ground: Ground) -> None:
+    def _tune(self, policy_settings: PolicySettings) -> None:
         """The figures that are derived from the ground alone."""
         # A pool splits a customer's share evenly; beside each client nobody knows how it lies.
-        self._beside, self._shared_out = ground.beside_client, ground.stage == 0 and not ground.beside_client
-        self._first_tier, self._limit_passed = ground.stage == 0, ground.passes_limit
-        self._by_work, self._last_tier = ground.importance_by_work, ground.last_tier
-        self._most, self._calls_off = ground.most_attempts, ground.may_call_off
-        self._longest_advice = ground.longest_advice if ground.may_advise else 0
-        self._zones, self._home = len(ground.zones), ground.zone if len(ground.zones) > 1 else ""
-        self._customers = ground.customers
-        self._use_cases = [use for use in ground.use_cases if use.promised > 0 and use.importance > 0]
-        self._group = self.sharers = max(1, ground.group_size)
-        self._cold_share, self._warm_after = ground.cold_share, max(1, ground.warm_after)
+        self._beside, self._shared_out = (
+            policy_settings.beside_client,
+            policy_settings.stage == 0 and not policy_settings.beside_client,
+        )
+        self._first_tier, self._limit_passed = policy_settings.stage == 0, policy_settings.passes_limit
+        self._by_work, self._last_tier = policy_settings.importance_by_work, policy_settings.last_tier
+        self._most, self._calls_off = policy_settings.most_attempts, policy_settings.may_call_off
+        self._longest_advice = policy_settings.longest_advice if policy_settings.may_advise else 0
+        self._zones, self._home = (
+            len(policy_settings.zones),
+            policy_settings.zone if len(policy_settings.zones) > 1 else "",
+        )
+        self._customers = policy_settings.customers
+        self._use_cases = [use for use in policy_settings.use_cases if use.promised > 0 and use.importance > 0]
+        self._group = self.sharers = max(1, policy_settings.group_size)
+        self._cold_share, self._warm_after = policy_settings.cold_share, max(1, policy_settings.warm_after)
         # Half the rule's multiple: the other half is for what other proxies and chance add.
-        self._cold_rate = ground.tip_multiple / 2
-        self._cold_least = SECOND / max(1, ground.overload_for)
-        self._ask_longest = ground.ask_within // 2 or SECOND
-        self._position = ground.ordinal * GOLDEN % 1.0
+        self._cold_rate = policy_settings.tip_multiple / 2
+        self._cold_least = SECOND / max(1, policy_settings.overload_for)
+        self._ask_longest = policy_settings.ask_within // 2 or SECOND
+        self._position = policy_settings.ordinal * GOLDEN % 1.0
 
-    def retuned(self, ground: Ground, now: int) -> None:
+    def retuned(self, policy_settings: PolicySettings, now: int) -> None:
         """Other settings from now on. Use cases that stay are the same objects, and stay known."""
-        self._tune(ground)
+        self._tune(policy_settings)
         for backend in self._backends:
             for table in (backend.runs, backend.shut):
-                for use in [use for use in table if use not in ground.use_cases]:
+                for use in [use for use in table if use not in policy_settings.use_cases]:
                     del table[use]
         self._lay(now)
 
--- a/pepperusher/rehearsal/agreemodel.py
+++ b/pepperusher/rehearsal/agreemodel.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.consensus.raft import LEADS, Agree, Bounds, Progress
-from pepperusher.consensus.messages import Base, Entry, Kept, Message
+from pepperusher.consensus.raft import LEADS, RaftVoter, Bounds, Progress
+from pepperusher.consensus.messages import Base, Entry, PersistentState, Message
 
 NAMES = ("a", "b", "c")
 
@@ -49,7 +49,7 @@
 
 
 class Disk(NamedTuple):
-    kept: Kept
+    kept: PersistentState
     base: Base
     entries: tuple[Entry, ...]
 
@@ -59,9 +59,9 @@
 
     __slots__ = ("voters", "disks", "sent", "led", "counted", "proposed", "rounds", "crashes")
 
-    def __init__(self, make: type[Agree]) -> None:
+    def __init__(self, make: type[RaftVoter]) -> None:
         base = Base(10, 0, NAMES)
-        self.disks = {name: Disk(Kept(0, ""), base, ()) for name in NAMES}
+        self.disks = {name: Disk(PersistentState(0, ""), base, ()) for name in NAMES}
         self.voters = {name: started(make, name, self.disks[name]) for name in NAMES}
         # In the order of sending: a set's hangs on the run, and a seed would not play the same walk twice.
         self.sent: dict[tuple[str, Message], None] = {}
@@ -90,13 +90,13 @@
         )
 
 
-def started(make: type[Agree], name: str, disk: Disk) -> Agree:
+def started(make: type[RaftVoter], name: str, disk: Disk) -> RaftVoter:
     made = make(name, NAMES, Bounds(1, 0, 0), Random(1), 0, 0, disk.kept, disk.base, disk.entries)
     made._chance = None  # type: ignore[assignment]
     return made
 
 
-def cloned(voter: Agree) -> Agree:
+def cloned(voter: RaftVoter) -> RaftVoter:
     made = object.__new__(type(voter))
     made.__dict__.update(voter.__dict__)
     for name, value in voter.__dict__.items():
@@ -110,7 +110,7 @@
     return made
 
 
-def of_voter(voter: Agree) -> Any:
+def of_voter(voter: RaftVoter) -> Any:
     progress = tuple(sorted((name, one.next, one.match, one.round) for name, one in voter._progress.items()))
     return (
         voter.role,
@@ -128,7 +128,7 @@
     )
 
 
-def flushed(disk: Disk, voter: Agree) -> Disk:
+def flushed(disk: Disk, voter: RaftVoter) -> Disk:
     """The disk with all that the voter has handed to it."""
     kept, base, entries = disk
     for write in voter.writes:
@@ -141,7 +141,7 @@
     return Disk(kept, base, entries)
 
 
-def steps(world: World, limits: Limits) -> Iterator[tuple[str, str, Callable[[Agree], Any], dict[str, int]]]:
+def steps(world: World, limits: Limits) -> Iterator[tuple[str, str, Callable[[RaftVoter], Any], dict[str, int]]]:
     """What may happen now: in words, to whom, what it does, and which counts it raises."""
     for name, voter in world.voters.items():
         if voter.role != LEADS and voter.kept.term < limits.terms:
@@ -162,9 +162,9 @@
 def after(
     world: World,
     name: str,
-    does: Callable[[Agree], Any],
+    does: Callable[[RaftVoter], Any],
     counts: dict[str, int],
-    make: type[Agree],
+    make: type[RaftVoter],
     crash: bool,
     lag: bool = False,
 ) -> World:
@@ -214,7 +214,7 @@
     return None
 
 
-def explore(make: type[Agree] = Agree, limits: Limits = Limits()) -> Found:
+def explore(make: type[RaftVoter] = RaftVoter, limits: Limits = Limits()) -> Found:
     """Breadth first, so that the steps to what is wrong are the fewest."""
     first = World(make)
     seen = {hash(first.frozen())}
@@ -243,7 +243,7 @@
 
 
 def wander(
-    make: type[Agree] = Agree, limits: Limits = Limits(), seed: int = 1, walks: int = 200, length: int = 120
+    make: type[RaftVoter] = RaftVoter, limits: Limits = Limits(), seed: int = 1, walks: int = 200, length: int = 120
 ) -> Found:
     """Long histories by chance beside it, for what lies deeper than all states can be looked at."""
     chance = Random(seed)
--- a/pepperusher/rehearsal/askers.py
+++ b/pepperusher/rehearsal/askers.py
@@ -21,8 +21,8 @@
 from random import Random
 from typing import Any, AsyncIterator, NamedTuple, TypeVar
 
-from pepperusher.facade import Entry, Facade
-from pepperusher.settings import ground
+from pepperusher.facade import Endpoint, Facade
+from pepperusher.settings import read_settings
 from pepperusher.net import clock
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
@@ -110,12 +110,12 @@
         log = Log(f"asker{number}")
         log.say = lambda line, figures=None: None  # type: ignore[method-assign]
         self.heard_at: dict[int, float] = {}  # by version, by the loop's clock; one measurement long
-        told = ground(settings, seed * 1000 + number)
+        told = read_settings(settings, seed * 1000 + number)
         self.facade = Facade(told, clock.now(), log.say)
         backends = Backends(Budget(1024), Pool(4, 1024 * 1024), 500_000, 10_000_000)
         self.discovery = Discovery(address, self.facade, backends, log, [self._narrow], told.seed)
 
-    def _narrow(self, entries: list[Entry], whole: bool) -> list[Entry]:
+    def _narrow(self, entries: list[Endpoint], whole: bool) -> list[Endpoint]:
         if entries or whole:
             self.heard_at.setdefault(self.discovery.version, asyncio.get_running_loop().time())
         return entries
--- a/pepperusher/rehearsal/coldsum.py
+++ b/pepperusher/rehearsal/coldsum.py
@@ -20,7 +20,7 @@
 from pepperusher.policy import Balancer
 from pepperusher.rehearsal.books import Records
 from pepperusher.rehearsal.script import Script
-from pepperusher.terms import AGAIN, DONE, FULL, TIMED_OUT, UNREACHED, Backend, Ground, Listing, Ticket, UseCase
+from pepperusher.terms import AGAIN, DONE, FULL, TIMED_OUT, UNREACHED, Backend, PolicySettings, Listing, Ticket, UseCase
 
 SECOND = 1_000_000
 STEP = 5_000
@@ -106,7 +106,7 @@
 class Proxy:
     """One balancer, and what it has been told of each backend."""
 
-    def __init__(self, number: int, settings: Ground, now: int) -> None:
+    def __init__(self, number: int, settings: PolicySettings, now: int) -> None:
         self.number, self.settings = number, settings
         self.balancer = Balancer(settings, now, lambda line: None)
         self.known: dict[str, Backend] = {}
@@ -136,7 +136,7 @@
             self._tell(proxy, list(self.servers.values()))
 
     def _proxy(self, number: int, size: int) -> Proxy:
-        told, deployment = Ground(), self.deployment
+        told, deployment = PolicySettings(), self.deployment
         most = round(20 * deployment.work * SECOND)
         given = {
             "seed": self.seed * 1000 + number + self.now,
--- a/pepperusher/rehearsal/groupfigures.py
+++ b/pepperusher/rehearsal/groupfigures.py
@@ -8,7 +8,7 @@
 from time import process_time
 from typing import NamedTuple
 
-from pepperusher.group.messages import LOST, Notice
+from pepperusher.group.messages import LOST, Broadcast
 from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
 
 # A member's figures are taken over so long.
@@ -72,7 +72,7 @@
     rate = (sum(one.sent_bytes for one in model.ones.values()) - sent) / size / (span / SECOND)
     wrong = [line for line in model.book if line.at >= began]
     at = model.now
-    model.ones["m1"].swim.tell(Notice("ban", "x", True, at), at)
+    model.ones["m1"].swim.tell(Broadcast("ban", "x", True, at), at)
 
     def heard() -> int:
         return sum(one.swim.notices.get("ban", "x") is not None for one in model.ones.values())
--- a/pepperusher/rehearsal/groupmodel.py
+++ b/pepperusher/rehearsal/groupmodel.py
@@ -14,9 +14,9 @@
 from typing import Any, NamedTuple
 
 from pepperusher.group.membership import Change
-from pepperusher.group.swim import Swim, Terms
+from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import Wire
-from pepperusher.group.messages import SERVING, Said
+from pepperusher.group.messages import SERVING, MemberRecord
 
 SECOND = 1_000_000
 
@@ -96,7 +96,7 @@
         if address is None:
             address = old.swim.me.address if old is not None else ("m", next(self._ports))
         others = [one.swim.me.address for one in self.ones.values() if one is not old]
-        me = Said(
+        me = MemberRecord(
             name,
             address[0],
             address[1],
@@ -108,7 +108,7 @@
             tier,
             len(self.ones) if place is None else place,
         )
-        terms = Terms(self.period, self.within, tuple(others[:seeds]), told, 60 * SECOND)
+        terms = SwimSettings(self.period, self.within, tuple(others[:seeds]), told, 60 * SECOND)
         one = One(Swim(me, terms, self.wire, Random(self.chance.getrandbits(32)), self.now))
         self.ones[name] = one
         self._at[address] = name
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -20,24 +20,24 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from pepperusher.changes.transaction_log import LedgerError
-from pepperusher.changes.active_configuration import Standing
+from pepperusher.changes.transaction_log import TransactionError
+from pepperusher.changes.active_configuration import ActiveConfiguration
 from pepperusher.distribution.client import Client
 from pepperusher.distribution.messages import CONFIG, Resource
-from pepperusher.facade import Entry, Facade
-from pepperusher.settings import ground
+from pepperusher.facade import Endpoint, Facade
+from pepperusher.settings import read_settings
 from pepperusher.net import clock
 from pepperusher.net.backends import Backends
-from pepperusher.net.extension import Companion, Host, Narrow
+from pepperusher.net.extension import Extension, ExtensionHost, Narrow
 from pepperusher.net.discovery import Discovery, Source
 from pepperusher.net.endpoint_update import GONE, EndpointUpdate, endpoint_update_of
 from pepperusher.net.log import Log
 from pepperusher.net.proxy import STILL_COMING, SWEEP_EVERY, Proxy
-from pepperusher.net.bootstrap import Told
+from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.configuration import loader
-from pepperusher.configuration.loader import OwnError, Read
+from pepperusher.configuration.loader import ConfigurationError, Read
 from pepperusher.rehearsal.worker import Orders
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 if TYPE_CHECKING:
     from pepperusher.rehearsal.hollow_group import GroupOrders, MemberNode
@@ -69,24 +69,24 @@
         self._noted("list", update.version)
 
 
-class OwnState(Companion):
+class OwnState(Extension):
     """The own file's state as a whole proxy has it. A text is taken whole, or not at all."""
 
-    def __init__(self, text: str, at: Ground, log: Log) -> None:
-        self._ground = at
-        self._host: Host | None = None
-        self.standing = Standing(self.read(text), clock.now(), self._list_again, log.tell)
+    def __init__(self, text: str, at: PolicySettings, log: Log) -> None:
+        self._policy_settings = at
+        self._host: ExtensionHost | None = None
+        self.standing = ActiveConfiguration(self.read(text), clock.now(), self._list_again, log.tell)
         self.narrow = self.standing.overlay.lines
 
     def read(self, text: str) -> Read:
-        """Raises OwnError."""
-        return loader.parse(text, "what is told", self._ground)
+        """Raises ConfigurationError."""
+        return loader.parse(text, "what is told", self._policy_settings)
 
-    def _list_again(self, lines: list[Entry]) -> None:
+    def _list_again(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
             self._host.narrowed(self, lines)
 
-    async def enter(self, host: Host) -> None:
+    async def enter(self, host: ExtensionHost) -> None:
         self._host = host
 
     def put(self, text: str) -> str | None:
@@ -97,7 +97,7 @@
             if read.digest == standing.version.read.digest:
                 return None
             change = standing.propose(read, "control", "told", now)
-        except (OwnError, LedgerError) as error:
+        except (ConfigurationError, TransactionError) as error:
             return str(error)
         standing.stage(change, now)
         standing.apply(change, now)
@@ -111,7 +111,7 @@
     which (`hollow_group.place_of`).
     """
 
-    def __init__(self, told: Told, own: str | None, group: dict[str, Any] | None = None) -> None:
+    def __init__(self, told: BootstrapConfiguration, own: str | None, group: dict[str, Any] | None = None) -> None:
         self.own: OwnState | None = None
         self.node: MemberNode | None = None
         self._sweeping: asyncio.TimerHandle | None = None
@@ -120,29 +120,29 @@
         self.books: list[tuple[str, int, int]] = []
         self.latest: dict[str, int] = {}
 
-        def company(of: Told, log: Log) -> list[Companion]:
-            made: list[Companion] = []
+        def make_extensions(of: BootstrapConfiguration, log: Log) -> list[Extension]:
+            made: list[Extension] = []
             if own is not None:
-                self.own = OwnState(own, of.ground, log)
+                self.own = OwnState(own, of.policy_settings, log)
                 made.append(self.own)
             if group is not None:
                 from pepperusher.rehearsal.hollow_group import MemberNode
 
-                self.node = MemberNode(group, of.ground, of.name, log.tell, self.book)
+                self.node = MemberNode(group, of.policy_settings, of.name, log.tell, self.book)
                 made.append(self.node)
             return made
 
-        super().__init__(told, lambda before: before, company)
+        super().__init__(told, lambda before: before, make_extensions)
         self._discovery = NotedDiscovery(
             self.note,
             told.discovery,
             self._facade,
             self._backends,
             self._log,
-            [one.narrow for one in self._company if one.narrow is not None],
-            told.ground.seed,
+            [one.narrow for one in self._extensions if one.narrow is not None],
+            told.policy_settings.seed,
         )
-        self._lists: dict[str, dict[str, Entry]] = {}  # by service, what distribution told last; replaced with each
+        self._lists: dict[str, dict[str, Endpoint]] = {}  # by service, what distribution told last; replaced with each
         self._parts: dict[str, str] = {}  # by name, the texts that make up its own file
         self._told_version = 0
         self.client: Client | None = None
@@ -196,13 +196,13 @@
     async def begin(self, watch: bool) -> None:
         """As `serve` does it, without a listener."""
         self.on = True
-        for one in self._company:
+        for one in self._extensions:
             await one.enter(self)
         if watch:
             self._discovery.start()
         if self.client is not None:
             self.client.start()
-        for one in self._company:
+        for one in self._extensions:
             await one.start()
         if self.node is not None:
             self._sweep_later(self.node)
@@ -225,7 +225,7 @@
     async def end(self) -> None:
         """In order."""
         self.on = False
-        for one in reversed(self._company):
+        for one in reversed(self._extensions):
             await one.stop()
         if self.client is not None:
             await self.client.stop()
@@ -319,13 +319,15 @@
     zone: str,
     discovery: tuple[str, int],
     known: dict[str, Any] | None = None,
-) -> Told:
+) -> BootstrapConfiguration:
     """What a whole proxy would read from its file."""
-    made = Told()
+    made = BootstrapConfiguration()
     made.keys = {}
     made.name, made.listen, made.discovery, made.console = name, NOWHERE, discovery, None
     made.sockets, made.memory = 1024, 256 * 1024 * 1024
-    made.ground = ground({**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number)
+    made.policy_settings = read_settings(
+        {**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number
+    )
     made.connect_within, made.idle_most = 500_000, 10_000_000
     made.known = endpoint_update_of(known) if known is not None else None
     return made
--- a/pepperusher/rehearsal/hollow_control.py
+++ b/pepperusher/rehearsal/hollow_control.py
@@ -128,7 +128,7 @@
                 try:
                     await self.publish("config", "probe", b"")
                     return
-                except operator_client.NoAnswer as error:
+                except operator_client.NoAnswerError as error:
                     if "begins to write" not in str(error):
                         raise
                 await asyncio.sleep(AGAIN_EVERY)
@@ -173,7 +173,7 @@
         async def one(address: tuple[str, int]) -> dict[str, Any]:
             try:
                 return dict(await operator_client.figures(address, KEY.encode()))
-            except operator_client.NoAnswer:
+            except operator_client.NoAnswerError:
                 return {}
 
         return list(await asyncio.gather(*map(one, self.addresses)))
--- a/pepperusher/rehearsal/hollow_fidelity.py
+++ b/pepperusher/rehearsal/hollow_fidelity.py
@@ -99,7 +99,7 @@
     def _ask(self, do: str, **said: Any) -> dict[str, Any] | None:
         try:
             return client.ask(str(self._socket), do, **said)
-        except client.Refused:
+        except client.RefusedError:
             return None
 
     async def ask(self, do: str, **said: Any) -> dict[str, Any] | None:
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -18,7 +18,7 @@
 from pepperusher.net.node import BAN, Node
 from pepperusher.configuration.tables import Group
 from pepperusher.durations import Span
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 Say = Callable[..., None]
 Book = Callable[[str, int], None]  # what, and its version
@@ -65,13 +65,15 @@
 class MemberNode(Node):
     """`place` has the group's table and `size`, how many there are."""
 
-    def __init__(self, place: Mapping[str, Any], ground: Ground, name: str, say: Say, book: Book) -> None:
+    def __init__(
+        self, place: Mapping[str, Any], policy_settings: PolicySettings, name: str, say: Say, book: Book
+    ) -> None:
         self._tells, self._book = say, book
         self._size = int(place["size"])
         self._silent: set[str] = set()  # emptied by their words
         self._all_there = False
         self.traffic: Counter[str] = Counter()
-        super().__init__(said_of(place), ground, name, self._noted)
+        super().__init__(said_of(place), policy_settings, name, self._noted)
 
     def _bound(self) -> socket.socket:
         counted = CountedSocket(fileno=super()._bound().detach())
--- a/pepperusher/rehearsal/hollow_scenes.py
+++ b/pepperusher/rehearsal/hollow_scenes.py
@@ -461,7 +461,7 @@
     why = ""
     try:
         await ground.publish()
-    except operator_client.NoAnswer as error:
+    except operator_client.NoAnswerError as error:
         why = str(error)
     controls.full_disk(ORIGIN, False)
     ground.check("the origin's disk is full: a change is refused, with why", "can't be written" in why, why)
@@ -487,7 +487,7 @@
     while True:
         try:
             return await ground.publish()
-        except operator_client.NoAnswer as error:
+        except operator_client.NoAnswerError as error:
             if time.monotonic() >= until or not any(one in str(error) for one in ("begins to write", "fetched")):
                 raise
         await asyncio.sleep(LOOK_EVERY)
--- a/pepperusher/settings.py
+++ b/pepperusher/settings.py
@@ -1,4 +1,4 @@
-"""The settings object that a proxy is handed at its start, turned into the `Ground` of its decisions.
+"""The settings object that a proxy is handed at its start, turned into the `PolicySettings` of its decisions.
 
 The operators' names for things end here; the adapter for the bench and the proxy on sockets share this door.
 """
@@ -9,7 +9,7 @@
 from typing import Any
 
 from pepperusher import terms
-from pepperusher.terms import Customer, Ground, UseCase
+from pepperusher.terms import Customer, PolicySettings, UseCase
 
 REPEAT = {"pure": terms.REPLAYABLE, "token": terms.REFERENCED, "side_effect": terms.SINGLE_USE}
 # What the decisions make use of in a load report; any other name is read over.
@@ -18,16 +18,16 @@
 SCOPE = {"all": terms.SCOPE_ALL, "zone": terms.SCOPE_ZONE, "cell": terms.SCOPE_CELL}
 
 
-class GroundError(ValueError):
+class SettingsError(ValueError):
     """Settings that cannot be read; its text names the entry."""
 
 
 def figure(of: dict[str, Any], name: str, default: float | None = None) -> float:
     value = of.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise GroundError(f"{name} is {'missing' if value is None else 'not a number'}")
+        raise SettingsError(f"{name} is {'missing' if value is None else 'not a number'}")
     if not abs(value) < 1e15:  # json reads NaN and Infinity, and neither is a figure
-        raise GroundError(f"{name} is out of any range")
+        raise SettingsError(f"{name} is out of any range")
     return value
 
 
@@ -40,7 +40,7 @@
     if value is None:
         return kind()
     if not isinstance(value, kind):
-        raise GroundError(f"{name} has the wrong form")
+        raise SettingsError(f"{name} has the wrong form")
     return value
 
 
@@ -51,25 +51,25 @@
     if told is None:
         return None
     if not isinstance(told, list) or not all(isinstance(one, str) for one in told):
-        raise GroundError(f"use-cases: {of['name']}: {name} is not a list of names")
+        raise SettingsError(f"use-cases: {of['name']}: {name} is not a list of names")
     if not told:
-        raise GroundError(f"use-cases: {of['name']}: {name} names none, so it could run nowhere")
+        raise SettingsError(f"use-cases: {of['name']}: {name} names none, so it could run nowhere")
     if known is not None and (unknown := sorted(set(told) - set(known))):
-        raise GroundError(f"use-cases: {of['name']}: {name}: {unknown[0]} is not one of the zones")
+        raise SettingsError(f"use-cases: {of['name']}: {name}: {unknown[0]} is not one of the zones")
     return frozenset(told)
 
 
 def _word(of: dict[str, Any], name: str, known: dict[str, Any], default: str, within: str = "") -> Any:
     told = of.get(name, default)
     if not isinstance(told, str) or told not in known:
-        raise GroundError(f"{within + ': ' if within else ''}{name}: {told!r} is not one of {', '.join(known)}")
+        raise SettingsError(f"{within + ': ' if within else ''}{name}: {told!r} is not one of {', '.join(known)}")
     return known[told]
 
 
 def truth(of: dict[str, Any], name: str) -> bool:
     told = of.get(name, False)
     if not isinstance(told, bool):
-        raise GroundError(f"{name} is neither true nor false")
+        raise SettingsError(f"{name} is neither true nor false")
     return told
 
 
@@ -89,15 +89,15 @@
 
 def _named(of: Any, within: str) -> str:
     if not isinstance(of, dict) or not isinstance(of.get("name"), str):
-        raise GroundError(f"{within} has an entry without a name")
+        raise SettingsError(f"{within} has an entry without a name")
     return of["name"]
 
 
-def ground(told: Any, seed: int) -> Ground:
+def read_settings(told: Any, seed: int) -> PolicySettings:
     if not isinstance(told, dict):
-        raise GroundError("is not an object")
+        raise SettingsError("is not an object")
     limits, rules = part(told, "policy-limits", dict), part(told, "rules", dict)
-    made = Ground()
+    made = PolicySettings()
     made.seed = seed
     made.zones = [str(zone) for zone in part(told, "zones", list)]
     made.use_cases = [
@@ -143,14 +143,14 @@
     made.reported_by = _word(reporting, "how", REPORTED_BY, "silent", "reporting")
     names = part(reporting, "names", list)
     if not all(isinstance(one, str) for one in names):
-        raise GroundError("reporting: names: is not a list of names")
+        raise SettingsError("reporting: names: is not a list of names")
     if twice := sorted({one for one in names if names.count(one) > 1}):
-        raise GroundError(f"reporting: names: {twice[0]} stands there twice")
+        raise SettingsError(f"reporting: names: {twice[0]} stands there twice")
     if made.reported_by == terms.BY_NOBODY and names:
-        raise GroundError(f"reporting: names: {names[0]} is told by nobody, as how says")
+        raise SettingsError(f"reporting: names: {names[0]} is told by nobody, as how says")
     family = told.get("family", "")
     if not isinstance(family, str):
-        raise GroundError("family is not a word")
+        raise SettingsError("family is not a word")
     made.beside_client = family == "mesh"
     made.importance_by_work = told.get("importance-by") == "work"
     return made
--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -19,11 +19,11 @@
     """One proxy: its decisions, its tickets in hand and its timers."""
 
     def __init__(self, fields: dict[str, str], now: int) -> None:
-        ground = wire.ground(text("spawn", fields, "params"), whole("spawn", fields, "seed"))
+        policy_settings = wire.read_settings(text("spawn", fields, "params"), whole("spawn", fields, "seed"))
         self.out: list[str] = []
-        self.balancer = Balancer(ground, now, self._say)
-        self.use_cases = {use.name: use for use in ground.use_cases}
-        self.customers = {customer.name: customer for customer in ground.customers}
+        self.balancer = Balancer(policy_settings, now, self._say)
+        self.use_cases = {use.name: use for use in policy_settings.use_cases}
+        self.customers = {customer.name: customer for customer in policy_settings.customers}
         self.backends: dict[str, Backend] = {}  # grows with the fleet, not with tickets; dies with the instance
         self.tickets: dict[int, Ticket] = {}  # emptied when a ticket is over and no attempt is out
         self.held: dict[int, int] = {}  # timer to ticket, emptied as timers fall due
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -6,7 +6,7 @@
 
 from pepperusher import settings
 from pepperusher import terms
-from pepperusher.terms import Ground
+from pepperusher.terms import PolicySettings
 
 HOW = {
     "0": terms.DONE,
@@ -65,12 +65,12 @@
     return settings.load(tuple(one.split(":", 1)) for one in text.split(",") if ":" in one)
 
 
-def ground(params: str, seed: int) -> Ground:
+def read_settings(params: str, seed: int) -> PolicySettings:
     try:
         told = json.loads(params)
     except ValueError:
         raise WireError("spawn: params is not JSON") from None
     try:
-        return settings.ground(told, seed)
-    except settings.GroundError as error:
+        return settings.read_settings(told, seed)
+    except settings.SettingsError as error:
         raise WireError(f"spawn: params: {error}") from None
--- a/pepperusher/store/commands.py
+++ b/pepperusher/store/commands.py
@@ -12,7 +12,7 @@
 import click
 
 from pepperusher.store import frames, recovery, salvage, tables
-from pepperusher.store.disk import Disk, Taken
+from pepperusher.store.disk import Disk, FolderLockedError
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import RefusedError
 
@@ -33,7 +33,7 @@
 def one_line() -> Iterator[None]:
     try:
         yield
-    except (RefusedError, Taken) as error:
+    except (RefusedError, FolderLockedError) as error:
         raise click.ClickException(str(error)) from None
     except OSError as error:
         raise click.ClickException(f"{error.filename or 'the folder'}: {error.strerror or error}") from None
--- a/pepperusher/store/disk.py
+++ b/pepperusher/store/disk.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 
-class Taken(OSError):
+class FolderLockedError(OSError):
     """Another process has the folder."""
 
 
@@ -22,7 +22,7 @@
         self._lock = -1
 
     def lock(self) -> None:
-        """One writer. Raises Taken."""
+        """One writer. Raises FolderLockedError."""
         self._folder.mkdir(parents=True, exist_ok=True)
         self._lock = os.open(self._folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -30,7 +30,7 @@
         except OSError:
             os.close(self._lock)
             self._lock = -1
-            raise Taken(f"{self._folder}: another process has it open") from None
+            raise FolderLockedError(f"{self._folder}: another process has it open") from None
 
     def names(self) -> list[str]:
         return sorted(one.name for one in self._folder.iterdir() if one.is_file() and one.name != "lock")
--- a/pepperusher/store/store_writer.py
+++ b/pepperusher/store/store_writer.py
@@ -19,7 +19,7 @@
 KEPT, LATE, OFF = "kept", "late", "off"
 
 
-class Keeper:
+class StoreWriter:
     """`state` gives the records of all tables, called on the loop; `say` a log line with its figures."""
 
     def __init__(
--- a/pepperusher/store/tables.py
+++ b/pepperusher/store/tables.py
@@ -19,7 +19,7 @@
 DECODE = msgspec.msgpack.Decoder().decode
 
 
-class Past(NamedTuple):
+class PastAttempt(NamedTuple):
     """One attempt of a mark: to whom, of which cell, when; `ran` is false once it is known never to have
     run."""
 
@@ -29,21 +29,21 @@
     ran: bool
 
 
-class Marks:
+class RequestMarks:
     """The attempts made for each referenced ticket, by use case and mark, until its group's memory has
     passed since the last. `most` marks at once; one more is turned away, for to forget one is to let it go
     out a fourth time."""
 
     def __init__(self, most: int) -> None:
         self._most = most
-        self._held: dict[tuple[str, str], list[Past]] = {}  # emptied by `sweep`, most at the most
+        self._held: dict[tuple[str, str], list[PastAttempt]] = {}  # emptied by `sweep`, most at the most
         self._until: dict[tuple[str, str], int] = {}  # likewise
         self._ends: list[tuple[int, tuple[str, str]]] = []  # a heap, an entry an attempt; emptied by `sweep`
 
     def __len__(self) -> int:
         return len(self._held)
 
-    def past(self, use_case: str, mark: str, now: int) -> list[Past]:
+    def past(self, use_case: str, mark: str, now: int) -> list[PastAttempt]:
         self.sweep(now)
         return list(self._held.get((use_case, mark), ()))
 
@@ -74,7 +74,7 @@
             held = self._held.setdefault(key, [])
             # Twice where a snapshot was taken between its writing and its place in the log.
             if not any(one.sent == at and one.backend == backend for one in held):
-                held.append(Past(backend, cell, at, True))
+                held.append(PastAttempt(backend, cell, at, True))
             self._until[key] = max(until, self._until.get(key, 0))
             heappush(self._ends, (until, key))
         else:
@@ -104,7 +104,7 @@
                     yield NEVER_RAN, ENCODE((*key, one.sent))
 
 
-class Seen(NamedTuple):
+class SeenBackend(NamedTuple):
     """A backend as the list last had it: where, and when that was last confirmed."""
 
     id: str
@@ -116,15 +116,15 @@
     confirmed: int
 
 
-class Listed:
+class ListedBackends:
     """The list of backends that are ready. One that drains or is gone leaves it at once; `most` at the most,
     the longest unconfirmed leaving first, since it is worth least at a start."""
 
     def __init__(self, most: int) -> None:
         self._most = most
-        self._held: dict[str, Seen] = {}
+        self._held: dict[str, SeenBackend] = {}
 
-    def seen(self, one: Seen) -> bytes:
+    def seen(self, one: SeenBackend) -> bytes:
         body = ENCODE(one)
         self.take(LISTED, body)
         return body
@@ -138,13 +138,13 @@
         if kind == UNLISTED:
             self._held.pop(DECODE(body), None)
             return
-        one = Seen(*DECODE(body))
+        one = SeenBackend(*DECODE(body))
         self._held.pop(one.id, None)
         self._held[one.id] = one
         if len(self._held) > self._most:
             del self._held[min(self._held.values(), key=lambda other: other.confirmed).id]
 
-    def all(self) -> list[Seen]:
+    def all(self) -> list[SeenBackend]:
         """The latest confirmed first."""
         return sorted(self._held.values(), key=lambda one: (-one.confirmed, one.id))
 
@@ -152,7 +152,7 @@
         return ((LISTED, ENCODE(one)) for one in self._held.values())
 
 
-class Breakers:
+class BreakerStates:
     """Since when and till when a breaker is open, by backend. One that closed leaves it; one that has been
     past its end for `kept` tells nothing any more."""
 
@@ -189,9 +189,9 @@
     """All of them, fed from a log and put into a snapshot."""
 
     def __init__(self, most_marks: int, most_listed: int, breakers_kept: int) -> None:
-        self.marks = Marks(most_marks)
-        self.listed = Listed(most_listed)
-        self.breakers = Breakers(breakers_kept)
+        self.marks = RequestMarks(most_marks)
+        self.listed = ListedBackends(most_listed)
+        self.breakers = BreakerStates(breakers_kept)
         self.unknown = 0  # records of kinds that a later program wrote
 
     def take(self, kind: int, body: bytes) -> None:
--- a/pepperusher/table_conversion.py
+++ b/pepperusher/table_conversion.py
@@ -18,7 +18,7 @@
 NEAR = 0.5
 
 
-class Wrong(NamedTuple):
+class ConversionError(NamedTuple):
     """One thing wrong with a value: its key's path, and what; `unknown` where the key itself is."""
 
     key: str
@@ -101,34 +101,34 @@
     return made
 
 
-def converted(raw: Any, kind: type, at: str = "") -> tuple[Any, list[Wrong]]:
+def converted(raw: Any, kind: type, at: str = "") -> tuple[Any, list[ConversionError]]:
     """The table, or None with all that is wrong."""
     if not isinstance(raw, dict):
-        return None, [Wrong(at, "is no table", False)]
-    wrong: list[Wrong] = []
+        return None, [ConversionError(at, "is no table", False)]
+    wrong: list[ConversionError] = []
     fields = {field.encode_name: field for field in _fields(kind)}
     values: dict[str, Any] = {}
     for name, value in raw.items():
         key = f"{at}.{name}".lstrip(".")
         field = fields.get(name)
         if field is None:
-            wrong.append(Wrong(key, f"not known here{nearest(name, list(fields))}", True))
+            wrong.append(ConversionError(key, f"not known here{nearest(name, list(fields))}", True))
             continue
         values[field.name], more = _value(value, field.type, key)
         wrong += more
     for name, field in fields.items():
         if name not in raw and field.required:
-            wrong.append(Wrong(f"{at}.{name}".lstrip("."), "missing", False))
+            wrong.append(ConversionError(f"{at}.{name}".lstrip("."), "missing", False))
     return (None if wrong else kind(**values)), wrong
 
 
-def _value(value: Any, kind: Any, key: str) -> tuple[Any, list[Wrong]]:
+def _value(value: Any, kind: Any, key: str) -> tuple[Any, list[ConversionError]]:
     table, listed = table_of(kind)
     if table is not None and not listed:
         return converted(value, table, key)
     if table is not None:
         if not isinstance(value, list):
-            return None, [Wrong(key, "is no list of tables", False)]
+            return None, [ConversionError(key, "is no list of tables", False)]
         made, wrong = [], []
         for number, one in enumerate(value):
             item, more = converted(one, table, f"{key}[{number}]")
@@ -139,4 +139,4 @@
         return msgspec.convert(value, kind, dec_hook=unhook), []
     except msgspec.ValidationError as error:
         what, where = _short(error)
-        return None, [Wrong(key + where, what, False)]
+        return None, [ConversionError(key + where, what, False)]
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -311,7 +311,7 @@
         self.most = MOST
 
 
-class Ground:
+class PolicySettings:
     """What a proxy is told once, at its start: the use cases, the customers and the limits it works under."""
 
     __slots__ = (
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -12,7 +12,7 @@
 from pepperusher.policy import Balancer
 from pepperusher.terms import DONE, TIMED_OUT, Backend, Listing, Ticket
 
-from tests.scene import SECOND, ground
+from tests.scene import SECOND, policy_settings
 
 STEP = 5_000
 
@@ -42,7 +42,7 @@
     def __init__(self, proxies: int, **changes: object) -> None:
         self.now = 100 * SECOND
         self.chance = Random(5)
-        self.grounds = [ground(group_size=proxies, ordinal=one, seed=one, **changes) for one in range(proxies)]
+        self.grounds = [policy_settings(group_size=proxies, ordinal=one, seed=one, **changes) for one in range(proxies)]
         self.balancers = [Balancer(told, self.now, lambda line: None) for told in self.grounds]
         self.pictures: list[dict[str, Backend]] = [{} for _ in self.balancers]
         self.cores: dict[str, Core] = {}
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -17,19 +17,19 @@
 from unittest import mock
 
 from pepperusher import terms
-from pepperusher.console.admin_handlers import Desk, alone
+from pepperusher.console.admin_handlers import AdminHandlers, admin_handlers_alone
 from pepperusher.net import bootstrap
 from pepperusher.net.proxy import Proxy
 from pepperusher.policy import Balancer
-from pepperusher.terms import Backend, Customer, Ground, Listing, Ticket, UseCase
+from pepperusher.terms import Backend, Customer, PolicySettings, Listing, Ticket, UseCase
 
 TRACES = Path(__file__).parent / "traces"
 SECOND = 1_000_000
 WORDS = {value: name.lower() for name, value in vars(terms).items() if name.isupper() and isinstance(value, int)}
 
 
-def ground(**changes: object) -> Ground:
-    made = Ground()
+def policy_settings(**changes: object) -> PolicySettings:
+    made = PolicySettings()
     given = {
         "seed": 7,
         "customers": [],
@@ -88,7 +88,7 @@
     """A conversation with the module."""
 
     def open(self, *addresses: str, **changes: object) -> None:
-        told = ground(**changes)
+        told = policy_settings(**changes)
         self.lines: list[str] = []
         self.now = 100 * SECOND
         self.balancer = Balancer(told, self.now, lambda line: self.note(f"log: {line}"))
@@ -325,15 +325,15 @@
         read.listen = ("127.0.0.1", 0)
         if read.console is not None:
             read.console = ("127.0.0.1", 0)
-        made = alone
+        made = admin_handlers_alone
         if own is not None:
-            from pepperusher.extensions import company
+            from pepperusher.extensions import extensions_of
 
             folder = tempfile.TemporaryDirectory()
             self.addCleanup(folder.cleanup)
             self.own_file = Path(folder.name) / "own.toml"
             self.own_file.write_text(own.replace("HERE", folder.name))
-            made = functools.partial(company, self.own_file, ())
+            made = functools.partial(extensions_of, self.own_file, ())
         self.proxy = Proxy(read, self.read_again, made)
         # Here tickets follow one another at once; that a connection settles has tests of its own.
         self.proxy._backends._settles = 0
@@ -341,7 +341,7 @@
         self.serving = asyncio.create_task(self.proxy.serve())
         await self.until(lambda: self.proxy.port and (self.watches or not names))
 
-    def read_again(self, before: bootstrap.Told | None = None) -> bootstrap.Told:
+    def read_again(self, before: bootstrap.BootstrapConfiguration | None = None) -> bootstrap.BootstrapConfiguration:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(self.given)
             file.flush()
@@ -350,8 +350,8 @@
             )
 
     @property
-    def desk(self) -> Desk:
-        return next(one for one in self.proxy._company if isinstance(one, Desk))
+    def desk(self) -> AdminHandlers:
+        return next(one for one in self.proxy._extensions if isinstance(one, AdminHandlers))
 
     def line(self, name: str, state: str = "ready") -> dict[str, object]:
         return {
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -8,49 +8,63 @@
 from random import Random
 from typing import Any
 
-from pepperusher.consensus.raft import ASKS, FOLLOWS, LEADS, Agree, Bounds
-from pepperusher.consensus.messages import Append, Appended, Ask, Base, Entry, Kept, Message, Out, Voted
+from pepperusher.consensus.raft import ASKS, FOLLOWS, LEADS, RaftVoter, Bounds
+from pepperusher.consensus.messages import (
+    Append,
+    AppendReply,
+    VoteRequest,
+    Base,
+    Entry,
+    PersistentState,
+    Message,
+    OutgoingMessage,
+    VoteReply,
+)
 from pepperusher.rehearsal import agreemodel
 from pepperusher.rehearsal.agreemodel import Limits, explore, wander
 
 SECOND = 1_000_000
 
 
-class ForgetsItsVote(Agree):
+class ForgetsItsVote(RaftVoter):
     """Over a restart."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.kept = Kept(self.kept.term, "")
+        self.kept = PersistentState(self.kept.term, "")
 
 
-class VotesTwice(Agree):
-    def _asked(self, ask: Ask, now: int) -> None:
+class VotesTwice(RaftVoter):
+    def _asked(self, ask: VoteRequest, now: int) -> None:
         if not ask.pre and ask.term == self.kept.term and self.role == FOLLOWS:
-            self.kept = Kept(self.kept.term, "")
+            self.kept = PersistentState(self.kept.term, "")
         super()._asked(ask, now)
 
 
-class VotesForAnOlderLog(Agree):
-    def _asked(self, ask: Ask, now: int) -> None:
+class VotesForAnOlderLog(RaftVoter):
+    def _asked(self, ask: VoteRequest, now: int) -> None:
         super()._asked(ask._replace(last=99, last_term=99), now)
 
 
-class CountsItsVoteBeforeTheDisk(Agree):
+class CountsItsVoteBeforeTheDisk(RaftVoter):
     def _ask(self, now: int) -> None:
         super()._ask(now)
         self._votes.add(self.me)
 
     def _send(self, to: str, message: Message) -> None:
-        self.out.append(Out(to, message, self._flushed if isinstance(message, Ask | Voted) else self._number))
+        self.out.append(
+            OutgoingMessage(
+                to, message, self._flushed if isinstance(message, VoteRequest | VoteReply) else self._number
+            )
+        )
 
 
-class AnswersBeforeTheDisk(Agree):
+class AnswersBeforeTheDisk(RaftVoter):
     def _send(self, to: str, message: Message) -> None:
-        self.out.append(Out(to, message, 0))
+        self.out.append(OutgoingMessage(to, message, 0))
 
 
-class AppendsWithoutALook(Agree):
+class AppendsWithoutALook(RaftVoter):
     """Whatever stands before."""
 
     def _append(self, append: Append, now: int) -> None:
@@ -59,7 +73,7 @@
         super()._append(append, now)
 
 
-class KeepsWhatConflicts(Agree):
+class KeepsWhatConflicts(RaftVoter):
     def _append(self, append: Append, now: int) -> None:
         fresh = tuple(entry for place, entry in enumerate(append.entries) if append.before + 1 + place > self.last)
         has = len(append.entries) - len(fresh)
@@ -67,55 +81,55 @@
         if append.term >= self.kept.term and fresh and append.before + has == self.last:
             self.entries += fresh
             self._write(start=self.last - len(fresh) + 1, entries=fresh)
-            self._send(append.by, Appended(self.kept.term, self.me, True, self.last, append.round))
+            self._send(append.by, AppendReply(self.kept.term, self.me, True, self.last, append.round))
 
 
-class CountsBeyondWhatIsTheLeaders(Agree):
+class CountsBeyondWhatIsTheLeaders(RaftVoter):
     def _append(self, append: Append, now: int) -> None:
         super()._append(append, now)
         if append.term == self.kept.term:
             self.commit = max(self.commit, min(append.commit, self.last))
 
 
-class TakesAnswersToAskingFirstForVotes(Agree):
-    def _voted(self, voted: Voted, now: int) -> None:
+class TakesAnswersToAskingFirstForVotes(RaftVoter):
+    def _voted(self, voted: VoteReply, now: int) -> None:
         super()._voted(voted, now)
         if voted.pre and voted.yes and self.role == ASKS:
             self._votes.add(voted.by)
             self._count_votes(now)
 
 
-class CountsHalf(Agree):
+class CountsHalf(RaftVoter):
     def _majority(self, those: set[str]) -> bool:
         return 2 * len(those.intersection(self.voters)) >= len(self.voters) - 1
 
 
-class TakesVotesOfAnOlderTerm(Agree):
-    def _voted(self, voted: Voted, now: int) -> None:
+class TakesVotesOfAnOlderTerm(RaftVoter):
+    def _voted(self, voted: VoteReply, now: int) -> None:
         super()._voted(voted._replace(term=self.kept.term) if voted.yes and not voted.pre else voted, now)
 
 
-class HearsAnOlderLeader(Agree):
+class HearsAnOlderLeader(RaftVoter):
     def _append(self, append: Append, now: int) -> None:
         super()._append(append._replace(term=max(append.term, self.kept.term)), now)
 
 
-class LogLostOverARestart(Agree):
+class LogLostOverARestart(RaftVoter):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.entries = []
         self._on_disk = self.last
 
 
-class TermForgotten(Agree):
+class TermForgotten(RaftVoter):
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.kept = Kept(0, "")
+        self.kept = PersistentState(0, "")
 
 
 SHORT = Limits(terms=2, entries=0, rounds=1, crashes=3)
 DEEP = Limits(terms=4, entries=3, rounds=14, crashes=2)
-BUGS: tuple[type[Agree], ...] = (
+BUGS: tuple[type[RaftVoter], ...] = (
     ForgetsItsVote,
     VotesTwice,
     VotesForAnOlderLog,
@@ -136,7 +150,9 @@
 class Disks(unittest.TestCase):
     def test_a_late_write_tells_nothing_of_what_replaced_it(self) -> None:
         """A write of places 11 and 12 is acknowledged after others took their place: those are not on disk yet."""
-        one = Agree("b", ("a", "b", "c"), Bounds(1, 0, 0), Random(1), 0, 0, Kept(1, ""), Base(10, 0, ("a", "b", "c")))
+        one = RaftVoter(
+            "b", ("a", "b", "c"), Bounds(1, 0, 0), Random(1), 0, 0, PersistentState(1, ""), Base(10, 0, ("a", "b", "c"))
+        )
         one.receive(Append(1, "a", 10, 0, (Entry(1), Entry(1)), 10, 1), 0)
         late = one.writes[-1].number
         one.receive(Append(2, "c", 10, 0, (Entry(2), Entry(2)), 10, 1), 0)
@@ -218,7 +234,7 @@
     def test_two_would_if_a_lease_began_with_the_answer(self) -> None:
         """For the majority too by which a leader stays one."""
 
-        class FromTheAnswer(Agree):
+        class FromTheAnswer(RaftVoter):
             def _count_rounds(self) -> None:
                 heard = self._heard_round
                 super()._count_rounds()
@@ -246,14 +262,14 @@
 
     NAMES = ("a", "b", "c")
 
-    def __init__(self, seed: int, lose: float, make: type[Agree] = Agree, late: int = 8) -> None:
+    def __init__(self, seed: int, lose: float, make: type[RaftVoter] = RaftVoter, late: int = 8) -> None:
         self.chance, self.lose, self.make = Random(seed), lose, make
         # One way may be quick and the way back slow: a lease that begins with the answer is then too long.
         self.ways = {(a, b): self.chance.choice((3, late)) for a in self.NAMES for b in self.NAMES}
         self.now = 1_700_000_000 * SECOND
         self.rates = {name: self.chance.uniform(0.98, 1.02) for name in self.NAMES}
         self.began = self.now
-        self.up: dict[str, Agree] = {}
+        self.up: dict[str, RaftVoter] = {}
         self.disks: dict[str, agreemodel.Disk | None] = dict.fromkeys(self.NAMES)
         self.ids: dict[str, str] = {}
         self.due: dict[str, int] = {}
@@ -268,7 +284,7 @@
     def clock(self, name: str) -> int:
         return self.began + round((self.now - self.began) * self.rates[name])
 
-    def start(self, name: str, disk: agreemodel.Disk | None = None) -> Agree:
+    def start(self, name: str, disk: agreemodel.Disk | None = None) -> RaftVoter:
         """With a disk as it was, or with none."""
         if disk is None:
             self.ids[name] = f"{name}#{self.chance.getrandbits(32):x}"
@@ -314,7 +330,7 @@
         one.wake(self.clock(name))
         # Written before it is said.
         if one.writes:
-            before = self.disks[name] or agreemodel.Disk(Kept(0, ""), Base(0, 0, ()), ())
+            before = self.disks[name] or agreemodel.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
             self.disks[name] = agreemodel.flushed(before, one)
             number = one.writes[-1].number
             one.writes = []
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -7,12 +7,12 @@
 import unittest
 from pathlib import Path
 
-from pepperusher.changes.confirmed_file import Kept as OnDisk
-from pepperusher.changes.transaction_log import CONFIRMED, FOLLOWS, UNDONE, Ledger, LedgerError
+from pepperusher.changes.confirmed_file import ConfirmedFile as OnDisk
+from pepperusher.changes.transaction_log import CONFIRMED, FOLLOWS, UNDONE, TransactionLog, TransactionError
 from pepperusher.changes.overlay import Overlay
-from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, Standing
-from pepperusher.changes.error_watch import Counts, Toll
-from pepperusher.facade import Entry
+from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, ActiveConfiguration
+from pepperusher.changes.error_watch import Counts, ErrorWatch
+from pepperusher.facade import Endpoint
 from pepperusher.configuration import loader
 from pepperusher.configuration.loader import Read
 
@@ -26,8 +26,8 @@
     return loader.parse(text)
 
 
-def entry(id: str, ready: bool = True, weight: float = 1.0) -> Entry:
-    return Entry(id, "here", 0, weight, 0, ready)
+def entry(id: str, ready: bool = True, weight: float = 1.0) -> Endpoint:
+    return Endpoint(id, "here", 0, weight, 0, ready)
 
 
 class Ledgers(unittest.TestCase):
@@ -38,11 +38,11 @@
             ("staged", "undone"),
             ("undone",),
         ):
-            ledger = Ledger(5)
+            ledger = TransactionLog(5)
             change = ledger.propose("a", None, "who", "why", False, 0)
             for now, state in enumerate(way, 1):
                 for wrong in set(FOLLOWS) - set(FOLLOWS[change.state]):
-                    with self.assertRaises(LedgerError):
+                    with self.assertRaises(TransactionError):
                         ledger.move(change, wrong, "who", "why", now)
                 ledger.move(change, state, "who", "why", now)
             self.assertTrue(change.over)
@@ -51,28 +51,28 @@
             self.assertEqual(change.at("staged"), 1 if "staged" in way else -1)
 
     def test_a_second_is_refused_by_name_or_waits_and_is_never_merged(self) -> None:
-        ledger = Ledger(3)
+        ledger = TransactionLog(3)
         first = ledger.propose("aaa", 1, "ops", "why", False, 0)
-        with self.assertRaisesRegex(LedgerError, r"change 1 \(aaa\) of ops is proposed"):
+        with self.assertRaisesRegex(TransactionError, r"change 1 \(aaa\) of ops is proposed"):
             ledger.propose("bbb", 2, "other", "why", False, 1)
         second = ledger.propose("bbb", 2, "other", "why", True, 2)
         third = ledger.propose("ccc", 3, "other", "why", True, 2)
-        with self.assertRaisesRegex(LedgerError, "waits for change 1"):
+        with self.assertRaisesRegex(TransactionError, "waits for change 1"):
             ledger.move(second, "staged", "x", "y", 3)
         self.assertIsNone(ledger.next())
         ledger.move(second, UNDONE, "other", "thought better", 3)
         ledger.move(first, UNDONE, "ops", "no", 4)
         self.assertIs(ledger.next(), third)
         self.assertEqual([change.number for change in ledger.history], [2, 1, 3])
-        with self.assertRaisesRegex(LedgerError, "no change 9"):
+        with self.assertRaisesRegex(TransactionError, "no change 9"):
             ledger.find(9)
         for _ in range(8):
             ledger.propose("d", 4, "x", "y", True, 5)
-        with self.assertRaisesRegex(LedgerError, "8 changes wait already"):
+        with self.assertRaisesRegex(TransactionError, "8 changes wait already"):
             ledger.propose("e", 4, "x", "y", True, 5)
 
     def test_history_is_bounded(self) -> None:
-        ledger = Ledger(3)
+        ledger = TransactionLog(3)
         for _ in range(10):
             ledger.move(ledger.propose("a", 1, "x", "y", False, 0), UNDONE, "x", "y", 0)
         self.assertEqual([change.number for change in ledger.history], [8, 9, 10])
@@ -80,7 +80,7 @@
 
 class Tolls(unittest.TestCase):
     def judged(self, before: list[tuple[str, int]], since: list[tuple[str, int]]) -> str:
-        toll = Toll(10 * SECOND)
+        toll = ErrorWatch(10 * SECOND)
         for how, took in before:
             toll.add(1, how, took, SECOND)
         toll.begin(2, 10 * SECOND, 2 * SECOND)
@@ -115,7 +115,7 @@
             counts.add("done", took)
         for part, true in ((0.5, 51_000), (0.9, 91_000), (0.99, 100_000)):
             self.assertAlmostEqual(counts.percentile(part) / true, 1.0, delta=0.07)
-        toll = Toll(10 * SECOND)
+        toll = ErrorWatch(10 * SECOND)
         for second in range(1000):
             toll.add(1, "done", 5, second * SECOND)
         self.assertLessEqual(len(toll._seconds), 11)
@@ -147,19 +147,19 @@
 class Stands(Kept):
     def setUp(self) -> None:
         self.lines = []
-        self.listed: list[Entry] = []
+        self.listed: list[Endpoint] = []
 
-    def standing(self, text: str) -> Standing:
+    def standing(self, text: str) -> ActiveConfiguration:
         def say(what: str, **figures: object) -> None:
             self.lines.append(
                 f"{what} " + " ".join(f"{key}={value}" for key, value in figures.items() if key not in ("name",))
             )
 
-        return Standing(of(text), 0, self.listed.extend, say)
+        return ActiveConfiguration(of(text), 0, self.listed.extend, say)
 
     def ask(
         self,
-        standing: Standing,
+        standing: ActiveConfiguration,
         now: int,
         path: str = "/look/1",
         customer: str = "a",
@@ -167,7 +167,7 @@
     ) -> object:
         return standing.ask("GET", path, "h", {}, path.split("/")[1], customer, given, 2 * SECOND, now)
 
-    def applied(self, standing: Standing, text: str, now: int) -> object:
+    def applied(self, standing: ActiveConfiguration, text: str, now: int) -> object:
         change = standing.propose(of(text), "ops", "try it", now)
         standing.stage(change, now)
         standing.apply(change, now)
@@ -272,7 +272,7 @@
         self.assertTrue(plain.again(self.ask(plain, 0), "reset", 0))
 
     def test_what_stands_already_is_no_change(self) -> None:
-        with self.assertRaisesRegex(LedgerError, "what stands already"):
+        with self.assertRaisesRegex(TransactionError, "what stands already"):
             self.standing(WATCH).propose(of(WATCH + "# as before\n"), "ops", "", 0)
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -7,8 +7,8 @@
 import sys
 
 from pepperusher.console.admin_listener import PLACES
-from pepperusher.console.admin_commands import NEVER, Order, Orders
-from pepperusher.facade import Entry
+from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
+from pepperusher.facade import Endpoint
 
 from tests.scene import SECOND, Kept, Street
 
@@ -20,12 +20,12 @@
 
     def test_a_ban_stands_whatever_the_list_says(self) -> None:
         self.lines = []
-        orders = Orders(60 * SECOND)
+        orders = AdminCommands(60 * SECOND)
 
-        def entry(name: str, ready: bool = True, born: int = 0) -> Entry:
-            return Entry(name, "", 0, 1.0, born, ready)
+        def entry(name: str, ready: bool = True, born: int = 0) -> Endpoint:
+            return Endpoint(name, "", 0, 1.0, born, ready)
 
-        def say(what: str, lines: list[Entry]) -> None:
+        def say(what: str, lines: list[Endpoint]) -> None:
             told = ", ".join(
                 f"{one.id} {'ready' if one.ready else 'drained'} born {one.born // SECOND}" for one in lines
             )
@@ -43,7 +43,7 @@
         say("a whole list", orders.lines([entry("a", born=12 * SECOND), entry("b")], True))
         orders.forget(90 * SECOND)
         say("forgotten once it is warm", orders.lines([entry("a", born=12 * SECOND)], False))
-        say("a later order of another's", orders.merge({"a": Order(True, 21 * SECOND)}, NEVER))
+        say("a later order of another's", orders.merge({"a": AdminCommand(True, 21 * SECOND)}, NEVER))
         self.kept("console_orders")
 
     def test_without_a_console_nothing_of_it_is_loaded(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,10 +18,10 @@
 from unittest import mock
 
 from pepperusher.net.callers import Callers
-from pepperusher.net.extension import Companion
+from pepperusher.net.extension import Extension
 from pepperusher.net.exchange import Exchange
-from pepperusher.net.body_streaming import Onward
-from pepperusher.net.connection import Line, reach
+from pepperusher.net.body_streaming import ResponseForwarder
+from pepperusher.net.connection import StreamConnection, reach
 from pepperusher.net.message import Answer, Request, read_head
 
 from tests.scene import SETTINGS, Street, configuration
@@ -130,7 +130,7 @@
         slow.setblocking(False)
         self.proxy._backends._doors["a1"].address = slow.getsockname()
 
-        async def narrow(address: tuple[str, int]) -> Line:
+        async def narrow(address: tuple[str, int]) -> StreamConnection:
             line = await reach(address)
             line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return line
@@ -219,7 +219,7 @@
         ):
             at = self.dial()
 
-            async def ends_behind(parser: object, line: Line, *more: object) -> object:
+            async def ends_behind(parser: object, line: StreamConnection, *more: object) -> object:
                 head = await read_head(parser, line, *more)
                 at.shutdown(socket.SHUT_WR)
                 await self.until(lambda: line.ended)
@@ -350,13 +350,15 @@
         read, and the rest follows later."""
         await self.open("a1")
         out: list[Exchange] = []
-        run, came = Exchange.run, Line.data_received
+        run, came = Exchange.run, StreamConnection.data_received
 
-        async def kept(exchange: Exchange, request: Request, onward: Onward | None) -> tuple[str, Answer | None]:
+        async def kept(
+            exchange: Exchange, request: Request, onward: ResponseForwarder | None
+        ) -> tuple[str, Answer | None]:
             out.append(exchange)
             return await run(exchange, request, onward)
 
-        def received(line: Line, data: bytes) -> None:
+        def received(line: StreamConnection, data: bytes) -> None:
             came(line, data)
             if data.startswith(b"HTTP/1.1 200"):
                 then(out[-1])
@@ -373,7 +375,7 @@
         self.toys["a1"].answer = long
         self.proxy._facade._balancer._most = 1
         at = self.dial()
-        with mock.patch.object(Exchange, "run", kept), mock.patch.object(Line, "data_received", received):
+        with mock.patch.object(Exchange, "run", kept), mock.patch.object(StreamConnection, "data_received", received):
             at.sendall(self.request("look", 1))
             at.setblocking(False)
             heard = b""
@@ -478,7 +480,7 @@
         await self.open("a1")
         tried = []
 
-        class Slow(Companion):
+        class Slow(Extension):
             async def stop(one) -> None:
                 for _ in range(3):
                     try:
@@ -488,7 +490,7 @@
                         tried.append("refused")
                     await asyncio.sleep(0)
 
-        self.proxy._company = [*self.proxy._company, Slow()]
+        self.proxy._extensions = [*self.proxy._extensions, Slow()]
         self.proxy.stop()
         await asyncio.wait_for(self.serving, 10)
         self.assertEqual(["refused"] * 3, tried)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -15,7 +15,7 @@
     REFUSED_AT_ONCE,
     WAVE_MOST,
     WAVE_WITHIN,
-    NotTaken,
+    RejectedUpdateError,
     Publisher,
     place_of,
     rollout_of,
@@ -25,8 +25,8 @@
 )  # fmt: skip
 from pepperusher.distribution.wire import OPENING, Session
 from pepperusher.distribution.messages import (
-    CONFIG, ENDPOINTS, NEVER, PROXY, RELAY, Ack, Beat, Bodies, Delta, Have, Hello, Key, Mark, Message, Offer, Publish,
-    Resource, Snapshot, Version, Want, digest_of, mark_of, resource,
+    CONFIG, ENDPOINTS, NEVER, PROXY, RELAY, Ack, Heartbeat, BodiesSwitch, Delta, HaveVersion, Hello, Key, Mark, Message, Offer, Publish,
+    Resource, Snapshot, Version, SubscribeRequest, digest_of, mark_of, resource,
 )  # fmt: skip
 from pepperusher.packet_authentication import BadPacket
 
@@ -42,7 +42,7 @@
     return resource(*key, Version(epoch, number), body(number + 100 * epoch))
 
 
-def hello(name: str, have: list[Have] | None = None, role: int = PROXY, bodies: bool = True) -> Hello:
+def hello(name: str, have: list[HaveVersion] | None = None, role: int = PROXY, bodies: bool = True) -> Hello:
     names = [KEY] if role == PROXY else []
     return Hello(role, name, 1, "east", "east-1", bodies, names, have or [], [])
 
@@ -93,32 +93,32 @@
     def test_long_messages_whole_in_any_cuts(self) -> None:
         self.called.longest = 1 << 22
         said = Publish(CONFIG, "shop", bytes(range(256)) * 1_000)
-        data = b"".join(self.frames(self.caller, said) + self.frames(self.caller, Beat(1, 2, 3)))
+        data = b"".join(self.frames(self.caller, said) + self.frames(self.caller, Heartbeat(1, 2, 3)))
         got, chance = [], Random(1)
         while data:
             cut = chance.randrange(1, 20_000)
             got += list(self.called.feed(data[:cut]))
             data = data[cut:]
-        self.assertEqual([said, Beat(1, 2, 3)], got)
+        self.assertEqual([said, Heartbeat(1, 2, 3)], got)
 
     def test_repeated_left_out_sent_back_damaged_or_of_another_key(self) -> None:
-        first, second = self.frames(self.caller, Beat(1))[0], self.frames(self.caller, Beat(2))[0]
+        first, second = self.frames(self.caller, Heartbeat(1))[0], self.frames(self.caller, Heartbeat(2))[0]
         other = Session(b"x" * 16, True)
         list(other.feed(self.called.opening()))
         wrong = {
             "repeated": [first, first],
             "left out": [second],
             "damaged": [first[:-1] + bytes([first[-1] ^ 1])],
-            "sent back": [self.frames(self.called, Beat(1))[0]],
-            "another key": [self.frames(other, Beat(1))[0]],
+            "sent back": [self.frames(self.called, Heartbeat(1))[0]],
+            "another key": [self.frames(other, Heartbeat(1))[0]],
         }
         for what, frames in wrong.items():
             with self.subTest(what):
                 self.setUp()
                 if what == "sent back":
-                    frames = self.frames(self.called, Beat(1))
+                    frames = self.frames(self.called, Heartbeat(1))
                 elif what not in ("another key",):
-                    first, second = self.frames(self.caller, Beat(1))[0], self.frames(self.caller, Beat(2))[0]
+                    first, second = self.frames(self.caller, Heartbeat(1))[0], self.frames(self.caller, Heartbeat(2))[0]
                     frames = {"repeated": [first, first], "left out": [second],
                               "damaged": [first[:-1] + bytes([first[-1] ^ 1])]}[what]  # fmt: skip
                 with self.assertRaises(BadPacket):
@@ -186,11 +186,11 @@
     def test_resumed_by_version_without_a_snapshot(self) -> None:
         self.put(1)
         now = self.settle(0)
-        self.one.join(1, hello("p", [Have(*KEY, mark_of(made(1)))]), now)
+        self.one.join(1, hello("p", [HaveVersion(*KEY, mark_of(made(1)))]), now)
         self.assertEqual([], read(self.one, 1))
         self.put(2, now)
         now = self.settle(now)
-        self.one.join(2, hello("q", [Have(*KEY, mark_of(made(1)))]), now)
+        self.one.join(2, hello("q", [HaveVersion(*KEY, mark_of(made(1)))]), now)
         (got,) = read(self.one, 2)
         self.assertIsInstance(got, Delta)
 
@@ -208,7 +208,7 @@
                     self.assertIsNone(self.one.take(made(2), now, "", True))
                 now = self.settle(20 * S)
                 self.assertTrue(self.one.held[KEY].done)
-                self.one.join(1, hello("p", [Have(*KEY, mark_of(made(2)))]), now)
+                self.one.join(1, hello("p", [HaveVersion(*KEY, mark_of(made(2)))]), now)
                 (got,) = read(self.one, 1)
                 assert isinstance(got, Delta)
                 self.assertEqual(made(3).body, delta.joined(made(2).body, got.ops))  # type: ignore[arg-type]
@@ -223,15 +223,15 @@
     def test_nothing_older_goes_to_one_that_has_newer(self) -> None:
         self.put(1)
         now = self.settle(0)
-        self.one.join(1, hello("p", [Have(*KEY, mark_of(made(9)))]), now)
+        self.one.join(1, hello("p", [HaveVersion(*KEY, mark_of(made(9)))]), now)
         self.assertEqual([], read(self.one, 1))
         self.assertIn("older here than elsewhere", [line.what for line in self.one.lines])
 
     def test_an_old_disk_does_not_write_on(self) -> None:
         """Its next number is one that others have with another content."""
         self.put(1)
-        self.one.join(1, hello("c2", [Have(*KEY, mark_of(made(5)))], RELAY), 0)
-        self.assertRaises(NotTaken, self.one.draft, *KEY, b"x", 0)
+        self.one.join(1, hello("c2", [HaveVersion(*KEY, mark_of(made(5)))], RELAY), 0)
+        self.assertRaises(RejectedUpdateError, self.one.draft, *KEY, b"x", 0)
         self.assertIsNone(self.one.take(made(5), 0))
         self.assertEqual(Version(1, 6), self.one.draft(*KEY, b"x", 0).version)
 
@@ -242,23 +242,23 @@
 
     def test_a_raised_epoch_goes_over_all_that_is_known(self) -> None:
         self.one.epoch = 2
-        self.one.join(1, hello("c2", [Have(*KEY, mark_of(made(5)))], RELAY), 0)
+        self.one.join(1, hello("c2", [HaveVersion(*KEY, mark_of(made(5)))], RELAY), 0)
         self.assertEqual(Version(2, 6), self.one.draft(*KEY, b"x", 0).version)
-        self.one.join(2, hello("c3", [Have(*KEY, mark_of(made(5, 3)))], RELAY), 0)
-        self.assertRaises(NotTaken, self.one.draft, *KEY, b"x", 0)
+        self.one.join(2, hello("c3", [HaveVersion(*KEY, mark_of(made(5, 3)))], RELAY), 0)
+        self.assertRaises(RejectedUpdateError, self.one.draft, *KEY, b"x", 0)
 
     def test_an_origin_compares_with_half_of_the_others_first(self) -> None:
         one = Publisher("c1", "east", 1, False, 8, 0)
         for number in range(4):
-            self.assertRaises(NotTaken, one.draft, *KEY, b"x", 0)
+            self.assertRaises(RejectedUpdateError, one.draft, *KEY, b"x", 0)
             one.join(number, hello(f"c{number + 2}", [], RELAY), 0)
         self.assertEqual(Version(1, 1), one.draft(*KEY, b"x", 0).version)
 
     def test_a_relay_writes_nothing_and_only_the_owner_its_facts(self) -> None:
         relay = Publisher("c2", "west", None, True, 0, 0)
-        self.assertRaises(NotTaken, relay.draft, *KEY, b"x", 0)
-        self.assertRaises(NotTaken, relay.draft, ENDPOINTS, "east/shop", b"x", 0)
-        self.assertRaises(NotTaken, self.one.draft, ENDPOINTS, "east/shop", b"x", 0)
+        self.assertRaises(RejectedUpdateError, relay.draft, *KEY, b"x", 0)
+        self.assertRaises(RejectedUpdateError, relay.draft, ENDPOINTS, "east/shop", b"x", 0)
+        self.assertRaises(RejectedUpdateError, self.one.draft, ENDPOINTS, "east/shop", b"x", 0)
         fact = relay.draft(ENDPOINTS, "west/shop", b"x", 0)
         self.assertTrue(fact.fact)
         self.assertFalse(made(1).fact)
@@ -282,7 +282,7 @@
     def test_what_a_proxy_alone_has_is_gone_over(self) -> None:
         """Nobody can send its body: the next change has a number above it."""
         self.put(1)
-        self.one.join(1, hello("p", [Have(*KEY, mark_of(made(5)))]), 0)
+        self.one.join(1, hello("p", [HaveVersion(*KEY, mark_of(made(5)))]), 0)
         self.assertEqual(Version(1, 6), self.one.draft(*KEY, b"x", 0).version)
 
     def test_who_wants_all_the_time_is_not_sent_more(self) -> None:
@@ -313,7 +313,7 @@
 
     def crowd(self, many: int) -> None:
         for number in range(many):
-            self.one.join(number, hello(f"p{number}", [Have(*KEY, mark_of(made(1)))]), 0)
+            self.one.join(number, hello(f"p{number}", [HaveVersion(*KEY, mark_of(made(1)))]), 0)
 
     def sent(self, many: int) -> set[int]:
         return {
@@ -498,7 +498,7 @@
         self.put(2, 10 * S)
         names = [name for name in (f"p{n}" for n in range(100)) if place_of(name, Version(1, 2)) > 0.02][:12]
         for number, name in enumerate(names):
-            self.one.join(number, hello(name, [Have(*KEY, mark_of(made(1)))]), 10 * S)
+            self.one.join(number, hello(name, [HaveVersion(*KEY, mark_of(made(1)))]), 10 * S)
         self.assertEqual(set(), self.sent(12))
         self.one.tick(10 * S + S // 10)
         self.assertEqual([0], [one.heard for one in read(self.one, 900) if isinstance(one, Offer)])
@@ -638,7 +638,7 @@
         asked = 0
         for _ in range(100):
             self.one.received(self.first, Delta(*KEY, mark_of(made(2)), mark_of(made(1)), ops), self.now)
-            asked += sum(isinstance(one, Send) and isinstance(one.message, Want) for one in self.out())
+            asked += sum(isinstance(one, Send) and isinstance(one.message, SubscribeRequest) for one in self.out())
             self.now += WANT_AGAIN // 50
         self.assertIn(asked, (1, 2))
         self.one.received(self.first, self.snapshot(2), self.now)
@@ -667,13 +667,13 @@
         self.one.received(self.second, Offer(*KEY, mark_of(made(1))), self.now)
         self.assertEqual([], self.out())
         self.one.wake(self.now + 2 * S)
-        self.assertIn(Send(self.second, Want(*KEY)), self.out())
+        self.assertIn(Send(self.second, SubscribeRequest(*KEY)), self.out())
 
     def test_a_silent_one_is_left_for_the_next_of_the_order(self) -> None:
         self.out()
         for _ in range(8):
             self.now += S
-            self.one.received(self.second, Beat(1, self.now, 0), self.now)
+            self.one.received(self.second, Heartbeat(1, self.now, 0), self.now)
             self.one.wake(self.now)
         out = self.out()
         self.assertIn(Close(self.first, "silent"), out)
@@ -681,10 +681,10 @@
         self.assertIn(Connect(third), out)
 
     def test_not_confirmed_while_behind(self) -> None:
-        self.one.received(self.first, Beat(1, 100, 5), self.now)
+        self.one.received(self.first, Heartbeat(1, 100, 5), self.now)
         self.assertEqual(5 + S, self.one.age(self.now + S))
         self.one.received(self.second, Offer(*KEY, mark_of(made(1))), self.now)
-        self.one.received(self.second, Beat(1, 200, 0), self.now + S)
+        self.one.received(self.second, Heartbeat(1, 200, 0), self.now + S)
         self.assertEqual(5 + S, self.one.age(self.now + S))
 
     def test_where_only_the_last_of_the_order_can_be_reached_it_is_found_in_time(self) -> None:
@@ -804,11 +804,11 @@
         while self.later and self.later[0][0] <= self.now:
             _, number, name, attempt = self.later.popleft()
             if self.live.get((number, name)) == attempt:
-                self.proxies[number].received(name, Beat(), self.now)
+                self.proxies[number].received(name, Heartbeat(), self.now)
         for number, one in enumerate(self.proxies):
             if self.now % (2 * S) == number % 200 * 10_000:
                 for name in one.up:
-                    one.received(name, Beat(), self.now)
+                    one.received(name, Heartbeat(), self.now)
             if one.out or self.now >= self.due[number]:
                 self.effects(number)
                 self.due[number] = one.wake(self.now)
@@ -885,7 +885,7 @@
             if self.now % S == 0:
                 for name in one.up:
                     if name in there:
-                        one.received(name, Beat(1, self.now, 0), self.now)
+                        one.received(name, Heartbeat(1, self.now, 0), self.now)
             one.wake(self.now)
             out, one.out = one.out, []
             for effect in out:
@@ -893,7 +893,7 @@
                     self.tried.append((self.now / S, effect.upstream))
                     if effect.upstream in there:
                         one.connected(effect.upstream, self.now)
-                        one.received(effect.upstream, Beat(), self.now)
+                        one.received(effect.upstream, Heartbeat(), self.now)
                     elif refuses:
                         one.lost(effect.upstream, self.now)
 
@@ -978,7 +978,7 @@
                     one.wake(self.now)
                 said = [(effect.upstream, effect.message) for effect in one.out if isinstance(effect, Send)]
                 bodies = [(to, one.bodies) for to, one in said if isinstance(one, Hello)]
-                bodies += [(to, one.on) for to, one in said if isinstance(one, Bodies)]
+                bodies += [(to, one.on) for to, one in said if isinstance(one, BodiesSwitch)]
                 self.assertEqual(
                     [(second, False), (first, True)] if answers else [(second, False), (second, True)], bodies
                 )
@@ -998,9 +998,9 @@
                             tried.setdefault(effect.upstream, now)
                             if effect.upstream in there:
                                 one.connected(effect.upstream, now)
-                                one.received(effect.upstream, Beat(), now)
+                                one.received(effect.upstream, Heartbeat(), now)
                     for name in one.up:
-                        one.received(name, Beat(), now)
+                        one.received(name, Heartbeat(), now)
                 self.assertLess(wakes, 100)
                 if not there:
                     self.assertEqual(9, len(tried))
@@ -1036,9 +1036,11 @@
                 while asked is None:
                     self.now += 10_000
                     if speaks and self.now % (2 * S) == 0:
-                        one.received(first, Beat(), self.now)
+                        one.received(first, Heartbeat(), self.now)
                     one.wake(self.now)
-                    if any(isinstance(effect, Send) and isinstance(effect.message, Want) for effect in one.out):
+                    if any(
+                        isinstance(effect, Send) and isinstance(effect.message, SubscribeRequest) for effect in one.out
+                    ):
                         asked = (self.now - begun) / S
                     one.out.clear()
                 if speaks:
@@ -1090,7 +1092,7 @@
 
     def wants(self) -> list[Send]:
         out, self.one.out = self.one.out, []
-        return [one for one in out if isinstance(one, Send) and isinstance(one.message, Want)]
+        return [one for one in out if isinstance(one, Send) and isinstance(one.message, SubscribeRequest)]
 
     def test_each_is_wanted_once_of_whoever_offers_it_first_and_then_of_another(self) -> None:
         many = [made(1, key=(CONFIG, f"n{number}")) for number in range(300)]
@@ -1135,7 +1137,7 @@
         for peer in self.peers:
             self.one.received(peer, Offer(*KEY, mark_of(made(2)), "", mark_of(made(1))), self.now)
         (want,) = self.wants()
-        self.assertEqual(Want(*KEY, False, mark_of(made(1))), want.message)
+        self.assertEqual(SubscribeRequest(*KEY, False, mark_of(made(1))), want.message)
         self.one.received(self.peers[0], Snapshot(*KEY, mark_of(made(2)), made(2).body), self.now)
         (apply,) = [effect for effect in self.one.out if isinstance(effect, Apply)]
         self.one.out.clear()
@@ -1225,7 +1227,7 @@
             return None
         try:
             made = machine.draft(*KEY, body(self.chance.randrange(1 << 30)), self.now)
-        except NotTaken:
+        except RejectedUpdateError:
             return None
         assert made.version not in self.bodies, "one version was made twice"
         self.bodies[made.version] = made.body
@@ -1310,9 +1312,9 @@
                     pass
                 elif isinstance(said, Ack):
                     machine.ack(id, said, self.now)
-                elif isinstance(said, Want):
+                elif isinstance(said, SubscribeRequest):
                     machine.want(id, said.key, said.steady, said.base, self.now)
-                elif isinstance(said, Beat):
+                elif isinstance(said, Heartbeat):
                     machine.heard(id, self.now)
                     down.append(machine.beat(self.now))
                 else:
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -25,15 +25,15 @@
 
 from pepperusher.distribution import admission, resource_cache, operator_client, publish, rollout, wire
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.operator_client import NoAnswer
-from pepperusher.distribution.server import HELLO_WITHIN, SILENT_AFTER, Server, Terms
+from pepperusher.distribution.operator_client import NoAnswerError
+from pepperusher.distribution.server import HELLO_WITHIN, SILENT_AFTER, Server, ServerSettings
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
     CONFIG,
     ENDPOINTS,
     MOST_NAMES,
     PROXY,
-    Beat,
+    Heartbeat,
     Hello,
     Key,
     Resource,
@@ -41,8 +41,8 @@
     resource,
 )
 from pepperusher.net import clock
-from pepperusher.net.distributed_configuration import Distributed
-from pepperusher.net.configuration_manager import House
+from pepperusher.net.distributed_configuration import DistributedConfiguration
+from pepperusher.net.configuration_manager import ConfigurationManager
 from pepperusher.store.disk import Disk
 
 from tests.scene import Street
@@ -183,7 +183,7 @@
             while True:
                 try:
                     return await publish(self.upstreams[0], SECRET, *KEY, body)
-                except NoAnswer as no:
+                except NoAnswerError as no:
                     if "compared" not in str(no):
                         raise
                     await asyncio.sleep(0.05)
@@ -295,7 +295,7 @@
             if number == 1:
                 second = await self.publish(b"two\n")
                 await until(self.has(second), what="with a relay's disk away")
-        with self.assertRaises(NoAnswer) as refused:
+        with self.assertRaises(NoAnswerError) as refused:
             await self.publish(b"three\n")
         self.assertIn("can't be written", str(refused.exception))
         self.assertTrue(self.has(second)())
@@ -375,7 +375,7 @@
         # What has one owner goes on within its region: facts, by who owns them.
         fact = await publish((HOST, ports[1]), SECRET, ENDPOINTS, "west/shop", b"[]")
         self.assertEqual(1, fact.epoch)
-        with self.assertRaises(NoAnswer):
+        with self.assertRaises(NoAnswerError):
             await publish((HOST, ports[1]), SECRET, *KEY, b"a decision of the region's own")
         await until(lambda: (there.age(clock.now()) or 0) > 6_000_000, what="ages")
         self.assertEqual(first, there.in_force[KEY])
@@ -421,7 +421,7 @@
             return lambda session: session.part(data, 0)[0]
 
         def damaged(session: Session) -> bytes:
-            frame = bytearray(session.part(wire.encoded(Beat()), 0)[0])
+            frame = bytearray(session.part(wire.encoded(Heartbeat()), 0)[0])
             frame[-1] ^= 1
             return bytes(frame)
 
@@ -432,7 +432,7 @@
         again: list[bytes] = []
 
         def recorded(session: Session) -> bytes:
-            again.append(session.part(wire.encoded(Beat()), 0)[0])
+            again.append(session.part(wire.encoded(Heartbeat()), 0)[0])
             return again[-1]
 
         cases: dict[str, list[Callable[[Session], bytes]]] = {
@@ -442,13 +442,13 @@
             "damaged": [sealed(greeting), damaged],
             "repeated": [sealed(greeting), recorded, lambda _: again[-1]],
             "of another connection": [lambda _: again[-1]],
-            "no greeting": [sealed(wire.encoded(Beat()))],
+            "no greeting": [sealed(wire.encoded(Heartbeat()))],
             "no message": [sealed(b"\xc1\xc1")],
             "a greeting again": [sealed(greeting), sealed(greeting)],
             "subscribes to everything": [sealed(everything)],
             "floods": [
                 sealed(greeting),
-                lambda session: b"".join(sealed(wire.encoded(Beat()))(session) for _ in range(3_000)),
+                lambda session: b"".join(sealed(wire.encoded(Heartbeat()))(session) for _ in range(3_000)),
             ],
         }
         silent: list[list[Callable[[Session], bytes]]] = [[], [lambda session: session.part(greeting, 0)[0][:-5]]]
@@ -459,9 +459,9 @@
         self.assertTrue(await told([sealed(greeting)], b"another key, as long"))
         self.assertEqual([True, True], await ending)
         self.assertTrue(all(await asyncio.gather(*(told(cases["noise"]) for _ in range(200)))))
-        with self.assertRaises(NoAnswer):
+        with self.assertRaises(NoAnswerError):
             await publish((HOST, port), b"another key, as long", *KEY, b"x")
-        with self.assertRaises(NoAnswer):
+        with self.assertRaises(NoAnswerError):
             await publish((HOST, port), SECRET, "no kind", "shop", b"x")
         await until(self.has(await self.publish(b"two\n")), what="served on")
         lines = self.machines[0].lines()
@@ -484,7 +484,7 @@
             for name in "abc":
                 folder = Path(tempfile.mkdtemp())
                 self.addCleanup(shutil.rmtree, folder)
-                terms = Terms(name, "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
+                terms = ServerSettings(name, "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
                 servers.append(Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1))
             ports = [await one.start() for one in servers]
             versions = [await publish((HOST, port), SECRET, *key, b"one\n") for port in ports[:1]]
@@ -524,7 +524,7 @@
         """A process that starts two hundred proxies answers none of them for some seconds."""
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
-        terms = Terms("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
+        terms = ServerSettings("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
         server = Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1)
         port = await server.start()
         try:
@@ -535,7 +535,7 @@
             writer.write(session.opening())
             writer.write(session.part(wire.encoded(Hello(PROXY, "late", 1, "", "", True, [KEY], [], [])), 0)[0])
             async with asyncio.timeout(WITHIN):
-                self.assertEqual([Beat()], list(session.feed(await reader.read(65536))))
+                self.assertEqual([Heartbeat()], list(session.feed(await reader.read(65536))))
             writer.transport.abort()
         finally:
             await server.stop()
@@ -548,7 +548,7 @@
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         server = Server(
-            Terms("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1"), SECRET, Disk(folder),
+            ServerSettings("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1"), SECRET, Disk(folder),
             lambda *_, **__: None, 1,
         )  # fmt: skip
         port = await server.start()
@@ -570,7 +570,7 @@
             slowest = 0.0
             for _ in range(12):
                 for session, writer in frozen:
-                    writer.write(session.part(wire.encoded(Beat()), 0)[0])  # they speak, and read nothing
+                    writer.write(session.part(wire.encoded(Heartbeat()), 0)[0])  # they speak, and read nothing
                 version = await publish((HOST, port), SECRET, *key, chance.randbytes(1_000_000))
                 if number == 0:
                     await until(lambda: client.in_force.get(key) == version)
@@ -602,13 +602,13 @@
 
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
-        terms = Terms("c", "east", "", (HOST, 0), [], 1, False, 100, "127.0.0.1")
+        terms = ServerSettings("c", "east", "", (HOST, 0), [], 1, False, 100, "127.0.0.1")
         disk = Full(folder)
         server = Server(terms, SECRET, disk, lambda *_, **__: None, 1)
         port = await server.start()
         first = await publish((HOST, port), SECRET, *KEY, b"one\n" * 1_000)
         disk.full = True
-        with self.assertRaises(NoAnswer) as refused:
+        with self.assertRaises(NoAnswerError) as refused:
             await publish((HOST, port), SECRET, *KEY, b"two\n" * 1_000)
         self.assertIn(os.strerror(errno.ENOSPC), str(refused.exception))
         self.assertEqual(first, (await rollout((HOST, port), SECRET, *KEY)).version)
@@ -665,12 +665,12 @@
         await self.machine.end()
 
     @property
-    def house(self) -> House:
-        return next(one for one in self.proxy._company if isinstance(one, House))
+    def house(self) -> ConfigurationManager:
+        return next(one for one in self.proxy._extensions if isinstance(one, ConfigurationManager))
 
     @property
-    def distributed(self) -> Distributed:
-        return next(one for one in self.proxy._company if isinstance(one, Distributed))
+    def distributed(self) -> DistributedConfiguration:
+        return next(one for one in self.proxy._extensions if isinstance(one, DistributedConfiguration))
 
     def names(self) -> list[str]:
         return [route.name for route in self.house.own.routes]
--- a/tests/test_endpoint_source.py
+++ b/tests/test_endpoint_source.py
@@ -14,7 +14,7 @@
     BEGINNING, CONTROL, DISCOVERY, LEAVE_AFTER, LEAVE_SPREAD, START_AFTER, START_SPREAD, STAY, EndpointSource,
 )  # fmt: skip
 from pepperusher.distribution.freshness import KEPT, Freshness
-from pepperusher.distribution.messages import Beat, Version, Word
+from pepperusher.distribution.messages import Heartbeat, Version, FreshnessWord
 
 SECOND = 1_000_000
 TERM = 6 * SECOND
@@ -42,17 +42,17 @@
 
     def test_the_newest_version_and_then_the_latest_moment(self) -> None:
         heard = Freshness()
-        self.assertTrue(heard.said(Word("e/l", 1, 5, 100, 7), 1_000))
-        self.assertFalse(heard.said(Word("e/l", 1, 4, 900, 0), 1_001))
-        self.assertFalse(heard.said(Word("e/l", 1, 5, 100, 0), 1_002))
-        self.assertTrue(heard.said(Word("e/l", 1, 5, 101, 3), 1_003))
-        self.assertEqual([Word("e/l", 1, 5, 101, 10)], heard.of(["e/l", "e/other"], 1_010))
-        self.assertTrue(heard.said(Word("e/l", 1, 6, 2, 0), 1_011))
+        self.assertTrue(heard.said(FreshnessWord("e/l", 1, 5, 100, 7), 1_000))
+        self.assertFalse(heard.said(FreshnessWord("e/l", 1, 4, 900, 0), 1_001))
+        self.assertFalse(heard.said(FreshnessWord("e/l", 1, 5, 100, 0), 1_002))
+        self.assertTrue(heard.said(FreshnessWord("e/l", 1, 5, 101, 3), 1_003))
+        self.assertEqual([FreshnessWord("e/l", 1, 5, 101, 10)], heard.of(["e/l", "e/other"], 1_010))
+        self.assertTrue(heard.said(FreshnessWord("e/l", 1, 6, 2, 0), 1_011))
 
     def test_an_owner_whose_clock_was_set_back_is_heard(self) -> None:
         """Others have its word of before its restart; it hears that from them, and goes on behind it."""
         owner, other = Freshness(), Freshness()
-        other.said(Word("e/l", 1, 5, 10_000_000, 0), 50)
+        other.said(FreshnessWord("e/l", 1, 5, 10_000_000, 0), 50)
         for word in other.of(["e/l"], 60):
             owner.said(word, 61)
         owner.own("e/l", version(5), 9_000_000, 9_000_000)
@@ -60,7 +60,7 @@
 
     def test_what_nobody_speaks_of_is_forgotten(self) -> None:
         heard = Freshness()
-        heard.said(Word("e/l", 1, 5, 100, 7), 0)
+        heard.said(FreshnessWord("e/l", 1, 5, 100, 7), 0)
         heard.forget(KEPT - 1)
         self.assertEqual(["e/l"], heard.names)
         heard.forget(KEPT)
@@ -69,9 +69,9 @@
     def test_a_beat_of_the_release_before_is_read_and_one_of_the_next(self) -> None:
         """Fields at the end: their absence is nothing said, what follows them is read over."""
         before = msgspec.msgpack.encode([5, 1, 2, 3])
-        self.assertEqual(Beat(1, 2, 3), wire.decoded(before))
+        self.assertEqual(Heartbeat(1, 2, 3), wire.decoded(before))
         after = msgspec.msgpack.encode([5, 1, 2, 3, [["e/l", 1, 5, 100, 7, "later"]], "later"])
-        self.assertEqual(Beat(1, 2, 3, [Word("e/l", 1, 5, 100, 7)]), wire.decoded(after))
+        self.assertEqual(Heartbeat(1, 2, 3, [FreshnessWord("e/l", 1, 5, 100, 7)]), wire.decoded(after))
 
 
 class Decisions(unittest.TestCase):
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -14,11 +14,22 @@
 import msgspec
 
 from pepperusher.group import endpoint_borrowing, shares
-from pepperusher.group.broadcasts import Notices
-from pepperusher.group.membership import Roll
-from pepperusher.group.swim import Swim, Terms
+from pepperusher.group.broadcasts import Broadcasts
+from pepperusher.group.membership import Membership
+from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
-from pepperusher.group.messages import ALIVE, LEAVING, LEFT, LOST, SENT_AWAY, SERVING, TELL, Charge, Notice, Said
+from pepperusher.group.messages import (
+    ALIVE,
+    LEAVING,
+    LEFT,
+    LOST,
+    SENT_AWAY,
+    SERVING,
+    TELL,
+    Suspicion,
+    Broadcast,
+    MemberRecord,
+)
 from pepperusher.rehearsal import hollow_group_books
 from pepperusher.rehearsal.groupfigures import introduced
 from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
@@ -34,8 +45,8 @@
     phase: int = SERVING,
     doubled: bool = False,
     place: int = 0,
-) -> Said:
-    return Said(name, "h", 1, number, token, turn, phase, doubled, 0, place)
+) -> MemberRecord:
+    return MemberRecord(name, "h", 1, number, token, turn, phase, doubled, 0, place)
 
 
 class Words(unittest.TestCase):
@@ -49,13 +60,13 @@
             said("a", 2, 9, 1, LEFT),
             said("a", 2, 9, 1, LEFT),
         ]
-        charge = Charge("a", 1, 1, 2, "b")
+        charge = Suspicion("a", 1, 1, 2, "b")
         ends = set()
         for order in permutations([*words[1:5], charge]):
-            roll = Roll(200_000)
+            roll = Membership(200_000)
             roll.take(words[0], NOW)
             for one in order:
-                roll.charge(one, NOW) if isinstance(one, Charge) else roll.take(one, NOW)
+                roll.charge(one, NOW) if isinstance(one, Suspicion) else roll.take(one, NOW)
                 roll.take(words[0], NOW)
             found = roll.get("a")
             assert found is not None
@@ -64,11 +75,11 @@
 
     def test_notices_come_together_and_on_wins_a_tie(self) -> None:
         told = [
-            Notice("ban", "x", on, NOW + at) for on, at in ((True, 1), (False, 2), (True, 3), (False, 3), (True, 2))
+            Broadcast("ban", "x", on, NOW + at) for on, at in ((True, 1), (False, 2), (True, 3), (False, 3), (True, 2))
         ]
         ends = set()
         for order in permutations(told):
-            notices = Notices(60 * SECOND)
+            notices = Broadcasts(60 * SECOND)
             for one in order:
                 notices.take(one, NOW)
                 notices.take(one, NOW)
@@ -77,19 +88,19 @@
         self.assertEqual(told[2], ends.pop()[0])
 
     def test_what_is_off_is_forgotten_and_a_clock_gone_wrong_binds_nobody(self) -> None:
-        notices = Notices(60 * SECOND)
-        self.assertFalse(notices.take(Notice("ban", "x", True, NOW + 7200 * SECOND), NOW))
-        self.assertTrue(notices.take(Notice("ban", "x", False, NOW), NOW))
+        notices = Broadcasts(60 * SECOND)
+        self.assertFalse(notices.take(Broadcast("ban", "x", True, NOW + 7200 * SECOND), NOW))
+        self.assertTrue(notices.take(Broadcast("ban", "x", False, NOW), NOW))
         notices.forget(NOW + 59 * SECOND)
         self.assertEqual(1, len(notices))
         notices.forget(NOW + 60 * SECOND)
-        self.assertFalse(notices.take(Notice("ban", "x", False, NOW), NOW + 60 * SECOND))
+        self.assertFalse(notices.take(Broadcast("ban", "x", False, NOW), NOW + 60 * SECOND))
         for number in range(600):
-            notices.take(Notice("ban", f"{number}", True, NOW), NOW)
+            notices.take(Broadcast("ban", f"{number}", True, NOW), NOW)
         self.assertEqual((500, 101), (len(notices), notices.refused))
 
     def test_the_roll_is_bounded_and_who_left_longest_makes_room(self) -> None:
-        roll = Roll(200_000)
+        roll = Membership(200_000)
         for number in range(2_000):
             roll.take(said(f"m{number}", phase=LEFT if number in (7, 9) else SERVING), NOW + number)
         roll.take(said("one"), NOW)
@@ -151,7 +162,7 @@
             chance.randbytes(900),
         ]
         bad += [good[:at] + bytes([good[at] ^ 1 << chance.randrange(8)]) + good[at + 1 :] for at in range(3, len(good))]
-        swim = Swim(said("me", token=7), Terms(200_000, 60_000, (), 1, SECOND), wire, Random(1), NOW)
+        swim = Swim(said("me", token=7), SwimSettings(200_000, 60_000, (), 1, SECOND), wire, Random(1), NOW)
         for data in bad:
             self.assertRaises(BadPacket, wire.unpack, data)
             swim.receive(data, NOW)
@@ -191,9 +202,9 @@
         model.datagram = lambda *of: (kept.append(of), sent(*of))  # type: ignore[method-assign]
         model.run(2 * SECOND)
         one = model.ones["m1"].swim
-        one.tell(Notice("ban", "x", True, model.now), model.now)
+        one.tell(Broadcast("ban", "x", True, model.now), model.now)
         model.run(SECOND)
-        one.tell(Notice("ban", "x", False, model.now), model.now)
+        one.tell(Broadcast("ban", "x", False, model.now), model.now)
         model.ones["m2"].swim.say(LEFT, model.now)
         model.run(2 * SECOND)
         model.add("m2", told=4)
@@ -409,7 +420,7 @@
         swim = model.ones["m2"].swim
         for _ in range(600):
             for one in swim.roll:
-                charge = Charge(one.said.name, *one.said.key, "m2")
+                charge = Suspicion(one.said.name, *one.said.key, "m2")
                 swim._rumours.put(1, f"{charge.of} m2", model.wire.part(charge))
             model.run(100_000)
         self.assertEqual([], [pair for pair in self.lost(model, since) if pair[0] != "m2"])
@@ -471,7 +482,7 @@
         model = self.group(8)
         model.cut = lambda a, b: (a == "m7") != (b == "m7")
         model.run(20 * SECOND)
-        model.ones["m1"].swim.tell(Notice("ban", "x", True, model.now), model.now)
+        model.ones["m1"].swim.tell(Broadcast("ban", "x", True, model.now), model.now)
         self.assertTrue(
             model.run(
                 SECOND,
@@ -668,7 +679,7 @@
     def test_it_would_be_passed_if_silence_freed_a_part(self) -> None:
         """The check can fail: by the silent counted as gone, as a group of the living alone would have it."""
 
-        def living(told: int, me: Said, words: Iterable[Said]) -> int:
+        def living(told: int, me: MemberRecord, words: Iterable[MemberRecord]) -> int:
             return 1 + sum(one.health == ALIVE for one in swim_of[me.token].roll)
 
         swim_of: dict[int, Swim] = {}
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from pepperusher.group.swim import Swim, Terms
+from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import DATAGRAM, Wire
-from pepperusher.group.messages import PING, SERVING, Charge, Said
+from pepperusher.group.messages import PING, SERVING, Suspicion, MemberRecord
 from pepperusher.net import clock
 from pepperusher.rehearsal.grouping import KEY
 from pepperusher.rehearsal.links import Manner
@@ -351,7 +351,7 @@
         assert front is not None
         chance = Random(5)
         other, ours = Wire("another group's key"), Wire(KEY)
-        word = ours.part(Said("stranger", "127.0.0.1", 9, 1, 1, 0, SERVING, False, 0, 0))
+        word = ours.part(MemberRecord("stranger", "127.0.0.1", 9, 1, 1, 0, SERVING, False, 0, 0))
         sound = ours.pack(PING, 1, 1, word, "p1", 0, None, [word], [], [])
         kinds = [
             other.pack(PING, 1, 1, word, "p1", 0, None, [word], [], []),
@@ -458,9 +458,11 @@
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
-        me = Said("p9", *self.sock.getsockname(), clock.now(), 77, 0, SERVING, False, 0, 8)
+        me = MemberRecord("p9", *self.sock.getsockname(), clock.now(), 77, 0, SERVING, False, 0, 8)
         self.wire = Wire(KEY)
-        self.swim = Swim(me, Terms(200_000, 60_000, tuple(seeds), 9, 60_000_000), self.wire, Random(1), clock.now())
+        self.swim = Swim(
+            me, SwimSettings(200_000, 60_000, tuple(seeds), 9, 60_000_000), self.wire, Random(1), clock.now()
+        )
         self.due = 0
 
     def turn(self) -> None:
@@ -471,7 +473,7 @@
             except BlockingIOError:
                 break
         for one in self.swim.roll:
-            charge = Charge(one.said.name, *one.said.key, "p9")
+            charge = Suspicion(one.said.name, *one.said.key, "p9")
             self.swim._rumours.put(1, f"{charge.of} p9", self.wire.part(charge))
         if now >= self.due:
             self.due = self.swim.wake(now)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,19 +13,19 @@
 from pathlib import Path
 from unittest import mock
 
-from pepperusher.console.admin_commands import NEVER, Order
-from pepperusher.console.process_slot import seats
-from pepperusher.console.process_liveness import Pulse
+from pepperusher.console.admin_commands import NEVER, AdminCommand
+from pepperusher.console.process_slot import process_slots
+from pepperusher.console.process_liveness import ProcessLiveness
 from pepperusher.console.state import BadState, State, state_of, text_of
-from pepperusher.facade import Entry, Facade
-from pepperusher.settings import ground
+from pepperusher.facade import Endpoint, Facade
+from pepperusher.settings import read_settings
 
 from tests.scene import SECOND, SETTINGS, Kept, Street, own_address
 
 
 class Marks(unittest.TestCase):
     def test_who_stands_still_by_its_marks_alone(self) -> None:
-        pulse, now = Pulse(), 0
+        pulse, now = ProcessLiveness(), 0
 
         def looks(mark: int, span: int, every: int = 50_000) -> bool:
             nonlocal now
@@ -52,8 +52,8 @@
     def test_what_another_left_is_read_as_a_stranger_s(self) -> None:
         self.lines = []
         good = State(
-            {"a": Order(True, 5), "b": Order(False, 9)},
-            Order(True, 7),
+            {"a": AdminCommand(True, 5), "b": AdminCommand(False, 9)},
+            AdminCommand(True, 7),
             "next",
             True,
             "127.0.0.1:1",
@@ -90,10 +90,10 @@
 
     def test_what_was_learned_goes_on_elsewhere(self) -> None:
         """A breaker that is open stays so for the rest of its period; words that are no figures change nothing."""
-        facades = [Facade(ground(SETTINGS, 5), 100 * SECOND, lambda _: None) for _ in range(2)]
+        facades = [Facade(read_settings(SETTINGS, 5), 100 * SECOND, lambda _: None) for _ in range(2)]
         for facade in facades:
             facade.listed(
-                [Entry("a", "here", 1, 1.0, 0, True), Entry("b", "here", 1, 1.0, 0, True)], True, 100 * SECOND
+                [Endpoint("a", "here", 1, 1.0, 0, True), Endpoint("b", "here", 1, 1.0, 0, True)], True, 100 * SECOND
             )
         first, second = facades
         for number in range(40):
@@ -120,8 +120,8 @@
 
     def test_who_sits_where(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            first, following = seats(folder, "p/1")
-            again, _ = seats(folder, "p/1")
+            first, following = process_slots(folder, "p/1")
+            again, _ = process_slots(folder, "p/1")
             self.assertTrue(first.take())
             self.assertEqual((False, True, False), (again.take(), again.taken(), first.taken()))
             first.write(State({}, NEVER, "x"))
@@ -408,10 +408,10 @@
         with (
             tempfile.TemporaryDirectory() as folder,
             mock.patch(
-                "pepperusher.console.process_slot.Seat.write", side_effect=OSError(28, "No space left on device")
+                "pepperusher.console.process_slot.ProcessSlot.write", side_effect=OSError(28, "No space left on device")
             ),
         ):
-            first, _ = seats(folder, "p1")
+            first, _ = process_slots(folder, "p1")
             first.take()  # another one reigns, and says nothing
             await self.open("a1", console="127.0.0.1:1", passed=folder)
             await self.ask("look", self.request("look", 1))
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -20,9 +20,9 @@
 from click.testing import CliRunner
 
 from pepperusher.__main__ import main
-from pepperusher.changes.transaction_log import LedgerError
+from pepperusher.changes.transaction_log import TransactionError
 from pepperusher.control import client
-from pepperusher.configuration.loader import OwnError
+from pepperusher.configuration.loader import ConfigurationError
 
 from tests.scene import UNHURRIED, Street, configuration, own_address
 
@@ -197,10 +197,10 @@
         change = await self.house.drain("a1", False, "ops", "a look at it")
         await asyncio.gather(*(self.one(left=60_000) for _ in range(20)))
         self.assertEqual(self.backends["a1"].came, {})
-        with self.assertRaisesRegex(LedgerError, "confirm or undo it first"):
+        with self.assertRaisesRegex(TransactionError, "confirm or undo it first"):
             await self.house.drain("b1", False, "ops", "")
         await self.house.confirm(change.number, "ops", "fine")
-        with self.assertRaisesRegex(LedgerError, "no backend that is listed"):
+        with self.assertRaisesRegex(TransactionError, "no backend that is listed"):
             await self.house.drain("z9", False, "ops", "")
         await self.house.drain("a1", True, "ops", "well again")
         await asyncio.gather(*(self.one(left=60_000) for _ in range(20)))
@@ -282,9 +282,9 @@
         self.proxy.tell_anew()
         await self.until(lambda: self.house.standing.version.number == 2)
         self.assertEqual(self.house.standing.ledger.open.steps[0].who, "SIGHUP")
-        with self.assertRaises(OwnError):
+        with self.assertRaises(ConfigurationError):
             await self.house.propose_text("a = ", "ops", "")
-        with self.assertRaisesRegex(LedgerError, r"change 1 \(\w+\) of SIGHUP is applied"):
+        with self.assertRaisesRegex(TransactionError, r"change 1 \(\w+\) of SIGHUP is applied"):
             await self.house.propose_text(WATCH + "[weights]\na = 2\n", "ops", "")
 
     async def test_a_change_that_waited_is_checked_anew_and_follows(self) -> None:
@@ -395,7 +395,7 @@
             try:
                 client.ask(self.socket, "status")
                 return
-            except client.Refused:
+            except client.RefusedError:
                 if self.process.poll() is not None or time.monotonic() > until:
                     ended = self.process.poll()
                     self.fail(f"its socket is not up, ended with {ended}: {self.kill()[-1000:]}")
@@ -436,7 +436,7 @@
         self.start()
         self.assertEqual(client.ask(self.socket, "status")["digest"], changed)
         # A mark that was written and not yet applied: staged.
-        from pepperusher.changes.confirmed_file import Kept as OnDisk
+        from pepperusher.changes.confirmed_file import ConfirmedFile as OnDisk
 
         third = self.first + "[weights]\na = 3.0\n"
         self.kill()
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -10,7 +10,7 @@
 
 from pepperusher.net import disconnect_watcher
 from pepperusher.net.connection import READ
-from pepperusher.net.request_store import Shelf
+from pepperusher.net.request_store import RequestStore
 
 from tests.leavers import ENDS, ONE_AT_ONCE, Crowd, Ground, request
 from tests.test_crossings import Crossing
@@ -211,14 +211,14 @@
         await self.open("a1", own='[store]\nfolder = "HERE/store"\nwait = "1s"\n')
         await self.warm()
         at = self.dial()
-        sending = Shelf.sending
+        sending = RequestStore.sending
 
         async def ends_behind(*given: object) -> object:
             kept = await sending(*given)  # type: ignore[arg-type]
             at.close()
             return kept
 
-        with mock.patch.object(Shelf, "sending", ends_behind):
+        with mock.patch.object(RequestStore, "sending", ends_behind):
             at.sendall(self.request("book", 1))
             await self.until(lambda: self.proxy._counts.get("left"))
         self.assertEqual([], self.got(1))
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -14,7 +14,7 @@
 from pepperusher.terms import DONE, TIMED_OUT, Backend, Ticket
 
 from tests.crowd import STEP, Crowd
-from tests.scene import SECOND, SETTINGS, Kept, Street, ground
+from tests.scene import SECOND, SETTINGS, Kept, Street, policy_settings
 
 OLD, NEW = "old", "new"
 
@@ -40,7 +40,7 @@
                 "ordinal": at,
                 "seed": at,
             }
-            self.grounds[at] = ground(**changes)
+            self.grounds[at] = policy_settings(**changes)
             self.balancers[at] = (Greedy if greedy else Balancer)(self.grounds[at], self.now, lambda line: None)
         self.told: dict[str, int] = {}
         self.time: Counter[str] = Counter()  # of backends, by kind
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -15,12 +15,12 @@
 import time
 from unittest import mock
 
-from pepperusher.facade import Entry
+from pepperusher.facade import Endpoint
 from pepperusher.net import clock
 from pepperusher.net.exchange import Attempt, Placed
 from pepperusher.net.buffers import Body, Pool
 from pepperusher.net.callers import LINGER_MOST, Call
-from pepperusher.net.connection import Line, adopt
+from pepperusher.net.connection import StreamConnection, adopt
 from pepperusher.net.log import SAVED, Log
 from pepperusher.net.message import Answer, Request
 from pepperusher.net.proxy import READY
@@ -30,7 +30,7 @@
 NOT_STARTED = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def in_kernel(line: Line) -> int:
+def in_kernel(line: StreamConnection) -> int:
     """Bytes that have come to a connection and are not read."""
     return int.from_bytes(fcntl.ioctl(line.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
 
@@ -455,7 +455,7 @@
                     self.lines.append(f"{what} -> {await asyncio.wait_for(self.hear(at[what][0]), 10)}")
         self.kept("net_limits")
 
-    async def dripping(self, first: bytes) -> tuple[socket.socket, Line]:
+    async def dripping(self, first: bytes) -> tuple[socket.socket, StreamConnection]:
         """A client outside the loop, whose first part the proxy has, and the proxy's end of its connection."""
         made = socket.create_connection(("127.0.0.1", self.proxy.port), timeout=10)
         self.addCleanup(made.close)
@@ -534,7 +534,7 @@
             gc.enable()
         self.lines = [
             f"kept of 5 tickets on as many connections: Ticket {kept['Ticket']},"
-            f" Attempt {kept['Attempt']}, Caller {kept['Caller']}, Line {kept['Line']}"
+            f" Attempt {kept['Attempt']}, Caller {kept['Caller']}, StreamConnection {kept['StreamConnection']}"
         ]
         self.kept("net_let_go")
 
@@ -745,7 +745,7 @@
         """The tables of backends were emptied by the asking for the list alone, which a living watch never does."""
         await self.open("a1", "b1")
         facade, now, self.lines = self.proxy._facade, clock.now(), []
-        here, gone = (Entry(name, "here", 1, 1.0, 0, name == "a1") for name in ("a1", "b1"))
+        here, gone = (Endpoint(name, "here", 1, 1.0, 0, name == "a1") for name in ("a1", "b1"))
         for seconds in (0, 6, 8):  # open for 5 s, and no client waits for longer than 2 s
             facade.listed([here, gone] if seconds == 0 else [here], False, now + seconds * 1_000_000)
             self.lines.append(
@@ -837,7 +837,9 @@
         self.kept("net_sigterm")
 
     def test_what_must_hold_is_asserted_in_debug_and_counted_in_release(self) -> None:
-        code = "from pepperusher import holds; holds.must_hold(1 > 2, 'order'); print(holds.broken)"
+        code = (
+            "from pepperusher import invariants; invariants.check_invariant(1 > 2, 'order'); print(invariants.broken)"
+        )
         self.lines = []
         for how in ([], ["-O"]):
             done = subprocess.run(
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -13,12 +13,12 @@
 
 from pepperusher import table_conversion
 from pepperusher.configuration import loader, validation
-from pepperusher.configuration.key_locations import Lines
-from pepperusher.configuration.loader import OwnError
+from pepperusher.configuration.key_locations import KeyLocations
+from pepperusher.configuration.loader import ConfigurationError
 from pepperusher.routes import match
 from pepperusher.routes.match import Routes, TemplateError, pattern
 
-from tests.scene import Kept, ground
+from tests.scene import Kept, policy_settings
 
 ROUTE = '[[routes]]\nname = "r"\n'
 LOOK, BOOK, PAY = (f'{ROUTE}use_case = "{name}"\n' for name in ("look", "book", "pay"))
@@ -144,19 +144,19 @@
         self.lines = []
         for rule, text in self.BROKEN:
             with self.subTest(text=text):
-                with self.assertRaises(OwnError) as caught:
-                    loader.parse(text, "own.toml", ground(most_attempts=3))
+                with self.assertRaises(ConfigurationError) as caught:
+                    loader.parse(text, "own.toml", policy_settings(most_attempts=3))
                 self.assertEqual([one.rule for one in caught.exception.faults], [rule])
                 self.lines.append(str(caught.exception.faults[0]))
         self.assertEqual({rule for rule, _ in self.BROKEN}, set(validation.RULES))
         self.kept("own_broken")
 
     def test_all_that_is_wrong_is_said_at_once(self) -> None:
-        with self.assertRaises(OwnError) as caught:
+        with self.assertRaises(ConfigurationError) as caught:
             loader.parse(
                 f"{ROUTE}attempts = 9\nsecond_copy = true\n\n[changes]\nleast = 0\n",
                 "own.toml",
-                ground(),
+                policy_settings(),
             )
         self.assertEqual(
             [(one.line, one.key) for one in caught.exception.faults],
@@ -164,8 +164,8 @@
         )
 
     def test_settings_that_allow_less_hold(self) -> None:
-        with self.assertRaisesRegex(OwnError, "within the settings"):
-            loader.parse(f"{ROUTE}attempts = 3\n", ground=ground(most_attempts=2))
+        with self.assertRaisesRegex(ConfigurationError, "within the settings"):
+            loader.parse(f"{ROUTE}attempts = 3\n", policy_settings=policy_settings(most_attempts=2))
 
     def test_what_is_sound_is_taken(self) -> None:
         for text in (
@@ -181,17 +181,17 @@
             TWO % ('path = "/{x*}"', 'path = "/{x}"'),
         ):
             with self.subTest(text=text):
-                loader.parse(text, ground=ground())
+                loader.parse(text, policy_settings=policy_settings())
 
     def test_a_key_under_its_former_name_is_read_and_shown_under_the_one_of_today(self) -> None:
-        read = loader.parse(f"{LOOK}transmissions = 2\n", ground=ground())
+        read = loader.parse(f"{LOOK}transmissions = 2\n", policy_settings=policy_settings())
         self.assertEqual(2, read.own.routes[0].attempts)
         self.assertIn(("routes[0].attempts", "2", "file"), loader.effective(read))
         self.assertNotIn("transmissions", json.dumps(loader.schema()))
-        with self.assertRaisesRegex(OwnError, "attempts: 4 is not from 1 to 3"):
-            loader.parse(f"{LOOK}transmissions = 4\n", ground=ground())
-        with self.assertRaisesRegex(OwnError, "transmissions: not known here"):
-            loader.parse(f"{LOOK}transmissions = 2\nattempts = 2\n", ground=ground())
+        with self.assertRaisesRegex(ConfigurationError, "attempts: 4 is not from 1 to 3"):
+            loader.parse(f"{LOOK}transmissions = 4\n", policy_settings=policy_settings())
+        with self.assertRaisesRegex(ConfigurationError, "transmissions: not known here"):
+            loader.parse(f"{LOOK}transmissions = 2\nattempts = 2\n", policy_settings=policy_settings())
 
     def test_layers_and_where_each_value_came_from(self) -> None:
         read = loader.parse(
@@ -219,15 +219,15 @@
                 ("0.1", "default"),
             ],
         )
-        with self.assertRaisesRegex(OwnError, r"^environment: changes.least: expected `int`"):
+        with self.assertRaisesRegex(ConfigurationError, r"^environment: changes.least: expected `int`"):
             loader.parse("", environment={"changes.least": "x"})
-        with self.assertRaisesRegex(OwnError, "command line: routes: is no list"):
+        with self.assertRaisesRegex(ConfigurationError, "command line: routes: is no list"):
             loader.parse("", command_line={"routes.0.name": "x"})
-        with self.assertRaisesRegex(OwnError, "is no key=value"):
+        with self.assertRaisesRegex(ConfigurationError, "is no key=value"):
             loader.from_command_line(["changes"])
 
     def test_lines_of_keys(self) -> None:
-        lines = Lines(
+        lines = KeyLocations(
             '# a\na = 1\n[t]\n"b c" = { d = 1, e = [1,\n  { f = "]" } ] }\n[[u.v]]\nx.y = """\nz = 1\n"""\n[[u.v]]\nw = 2\n[u.v.k]\nn = 0\n'
         )
         self.assertEqual(
@@ -274,7 +274,7 @@
         )
         table_conversion._fields.cache_clear()
         with mock.patch("msgspec.structs.fields", wraps=msgspec.structs.fields) as asked:
-            read = loader.parse(text, "own.toml", ground())
+            read = loader.parse(text, "own.toml", policy_settings())
         self.assertEqual(200, len(read.own.routes))
         kinds = [call.args[0] for call in asked.call_args_list]
         self.assertEqual(len(set(kinds)), len(kinds))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -5,7 +5,7 @@
 import random
 
 from pepperusher import terms
-from pepperusher.settings import GroundError, ground as read
+from pepperusher.settings import SettingsError, read_settings as read
 from pepperusher.terms import DONE, RESET, TIMED_OUT, UNREACHED, Backend, Listing, UseCase
 
 from tests.scene import SECOND, SETTINGS, Kept, Scene
@@ -125,12 +125,12 @@
             try:
                 made = read({**SETTINGS, "use-cases": [use]}, 1).use_cases[0]
                 self.lines.append(f"{name} {value}: zones {made.zones}, kinds {made.kinds}")
-            except GroundError as error:
+            except SettingsError as error:
                 self.lines.append(f"{name} {value}: {error}")
         for value in (1, "true", None, True):
             try:
                 made = read({**SETTINGS, "rules": {**SETTINGS["rules"], "drain-binds-alone": value}}, 1)
                 self.lines.append(f"drain-binds-alone {value}: {made.drain_binds_alone}")
-            except GroundError as error:
+            except SettingsError as error:
                 self.lines.append(f"drain-binds-alone {value}: {error}")
         self.kept("placement_told")
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -16,16 +16,16 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.control.client import Refused, ask
+from pepperusher.control.client import RefusedError, ask
 from pepperusher.distribution import operator_client, publish, rollout
 from pepperusher.distribution import control_file
 from pepperusher.distribution.client import Client
-from pepperusher.distribution.operator_client import NoAnswer
-from pepperusher.distribution.server import Server, Terms
+from pepperusher.distribution.operator_client import NoAnswerError
+from pepperusher.distribution.server import Server, ServerSettings
 from pepperusher.distribution.messages import ENDPOINTS, Version
-from pepperusher.settings import ground
+from pepperusher.settings import read_settings
 from pepperusher.configuration import loader
-from pepperusher.configuration.loader import Fault, OwnError
+from pepperusher.configuration.loader import Fault, ConfigurationError
 from pepperusher.store.disk import Disk
 from tests.scene import SETTINGS, UNHURRIED, configuration, own_address
 from tests.test_distribution_processes import HOST, SECRET, WITHIN, Machine, ended, free_ports, until
@@ -232,7 +232,7 @@
         async def holds(gate: Gate) -> bool:
             try:
                 return bool(await true(gate))
-            except Refused:
+            except RefusedError:
                 return False  # its socket is made, and not listened at yet
 
         while True:
@@ -435,7 +435,7 @@
             while True:
                 try:
                     return await publish((HOST, self.owner.port), SECRET, ENDPOINTS, NAME, body)
-                except NoAnswer as no:
+                except NoAnswerError as no:
                     if "came meanwhile" not in str(no):
                         raise
 
@@ -511,7 +511,7 @@
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
         server = Server(
-            Terms("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1"), SECRET, Disk(folder),
+            ServerSettings("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1"), SECRET, Disk(folder),
             lambda what, **figures: None, 1,
         )  # fmt: skip
         port = await server.start()
@@ -569,19 +569,19 @@
         self.assertTrue(self.faults(lambda: control_file.read(file)))
         for endpoints, wrong in (("web", 1), ("/web", 1), ("east/", 1), ("east/web", 0)):
             text = f'[distribution]\nmachines = ["127.0.0.1:5"]\nkey_file = "{folder}/key"\nendpoints = "{endpoints}"\n'
-            faults = self.faults(lambda: loader.parse(text, "own.toml", ground(SETTINGS, 5)))
+            faults = self.faults(lambda: loader.parse(text, "own.toml", read_settings(SETTINGS, 5)))
             self.assertEqual(["distribution.endpoints"] * wrong, [fault.key for fault in faults])
         text = f'[distribution]\nkey_file = "{folder}/key"\nendpoints = "east/web"\n'
         self.assertEqual(
             ["distribution.machines"],
-            [fault.key for fault in self.faults(lambda: loader.parse(text, "own.toml", ground(SETTINGS, 5)))],
+            [fault.key for fault in self.faults(lambda: loader.parse(text, "own.toml", read_settings(SETTINGS, 5)))],
         )
 
     @staticmethod
     def faults(read: Any) -> list[Fault]:
         try:
             read()
-        except OwnError as error:
+        except ConfigurationError as error:
             return list(error.faults)
         return []
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -6,9 +6,9 @@
 import json
 
 from pepperusher import terms
-from pepperusher.settings import GroundError, ground, load
+from pepperusher.settings import SettingsError, read_settings, load
 from pepperusher.net import load_reports
-from pepperusher.net.bootstrap import ToldError
+from pepperusher.net.bootstrap import BootstrapError
 from pepperusher.terms import DONE, Backend
 
 from tests.scene import SECOND, SETTINGS, Kept, Scene, Street
@@ -56,9 +56,9 @@
             {"reporting": {}},
         ):
             try:
-                made = ground(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
+                made = read_settings(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
                 said = f"asked {made.must_ask}, beside its client {made.beside_client}, reported by {made.reported_by}"
-            except GroundError as error:
+            except SettingsError as error:
                 said = f"turned down: {error}"
             self.lines.append(f"{json.dumps(changes)}: {said}")
         self.kept("reports_settings")
@@ -132,11 +132,11 @@
         on = self.read_again()
         facade = self.proxy._facade
         told = []
-        facade.retuned(on.ground, SECOND)
+        facade.retuned(on.policy_settings, SECOND)
         facade.reported("a1", {terms.HELD: 7.0}, SECOND)
         told.append(facade._backends["a1"].told)
         given({"how": "silent", "names": []})
-        facade.retuned(self.read_again(on).ground, SECOND)
+        facade.retuned(self.read_again(on).policy_settings, SECOND)
         facade.reported("a1", {terms.HELD: 3.0}, SECOND)
         told.append(facade._backends["a1"].told)
         self.assertEqual(told, [7.0, 7.0])
@@ -146,7 +146,7 @@
             ({"how": "loud", "names": []}, "settings: reporting: how: 'loud' is not one of"),
         ):
             given(reporting)
-            with self.assertRaisesRegex(ToldError, said):
+            with self.assertRaisesRegex(BootstrapError, said):
                 self.read_again(on)
 
     async def test_a_spoilt_report_ends_no_ticket_and_an_unasked_one_counts_for_nothing(self) -> None:
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from pepperusher.facade import Entry, Facade
-from pepperusher.settings import ground
+from pepperusher.facade import Endpoint, Facade
+from pepperusher.settings import read_settings
 
 from tests.scene import SECOND, SETTINGS, Kept, Street
 
@@ -30,13 +30,13 @@
         now = 100 * SECOND
 
         def opened() -> Facade:
-            facade = Facade(ground(SETTINGS, 5), now, lambda _: None)
-            facade.listed([Entry(name, "here", 1, 1.0, 0, True) for name in "abcde"], True, now)
+            facade = Facade(read_settings(SETTINGS, 5), now, lambda _: None)
+            facade.listed([Endpoint(name, "here", 1, 1.0, 0, True) for name in "abcde"], True, now)
             return facade
 
         def settings(most: int) -> Any:
             """book is single-use, pay has gone."""
-            return ground(
+            return read_settings(
                 changed(
                     lambda s: (
                         s["use-cases"][1].update({"effect": "side_effect"}),
--- a/tests/test_shelf.py
+++ b/tests/test_shelf.py
@@ -169,9 +169,9 @@
         from pepperusher.net import clock
         from pepperusher.store.disk import Disk
         from pepperusher.store.log import Log
-        from pepperusher.store.tables import SENT, Marks
+        from pepperusher.store.tables import SENT, RequestMarks
 
-        log, marks = Log(Disk(self.at / "store")), Marks(10)
+        log, marks = Log(Disk(self.at / "store")), RequestMarks(10)
         log.open()
         now = clock.now()
         for place in range(3):
--- a/tests/test_sides.py
+++ b/tests/test_sides.py
@@ -8,7 +8,7 @@
 from pepperusher.policy import Balancer
 from pepperusher.terms import BOUNCE, DONE, ERROR, SCRAP, TIMED_OUT, Backend, Customer, Listing, UseCase
 
-from tests.scene import SECOND, Scene, ground
+from tests.scene import SECOND, Scene, policy_settings
 
 HERE, THERE = "here", "there"
 
@@ -76,7 +76,9 @@
         heard: Counter[str] = Counter()
         for one in range(294):
             balancer = Balancer(
-                ground(zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, ordinal=one, seed=one),
+                policy_settings(
+                    zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, ordinal=one, seed=one
+                ),
                 0,
                 lambda line: None,
             )
@@ -125,7 +127,7 @@
     def test_what_is_taught_before_the_first_list_stays(self) -> None:
         """Kept at the sides, which came with the list, the flow and the budget for fresh ones were lost."""
         self.open()
-        self.balancer = Balancer(ground(), self.now, self.note)
+        self.balancer = Balancer(policy_settings(), self.now, self.note)
         self.balancer.taught(100_000, 40.0, 3.0, self.now)
         self.list("a1")
         self.assertEqual([round(one) for one in self.balancer.learned(self.now)], [100_000, 40, 3])
--- a/tests/test_stopped_endpoints.py
+++ b/tests/test_stopped_endpoints.py
@@ -4,15 +4,15 @@
 
 import unittest
 
-from pepperusher.endpoint import Entry
+from pepperusher.endpoint import Endpoint
 from pepperusher.net.endpoint_update import EndpointUpdate
 from pepperusher.net.stopped_endpoints import KEPT_FOR, StoppedEndpoints
 
-READY = Entry("b0", "here", 0, 1.0, 1000, True)
+READY = Endpoint("b0", "here", 0, 1.0, 1000, True)
 NOW = 50_000_000
 
 
-def update(version: int, *entries: Entry, whole: bool = True) -> EndpointUpdate:
+def update(version: int, *entries: Endpoint, whole: bool = True) -> EndpointUpdate:
     return EndpointUpdate(version, whole, list(entries), [("127.0.0.1", 9000)] * len(entries))
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,11 +14,21 @@
 
 from pepperusher.__main__ import main
 from pepperusher.store import frames, recovery, salvage
-from pepperusher.store.disk import Disk, Taken
-from pepperusher.store.store_writer import KEPT, LATE, OFF, Keeper
+from pepperusher.store.disk import Disk, FolderLockedError
+from pepperusher.store.store_writer import KEPT, LATE, OFF, StoreWriter
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import Manifest, RefusedError
-from pepperusher.store.tables import BREAKER, LISTED, NEVER_RAN, SENT, Breakers, Listed, Marks, Seen, Tables
+from pepperusher.store.tables import (
+    BREAKER,
+    LISTED,
+    NEVER_RAN,
+    SENT,
+    BreakerStates,
+    ListedBackends,
+    RequestMarks,
+    SeenBackend,
+    Tables,
+)
 
 SECTOR = 64
 SMALL = 700  # bytes a segment: a few groups
@@ -314,7 +324,7 @@
     """The tables, against what was told them, through a snapshot and the log behind it."""
 
     def test_marks_count_until_they_are_forgotten_and_no_mark_is_forgotten_for_another(self) -> None:
-        marks = Marks(2)
+        marks = RequestMarks(2)
         for at in (10, 20, 30):
             marks.sent("release", "m", f"b{at}", 4, at, at + 100)
         marks.never_ran("release", "m", 20)
@@ -335,15 +345,15 @@
         self.assertEqual((len(marks), len(marks._ends), len(marks._until)), (0, 0, 0))
 
     def test_the_list_leaves_out_what_drains_and_forgets_what_is_oldest(self) -> None:
-        listed = Listed(2)
+        listed = ListedBackends(2)
         for id, confirmed in (("a", 5), ("b", 9), ("c", 7)):
-            listed.seen(Seen(id, f"{id}:1", "z", 1, 1.0, 0, confirmed))
+            listed.seen(SeenBackend(id, f"{id}:1", "z", 1, 1.0, 0, confirmed))
         self.assertEqual([one.id for one in listed.all()], ["b", "c"])
         listed.gone("b")
         self.assertEqual([one.id for one in listed.all()], ["c"])
 
     def test_breakers_are_known_while_they_tell_something(self) -> None:
-        breakers = Breakers(100)
+        breakers = BreakerStates(100)
         breakers.turned("a", 10, 50)
         breakers.turned("b", 10, 50)
         breakers.turned("b", 0, 0)
@@ -368,7 +378,7 @@
                     records.append(
                         (
                             LISTED,
-                            tables.listed.seen(Seen(f"s{chance.randrange(60)}", "a:1", "z", 1, 1.0, 0, now)),
+                            tables.listed.seen(SeenBackend(f"s{chance.randrange(60)}", "a:1", "z", 1, 1.0, 0, now)),
                         )
                     )
                 elif turn < 0.9:
@@ -400,10 +410,10 @@
         self.at = Path(folder.name) / "store"
         self.said: list[str] = []
 
-    def keeper(self, disk: object, state: object = list, compact_at: int = 1 << 40) -> Keeper:
+    def keeper(self, disk: object, state: object = list, compact_at: int = 1 << 40) -> StoreWriter:
         log = Log(disk)  # type: ignore[arg-type]
         log.open()
-        return Keeper(log, state, compact_at, lambda what, **why: self.said.append(f"{what} {why}"))  # type: ignore[arg-type]
+        return StoreWriter(log, state, compact_at, lambda what, **why: self.said.append(f"{what} {why}"))  # type: ignore[arg-type]
 
     async def test_what_it_says_is_kept_is_there(self) -> None:
         class Slow(Disk):
@@ -508,7 +518,7 @@
     def test_the_commands(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             at = Path(folder) / "store"
-            log, marks = Log(Disk(at)), Marks(1000)
+            log, marks = Log(Disk(at)), RequestMarks(1000)
             log.open()
             for number in range(300):
                 # Long forgotten, but for the last ten.
@@ -540,7 +550,7 @@
             at, history = Path(folder) / "store", History(Random(4))
             log = Log(Disk(at), segment_most=SMALL)
             self.assertIsNone(log.open())
-            with self.assertRaisesRegex(Taken, "another process"):
+            with self.assertRaisesRegex(FolderLockedError, "another process"):
                 Log(Disk(at)).open()
             history.play(log, 60)
             size = sum(one.stat().st_size for one in at.iterdir())
