--- a/pepperusher/configuration/validation.py
+++ b/pepperusher/configuration/validation.py
@@ -53,7 +53,7 @@
 
 
 def check(own: Own, policy_settings: PolicySettings | None) -> list[RuleViolation]:
-    """All that is wrong, in the file's order. Without a `ground` what hangs on the platform's settings is not
+    """All that is wrong, in the file's order. Without `policy_settings` what hangs on the platform's settings is not
     looked at."""
     found: list[RuleViolation] = []
 
