--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -12,10 +12,10 @@
 from pepperusher import __version__
 from pepperusher.net import bootstrap
 from pepperusher.net.proxy import run
-from pepperusher.terms import BY_ANSWERS, BY_NOBODY, BY_PROBES
+from pepperusher.terms import REPORTS_IN_RESPONSES, REPORTS_NONE, REPORTS_BY_PROBES
 
 
-REPORTED_BY = {BY_NOBODY: "nobody", BY_ANSWERS: "answers", BY_PROBES: "probes, which are not sent"}
+REPORTED_BY = {REPORTS_NONE: "nobody", REPORTS_IN_RESPONSES: "answers", REPORTS_BY_PROBES: "probes, which are not sent"}
 # Commands that live in packages of their own, loaded when they are asked for: `serve` must not grow by them.
 LATER = {
     **{
@@ -135,10 +135,10 @@
     given = _read(config)
     policy_settings = given.policy_settings
     click.echo(
-        f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {policy_settings.stage + 1},"
-        f" {policy_settings.ordinal + 1} of {policy_settings.group_size}; {len(policy_settings.use_cases)} use cases,"
+        f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {policy_settings.tier_index + 1},"
+        f" {policy_settings.proxy_index + 1} of {policy_settings.group_size}; {len(policy_settings.use_cases)} use cases,"
         f" {len(policy_settings.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
-        f" {'beside its client' if policy_settings.beside_client else 'one of a pool'}, load reported by"
+        f" {'beside its client' if policy_settings.is_sidecar else 'one of a pool'}, load reported by"
         f" {REPORTED_BY[policy_settings.reported_by]}"
     )
     if own is not None:
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -60,16 +60,16 @@
             told["tiers"] = [f"tier-{number}" for number in range(depth)]
             told["stage"] = level
             facade = Facade(read_settings(told, seed + level), NOW, quiet)
-            facade.listed(endpoint_update_of(stage.listing(BACKENDS)).entries, True, NOW)
+            facade.update_endpoints(endpoint_update_of(stage.listing(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
     def call(self, level: int = 0, until: int | None = None) -> bool:
         """One call by the proxies of a level; whether it was done."""
         facade = self._facades[level]
         until = self._now + self._waits if until is None else until
-        ticket = facade.take("use-0", "", self._now, max(1, until - self._now), 0)
-        step = facade.pick(ticket, self._now)
-        while step.what == SEND:
+        ticket = facade.open_ticket("use-0", "", self._now, max(1, until - self._now), 0)
+        step = facade.choose_backend(ticket, self._now)
+        while step.action == SEND:
             self.sends[level] += 1
             self._spoke_to[level] = step.backend
             latest = min(until, self._now + step.wait)
@@ -81,9 +81,9 @@
                 how = "done" if done else self._passed if level < self.depth - 1 else "error"
             step = facade.report(ticket, how, self._now)
             if how == "done":
-                facade.settle(ticket, self._now)
+                facade.close_ticket(ticket, self._now)
                 return True
-        facade.settle(ticket, self._now)
+        facade.close_ticket(ticket, self._now)
         return False
 
     def _serve(self, level: int, backend: str, until: int) -> bool:
@@ -100,7 +100,7 @@
 
     def usual(self, level: int) -> int:
         """What the proxy of a level has learned to be the usual time, in us."""
-        times: Any = self._facades[level].learned(self._now)["times"]
+        times: Any = self._facades[level].export_learned(self._now)["times"]
         return times["use-0"][0] if "use-0" in times else 0
 
     def warm(self, calls: int = 40) -> None:
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -73,7 +73,7 @@
 
 def facade_with(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
     facade = Facade(stage.ground_of(group, seed, ordinal, zones=zones), NOW, quiet)
-    facade.listed(endpoint_update_of(stage.listing(size, zones)).entries, True, NOW)
+    facade.update_endpoints(endpoint_update_of(stage.listing(size, zones)).entries, True, NOW)
     return facade
 
 
@@ -92,11 +92,11 @@
     now = NOW
     while True:
         now += BETWEEN
-        ticket = facade.take("use-0", "", now, SECOND, 0)
-        step = facade.pick(ticket, now)
-        if step.what == SEND:
+        ticket = facade.open_ticket("use-0", "", now, SECOND, 0)
+        step = facade.choose_backend(ticket, now)
+        if step.action == SEND:
             facade.report(ticket, "done", now + TAKES)
-        facade.settle(ticket, now + TAKES)
+        facade.close_ticket(ticket, now + TAKES)
         yield now
 
 
@@ -166,7 +166,7 @@
     """The backends that the proxy at that place sends to as a rule."""
     balancer = Balancer(stage.ground_of(callers, 0, ordinal, zones=zones), NOW, quiet)
     told = endpoint_update_of(stage.listing(backends, zones))
-    balancer.listed(
+    balancer.update_endpoints(
         [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
     )
     return [one.address for one in balancer._backends if one.near]
@@ -237,4 +237,4 @@
     """Other settings, in force for a list of 1,000."""
     facade = facade_with(1000, GROUP, seed)
     told = stage.settings(GROUP, use_cases=use_cases)
-    return cost(lambda: facade.retuned(read_settings(told, seed), NOW))
+    return cost(lambda: facade.reconfigure(read_settings(told, seed), NOW))
--- a/pepperusher/capacity/fit.py
+++ b/pepperusher/capacity/fit.py
@@ -20,8 +20,8 @@
 CLEARLY = 0.5
 # Where the line's own mean residual is under this part of the mean value, it is a line.
 STRAIGHT = 0.02
-# A list of fewer backends than this has arcs of REACH backends in a group of 1,000 proxies, whatever its
-# length; of more, arcs of HEARD in 1,000 of it (`policy.py`).
+# A list of fewer backends than this has arcs of MIN_BACKENDS_PER_PROXY backends in a group of 1,000 proxies, whatever its
+# length; of more, arcs of PROXIES_PER_BACKEND in 1,000 of it (`policy.py`).
 ARC_BEND = 400.0
 # Of so many routes what each looks through (`changes/active_configuration.py` sweep) takes as long as what it takes
 # itself: by trials at 200 and 400 routes, with that and without (docs/results.md).
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -36,7 +36,7 @@
         "connections",
         *kept,
         sockets,
-        "arcs (`policy.py` REACH, HEARD)",
+        "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND)",
         arc,
         "its list is longer: see the assumptions",
     )
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -403,11 +403,11 @@
         "",
         "`pepperusher capacity slopes --only attempts`. The real decisions in virtual time, one call from"
         " the top at a time, 2 s of patience, 1 ms of work at each level, 24 backends. Without a"
-        " bound three attempts at each of 30 levels come to 3^30. What stops it: SPARE_PART (0.2 further"
+        " bound three attempts at each of 30 levels come to 3^30. What stops it: RETRY_BUDGET_RATIO (0.2 further"
         " sends for each call taken) at each"
-        " proxy, and the client's wait; SPARE_MOST (10 saved up) makes the first calls the dearest. A"
+        " proxy, and the client's wait; RETRY_BUDGET_MAX (10 saved up) makes the first calls the dearest. A"
         " failure that is passed up as `full` never"
-        " ran, and is not held to SPARE_PART.",
+        " ran, and is not held to RETRY_BUDGET_RATIO.",
         "",
         *_at_all(book),
         "",
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -78,9 +78,9 @@
             decision(mild),
             decision(harsh),
             added,
-            "arcs of the list (`policy.py` REACH, HEARD), which the settings' group size turns off at 1",
+            "arcs of the list (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), which the settings' group size turns off at 1",
             ("decision.group1", "decision.group1000"),
-            "linear in the list only where the group size is small against HEARD x the list",
+            "linear in the list only where the group size is small against PROXIES_PER_BACKEND x the list",
         )
         yield Row(
             role,
@@ -501,7 +501,7 @@
             self._at(names[mild.zoned], mild.callers),
             self._at(names[harsh.zoned], harsh.callers),
             Budget(1_024, "own choice: the descriptors of a process that nobody has raised"),
-            "arcs (`policy.py` REACH, HEARD), laid by zone: with 13 zones a zone's part is under REACH, so"
+            "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), laid by zone: with 13 zones a zone's part is under REACH, so"
             " all connect to all",
             names,
         )
@@ -552,7 +552,7 @@
         slowed_depths = (5, 6, 7, 8, 10, 20, 30)
         t, mild, harsh = self.target, self.mild, self.harsh
         sends = Budget(
-            1.2 * t.depth, "own choice: SPARE_PART (0.2) read as the chain's whole excess over one send a level"
+            1.2 * t.depth, "own choice: RETRY_BUDGET_RATIO (0.2) read as the chain's whole excess over one send a level"
         )
 
         def key(of: Assumed, which: str) -> str:
@@ -571,7 +571,7 @@
                 self._single(key(mild, which)),
                 self._single(key(harsh, which)),
                 sends,
-                "SPARE_PART and SPARE_MOST at each proxy, and the client's wait; nothing is carried down the chain",
+                "RETRY_BUDGET_RATIO and RETRY_BUDGET_MAX at each proxy, and the client's wait; nothing is carried down the chain",
                 (key(mild, which), key(harsh, which)),
                 "mild: the last level fails 3 in 10 calls; harsh: all. Without a bound it were 3^30",
             )
--- a/pepperusher/capacity/storms.py
+++ b/pepperusher/capacity/storms.py
@@ -39,20 +39,20 @@
     due: list[tuple[int, int]] = []  # when, and whose turn to ask it is
     for number, facade in enumerate(facades):
         if back:
-            facade.tick(NOW)  # the watch that it had
-            facade.list_failed(NOW)
+            facade.endpoint_request_delay(NOW)  # the watch that it had
+            facade.endpoint_request_failed(NOW)
         heappush(due, (NOW if back else NOW + chance.randrange(STARTED_WITHIN), number))
     calls, free_at, last = 0, opens, opens
     while due:
         now, number = heappop(due)
         facade = facades[number]
-        wait = facade.tick(now)
+        wait = facade.endpoint_request_delay(now)
         if wait:
             heappush(due, (now + wait, number))
             continue
         calls += now >= opens
         if now < opens or (free_at - now) // TAKES >= QUEUE:
-            facade.list_failed(now + UNDER_WAY)
+            facade.endpoint_request_failed(now + UNDER_WAY)
             heappush(due, (now + UNDER_WAY, number))
             continue
         free_at = max(free_at, now) + TAKES
--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -23,12 +23,12 @@
 from pepperusher.changes.error_watch import ErrorWatch
 from pepperusher.facade import Endpoint
 from pepperusher.invariants import check_invariant
-from pepperusher.limits.gate import FULL, IN, LATE, WAITS, Gate, Waiting
+from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, Waiting
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Buckets, RetryBudget
 from pepperusher.configuration.loader import Read
 from pepperusher.configuration.tables import Concurrency
-from pepperusher.routes.terms import NO_LIMIT, PLAIN, Terms, Version
+from pepperusher.routes.terms import NO_LIMIT, DEFAULT_TERMS, Terms, Version
 
 RATE = "rate"
 # What a customer is called that a ticket does not name.
@@ -40,7 +40,7 @@
 
 
 class AdmittedTicket:
-    """One ticket's way in. `how` is IN, WAITS, FULL, LATE or RATE; `advice` when to come back (us) where it
+    """One ticket's way in. `how` is ADMITTED, QUEUED, FULL, TOO_LATE or RATE; `advice` when to come back (us) where it
     is kept out."""
 
     __slots__ = (
@@ -62,7 +62,7 @@
         self.version = version
         self.terms = terms
         self.customer = customer
-        self.how = IN
+        self.how = ADMITTED
         self.advice = 0
         self.came = came
         self.entered = came
@@ -124,12 +124,12 @@
         (us)."""
         version = self.version
         terms = version.terms(method, target, host, headers, use_case)
-        wait = terms.wait(given)
+        wait = terms.caller_timeout(given)
         until = now + (usual_wait if wait is None else wait)
         if self._latest is not None:
             until = min(until, self._latest)
         made = AdmittedTicket(version, terms, customer or NOBODY, now, until)
-        version.in_hand += 1
+        version.open_tickets += 1
         held = self._held.get(terms.name)
         if held is None:
             return made
@@ -139,9 +139,9 @@
                 return self._refused(made, held, RATE, come_back if come_back > 0 else ADVICE, now)
         if held.gate is not None:
             made.how, made.waiting = held.gate.enter(made.customer, terms.priority, now, made.until)
-            made.inside = made.how == IN
-            if made.how in (FULL, LATE):
-                return self._refused(made, held, made.how, max(ADVICE, held.gate.usual), now)
+            made.inside = made.how == ADMITTED
+            if made.how in (FULL, TOO_LATE):
+                return self._refused(made, held, made.how, max(ADVICE, held.gate.mean_service_time), now)
         return made
 
     def _refused(self, made: AdmittedTicket, held: _Held, how: str, advice: int, now: int) -> AdmittedTicket:
@@ -154,7 +154,7 @@
                 route=made.terms.name,
                 why=how,
                 kept_out=held.kept_out,
-                inside=gate.inside if gate else 0,
+                inside=gate.admitted_count if gate else 0,
                 waiting=gate.waiting if gate else 0,
                 limit=gate.limit if gate else 0,
             )
@@ -162,26 +162,26 @@
         return made
 
     def told(self, made: AdmittedTicket, how: str, now: int) -> None:
-        """One that waited is IN, or FULL or LATE."""
+        """One that waited is ADMITTED, or FULL or TOO_LATE."""
         made.how = how
-        made.inside = how == IN
+        made.inside = how == ADMITTED
         made.entered = now
-        if how != IN:
+        if how != ADMITTED:
             held = self._held.get(made.terms.name)
             if held is not None:
                 gate = held.gate
-                self._refused(made, held, how, max(ADVICE, gate.usual if gate else 0), now)
+                self._refused(made, held, how, max(ADVICE, gate.mean_service_time if gate else 0), now)
 
     def withdraw(self, made: AdmittedTicket) -> None:
         """Its client left while it waited."""
         held = self._held.get(made.terms.name)
-        if made.how == WAITS and held is not None and held.gate is not None and made.waiting is not None:
+        if made.how == QUEUED and held is not None and held.gate is not None and made.waiting is not None:
             held.gate.withdraw(made.waiting)
 
     def usual(self, made: AdmittedTicket) -> int:
         """How long those take that its gate lets in (us); 0 where there is none."""
         held = self._held.get(made.terms.name)
-        return held.gate.usual if held is not None and held.gate is not None else 0
+        return held.gate.mean_service_time if held is not None and held.gate is not None else 0
 
     def first(self, made: AdmittedTicket, now: int) -> None:
         """It goes out; the first time counts for the retry budget. Not told from the ticket's attempts: those that a
@@ -191,14 +191,14 @@
         made.out = True
         held = self._held.get(made.terms.name)
         if held is not None and held.budget is not None:
-            held.budget.first(now)
+            held.budget.record_first_attempt(now)
 
     def again(self, made: AdmittedTicket, how: str, now: int) -> bool:
         """Whether it may go out once more after an attempt that ended so."""
-        if how == "done" or not made.terms.again(how):
+        if how == "done" or not made.terms.may_retry_after(how):
             return False
         held = self._held.get(made.terms.name)
-        if held is None or held.budget is None or held.budget.further(now):
+        if held is None or held.budget is None or held.budget.try_retry(now):
             return True
         held.kept_out += 1
         if now - held.said_at >= SAID_EVERY:
@@ -210,14 +210,14 @@
         """`again` allowed one more, and the decisions did not make it."""
         held = self._held.get(made.terms.name)
         if held is not None and held.budget is not None and how != "done":
-            held.budget.unspent(now)
+            held.budget.refund_retry(now)
 
-    def close_at(self, latest: int) -> None:
+    def limit_deadlines(self, latest: int) -> None:
         """The proxy stops: who waits or comes is to be over by then."""
         self._latest = latest
         for held in self._held.values():
             if held.gate is not None:
-                held.gate.close_at(latest)
+                held.gate.limit_deadlines(latest)
 
     def over(self, made: AdmittedTicket, end: str, worked: bool, now: int) -> None:
         """The last word on a ticket: `end` is done, bounced, scrapped, or left (which tells nothing);
@@ -229,13 +229,13 @@
         self.withdraw(made)
         held = self._held.get(made.terms.name)
         if made.inside and held is not None and held.gate is not None:
-            held.gate.leave(made.customer, now - made.entered, worked, now)
+            held.gate.release(made.customer, now - made.entered, worked, now)
         if end != "left":
             self.toll.add(made.version.number, end, now - made.came, now)
         version = made.version
-        version.in_hand -= 1
-        check_invariant(version.in_hand >= 0, "a version's tickets are never under none")
-        if not version.in_hand and version not in (self.version, self.confirmed):
+        version.open_tickets -= 1
+        check_invariant(version.open_tickets >= 0, "a version's tickets are never under none")
+        if not version.open_tickets and version not in (self.version, self.confirmed):
             self.versions.pop(version.number, None)
 
     # --- what is in force -------------------------------------------------------------------------
@@ -270,7 +270,7 @@
                 held.budget.change(budget.share, budget.floor)
         for name, held in list(self._held.items()):
             if name not in names:
-                if held.gate is not None and (held.gate.inside or held.gate.waiting):
+                if held.gate is not None and (held.gate.admitted_count or held.gate.waiting):
                     held.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
                     held.buckets = held.budget = None
                 else:
@@ -314,7 +314,7 @@
         self._move(change, CONFIRMED, who, why, now)
         self.toll.end()
         before, self.confirmed = self.confirmed, self.version
-        if not before.in_hand and before is not self.version:
+        if not before.open_tickets and before is not self.version:
             self.versions.pop(before.number, None)
 
     def undo(self, change: Change, who: str, why: str, now: int) -> None:
@@ -328,7 +328,7 @@
         undone = self.version
         self.confirmed = self._enter(self.confirmed.read, now)
         for version in list(self.versions.values()):
-            if version is not self.version and not version.in_hand:
+            if version is not self.version and not version.open_tickets:
                 del self.versions[version.number]
         check_invariant(undone is not self.version, "an undo makes a version of its own")
 
@@ -365,7 +365,7 @@
                 held.buckets.sweep(now)
             if (
                 held.gate is not None
-                and not held.gate.inside
+                and not held.gate.admitted_count
                 and not held.gate.waiting
                 and all(route.name != name for route in self.version.read.own.routes)
             ):
@@ -376,7 +376,7 @@
         return [
             {
                 "route": name,
-                "inside": held.gate.inside if held.gate else 0,
+                "inside": held.gate.admitted_count if held.gate else 0,
                 "waiting": held.gate.waiting if held.gate else 0,
                 "limit": held.gate.limit if held.gate else None,
                 "customers": len(held.buckets) if held.buckets else 0,
@@ -397,4 +397,14 @@
     return Gradient(of.least, of.most, of.start, of.tolerance)
 
 
-__all__ = ["FULL", "IN", "LATE", "NO_LIMIT", "PLAIN", "AdmittedTicket", "RATE", "ActiveConfiguration", "WAITS"]
+__all__ = [
+    "FULL",
+    "ADMITTED",
+    "TOO_LATE",
+    "NO_LIMIT",
+    "DEFAULT_TERMS",
+    "AdmittedTicket",
+    "RATE",
+    "ActiveConfiguration",
+    "QUEUED",
+]
--- a/pepperusher/changes/overlay.py
+++ b/pepperusher/changes/overlay.py
@@ -16,8 +16,8 @@
     def __init__(self) -> None:
         self._marks: Mapping[str, Mark] = {}
         self._narrowed = EndpointFilter(self._marked)
-        self.lines = self._narrowed.lines
-        self.ready = self._narrowed.ready
+        self.lines = self._narrowed.filter
+        self.ready = self._narrowed.ready_endpoints
 
     def _marked(self, entry: Endpoint) -> Endpoint:
         mark = self._marks.get(entry.id)
@@ -32,7 +32,7 @@
         def turn() -> None:
             self._marks = marks
 
-        return self._narrowed.turned(turn)
+        return self._narrowed.replace_marks(turn)
 
     def unknown(self, marks: Mapping[str, Mark]) -> list[str]:
         """Marks on backends that the list does not have as ready now."""
--- a/pepperusher/configuration/validation.py
+++ b/pepperusher/configuration/validation.py
@@ -131,7 +131,7 @@
             )
         if (
             use is not None
-            and use.repeat == SINGLE_USE
+            and use.retry_class == SINGLE_USE
             and wanted > 1
             and (route.retry_on is None or set(route.retry_on) - {"unreached", "full"})
         ):
@@ -142,7 +142,7 @@
             )
     if (
         use is not None
-        and use.repeat == SINGLE_USE
+        and use.retry_class == SINGLE_USE
         and wanted is None
         and route.retry_on is not None
         and set(route.retry_on) - {"unreached", "full"}
@@ -186,17 +186,17 @@
         )
     if (
         use is not None
-        and use.repeat not in (REPLAYABLE, SINGLE_USE)
+        and use.retry_class not in (REPLAYABLE, SINGLE_USE)
         and (route.attempts or MOST_ATTEMPTS) > 1
         and route.time_out is not None
-        and use.remembered
-        and route.time_out >= use.remembered
+        and use.deduplication_window
+        and route.time_out >= use.deduplication_window
         and (route.retry_on is None or "timed out" in route.retry_on)
     ):
         tell(
             f"{at}.time_out",
             "within memory",
-            f"after it the group of {use.name} has forgotten the first, known for {use.remembered // 1000}ms",
+            f"after it the group of {use.name} has forgotten the first, known for {use.deduplication_window // 1000}ms",
         )
 
 
--- a/pepperusher/console/admin_commands.py
+++ b/pepperusher/console/admin_commands.py
@@ -29,7 +29,7 @@
         self.bans: dict[str, AdminCommand] = {}  # one in force stays till it is lifted, a lifted one for `kept`
         self.drain = NEVER
         self._narrowed = EndpointFilter(self._marked)
-        self.lines = self._narrowed.lines
+        self.lines = self._narrowed.filter
 
     def _marked(self, entry: Endpoint) -> Endpoint:
         order = self.bans.get(entry.id)
@@ -38,7 +38,7 @@
         if order.on:
             return entry._replace(ready=False)
         # It was restarted while it was out, and discovery may tell so late or never: it comes back cold.
-        return entry._replace(born=max(entry.born, order.at))
+        return entry._replace(started_at=max(entry.started_at, order.at))
 
     def banned(self, backend: str) -> bool:
         return self.bans.get(backend, NEVER).on
@@ -63,7 +63,7 @@
 
         if drain.at > self.drain.at:
             self.drain = drain
-        return self._narrowed.turned(turn)
+        return self._narrowed.replace_marks(turn)
 
     def forget(self, now: int) -> None:
         for backend, order in list(self.bans.items()):
--- a/pepperusher/distribution/relay.py
+++ b/pepperusher/distribution/relay.py
@@ -34,16 +34,16 @@
         self.told = False  # since the start
         self.changed = False  # since it was written last
 
-    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
+    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
         if whole or any(True for _ in entries):
             self.told = self.changed = True
         self._pause = 0
 
-    def list_failed(self, now: int) -> None:
+    def endpoint_request_failed(self, now: int) -> None:
         self._pause = min(PAUSE_MOST, 2 * self._pause or PAUSE_LEAST)
         self._ask_at = now + self._chance.randrange(self._pause // 2, self._pause + 1)
 
-    def tick(self, now: int) -> int:
+    def endpoint_request_delay(self, now: int) -> int:
         return max(0, self._ask_at - now)
 
 
--- a/pepperusher/endpoint.py
+++ b/pepperusher/endpoint.py
@@ -13,7 +13,7 @@
     zone: str
     cell: int
     weight: float
-    born: int
+    started_at: int
     ready: bool
     kind: str = ""
     gone: bool = False
--- a/pepperusher/endpoint_filter.py
+++ b/pepperusher/endpoint_filter.py
@@ -16,7 +16,7 @@
         # Discovery's last word of each that is ready; emptied with the list.
         self._told: dict[str, Endpoint] = {}
 
-    def lines(self, entries: Iterable[Endpoint], whole: bool) -> list[Endpoint]:
+    def filter(self, entries: Iterable[Endpoint], whole: bool) -> list[Endpoint]:
         """An endpoint update, as the decisions are to have it: a line for each, in the same order."""
         if whole:
             self._told.clear()
@@ -30,14 +30,14 @@
             made.append(self._mark(entry))
         return made
 
-    def turned(self, turn: Callable[[], None]) -> list[Endpoint]:
+    def replace_marks(self, turn: Callable[[], None]) -> list[Endpoint]:
         """Other marks from now on, by `turn`; the lines that change by it, of backends that discovery has as
         ready alone."""
         before = {name: self._mark(entry) for name, entry in self._told.items()}
         turn()
         return [after for name, entry in self._told.items() if (after := self._mark(entry)) != before[name]]
 
-    def ready(self) -> list[Endpoint]:
+    def ready_endpoints(self) -> list[Endpoint]:
         """Those that discovery has as ready."""
         return list(self._told.values())
 
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -46,7 +46,7 @@
     """What to do: send to `backend` for `wait` at most, hold for `wait`, or answer (`wait`: the advice, 0
     none)."""
 
-    what: str
+    action: str
     backend: str
     wait: int
 
@@ -72,22 +72,24 @@
         a change binds from the moment it is known nearby, so a lost watch is asked for anew within half a drain's grace;
         where it is asked for, the settings leave time, and every proxy asks the one discovery. But a change
         counts 6 s after discovery had it and could be reached, whatever they leave."""
-        policy_settings.must_ask = True
+        policy_settings.polls_list = True
         policy_settings.ask_within = (
-            policy_settings.drain_within if policy_settings.pushed else min(policy_settings.ask_within, ASK_WITHIN)
+            policy_settings.drain_within
+            if policy_settings.list_is_pushed
+            else min(policy_settings.ask_within, ASK_WITHIN)
         )
 
     def _take_up(self, policy_settings: PolicySettings) -> None:
         self._use_cases = {use.name: use for use in policy_settings.use_cases}
         self._customers = {customer.name: customer for customer in policy_settings.customers}
         self._most = policy_settings.most_attempts
-        self._by_answers = policy_settings.reported_by == terms.BY_ANSWERS
+        self._by_answers = policy_settings.reported_by == terms.REPORTS_IN_RESPONSES
         # A backend off the list may come back under its id. Its breaker tells something while it could still
         # be open
         # for a ticket that is in hand now; kept for longer, ids that are ever new would pile up.
-        self._remembered = OPEN_FOR + policy_settings.longest_wait
+        self._remembered = OPEN_FOR + policy_settings.max_outer_limit
 
-    def retuned(self, policy_settings: PolicySettings, now: int) -> None:
+    def reconfigure(self, policy_settings: PolicySettings, now: int) -> None:
         """Other settings from now on, all of them at once.
 
         A ticket in hand keeps the use case that it was taken under, and goes out no more often than either ground allows:
@@ -106,11 +108,11 @@
         for customer in policy_settings.customers:
             if (known := self._customers.get(customer.name)) is not None:
                 customer.allowance, customer.counted_at, customer.asked = known.allowance, known.counted_at, known.asked
-        self._balancer.retuned(policy_settings, now)
-        self.shared_by(self._sharers)
+        self._balancer.reconfigure(policy_settings, now)
+        self.set_proxy_count(self._sharers)
         self._take_up(policy_settings)
 
-    def shared_by(self, sharers: int | None) -> None:
+    def set_proxy_count(self, sharers: int | None) -> None:
         """Of how many proxies this one is one, where they share what a customer or a cold backend may get; None where nobody
         knows better than the settings. Which backends it takes for its own hangs on the settings alone: arcs would move
         with each proxy that comes and goes."""
@@ -121,19 +123,19 @@
     # --- tickets ----------------------------------------------------------------------------------
 
     @property
-    def in_hand(self) -> int:
+    def open_tickets(self) -> int:
         return len(self._tickets)
 
-    def repeat_of(self, use_case: str) -> str | None:
+    def retry_class_of(self, use_case: str) -> str | None:
         """Whether its tickets may run again; None for a use case that is not known."""
         use = self._use_cases.get(use_case)
-        return REPEAT[use.repeat] if use is not None else None
+        return REPEAT[use.retry_class] if use is not None else None
 
-    def outer_of(self, use_case: str) -> int:
+    def default_timeout_of(self, use_case: str) -> int:
         """How long a client of it waits that does not say."""
         return self._use_cases[use_case].outer_limit
 
-    def take(self, use_case: str, customer: str, came: int, left: int | None, cost: int) -> Ticket:
+    def open_ticket(self, use_case: str, customer: str, came: int, left: int | None, cost: int) -> Ticket:
         """A ticket in hand until it is settled; `left` is what its client waits, None if it does not say."""
         use = self._use_cases[use_case]
         until = came + (use.outer_limit if left is None else left)
@@ -143,32 +145,32 @@
         self._tickets.add(ticket)
         return ticket
 
-    def pick(self, ticket: Ticket, now: int) -> Step:
-        answer = self._balancer.where(ticket, now)
-        wait = self._balancer.wait(ticket, now)
+    def choose_backend(self, ticket: Ticket, now: int) -> Step:
+        answer = self._balancer.choose_backend(ticket, now)
+        wait = self._balancer.wait_time(ticket, now)
         if isinstance(answer, Backend):
-            return Step(SEND, answer.address, min(wait, ticket.until - now))
+            return Step(SEND, answer.address, min(wait, ticket.deadline - now))
         if answer == terms.NOT_YET:
             return Step(HOLD, "", wait)
         return Step(FINAL[answer], "", wait)
 
-    def stands(self, ticket: Ticket, now: int) -> bool:
+    def may_still_send(self, ticket: Ticket, now: int) -> bool:
         """Whether the attempt just picked may still be sent: a list or a client may have changed
         meanwhile."""
         sent = ticket.attempts[-1]
-        if ticket.over or sent.backend.address in self._unlisted or now - sent.sent >= sent.patience:
+        if ticket.finished or sent.backend.address in self._unlisted or now - sent.sent_at >= sent.timeout:
             return False
         # Its group may have forgotten an earlier one in the time that the connection took to come up.
-        ran = [one.sent for one in ticket.attempts[:-1] if one.ended not in terms.NEVER_RAN]
+        ran = [one.sent_at for one in ticket.attempts[:-1] if one.ended not in terms.NEVER_RAN]
         use = ticket.use_case
-        return not ran or use.repeat == terms.REPLAYABLE or not 0 < use.remembered <= now - ran[0]
+        return not ran or use.retry_class == terms.REPLAYABLE or not 0 < use.deduplication_window <= now - ran[0]
 
     def remaining(self, ticket: Ticket, now: int) -> int:
         """How long its client waits yet; under 0 once its time is over. While the attempt is aside that time stands."""
         aside = ticket.attempts[-1].aside if ticket.attempts else None
-        return ticket.until - (now if aside is None else aside)
+        return ticket.deadline - (now if aside is None else aside)
 
-    def remember(self, ticket: Ticket, backend: str, cell: int, sent: int, ran: bool) -> None:
+    def restore_attempt(self, ticket: Ticket, backend: str, cell: int, sent: int, ran: bool) -> None:
         """One that went out under the same mark before this ticket was taken, and may have run, or is known
         never to
         have: the rules on further attempts then hold for the mark. Before the first `pick`."""
@@ -185,16 +187,16 @@
         known = self._backends.get(backend)
         return known.cell if known is not None else 0
 
-    def remembered(self, use_case: str) -> int:
+    def deduplication_window_of(self, use_case: str) -> int:
         """For how long its group knows a repeat; at least as long as a client of it waits."""
         use = self._use_cases[use_case]
-        return max(use.remembered, use.outer_limit)
+        return max(use.deduplication_window, use.outer_limit)
 
-    def narrow(self, ticket: Ticket, most: int) -> None:
+    def limit_attempts(self, ticket: Ticket, most: int) -> None:
         """It goes out `most` times at the most, if the settings do not say less."""
         ticket.most = max(1, min(ticket.most, most))
 
-    def aside(self, ticket: Ticket, now: int) -> None:
+    def pause_attempt(self, ticket: Ticket, now: int) -> None:
         """Its body still comes, or its answer is passed on: a slow client, of which the backend's calls in
         flight, its time
         and its breaker must tell nothing. Until `back`, or the report."""
@@ -205,7 +207,7 @@
             if sent.trial and sent.generation == sent.backend.generation:
                 sent.backend.trial_due = now + FOR_NOW
 
-    def back(self, ticket: Ticket, now: int) -> None:
+    def resume_attempt(self, ticket: Ticket, now: int) -> None:
         """Its last byte is written: the ticket's time and the attempt's run from here."""
         self._back(ticket.attempts[-1], now)
 
@@ -216,16 +218,16 @@
         ticket, stood = sent.ticket, now - sent.aside
         sent.aside = None
         sent.backend.in_flight += 1
-        sent.sent += stood
-        ticket.came += stood
-        ticket.until += stood
+        sent.sent_at += stood
+        ticket.arrived_at += stood
+        ticket.deadline += stood
         if sent.trial and sent.generation == sent.backend.generation:
-            sent.backend.trial_due = sent.sent + sent.patience
+            sent.backend.trial_due = sent.sent_at + sent.timeout
 
-    def begun(self, ticket: Ticket, now: int) -> None:
+    def response_started(self, ticket: Ticket, now: int) -> None:
         """Its answer is passed on from here: no other can be its answer any more."""
-        self._balancer.begun(ticket.attempts[-1])
-        self.aside(ticket, now)
+        self._balancer.response_started(ticket.attempts[-1])
+        self.pause_attempt(ticket, now)
 
     def report(self, ticket: Ticket, how: str, now: int, again: bool = True) -> Step:
         """The attempt that was out has ended; tells what to do next. Not `again`: whatever it was, it
@@ -237,42 +239,42 @@
         self._back(sent, now)
         if not again:
             ticket.most = min(ticket.most, len(ticket.attempts))
-        answer = self._balancer.after(sent, HOW[how], how == "done", now)
+        answer = self._balancer.attempt_ended(sent, HOW[how], how == "done", now)
         check_invariant(sent.backend.in_flight >= 0, "calls in flight are never under none")
         if answer == terms.AGAIN:
-            return self.pick(ticket, now)
+            return self.choose_backend(ticket, now)
         if answer == terms.NOTHING:
             return OVER
-        return Step(FINAL[answer], "", self._balancer.wait(ticket, now))
+        return Step(FINAL[answer], "", self._balancer.wait_time(ticket, now))
 
-    def gone(self, ticket: Ticket, now: int) -> bool:
+    def caller_disconnected(self, ticket: Ticket, now: int) -> bool:
         """The client left; tells whether what is out is to be called off."""
-        if ticket.over:
+        if ticket.finished:
             return False
-        self._balancer.gone(ticket)
-        return self._balancer.wait(ticket, now) == 0
+        self._balancer.caller_disconnected(ticket)
+        return self._balancer.wait_time(ticket, now) == 0
 
-    def settle(self, ticket: Ticket, now: int) -> None:
+    def close_ticket(self, ticket: Ticket, now: int) -> None:
         """The last word on a ticket, whatever became of it: nothing of it may stay in flight."""
         for sent in ticket.attempts:
             if sent.ended is None:
                 self._back(sent, now)
-                self._balancer.after(sent, terms.UNKNOWN, True, now)
-        ticket.over = True
+                self._balancer.attempt_ended(sent, terms.UNKNOWN, True, now)
+        ticket.finished = True
         # Each points to its ticket: they would stay until a collection.
         ticket.attempts.clear()
         check_invariant(ticket in self._tickets, "a ticket is settled once")
         self._tickets.discard(ticket)
 
-    def close_at(self, latest: int) -> None:
+    def limit_deadlines(self, latest: int) -> None:
         """Tickets in hand and those still to come are to be over by `latest`: the proxy is about to stop."""
         self._latest = latest
         for ticket in self._tickets:
-            ticket.until = min(ticket.until, latest)
+            ticket.deadline = min(ticket.deadline, latest)
 
     # --- the list ---------------------------------------------------------------------------------
 
-    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
+    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
         lines = []
         seen = set()
         for entry in entries:
@@ -285,7 +287,9 @@
             else:
                 self._unlisted.setdefault(entry.id, now)
             lines.append(
-                Listing(backend, entry.zone, entry.cell, entry.weight, entry.born, entry.ready, entry.kind, entry.gone)
+                Listing(
+                    backend, entry.zone, entry.cell, entry.weight, entry.started_at, entry.ready, entry.kind, entry.gone
+                )
             )
         if whole:
             for name in self._backends:
@@ -295,19 +299,21 @@
         for name, since in list(self._unlisted.items()):
             if now - since >= self._remembered and not self._backends[name].in_flight:
                 del self._unlisted[name], self._backends[name]
-        self._balancer.listed(lines, whole, now)
+        self._balancer.update_endpoints(lines, whole, now)
 
-    def learned(self, now: int) -> dict[str, object]:
+    def export_learned(self, now: int) -> dict[str, object]:
         """What another process of the same proxy can go on from, in plain values: `taught` reads it there."""
         open_for = {
             name: max(0, one.open_until - now) if one.state == terms.OPEN else 0
             for name, one in self._backends.items()
             if one.state != terms.CLOSED
         }
-        times = {name: [use.usual, use.spread] for name, use in self._use_cases.items() if use.usual}
-        return {"open_for": open_for, "times": times, "flow": list(self._balancer.learned(now))}
+        times = {
+            name: [use.mean_latency, use.latency_deviation] for name, use in self._use_cases.items() if use.mean_latency
+        }
+        return {"open_for": open_for, "times": times, "flow": list(self._balancer.export_learned(now))}
 
-    def taught(self, told: Mapping[str, object], now: int) -> None:
+    def import_learned(self, told: Mapping[str, object], now: int) -> None:
         """Raises ValueError where that is not what `learned` gives; nothing of it is taken then."""
 
         def whole(value: object) -> int:
@@ -326,17 +332,17 @@
                 backend.state, backend.open_until = terms.OPEN, now + left
         for name, (known, spread) in times.items():
             if (use := self._use_cases.get(name)) is not None:
-                use.usual, use.spread = known, spread
-        self._balancer.taught(usual, flow, took, now)
+                use.mean_latency, use.latency_deviation = known, spread
+        self._balancer.import_learned(usual, flow, took, now)
 
-    def reported(self, backend: str, load: Mapping[int, float], now: int) -> None:
+    def record_load_report(self, backend: str, load: Mapping[int, float], now: int) -> None:
         """What an answer told of its backend's load, in the words of `terms`; where the settings name no such
         reports, and of one off the list, it counts for nothing."""
         known = self._backends.get(backend)
         if known is not None and self._by_answers:
-            self._balancer.reported(known, load, now)
+            self._balancer.record_load_report(known, load, now)
 
-    def knows(self, backend: str) -> bool:
+    def has_backend(self, backend: str) -> bool:
         """Whether the list has it, or had it a short time ago."""
         return backend in self._backends
 
@@ -365,17 +371,17 @@
             {
                 "use_case": one.use_case.name,
                 "customer": one.customer.name if one.customer else "",
-                "age_ms": (now - one.came) // 1000,
-                "left_ms": (one.until - now) // 1000,
+                "age_ms": (now - one.arrived_at) // 1000,
+                "left_ms": (one.deadline - now) // 1000,
                 "attempts": len(one.attempts),
                 "at": next((sent.backend.address for sent in one.attempts if sent.ended is None), ""),
             }
-            for one in sorted(self._tickets, key=lambda one: one.came)
+            for one in sorted(self._tickets, key=lambda one: one.arrived_at)
         ]
 
-    def list_failed(self, now: int) -> None:
-        self._balancer.list_failed(now)
+    def endpoint_request_failed(self, now: int) -> None:
+        self._balancer.endpoint_request_failed(now)
 
-    def tick(self, now: int) -> int:
+    def endpoint_request_delay(self, now: int) -> int:
         """In how long to ask for the list; 0 is now, and counts as asked; -1 is when the asking has ended."""
-        return self._balancer.wait(None, now)
+        return self._balancer.wait_time(None, now)
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -194,7 +194,7 @@
             self._tell_all()
             self._tell_at = now
 
-    def retuned(self, told: int, tier: int, place: int) -> None:
+    def reconfigure(self, told: int, tier: int, place: int) -> None:
         """Other settings: how many proxies they count, and which of them this one is."""
         self.terms = self.terms._replace(told=told)
         if (tier, place) != (self.me.tier, self.me.place):
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -18,31 +18,31 @@
 USUAL = 32
 # Customers with nothing in hand and nothing waiting are forgotten at once; others are as many as tickets in
 # hand.
-IN, WAITS, FULL, LATE = "in", "waits", "full", "late"
+ADMITTED, QUEUED, FULL, TOO_LATE = "in", "waits", "full", "late"
 
 
 class Waiting:
-    """A ticket at the gate. `tell` is called once with IN, FULL or LATE if it had to wait."""
+    """A ticket at the gate. `on_decision` is called once with ADMITTED, FULL or TOO_LATE if it had to wait."""
 
-    __slots__ = ("customer", "priority", "came", "until", "order", "tell")
+    __slots__ = ("customer", "priority", "arrived_at", "deadline", "order", "on_decision")
 
-    def __init__(self, customer: str, priority: int, came: int, until: int, order: int) -> None:
+    def __init__(self, customer: str, priority: int, arrived_at: int, deadline: int, order: int) -> None:
         self.customer = customer
         self.priority = priority
-        self.came = came
-        self.until = until
+        self.arrived_at = arrived_at
+        self.deadline = deadline
         self.order = order
-        self.tell: Callable[[str], Any] | None = None
+        self.on_decision: Callable[[str], Any] | None = None
 
 
 class _Share:
     """One customer here."""
 
-    __slots__ = ("weight", "inside", "queue")
+    __slots__ = ("weight", "admitted_count", "queue")
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.inside = 0
+        self.admitted_count = 0
         self.queue: list[Waiting] = []  # by priority, then coming; emptied as they go in or are dropped
 
 
@@ -57,7 +57,7 @@
         self._shares: dict[str, _Share] = {}  # emptied as customers have nothing here
         self._order = 0
         self._usual = 0.0
-        self.inside = 0
+        self.admitted_count = 0
         self.waiting = 0
 
     @property
@@ -70,7 +70,7 @@
         return self._limit if isinstance(self._limit, Gradient) else None
 
     @property
-    def usual(self) -> int:
+    def mean_service_time(self) -> int:
         """How long one that was let in takes lately (us)."""
         return int(self._usual)
 
@@ -94,18 +94,18 @@
 
     def _tidy(self, customer: str) -> None:
         share = self._shares.get(customer)
-        if share is not None and not share.inside and not share.queue:
+        if share is not None and not share.admitted_count and not share.queue:
             del self._shares[customer]
 
     def enter(self, customer: str, priority: int, now: int, until: int) -> tuple[str, Waiting]:
-        """IN, WAITS (then `tell` is told), FULL, or LATE: it could not be in time."""
+        """ADMITTED, QUEUED (then `on_decision` is told), FULL, or TOO_LATE: it could not be in time."""
         self._order += 1
         one = Waiting(customer, priority, now, until, self._order)
-        if self.inside < self.limit and not self.waiting:
+        if self.admitted_count < self.limit and not self.waiting:
             self._take(one)
-            return IN, one
+            return ADMITTED, one
         if now + self._wait_of(customer) + self._usual >= until:
-            return LATE, one
+            return TOO_LATE, one
         if self._most_waiting <= 0:
             return FULL, one
         share = self._share(customer)
@@ -114,7 +114,7 @@
         self.waiting += 1
         if self.waiting > self._most_waiting and self._drop_last(FULL) is one:
             return FULL, one
-        return WAITS, one
+        return QUEUED, one
 
     def _wait_of(self, customer: str) -> float:
         """How long one more of this customer's would wait, if all inside took as long as lately: its share of
@@ -129,18 +129,18 @@
         return self._usual * (ahead + 0.5) / max(1.0, self.limit * part)
 
     def _take(self, one: Waiting) -> None:
-        self._share(one.customer).inside += 1
-        self.inside += 1
+        self._share(one.customer).admitted_count += 1
+        self.admitted_count += 1
 
-    def leave(self, customer: str, took: int, worked: bool, now: int) -> None:
+    def release(self, customer: str, took: int, worked: bool, now: int) -> None:
         """One that was in is over. `worked` where its time tells of the servers: done, failed or timed
         out."""
         share = self._shares[customer]
-        share.inside -= 1
+        share.admitted_count -= 1
         if worked:
-            self._limit.heard(took, self.inside)
+            self._limit.heard(took, self.admitted_count)
             self._usual += (took - self._usual) / USUAL if self._usual else took
-        self.inside -= 1
+        self.admitted_count -= 1
         self._tidy(customer)
         self._let_in(now)
 
@@ -153,19 +153,19 @@
             self._tidy(one.customer)
 
     def _let_in(self, now: int) -> None:
-        while self.waiting and self.inside < self.limit:
+        while self.waiting and self.admitted_count < self.limit:
             name, share = min(
                 ((name, share) for name, share in self._shares.items() if share.queue),
-                key=lambda pair: (pair[1].inside / pair[1].weight, pair[1].queue[0].order),
+                key=lambda pair: (pair[1].admitted_count / pair[1].weight, pair[1].queue[0].order),
             )
             one = share.queue.pop(0)
             self.waiting -= 1
-            if now + self._usual >= one.until:
+            if now + self._usual >= one.deadline:
                 self._tidy(name)
-                self._told(one, LATE)
+                self._told(one, TOO_LATE)
                 continue
             self._take(one)
-            self._told(one, IN)
+            self._told(one, ADMITTED)
 
     def _drop_last(self, why: str) -> Waiting:
         """Of whoever has most waiting for its weight, the last."""
@@ -181,19 +181,19 @@
 
     @staticmethod
     def _told(one: Waiting, how: str) -> None:
-        if one.tell is not None:
-            one.tell(how)
+        if one.on_decision is not None:
+            one.on_decision(how)
 
-    def close_at(self, latest: int) -> None:
+    def limit_deadlines(self, latest: int) -> None:
         """Who waits is to be in and over by then, or is late."""
         for share in self._shares.values():
             for one in share.queue:
-                one.until = min(one.until, latest)
+                one.deadline = min(one.deadline, latest)
 
     def sweep(self, now: int) -> int:
         """Drops those that can no longer be in time; how many."""
-        late = [one for share in self._shares.values() for one in share.queue if now + self._usual >= one.until]
+        late = [one for share in self._shares.values() for one in share.queue if now + self._usual >= one.deadline]
         for one in late:
             self.withdraw(one)
-            self._told(one, LATE)
+            self._told(one, TOO_LATE)
         return len(late)
--- a/pepperusher/limits/rate.py
+++ b/pepperusher/limits/rate.py
@@ -103,10 +103,10 @@
         self._at = max(self._at, at)
         return self._at % 10
 
-    def first(self, now: int) -> None:
+    def record_first_attempt(self, now: int) -> None:
         self._firsts[self._turn(now)] += 1
 
-    def further(self, now: int) -> bool:
+    def try_retry(self, now: int) -> bool:
         """Whether one more may go; if so it is counted."""
         place = self._turn(now)
         allowed = self._share * sum(self._firsts) + self._floor * self._tenth * 10 / 1e6
@@ -115,7 +115,7 @@
         self._furthers[place] += 1
         return True
 
-    def unspent(self, now: int) -> None:
+    def refund_retry(self, now: int) -> None:
         """One that was counted did not go."""
         place = self._turn(now)
         if self._furthers[place]:
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -138,7 +138,7 @@
                 "version": standing.version.number,
                 "digest": standing.version.read.digest,
                 "versions": sorted(standing.versions),
-                "in_hand": facade.in_hand,
+                "in_hand": facade.open_tickets,
                 "stopping": self._host.stopping,
                 "open_change": None if change is None else _change(change),
                 "kept_out": dict(house.kept_out),
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -67,7 +67,7 @@
         self._doors: dict[str, Door] = {}  # emptied by the list, once nothing is out there
         budget.may_close_idle(self._close_oldest)
 
-    def retuned(self, connect_within: int, idle_most: int) -> None:
+    def reconfigure(self, connect_within: int, idle_most: int) -> None:
         self._connect_within, self._idle_most = connect_within / 1e6, idle_most // 2
         self._kept_most = min(self._kept_most, self._idle_most)
 
@@ -261,7 +261,7 @@
             await placed.list_read()
             # Never written to, whatever it is given up for: the ticket never ran, and where its client left that tells
             # nothing of the backend.
-            if out.how is not None or not placed.stands():
+            if out.how is not None or not placed.may_still_send():
                 self._keep(door, link)
                 return "moot" if out.how == "called off" or placed.left() else "unreached", None
             if door.address != link.address or not link.line.quiet():
--- a/pepperusher/net/bootstrap.py
+++ b/pepperusher/net/bootstrap.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from pepperusher.settings import SettingsError, read_settings, part, span
+from pepperusher.settings import SettingsError, read_settings, typed_field, duration_field
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, address_of, endpoint_update_of
 from pepperusher.terms import PolicySettings
 
@@ -90,11 +90,11 @@
     for use in made.policy_settings.use_cases:
         if use.outer_limit <= 0:
             raise BootstrapError(f"settings: use-cases: {use.name}: outer-limit is no number above 0")
-        if use.promised < 0:
+        if use.latency_target < 0:
             raise BootstrapError(f"settings: use-cases: {use.name}: promised-time is under 0")
         if names.count(use.name) > 1:
             raise BootstrapError(f"settings: use-cases: {use.name} stands there twice")
-    most = part(settings, "policy-limits", dict).get("most-transmissions", 1)
+    most = typed_field(settings, "policy-limits", dict).get("most-transmissions", 1)
     if not most >= 1 or most != int(most):
         raise BootstrapError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
 
@@ -135,7 +135,7 @@
     except ValueError:
         raise BootstrapError(f"seed: {of['seed']!r} is not a hexadecimal number") from None
     try:
-        limits, settings = part(of, "limits", dict), part(of, "settings", dict)
+        limits, settings = typed_field(of, "limits", dict), typed_field(of, "settings", dict)
         if not settings:
             raise BootstrapError("settings: missing")
         sockets = limits.get("sockets", SOCKETS)
@@ -150,9 +150,9 @@
         if not made.policy_settings.use_cases:
             raise BootstrapError("settings: use-cases: there is none")
         _check(made, settings)
-        allowed = part(settings, "policy-limits", dict)
-        made.connect_within = span(allowed, "connect-timeout", CONNECT_WITHIN)
-        made.idle_most = span(allowed, "keepalive", KEEPALIVE)
+        allowed = typed_field(settings, "policy-limits", dict)
+        made.connect_within = duration_field(allowed, "connect-timeout", CONNECT_WITHIN)
+        made.idle_most = duration_field(allowed, "keepalive", KEEPALIVE)
     except SettingsError as error:
         raise BootstrapError(f"settings: {error}") from None
     try:
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -191,7 +191,7 @@
         self._accepting: asyncio.Task[None]
         budget.may_close_idle(self._close_oldest)
 
-    def retuned(self, longest_wait: int) -> None:
+    def reconfigure(self, longest_wait: int) -> None:
         self._longest_wait = longest_wait
 
     @property
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -16,7 +16,15 @@
 from pepperusher.changes import shared_section
 from pepperusher.changes.confirmed_file import ConfirmedFile
 from pepperusher.changes.transaction_log import APPLIED, CONFIRMED, UNDONE, Change, TransactionError
-from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, AdmittedTicket, ActiveConfiguration
+from pepperusher.changes.active_configuration import (
+    FULL,
+    ADMITTED,
+    TOO_LATE,
+    RATE,
+    QUEUED,
+    AdmittedTicket,
+    ActiveConfiguration,
+)
 from pepperusher.facade import Endpoint
 from pepperusher.net import clock
 from pepperusher.net.callers import Call
@@ -36,10 +44,10 @@
 # With less than this left a ticket is let in to no purpose, however quick answers are.
 LEAST_LEFT = 30_000
 # 429 tells a client that it is its own doing, 503 that it is not; both are bounces.
-STATUS = {RATE: 429, FULL: 503, LATE: 503}
+STATUS = {RATE: 429, FULL: 503, TOO_LATE: 503}
 # A drain by hand is put behind the file's text.
 DRAIN = "\n[[backends]]\nid = {id}\ndrain = true\n"
-WHY = {RATE: "over its rate", FULL: "too many at once", LATE: "could not be in time"}
+WHY = {RATE: "over its rate", FULL: "too many at once", TOO_LATE: "could not be in time"}
 
 
 def given_of(words: tuple[str, ...]) -> dict[str, Any]:
@@ -62,7 +70,7 @@
         say = log.tell
         self._hanging: asyncio.Task[None] | None = None
         self.kept_out: dict[str, int] = {}  # by the words of STATUS, so it grows with the code alone
-        self._longest_advice = policy_settings.longest_advice or LONGEST_ADVICE
+        self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
         self._path = Path(path)
         self._given = dict(given)
         self._environment = loader.from_environment(os.environ)
@@ -156,11 +164,11 @@
         """The operators' settings as they are now; the own file is read against them from here on, and proposed
         as it stands."""
         self._policy_settings = policy_settings
-        self._longest_advice = policy_settings.longest_advice or LONGEST_ADVICE
+        self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
         self.hang_up()
 
     def leaving(self, until: int) -> None:
-        self.standing.close_at(until)
+        self.standing.limit_deadlines(until)
 
     def _list_again(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
@@ -204,7 +212,7 @@
         for name, value in request.headers:
             if name == b"host":
                 host = value
-            elif version.by_header:
+            elif version.matches_headers:
                 headers[name.decode("latin-1")] = value.decode("latin-1")
         return self.standing.ask(
             request.method.decode("latin-1"),
@@ -228,8 +236,8 @@
     async def _admitted(self, made: AdmittedTicket, call: Call) -> bool:
         if call.left:
             return False
-        if made.how != WAITS or made.waiting is None:
-            return made.how == IN
+        if made.how != QUEUED or made.waiting is None:
+            return made.how == ADMITTED
         told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
         def tell(how: str) -> None:
@@ -238,25 +246,25 @@
                 told.set_result(how)
 
         def leave() -> None:
-            if made.how == WAITS:
+            if made.how == QUEUED:
                 self.standing.withdraw(made)
                 made.how = "left"
                 if not told.done():
                     told.set_result("left")
 
         def late() -> None:
-            if made.how == WAITS:
+            if made.how == QUEUED:
                 self.standing.withdraw(made)
-                tell(LATE)
+                tell(TOO_LATE)
 
-        made.waiting.tell = tell
+        made.waiting.on_decision = tell
         call.on_leave = leave
         # Of its own, and not with the next look at all: that is up to LOOK_EVERY later, and its client has
         # left by then.
         left = made.until - clock.now() - max(LEAST_LEFT, self.standing.usual(made))
         timer = asyncio.get_running_loop().call_later(max(0, left) / 1e6, late)
         try:
-            return await told == IN and not call.left
+            return await told == ADMITTED and not call.left
         finally:
             timer.cancel()
             call.on_leave = None
@@ -268,7 +276,7 @@
         self._count(f"kept out {made.how}")
         advice = (
             [(b"retry-after", f"{min(made.advice, self._longest_advice) / 1e6:.3f}".encode())]
-            if self._policy_settings.may_advise
+            if self._policy_settings.retry_after_allowed
             else []
         )
         return self.named(made, plain(STATUS[made.how], WHY[made.how], *advice))
@@ -276,7 +284,7 @@
     def goes(self, made: AdmittedTicket, wait: int) -> int:
         """It goes out now; for how long at the most."""
         self.standing.first(made, clock.now())
-        return made.terms.patient(wait)
+        return made.terms.attempt_timeout(wait)
 
     def again(self, made: AdmittedTicket, how: str) -> bool:
         return self.standing.again(made, how, clock.now())
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -74,7 +74,7 @@
 
     def _backoff(self) -> float:
         """What the decisions say, in seconds."""
-        wait = self._facade.tick(clock.now())
+        wait = self._facade.endpoint_request_delay(clock.now())
         return wait / 1e6 if wait >= 0 else 1.0
 
     def take(self, update: EndpointUpdate, source: Source | None = None) -> None:
@@ -132,7 +132,7 @@
             self.confirmed_at = confirmed_at
             self.take(update)
             self._source.version, self._borrowed = None, True
-            self._facade.list_failed(clock.now())
+            self._facade.endpoint_request_failed(clock.now())
 
     @property
     def watched(self) -> bool:
@@ -383,7 +383,7 @@
         if silent:
             return True
         # Whatever discovery says or does: without a watch drains are not kept.
-        self._facade.list_failed(clock.now())
+        self._facade.endpoint_request_failed(clock.now())
         if source.calls:
             source.schedule.cut_short(now)
         else:
@@ -485,7 +485,7 @@
             self.confirmation.confirmed(self._watch_described())
         if self._lost:
             self._lost = False
-            self._facade.listed((), False, clock.now())
+            self._facade.update_endpoints((), False, clock.now())
         if self.on_word is not None:
             self.on_word()
 
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -46,10 +46,12 @@
         now, discovery, policy_settings = clock.now(), host.discovery, host.policy_settings
         self._number = None if discovery.wanting else discovery.version
         # Where lists are pushed, nobody is let in before discovery was asked.
-        self._source = EndpointSource(now, self._chance, self._number, 0 if policy_settings.pushed else START_AFTER)
-        if not policy_settings.pushed:
+        self._source = EndpointSource(
+            now, self._chance, self._number, 0 if policy_settings.list_is_pushed else START_AFTER
+        )
+        if not policy_settings.list_is_pushed:
             discovery.rest()
-        self._asks = policy_settings.pushed
+        self._asks = policy_settings.list_is_pushed
         self._look()
 
     def stop(self) -> None:
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -19,11 +19,11 @@
     """What a list is told to, and what says when to ask again: a proxy's decisions, or a control machine's part for
     it."""
 
-    def listed(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None: ...
+    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None: ...
 
-    def list_failed(self, now: int) -> None: ...
+    def endpoint_request_failed(self, now: int) -> None: ...
 
-    def tick(self, now: int) -> int: ...
+    def endpoint_request_delay(self, now: int) -> int: ...
 
 
 class Reaches(Protocol):
@@ -67,7 +67,7 @@
                 "weight": entry.weight,
                 "kind": entry.kind,
                 "state": "ready" if entry.ready else "draining",
-                "started_ms": entry.born / 1000,
+                "started_ms": entry.started_at / 1000,
             }
             for entry, address in self._told.values()
         ]
@@ -120,7 +120,7 @@
         if whole:
             self._backends.only({entry.id for entry in entries})
         if entries or whole:
-            self._facade.listed(entries, whole, clock.now())
+            self._facade.update_endpoints(entries, whole, clock.now())
 
     def changes_to(self, update: EndpointUpdate) -> EndpointUpdate:
         """What of a whole list is different here, as an update of changes."""
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -71,23 +71,32 @@
     """What the decisions are told of an attempt under way: set aside while its body comes, and back in
     its place."""
 
-    __slots__ = ("stands", "left", "aside", "back", "remaining", "list_read", "stood", "expired")
+    __slots__ = (
+        "may_still_send",
+        "left",
+        "pause_attempt",
+        "resume_attempt",
+        "remaining",
+        "list_read",
+        "stood",
+        "expired",
+    )
 
     def __init__(
         self,
-        stands: Callable[[], bool],
+        may_still_send: Callable[[], bool],
         left: Callable[[], bool],
-        aside: Callable[[], None],
-        back: Callable[[], None],
+        pause_attempt: Callable[[], None],
+        resume_attempt: Callable[[], None],
         remaining: Callable[[], int],
         list_read: Callable[[], Awaitable[None]],
         stood: Callable[[], bool],
         expired: Callable[[], bool],
     ) -> None:
-        self.stands = stands
+        self.may_still_send = may_still_send
         self.left = left  # whether its client has
-        self.aside = aside
-        self.back = back
+        self.pause_attempt = pause_attempt
+        self.resume_attempt = resume_attempt
         self.remaining = remaining  # how long its client waits yet, in microseconds
         self.stood = stood  # whether the process stood still, and the list was not read since
         self.expired = expired  # whether the list has: nothing may be written by it
@@ -177,7 +186,7 @@
         if not sent:
             return "moot" if self._out.how == "called off" else "unreached"
         if rest is not None:
-            self._placed.aside()
+            self._placed.pause_attempt()
             while True:
                 try:
                     data = await rest.read()
@@ -194,7 +203,7 @@
                         return "moot" if self._out.how == "called off" else "unreached"
                 if not data:
                     break
-            self._placed.back()
+            self._placed.resume_attempt()
             self._due()
         self._out.written = True
         return None
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -156,8 +156,8 @@
             0,
             STARTING,
             False,
-            self._policy_settings.stage,
-            self._policy_settings.ordinal,
+            self._policy_settings.tier_index,
+            self._policy_settings.proxy_index,
         )
         seeds = tuple(map(validation.address_of, self._said.seeds))
         terms = SwimSettings(self._said.period, self._said.within, seeds, self._policy_settings.group_size, KEPT)
@@ -189,7 +189,7 @@
         """A size that the settings have now goes before what was reckoned from the one before."""
         self._policy_settings = policy_settings
         if self.swim is not None:
-            self.swim.retuned(policy_settings.group_size, policy_settings.stage, policy_settings.ordinal)
+            self.swim.reconfigure(policy_settings.group_size, policy_settings.tier_index, policy_settings.proxy_index)
             self._share()
 
     def leaving(self, until: int) -> None:
@@ -294,7 +294,7 @@
         size = self.swim.size()
         if size != self.sharers:
             self.sharers = size
-            self._host.facade.shared_by(size)
+            self._host.facade.set_proxy_count(size)
             self._say("group: shares", of=size, told=self._policy_settings.group_size)
 
     # --- streams --------------------------------------------------------------------------------------
@@ -364,7 +364,7 @@
                     for one in self.swim.roll
                     if one.health == ALIVE
                     and one.said.phase in (SERVING, SENT_AWAY)
-                    and one.said.tier == self._policy_settings.stage
+                    and one.said.tier == self._policy_settings.tier_index
                 ]
                 asked = self._chance.sample(there, min(LENDERS, len(there)))
                 made = await asyncio.gather(*map(self._list_of, asked))
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -12,7 +12,7 @@
 
 from pepperusher import invariants
 from pepperusher.facade import BOUNCE, HOLD, REFERENCED, REPLAYABLE, SCRAP, SEND, Endpoint, Facade, Step
-from pepperusher.settings import load
+from pepperusher.settings import parse_load_report
 from pepperusher.net import clock, load_reports
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
@@ -92,7 +92,7 @@
         self._budget = Budget(_descriptors(told.sockets), sum(one.descriptors for one in self._extensions))
         self._facade = Facade(told.policy_settings, clock.now(), self._log.say)
         # Callers first: where descriptors run out, it is theirs that are closed first, since they cost least.
-        self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.policy_settings.longest_wait)
+        self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.policy_settings.max_outer_limit)
         self._backends = Backends(self._budget, self._pool, told.connect_within, told.idle_most)
         self._discovery = Discovery(
             told.discovery,
@@ -162,7 +162,7 @@
         if told.get(b"request-class", named) != named:
             raise BadRequest("Request-Class is not the first part of the path")
         use_case = named.decode("latin-1")
-        repeat = self._facade.repeat_of(use_case)
+        repeat = self._facade.retry_class_of(use_case)
         if repeat is None:
             raise BadRequest("the use case is not known here")
         # Backends turn the rest away, which would count as their failing.
@@ -189,28 +189,28 @@
             return LEFT
         passed = None
         if self._gate is not None:
-            passed = self._gate.ask(call.request, use_case, customer, wait, self._facade.outer_of(use_case))
+            passed = self._gate.ask(call.request, use_case, customer, wait, self._facade.default_timeout_of(use_case))
             if not await self._gate.admit(passed, call):
                 return self._gate.refusal(passed)
-            wait = passed.terms.wait(wait)
-        ticket = self._facade.take(use_case, customer, call.came, wait, cost)
+            wait = passed.terms.caller_timeout(wait)
+        ticket = self._facade.open_ticket(use_case, customer, call.came, wait, cost)
         name = told[b"request-id"]
         if passed is not None:
-            self._facade.narrow(ticket, passed.terms.most)
+            self._facade.limit_attempts(ticket, passed.terms.max_attempts)
         # What was sent under a mark counts over tickets and restarts, where it is kept.
         shelf = self._gate.shelf if self._gate is not None and repeat == REFERENCED else None
         mark = told[b"idempotency-key"].decode("latin-1") if shelf is not None else ""
         if shelf is not None and shelf.on:
             for one in shelf.past(use_case, mark):
-                self._facade.remember(ticket, one.backend, one.cell, one.sent, one.ran)
+                self._facade.restore_attempt(ticket, one.backend, one.cell, one.sent, one.ran)
         elif shelf is not None and any(header == b"client-retry" for header, _ in headers):
             # Nobody knows any more how often it went out.
-            self._facade.narrow(ticket, 1)
+            self._facade.limit_attempts(ticket, 1)
         onward = [pair for pair in end_to_end(headers) if pair[0] != b"request-timeout"]
         out: Attempt | None = None
 
         def leave() -> None:
-            off = self._facade.gone(ticket, clock.now()) or call.begun
+            off = self._facade.caller_disconnected(ticket, clock.now()) or call.begun
             # Work under way stays where the settings have it so; what is not written whole is none, and would be later.
             if out is not None and (off or not out.written):
                 out.give_up("called off")
@@ -221,23 +221,25 @@
             """What it tells of its backend's load goes to the decisions, and no further."""
             if not any(name == load_reports.HEADER for name, _ in head.headers):
                 return head
-            self._facade.reported(step.backend, load(load_reports.pairs_of(head.headers)), clock.now())
+            self._facade.record_load_report(
+                step.backend, parse_load_report(load_reports.pairs_of(head.headers)), clock.now()
+            )
             return head._replace(headers=load_reports.without(head.headers))
 
         def dress(head: Answer) -> Answer:
             """The head of an answer that is passed on as it comes: from here on it is this ticket's."""
             head = heard(head)
-            self._facade.begun(ticket, clock.now())
+            self._facade.response_started(ticket, clock.now())
             made = Answer(head.status, end_to_end(head.headers), head.body)
             return made if passed is None or self._gate is None else self._gate.named(passed, made) or made
 
         if call.onward is not None:
             call.onward.dress = dress
         placed = Placed(
-            lambda: not call.gone() and self._facade.stands(ticket, clock.now()),
+            lambda: not call.gone() and self._facade.may_still_send(ticket, clock.now()),
             lambda: call.left,
-            lambda: self._facade.aside(ticket, clock.now()),
-            lambda: self._facade.back(ticket, clock.now()),
+            lambda: self._facade.pause_attempt(ticket, clock.now()),
+            lambda: self._facade.resume_attempt(ticket, clock.now()),
             lambda: self._facade.remaining(ticket, clock.now()),
             self._process_pause.list_read,
             lambda: self._process_pause.unnoticed,
@@ -246,13 +248,13 @@
         how, answer, end, attempts = "", None, "left", 0
         try:
             await self._process_pause.list_read()
-            step = self._facade.pick(ticket, clock.now())
-            while step.what in (SEND, HOLD):
-                if step.what == HOLD:
+            step = self._facade.choose_backend(ticket, clock.now())
+            while step.action in (SEND, HOLD):
+                if step.action == HOLD:
                     out = None
                     await asyncio.sleep(step.wait / 1e6)
                     await self._process_pause.list_read()
-                    step = self._facade.pick(ticket, clock.now())
+                    step = self._facade.choose_backend(ticket, clock.now())
                     continue
                 if call.gone():
                     # Seen here where the loop has not come round to it: nothing more goes out.
@@ -266,10 +268,10 @@
                         mark,
                         step.backend,
                         self._facade.cell_of(step.backend),
-                        self._facade.remembered(use_case),
+                        self._facade.deduplication_window_of(use_case),
                     )
                     await self._process_pause.list_read()
-                    if kept is None or not placed.stands():
+                    if kept is None or not placed.may_still_send():
                         how = "moot"
                         if kept is not None:
                             shelf.ended(use_case, mark, kept, how)
@@ -310,19 +312,19 @@
                 if again and how != "done":
                     await self._process_pause.list_read()
                 step = self._facade.report(ticket, how, clock.now(), again)
-                if passed is not None and self._gate is not None and again and step.what != SEND:
+                if passed is not None and self._gate is not None and again and step.action != SEND:
                     self._gate.unspent(passed, how)
             if rest is not None and rest.bad is not None:
                 raise BadRequest(*rest.bad)
-            end = "done" if how == "done" else ENDS.get(step.what, "left")
+            end = "done" if how == "done" else ENDS.get(step.action, "left")
             answered = self._answer(step, how, answer)
             if answered is None and call.left and not call.begun:
                 self._count("left")
-                answered = LEFT if self._facade.pick(ticket, clock.now()).what == BOUNCE else LEFT_LATER
+                answered = LEFT if self._facade.choose_backend(ticket, clock.now()).action == BOUNCE else LEFT_LATER
             return answered if passed is None or self._gate is None else self._gate.named(passed, answered)
         finally:
             call.on_leave = None
-            self._facade.settle(ticket, clock.now())
+            self._facade.close_ticket(ticket, clock.now())
             if passed is not None and self._gate is not None:
                 self._gate.over(passed, end, how in WORKED)
 
@@ -333,11 +335,11 @@
             if not answer.body:
                 length = next((int(value) for name, value in answer.headers if name == b"content-length"), None)
             return Answer(answer.status, end_to_end(answer.headers), answer.body, length)
-        if step.what == BOUNCE:
+        if step.action == BOUNCE:
             self._count("bounces")
             advice = [(b"retry-after", f"{step.wait / 1e6:.3f}".encode())] if step.wait > 0 else []
             return plain(503, "bounced", *advice)
-        if step.what == SCRAP:
+        if step.action == SCRAP:
             self._count("scraps")
             return plain(504 if how == "timed out" else 502, "scrapped")
         return None
@@ -389,7 +391,7 @@
         return HandoverState(
             self._discovery.source,
             listed,
-            self._facade.learned(clock.now()),
+            self._facade.export_learned(clock.now()),
             told_by_source,
             None if due is None else round(due * 1e6),
         )
@@ -406,7 +408,7 @@
                     known and passed.told_by_source,
                 )
             if passed.learned is not None:
-                self._facade.taught(passed.learned, clock.now())
+                self._facade.import_learned(passed.learned, clock.now())
         except ValueError as error:
             self._log.say(f"what the process before passed on is not taken: {error}")
 
@@ -418,7 +420,7 @@
             return ""
 
     def knows(self, backend: str) -> bool:
-        return self._facade.knows(backend)
+        return self._facade.has_backend(backend)
 
     def narrowed(self, by: Extension, lines: list[Endpoint]) -> None:
         """Lines of the list as `by` has them now: those whose say comes behind its own have it too."""
@@ -484,8 +486,8 @@
         for one in self._extensions:
             await one.enter(self)
         # What is known nearby binds from the first moment on; otherwise the settings leave time to ask.
-        self._discovery.start(at_once=told.pushed)
-        if told.pushed:
+        self._discovery.start(at_once=told.list_is_pushed)
+        if told.list_is_pushed:
             # The list that this process was told may be old.
             await self._discovery.told(told.drain_within / 1e6)
         self.port = self._callers.listen(self._told.listen, any(one.shares_address for one in self._extensions))
@@ -532,9 +534,9 @@
         if stays := [name for name in AT_A_START if getattr(told, name) != getattr(before, name)]:
             self._log.say(f"not before the next start: {', '.join(stays)}")
         self._told = told
-        self._facade.retuned(told.policy_settings, clock.now())
-        self._backends.retuned(told.connect_within, told.idle_most)
-        self._callers.retuned(told.policy_settings.longest_wait)
+        self._facade.reconfigure(told.policy_settings, clock.now())
+        self._backends.reconfigure(told.connect_within, told.idle_most)
+        self._callers.reconfigure(told.policy_settings.max_outer_limit)
         self._discovery.reconfigured(told.discovery, self._process_pause.unwatched_for)
         self._tell("told anew", lambda one: one.told_anew(told.policy_settings))
 
@@ -546,13 +548,13 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        killed = min(self._told.policy_settings.longest_wait / 1e6, LONGEST_GRACE) + MOMENT
+        killed = min(self._told.policy_settings.max_outer_limit / 1e6, LONGEST_GRACE) + MOMENT
         self._log.say(
-            f"stopping, {self._facade.in_hand} tickets in hand"
+            f"stopping, {self._facade.open_tickets} tickets in hand"
             + (", another process serves on" if self._succeeded else "")
         )
         last = killed - GIVEN_UP
-        self._facade.close_at(clock.now() + round(last * 1e6))
+        self._facade.limit_deadlines(clock.now() + round(last * 1e6))
         self._tell("leaving", lambda one: one.leaving(clock.now() + round(last * 1e6)))
         loop.call_later(last, self._backends.give_up_all, "timed out")
         if self._succeeded:
@@ -592,7 +594,7 @@
         said = ", ".join(f"{what} {count}" for what, count in sorted(self._counts.items()))
         self._log.say(
             f"since the start: {said or 'nothing yet'}; {self._callers.open} callers,"
-            f" {self._facade.in_hand} tickets in hand, {self._budget.open} connections,"
+            f" {self._facade.open_tickets} tickets in hand, {self._budget.open} connections,"
             f" timers {self._process_pause.late} us late"
             + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
         )
--- a/pepperusher/net/stopped_endpoints.py
+++ b/pepperusher/net/stopped_endpoints.py
@@ -30,9 +30,9 @@
             if entry.ready:
                 self._stops.pop(entry.id, None)
             else:
-                self._stops[entry.id] = _Stop(update.version, entry.born, now)
+                self._stops[entry.id] = _Stop(update.version, entry.started_at, now)
         for entry in unlisted:
-            self._stops[entry.id] = _Stop(update.version, entry.born, now)
+            self._stops[entry.id] = _Stop(update.version, entry.started_at, now)
         for name, stop in list(self._stops.items()):
             if now - stop.at >= KEPT_FOR:
                 del self._stops[name]
@@ -44,6 +44,6 @@
             stop = self._stops.get(entry.id)
             if stop is None or not entry.ready:
                 continue
-            if stop.version > update.version and entry.born <= stop.born and now - stop.at < KEPT_FOR:
+            if stop.version > update.version and entry.started_at <= stop.born and now - stop.at < KEPT_FOR:
                 lifted.add(entry.id)
         return lifted
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -27,7 +27,7 @@
     ERROR,
     FULL,
     HALF_OPEN,
-    HELD,
+    LOAD_ACTIVE,
     MOOT,
     NEVER_RAN,
     NOTHING,
@@ -40,7 +40,7 @@
     SCRAP,
     SINGLE_USE,
     TIMED_OUT,
-    WAITING,
+    LOAD_WAITING,
     Attempt,
     Backend,
     Customer,
@@ -67,11 +67,11 @@
 SHARE_LEAST = 4.0
 ASKED_SPAN = 4 * SECOND  # and what the others ask for is counted over about so long
 # Further attempts for tickets that may have run, as a part of the tickets taken, and the most saved up.
-SPARE_PART = 0.2
-SPARE_MOST = 10.0
-# A proxy speaks to a part of the list: REACH at the least, for a choice, each in that of about HEARD proxies.
-HEARD = 10
-REACH = 4
+RETRY_BUDGET_RATIO = 0.2
+RETRY_BUDGET_MAX = 10.0
+# A proxy speaks to a part of the list: MIN_BACKENDS_PER_PROXY at the least, for a choice, each in that of about PROXIES_PER_BACKEND proxies.
+PROXIES_PER_BACKEND = 10
+MIN_BACKENDS_PER_PROXY = 4
 # A location that gets few calls, or those refused elsewhere alone, is kept in view with this part of an arc.
 PART_LEAST = 0.25
 # In the mean of calls in flight at a backend, the newest figure has this part at the least.
@@ -90,40 +90,40 @@
         self._chance, self._say = Random(policy_settings.seed).random, say
         self._tune(policy_settings)
         self._usual, self._unheard, self._list_lost = 0, 0, False
-        self._must_ask, self._asked = policy_settings.must_ask, not policy_settings.must_ask
+        self._must_ask, self._asked = policy_settings.polls_list, not policy_settings.polls_list
         self._ask_step, self._ask_at = 0, now
         self._backends: list[Backend] = []  # emptied by the list: holds what it names as ready
         # By location, this proxy's own first; emptied by the list, but for that.
         self._sides = {self._home: Side(now, FLOW_SPAN, FLOW_SPAN // FLOW_LEAST)}
         self._young: list[Backend] = []  # emptied by age
-        self._started, self._spare, self._counted_at = now, SPARE_MOST, now
+        self._started, self._spare, self._counted_at = now, RETRY_BUDGET_MAX, now
 
     def _tune(self, policy_settings: PolicySettings) -> None:
         """The figures that are derived from the ground alone."""
         # A pool splits a customer's share evenly; beside each client nobody knows how it lies.
         self._beside, self._shared_out = (
-            policy_settings.beside_client,
-            policy_settings.stage == 0 and not policy_settings.beside_client,
+            policy_settings.is_sidecar,
+            policy_settings.tier_index == 0 and not policy_settings.is_sidecar,
         )
-        self._first_tier, self._limit_passed = policy_settings.stage == 0, policy_settings.passes_limit
+        self._first_tier, self._limit_passed = policy_settings.tier_index == 0, policy_settings.forwards_deadline
         self._by_work, self._last_tier = policy_settings.importance_by_work, policy_settings.last_tier
-        self._most, self._calls_off = policy_settings.most_attempts, policy_settings.may_call_off
-        self._longest_advice = policy_settings.longest_advice if policy_settings.may_advise else 0
+        self._most, self._calls_off = policy_settings.most_attempts, policy_settings.cancel_allowed
+        self._longest_advice = policy_settings.max_retry_after if policy_settings.retry_after_allowed else 0
         self._zones, self._home = (
             len(policy_settings.zones),
             policy_settings.zone if len(policy_settings.zones) > 1 else "",
         )
         self._customers = policy_settings.customers
-        self._use_cases = [use for use in policy_settings.use_cases if use.promised > 0 and use.importance > 0]
+        self._use_cases = [use for use in policy_settings.use_cases if use.latency_target > 0 and use.importance > 0]
         self._group = self.sharers = max(1, policy_settings.group_size)
         self._cold_share, self._warm_after = policy_settings.cold_share, max(1, policy_settings.warm_after)
         # Half the rule's multiple: the other half is for what other proxies and chance add.
         self._cold_rate = policy_settings.tip_multiple / 2
         self._cold_least = SECOND / max(1, policy_settings.overload_for)
         self._ask_longest = policy_settings.ask_within // 2 or SECOND
-        self._position = policy_settings.ordinal * GOLDEN % 1.0
+        self._position = policy_settings.proxy_index * GOLDEN % 1.0
 
-    def retuned(self, policy_settings: PolicySettings, now: int) -> None:
+    def reconfigure(self, policy_settings: PolicySettings, now: int) -> None:
         """Other settings from now on. Use cases that stay are the same objects, and stay known."""
         self._tune(policy_settings)
         for backend in self._backends:
@@ -134,14 +134,14 @@
 
     # --- where to send this ticket ----------------------------------------------------------------
 
-    def where(self, ticket: Ticket, now: int) -> Backend | int:
-        if ticket.over or ticket.until <= now or len(ticket.attempts) >= min(self._most, ticket.most):
+    def choose_backend(self, ticket: Ticket, now: int) -> Backend | int:
+        if ticket.finished or ticket.deadline <= now or len(ticket.attempts) >= min(self._most, ticket.most):
             return self._no(ticket, now)
         first, use = not ticket.attempts, ticket.use_case
         use.work += (int(ticket.cost) - use.work) // 16 if use.work else int(ticket.cost)
         self._young = self._young and self._age(self._young, now)
         anchor = None if first else self._anchor(ticket)
-        if anchor is not None and now - anchor.sent >= use.remembered > 0:
+        if anchor is not None and now - anchor.sent_at >= use.deduplication_window > 0:
             return self._no(ticket, now)
         # What may have run stays with its group, and so with the location of that.
         bound_to = anchor is not None and use.scope != SCOPE_ALL
@@ -165,7 +165,7 @@
                 return self._no(ticket, now)
             choice = []
         if first:
-            self._spare = min(SPARE_MOST, self._spare + SPARE_PART)
+            self._spare = min(RETRY_BUDGET_MAX, self._spare + RETRY_BUDGET_RATIO)
         if anchor is not None:
             choice = [
                 b
@@ -179,7 +179,7 @@
         choice = [b for b in choice if b not in tried] or choice
         if ticket.cost and self._first_tier and self._last_tier:
             # Against heavy tickets at slow machines, where list weights tell nothing of the cores' speed.
-            choice = [b for b in choice if b.pace * ticket.cost < use.promised] or choice
+            choice = [b for b in choice if b.pace * ticket.cost < use.latency_target] or choice
         picked = self._turn(choice, now) or self._last_resort(ticket, anchor, now)
         if picked is None:
             return self._no(ticket, now)
@@ -284,10 +284,10 @@
         ticket.attempts.append(sent)
         backend.in_flight += 1
         if ticket.use_case in backend.shut:
-            backend.shut[ticket.use_case] = now + sent.patience
+            backend.shut[ticket.use_case] = now + sent.timeout
         if sent.trial:
             backend.trials += 1
-            backend.trial_due = now + sent.patience
+            backend.trial_due = now + sent.timeout
         if backend.cold:
             backend.allowance -= 1.0
 
@@ -310,30 +310,32 @@
                 return True
         elif (in_flight + self._chance()) * side.sharing <= few * admitting:
             return True
-        if not self._usual or not use.usual:
+        if not self._usual or not use.mean_latency:
             return bool(self._usual)
         flow = self._flow_now(side, now)
         # Half a call of doubt on either side: where one call is all that was held, the quotient is chance.
         stretch = (side.held + 0.5) / (flow * self._usual / SECOND + 0.5)
         if not self._first_tier:
-            return stretch * use.usual < ticket.until - now
-        pressure = max(((one.usual + one.spread) / one.promised for one in self._use_cases), default=0.0)
-        most = max((self._value(one) for one in self._use_cases if one.usual), default=1.0)
+            return stretch * use.mean_latency < ticket.deadline - now
+        pressure = max(
+            ((one.mean_latency + one.latency_deviation) / one.latency_target for one in self._use_cases), default=0.0
+        )
+        most = max((self._value(one) for one in self._use_cases if one.mean_latency), default=1.0)
         bound = 0.8 + 0.4 * self._value(use) / most
         if not within:
             bound /= 2
         # Work that takes a good part of the promised time with nothing to wait for is no sign of a jam.
-        bound *= max(1.0, 4 * max((one.work / one.promised for one in self._use_cases), default=0.0))
+        bound *= max(1.0, 4 * max((one.work / one.latency_target for one in self._use_cases), default=0.0))
         # Late by its own times is late, however little the others are pressed.
         return (
             pressure * stretch < bound
-            and stretch * (use.usual + use.spread) <= use.promised
-            and stretch * use.usual < ticket.until - now
+            and stretch * (use.mean_latency + use.latency_deviation) <= use.latency_target
+            and stretch * use.mean_latency < ticket.deadline - now
         )
 
     def _value(self, use: UseCase) -> float:
         """Importance for the time a ticket takes; where it is counted by work, that time is in it already."""
-        return use.importance if self._by_work else use.importance / use.usual
+        return use.importance if self._by_work else use.importance / use.mean_latency
 
     def _within_share(self, ticket: Ticket, now: int) -> bool:
         customer = ticket.customer
@@ -358,16 +360,16 @@
         asked = sum(one.asked for one in self._customers if one is not customer)
         customer.asked += 1.0
         # In a small pool each has about its even part, and all above their shares is overload.
-        return max(1.0, asked / even) if self.sharers > HEARD and even > 0.0 else 1.0
+        return max(1.0, asked / even) if self.sharers > PROXIES_PER_BACKEND and even > 0.0 else 1.0
 
     # --- after an outcome -------------------------------------------------------------------------
 
-    def after(self, sent: Attempt, how: int, over: bool, now: int) -> int:
+    def attempt_ended(self, sent: Attempt, how: int, over: bool, now: int) -> int:
         ticket = sent.ticket
         sent.ended = how
         self._count(sent, how, now)
-        ticket.over = ticket.over or over
-        if ticket.over or any(other.ended is None for other in ticket.attempts):
+        ticket.finished = ticket.finished or over
+        if ticket.finished or any(other.ended is None for other in ticket.attempts):
             return NOTHING
         if how == MOOT or not self._may_repeat(ticket, now):
             return self._no(ticket, now)
@@ -380,27 +382,29 @@
 
     def _may_repeat(self, ticket: Ticket, now: int) -> bool:
         use, left = ticket.use_case, self._useful_until(ticket) - now
-        if left < use.usual // 2 or left <= 0 or len(ticket.attempts) >= min(self._most, ticket.most):
+        if left < use.mean_latency // 2 or left <= 0 or len(ticket.attempts) >= min(self._most, ticket.most):
             return False
-        return use.repeat != SINGLE_USE or self._anchor(ticket) is None
+        return use.retry_class != SINGLE_USE or self._anchor(ticket) is None
 
     def _count(self, sent: Attempt, how: int, now: int) -> None:
         backend, use = sent.backend, sent.ticket.use_case
         backend.in_flight -= 1
-        took = now - sent.sent
-        long = use.usual + 6 * use.spread if use.usual and not self._first_tier else took
-        if sent.ticket.cost and (how == DONE or how == TIMED_OUT and took >= use.usual):
+        took = now - sent.sent_at
+        long = use.mean_latency + 6 * use.latency_deviation if use.mean_latency and not self._first_tier else took
+        if sent.ticket.cost and (how == DONE or how == TIMED_OUT and took >= use.mean_latency):
             pace = took / sent.ticket.cost
             backend.pace += (pace - backend.pace) / FLOW_LEAST if backend.pace else pace
-        lost = how == TIMED_OUT and took > long and self._side(backend).done_at <= sent.sent
+        lost = how == TIMED_OUT and took > long and self._side(backend).done_at <= sent.sent_at
         self._unheard = self._unheard + lost if how in (TIMED_OUT, CALLED_OFF) else 0
-        if how == DONE or lost and self._unheard >= RUN or how == TIMED_OUT and use.usual <= took <= long:
+        if how == DONE or lost and self._unheard >= RUN or how == TIMED_OUT and use.mean_latency <= took <= long:
             # Else a use case slow everywhere would keep its short patience. Far beyond what is done it is a
             # lost answer, and in lower tiers no time for the next; but many in a row with nothing heard may
             # be a chain that has slowed, whose levels would cut each other short for ever.
-            known = min(took, 2 * use.usual) if lost else took
-            use.spread += (abs(known - use.usual) - use.spread) // 16 if use.usual else took // 2
-            use.usual += (known - use.usual) // 16 if use.usual else took
+            known = min(took, 2 * use.mean_latency) if lost else took
+            use.latency_deviation += (
+                (abs(known - use.mean_latency) - use.latency_deviation) // 16 if use.mean_latency else took // 2
+            )
+            use.mean_latency += (known - use.mean_latency) // 16 if use.mean_latency else took
         if how == DONE:
             side = self._side(backend)
             self._flow_now(side, now)
@@ -416,7 +420,7 @@
         current = sent.generation == backend.generation
         backend.trials -= current and sent.trial
         # A caller that left less than the usual time says nothing about the server.
-        if not current or how in (MOOT, CALLED_OFF) or how == TIMED_OUT and took < use.usual:
+        if not current or how in (MOOT, CALLED_OFF) or how == TIMED_OUT and took < use.mean_latency:
             return
         if how == DONE:
             backend.runs.pop(use, None)
@@ -434,41 +438,41 @@
 
     # --- how long to wait -------------------------------------------------------------------------
 
-    def wait(self, ticket: Ticket | None, now: int) -> int:
+    def wait_time(self, ticket: Ticket | None, now: int) -> int:
         if ticket is None:
             if self._asked:
                 return -1
             self._asked = now >= self._ask_at
             return max(0, self._ask_at - now)
-        if not ticket.over and ticket.attempts and ticket.attempts[-1].ended is None:
-            return ticket.attempts[-1].patience
+        if not ticket.finished and ticket.attempts and ticket.attempts[-1].ended is None:
+            return ticket.attempts[-1].timeout
         return ticket.pause
 
     def _patience(self, ticket: Ticket, now: int) -> int:
         use, left = ticket.use_case, max(1, self._useful_until(ticket) - now)
-        if len(ticket.attempts) + 1 >= min(self._most, ticket.most) or use.repeat == SINGLE_USE:
+        if len(ticket.attempts) + 1 >= min(self._most, ticket.most) or use.retry_class == SINGLE_USE:
             return left
         # Never under half of what is left: a call carries what its caller allows, so a short patience here
         # becomes time-outs and errors at every tier below, and where nothing stops the work it is done twice.
-        patience = max(left // 2, use.usual + 6 * use.spread)
-        return patience if left - patience > use.usual else left
+        patience = max(left // 2, use.mean_latency + 6 * use.latency_deviation)
+        return patience if left - patience > use.mean_latency else left
 
     def _useful_until(self, ticket: Ticket) -> int:
         use = ticket.use_case
         if not self._first_tier and self._limit_passed or self._first_tier and use.late_share > 0:
-            return ticket.until
-        return min(ticket.until, ticket.came + use.promised + int(use.stretch * ticket.cost))
+            return ticket.deadline
+        return min(ticket.deadline, ticket.arrived_at + use.latency_target + int(use.stretch * ticket.cost))
 
     def _advice(self, ticket: Ticket, now: int) -> int:
         """When to come back: in time to be done as promised, against retries that are done for nothing."""
         use = ticket.use_case
-        span = ticket.came + use.promised - now - use.usual
+        span = ticket.arrived_at + use.latency_target - now - use.mean_latency
         span = min(self._longest_advice, span // 2) if span > 0 else self._longest_advice
         return int(span * (0.25 + 0.75 * self._chance()))
 
     # --- notices ----------------------------------------------------------------------------------
 
-    def listed(self, lines: Iterable[Listing], whole: bool, now: int) -> None:
+    def update_endpoints(self, lines: Iterable[Listing], whole: bool, now: int) -> None:
         kept = {} if whole else {id(b): b for b in self._backends}
         was = {id(b) for b in self._backends}
         for line in lines:
@@ -477,12 +481,12 @@
                 kept.pop(id(backend), None)
                 continue
             # A random start keeps proxies out of step; a call each at once is too much for a cold backend.
-            if line.born > backend.born:
+            if line.started_at > backend.started_at:
                 backend.allowance, backend.counted_at = self._chance(), now
-            if id(backend) not in was or line.born > backend.born:
+            if id(backend) not in was or line.started_at > backend.started_at:
                 backend.turn = -self._chance() * line.weight
             backend.zone, backend.kind, backend.cell = line.zone, line.kind, line.cell
-            backend.weight, backend.born = line.weight, line.born
+            backend.weight, backend.started_at = line.weight, line.started_at
             kept[id(backend)] = backend
         for backend in self._backends:
             backend.near = False
@@ -535,7 +539,11 @@
         side.ring, side.weight, side.sharing = ring, total, self._group / max(1, self._zones)
         squares = sum(b.portion * b.portion for b in ring)
         # As wide as its part of the calls asks for, or a backend in a small location hears from all proxies.
-        part = max(HEARD * self._zones / self._group, REACH / (total * total / squares)) if ring else 1.0
+        part = (
+            max(PROXIES_PER_BACKEND * self._zones / self._group, MIN_BACKENDS_PER_PROXY / (total * total / squares))
+            if ring
+            else 1.0
+        )
         if part >= 1.0:
             return
         part = min(1.0, part * max(PART_LEAST, side.part) * side.reach)
@@ -552,7 +560,7 @@
                 left -= backend.portion
         side.sharing *= sum(b.near for b in ring) / len(ring) / side.reach
 
-    def list_failed(self, now: int) -> None:
+    def endpoint_request_failed(self, now: int) -> None:
         if not self._must_ask:
             return
         if not self._list_lost:
@@ -563,24 +571,24 @@
         self._ask_at = now + int(self._ask_step * (0.5 + 0.5 * self._chance()))
         self._asked = False
 
-    def reported(self, backend: Backend, load: dict[int, float], now: int) -> None:
-        told = load.get(WAITING, load.get(HELD))
+    def record_load_report(self, backend: Backend, load: dict[int, float], now: int) -> None:
+        told = load.get(LOAD_WAITING, load.get(LOAD_ACTIVE))
         if told is not None:
             backend.told, backend.told_at = told, now
 
-    def begun(self, sent: Attempt) -> None:
-        sent.ticket.over = True
+    def response_started(self, sent: Attempt) -> None:
+        sent.ticket.finished = True
 
-    def gone(self, ticket: Ticket) -> None:
-        ticket.over = True
+    def caller_disconnected(self, ticket: Ticket) -> None:
+        ticket.finished = True
         ticket.pause = 0 if self._calls_off else -1
 
-    def learned(self, now: int) -> tuple[int, float, float]:
+    def export_learned(self, now: int) -> tuple[int, float, float]:
         """What another process of the same proxy is `taught`: else it takes the jam for its doing."""
         home = self._sides[self._home]
         return self._usual, self._flow_now(home, now), self._took_now(home, now)
 
-    def taught(self, usual: int, flow: float, took: float, now: int) -> None:
+    def import_learned(self, usual: int, flow: float, took: float, now: int) -> None:
         self._usual, self._started = usual, min(self._started, now - 9 * FLOW_SPAN)
         for side in self._sides.values():
             side.flow, side.took, side.started = flow, took, min(self._started, now - 9 * self._warm_after)
@@ -647,13 +655,13 @@
     # --- cold backends ----------------------------------------------------------------------------
 
     def _grown(self, backend: Backend, now: int) -> float:
-        age = min(1.0, max(0, now - backend.born) / self._warm_after)
+        age = min(1.0, max(0, now - backend.started_at) / self._warm_after)
         return self._cold_share + (1.0 - self._cold_share) * age
 
     def _age(self, backends: list[Backend], now: int) -> list[Backend]:
         """The operators' carry-over: a fresh backend counts for less, by its age. Returns the fresh."""
         for backend in backends:
-            backend.cold = backend.born != 0 and now - backend.born < self._warm_after
+            backend.cold = backend.started_at != 0 and now - backend.started_at < self._warm_after
             backend.share = backend.portion * (self._grown(backend, now) if backend.cold else 1.0)
         # Asked with each ticket while one is fresh: no further than the near ones, which come first.
         for side in self._sides.values():
@@ -689,15 +697,15 @@
 
     def _anchor(self, ticket: Ticket) -> Attempt | None:
         """The first attempt that may have run: it binds a referenced ticket to its group and time."""
-        if ticket.use_case.repeat == REPLAYABLE:
+        if ticket.use_case.retry_class == REPLAYABLE:
             return None
         return next((sent for sent in ticket.attempts if sent.ended not in NEVER_RAN), None)
 
     def _no(self, ticket: Ticket, now: int) -> int:
-        ticket.over = True
+        ticket.finished = True
         ticket.pause = self._advice(ticket, now)
         use = ticket.use_case
-        if self._anchor(ticket) is None or (use.repeat == REFERENCED and use.scope == SCOPE_ALL):
+        if self._anchor(ticket) is None or (use.retry_class == REFERENCED and use.scope == SCOPE_ALL):
             return BOUNCE
         return SCRAP
 
--- a/pepperusher/rehearsal/coldsum.py
+++ b/pepperusher/rehearsal/coldsum.py
@@ -142,27 +142,27 @@
             "seed": self.seed * 1000 + number + self.now,
             "customers": [],
             "group_size": size,
-            "ordinal": number,
-            "stage": 0,
+            "proxy_index": number,
+            "tier_index": 0,
             "last_tier": True,
             "zone": self.zones[number % len(self.zones)],
             "zones": self.zones,
             "most_attempts": 3,
-            "may_call_off": True,
-            "may_advise": False,
-            "longest_advice": 0,
-            "must_ask": False,
+            "cancel_allowed": True,
+            "retry_after_allowed": False,
+            "max_retry_after": 0,
+            "polls_list": False,
             "ask_within": 10 * SECOND,
             "cold_share": deployment.share,
             "warm_after": round(deployment.warm * SECOND),
             "tip_multiple": deployment.multiple,
             "overload_for": round(deployment.window * SECOND),
-            "passes_limit": True,
+            "forwards_deadline": True,
             "importance_by_work": False,
-            "reported_by": terms.BY_NOBODY,
-            "beside_client": False,
-            "drain_binds_alone": False,
-            "pushed": False,
+            "reported_by": terms.REPORTS_NONE,
+            "is_sidecar": False,
+            "only_drain_binds": False,
+            "list_is_pushed": False,
             "drain_within": SECOND // 2,
             "use_cases": [UseCase("look", most, 2 * most, 1.0)],
         }
@@ -180,7 +180,7 @@
             Listing(proxy.known.setdefault(one.name, Backend(one.name)), one.zone, 0, 1.0, one.born, one.ready)
             for one in servers
         ]
-        proxy.balancer.listed(lines, False, self.now)
+        proxy.balancer.update_endpoints(lines, False, self.now)
 
     def _spoken(self, server: Server, stale: set[int]) -> None:
         """Every proxy is told how it stands now, each in its own time."""
@@ -290,17 +290,17 @@
         self._place(proxy, ticket)
 
     def _place(self, proxy: Proxy, ticket: Ticket) -> None:
-        where = proxy.balancer.where(ticket, self.now)
+        where = proxy.balancer.choose_backend(ticket, self.now)
         if not isinstance(where, Backend):
             self.tally["rejected"] += 1
             return
         server = self.servers[where.address]
-        self.out[ticket] = proxy, server, self.now + proxy.balancer.wait(ticket, self.now)
+        self.out[ticket] = proxy, server, self.now + proxy.balancer.wait_time(ticket, self.now)
         if not server.up:
             self._over(ticket, UNREACHED)
             return
         work = self.chance.expovariate(1.0 / self.deployment.work)
-        server.sent.append((self.now, where.born == server.born, work))
+        server.sent.append((self.now, where.started_at == server.born, work))
         if len(server.work) >= HOLDS:
             self._over(ticket, FULL)
             return
@@ -310,8 +310,8 @@
         proxy, server, _ = self.out.pop(ticket)
         server.work.pop(ticket, None)
         if how == DONE:
-            self.tally["done"] += self.now - ticket.came <= ticket.use_case.promised
-        if proxy.balancer.after(ticket.attempts[-1], how, how == DONE, self.now) == AGAIN:
+            self.tally["done"] += self.now - ticket.arrived_at <= ticket.use_case.latency_target
+        if proxy.balancer.attempt_ended(ticket.attempts[-1], how, how == DONE, self.now) == AGAIN:
             self._place(proxy, ticket)
 
     def _read(self, cold: list[Server]) -> Reading:
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -289,7 +289,7 @@
                 "ready": sum(1 for one in backends if one["ready"]),
                 "not closed": sum(1 for one in backends if one["state"] != "closed"),
                 "doors": len(self._backends._doors),
-                "requests": self._facade.in_hand,
+                "requests": self._facade.open_tickets,
                 "subscribed": 0 if self.client is None else len(self.client.in_force),
             }
         )
--- a/pepperusher/routes/terms.py
+++ b/pepperusher/routes/terms.py
@@ -25,31 +25,31 @@
     name: str
     use_case: str | None
     time_out: int
-    most: int
-    ends: frozenset[str] | None
-    outer: int
-    patience: int
+    max_attempts: int
+    retriable_outcomes: frozenset[str] | None
+    default_timeout: int
+    max_caller_timeout: int
     priority: int
     route: Route | None
 
-    def wait(self, given: int | None) -> int | None:
+    def caller_timeout(self, given: int | None) -> int | None:
         """What a client waits under these terms: `given` is what it said, None if nothing; None is the use
         case's."""
         if given is None:
-            return self.outer if self.outer < NO_LIMIT else None
-        return min(given, self.patience)
+            return self.default_timeout if self.default_timeout < NO_LIMIT else None
+        return min(given, self.max_caller_timeout)
 
-    def patient(self, wait: int) -> int:
+    def attempt_timeout(self, wait: int) -> int:
         """How long an attempt may take, of what the decisions would give it."""
         return min(wait, self.time_out)
 
-    def again(self, how: str) -> bool:
+    def may_retry_after(self, how: str) -> bool:
         """Whether a ticket may go out again after an attempt that ended so, as far as these terms go."""
-        return self.ends is None or how in self.ends or how == "moot"
+        return self.retriable_outcomes is None or how in self.retriable_outcomes or how == "moot"
 
 
 # A ticket that no route matches goes by the decisions alone.
-PLAIN = Terms("", None, NO_LIMIT, MOST := 3, None, NO_LIMIT, NO_LIMIT, 5, None)
+DEFAULT_TERMS = Terms("", None, NO_LIMIT, MOST := 3, None, NO_LIMIT, NO_LIMIT, 5, None)
 
 
 def terms_of(route: Route) -> Terms:
@@ -70,12 +70,12 @@
     """All that a file says, as one thing that never changes. `in_hand` are its tickets: it goes with the
     last."""
 
-    __slots__ = ("number", "read", "marks", "in_hand", "_routes", "_terms")
+    __slots__ = ("number", "read", "marks", "open_tickets", "_routes", "_terms")
 
     def __init__(self, number: int, read: Read) -> None:
         self.number = number
         self.read = read
-        self.in_hand = 0
+        self.open_tickets = 0
         self.marks: dict[str, Mark] = {mark.id: mark for mark in read.own.backends}
         self._terms = [terms_of(route) for route in read.own.routes]
         self._routes = Routes(
@@ -87,11 +87,11 @@
         """Of the most exact route; one that is for another use case is none."""
         place = self._routes.find(method, target, host, headers)
         if place < 0:
-            return PLAIN
+            return DEFAULT_TERMS
         found = self._terms[place]
-        return found if found.use_case in (None, use_case) else PLAIN
+        return found if found.use_case in (None, use_case) else DEFAULT_TERMS
 
     @property
-    def by_header(self) -> bool:
+    def matches_headers(self) -> bool:
         """Whether any route looks at headers: else they need not be made ready for it."""
         return any(route.match.headers for route in self.read.own.routes)
--- a/pepperusher/settings.py
+++ b/pepperusher/settings.py
@@ -13,8 +13,8 @@
 
 REPEAT = {"pure": terms.REPLAYABLE, "token": terms.REFERENCED, "side_effect": terms.SINGLE_USE}
 # What the decisions make use of in a load report; any other name is read over.
-REPORT = {"active": terms.HELD, "waiting": terms.WAITING}
-REPORTED_BY = {"silent": terms.BY_NOBODY, "piggyback": terms.BY_ANSWERS, "pull": terms.BY_PROBES}
+REPORT = {"active": terms.LOAD_ACTIVE, "waiting": terms.LOAD_WAITING}
+REPORTED_BY = {"silent": terms.REPORTS_NONE, "piggyback": terms.REPORTS_IN_RESPONSES, "pull": terms.REPORTS_BY_PROBES}
 SCOPE = {"all": terms.SCOPE_ALL, "zone": terms.SCOPE_ZONE, "cell": terms.SCOPE_CELL}
 
 
@@ -22,7 +22,7 @@
     """Settings that cannot be read; its text names the entry."""
 
 
-def figure(of: dict[str, Any], name: str, default: float | None = None) -> float:
+def number_field(of: dict[str, Any], name: str, default: float | None = None) -> float:
     value = of.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise SettingsError(f"{name} is {'missing' if value is None else 'not a number'}")
@@ -31,11 +31,11 @@
     return value
 
 
-def span(of: dict[str, Any], name: str, default: float | None = None) -> int:
-    return round(figure(of, name, default) * 1000)
+def duration_field(of: dict[str, Any], name: str, default: float | None = None) -> int:
+    return round(number_field(of, name, default) * 1000)
 
 
-def part(of: dict[str, Any], name: str, kind: type) -> Any:
+def typed_field(of: dict[str, Any], name: str, kind: type) -> Any:
     value = of.get(name)
     if value is None:
         return kind()
@@ -66,14 +66,14 @@
     return known[told]
 
 
-def truth(of: dict[str, Any], name: str) -> bool:
+def boolean_field(of: dict[str, Any], name: str) -> bool:
     told = of.get(name, False)
     if not isinstance(told, bool):
         raise SettingsError(f"{name} is neither true nor false")
     return told
 
 
-def load(told: Iterable[tuple[str, Any]]) -> dict[int, float]:
+def parse_load_report(told: Iterable[tuple[str, Any]]) -> dict[int, float]:
     """A load report in our words. What is no figure from 0 up, or of a name not known, is as if it were not
     there: a spoilt report is worth no more than none, and ends nothing."""
     made = {}
@@ -96,61 +96,62 @@
 def read_settings(told: Any, seed: int) -> PolicySettings:
     if not isinstance(told, dict):
         raise SettingsError("is not an object")
-    limits, rules = part(told, "policy-limits", dict), part(told, "rules", dict)
+    limits, rules = typed_field(told, "policy-limits", dict), typed_field(told, "rules", dict)
     made = PolicySettings()
     made.seed = seed
-    made.zones = [str(zone) for zone in part(told, "zones", list)]
+    made.zones = [str(zone) for zone in typed_field(told, "zones", list)]
     made.use_cases = [
         UseCase(
             _named(use, "use-cases"),
-            span(use, "promised-time"),
-            span(use, "outer-limit"),
-            figure(use, "importance", 1.0),
-            figure(use, "overdue-importance", 0.0),
+            duration_field(use, "promised-time"),
+            duration_field(use, "outer-limit"),
+            number_field(use, "importance", 1.0),
+            number_field(use, "overdue-importance", 0.0),
             # A kind that is not known is held to the strictest.
             REPEAT.get(use.get("effect"), terms.SINGLE_USE),
             SCOPE.get(use.get("key-scope"), terms.SCOPE_CELL),
-            span(use, "window", 0.0),
-            figure(use, "aim-stretch", 0.0),
+            duration_field(use, "window", 0.0),
+            number_field(use, "aim-stretch", 0.0),
             _only(use, "zones-allowed", made.zones),
             _only(use, "runs-on"),
         )
-        for use in part(told, "use-cases", list)
+        for use in typed_field(told, "use-cases", list)
     ]
     made.customers = [
-        Customer(_named(one, "customers"), figure(one, "quota-rps", 0.0)) for one in part(told, "customers", list)
+        Customer(_named(one, "customers"), number_field(one, "quota-rps", 0.0))
+        for one in typed_field(told, "customers", list)
     ]
-    made.group_size = int(figure(told, "group-size", 1))
-    made.ordinal = int(figure(told, "ordinal", 0))
-    made.stage = int(figure(told, "stage", 0))
-    made.last_tier = made.stage >= len(part(told, "tiers", list)) - 1
+    made.group_size = int(number_field(told, "group-size", 1))
+    made.proxy_index = int(number_field(told, "ordinal", 0))
+    made.tier_index = int(number_field(told, "stage", 0))
+    made.last_tier = made.tier_index >= len(typed_field(told, "tiers", list)) - 1
     made.zone = str(told.get("zone", ""))
-    made.most_attempts = int(figure(limits, "most-transmissions", 1))
-    made.may_call_off = bool(limits.get("cancel", False))
-    made.may_advise = bool(limits.get("retry-after", False))
-    made.longest_advice = span(limits, "max-retry-after", 0.0)
-    made.must_ask = _word(told, "discovery", {"push": False, "ask": True}, "push")
-    made.pushed = told.get("discovery") == "push"
-    made.ask_within = span(rules, "ask-within", 0.0)
-    made.drain_within = span(rules, "stop-sending-within", 500.0)
-    made.cold_share = figure(rules, "cold-share", 1.0)
-    made.warm_after = span(rules, "warm-after", 0.0)
-    made.tip_multiple = figure(rules, "tip-multiple", 1.0)
-    made.overload_for = span(rules, "overload-for", 1000.0)
-    made.passes_limit = bool(part(told, "family-info", dict).get("passes-deadline", False))
-    made.drain_binds_alone = truth(rules, "drain-binds-alone")
-    reporting = part(told, "reporting", dict)
+    made.most_attempts = int(number_field(limits, "most-transmissions", 1))
+    made.cancel_allowed = bool(limits.get("cancel", False))
+    made.retry_after_allowed = bool(limits.get("retry-after", False))
+    made.max_retry_after = duration_field(limits, "max-retry-after", 0.0)
+    made.polls_list = _word(told, "discovery", {"push": False, "ask": True}, "push")
+    made.list_is_pushed = told.get("discovery") == "push"
+    made.ask_within = duration_field(rules, "ask-within", 0.0)
+    made.drain_within = duration_field(rules, "stop-sending-within", 500.0)
+    made.cold_share = number_field(rules, "cold-share", 1.0)
+    made.warm_after = duration_field(rules, "warm-after", 0.0)
+    made.tip_multiple = number_field(rules, "tip-multiple", 1.0)
+    made.overload_for = duration_field(rules, "overload-for", 1000.0)
+    made.forwards_deadline = bool(typed_field(told, "family-info", dict).get("passes-deadline", False))
+    made.only_drain_binds = boolean_field(rules, "drain-binds-alone")
+    reporting = typed_field(told, "reporting", dict)
     made.reported_by = _word(reporting, "how", REPORTED_BY, "silent", "reporting")
-    names = part(reporting, "names", list)
+    names = typed_field(reporting, "names", list)
     if not all(isinstance(one, str) for one in names):
         raise SettingsError("reporting: names: is not a list of names")
     if twice := sorted({one for one in names if names.count(one) > 1}):
         raise SettingsError(f"reporting: names: {twice[0]} stands there twice")
-    if made.reported_by == terms.BY_NOBODY and names:
+    if made.reported_by == terms.REPORTS_NONE and names:
         raise SettingsError(f"reporting: names: {names[0]} is told by nobody, as how says")
     family = told.get("family", "")
     if not isinstance(family, str):
         raise SettingsError("family is not a word")
-    made.beside_client = family == "mesh"
+    made.is_sidecar = family == "mesh"
     made.importance_by_work = told.get("importance-by") == "work"
     return made
--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -46,14 +46,14 @@
         self._place(xid, ticket, now)
 
     def _place(self, xid: int, ticket: Ticket, now: int) -> None:
-        answer = self.balancer.where(ticket, now)
+        answer = self.balancer.choose_backend(ticket, now)
         if isinstance(answer, Backend):
-            patience = millis(self.balancer.wait(ticket, now))
+            patience = millis(self.balancer.wait_time(ticket, now))
             self.out.append(f"place\txid={xid}\tpatience={patience}\tbackend={answer.address}")
         elif answer == NOT_YET:
             self.last_ref += 1
             self.held[self.last_ref] = xid
-            due = millis(now + self.balancer.wait(ticket, now))
+            due = millis(now + self.balancer.wait_time(ticket, now))
             self.out.append(f"sleep\tref={self.last_ref}\tmoment={due}")
         else:
             self._answer(xid, ticket, answer, now)
@@ -63,13 +63,13 @@
             self._place(xid, ticket, now)
             return
         if answer == BOUNCE:
-            self.out.append(f"not_now\txid={xid}\tretry-after={millis(self.balancer.wait(ticket, now))}")
+            self.out.append(f"not_now\txid={xid}\tretry-after={millis(self.balancer.wait_time(ticket, now))}")
         elif answer == SCRAP:
             self.out.append(f"error\txid={xid}")
         self._settle(xid, ticket)
 
     def _settle(self, xid: int, ticket: Ticket) -> None:
-        if ticket.over and all(sent.ended is not None for sent in ticket.attempts):
+        if ticket.finished and all(sent.ended is not None for sent in ticket.attempts):
             self.tickets.pop(xid, None)
 
     def settled(self, fields: dict[str, str], now: int) -> None:
@@ -82,22 +82,22 @@
         sent = ticket.attempts[number]
         if sent.ended is None:
             if "load" in fields:
-                self.balancer.reported(sent.backend, wire.load(fields["load"]), now)
-            self._answer(xid, ticket, self.balancer.after(sent, how, fields.get("last") == "1", now), now)
+                self.balancer.record_load_report(sent.backend, wire.load(fields["load"]), now)
+            self._answer(xid, ticket, self.balancer.attempt_ended(sent, how, fields.get("last") == "1", now), now)
 
     def first(self, fields: dict[str, str], now: int) -> None:
         ticket = self.tickets.get(whole("first", fields, "xid"))
         number = whole("first", fields, "round-no")
         if ticket is not None and number < len(ticket.attempts):
-            self.balancer.begun(ticket.attempts[number])
+            self.balancer.response_started(ticket.attempts[number])
 
     def dropped(self, fields: dict[str, str], now: int) -> None:
         xid = whole("dropped", fields, "xid")
         ticket = self.tickets.get(xid)
-        if ticket is None or ticket.over:
+        if ticket is None or ticket.finished:
             return
-        self.balancer.gone(ticket)
-        if self.balancer.wait(ticket, now) == 0:
+        self.balancer.caller_disconnected(ticket)
+        if self.balancer.wait_time(ticket, now) == 0:
             for number, sent in enumerate(ticket.attempts):
                 if sent.ended is None:
                     self.out.append(f"revoke\txid={xid}\tround-no={number}")
@@ -111,14 +111,14 @@
             return
         xid = self.held.pop(ref, None)
         ticket = self.tickets.get(xid) if xid is not None else None
-        if ticket is not None and not ticket.over:
+        if ticket is not None and not ticket.finished:
             self._place(xid, ticket, now)
 
     def sync(self, lines: Iterable[Line] | None, whole_list: bool, now: int) -> None:
         if lines is None:
-            self.balancer.list_failed(now)
+            self.balancer.endpoint_request_failed(now)
         else:
-            self.balancer.listed([self._listing(line) for line in lines], whole_list, now)
+            self.balancer.update_endpoints([self._listing(line) for line in lines], whole_list, now)
         self._ask_for_list(now)
 
     def _listing(self, line: Line) -> Listing:
@@ -129,7 +129,7 @@
         return Listing(backend, *rest)
 
     def _ask_for_list(self, now: int) -> None:
-        pause = self.balancer.wait(None, now)
+        pause = self.balancer.wait_time(None, now)
         if pause == 0:
             self.out.append("watch\twant=1")
         elif pause > 0 and not self.list_timer_set:
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -62,7 +62,7 @@
 
 
 def load(text: str) -> dict[int, float]:
-    return settings.load(tuple(one.split(":", 1)) for one in text.split(",") if ":" in one)
+    return settings.parse_load_report(tuple(one.split(":", 1)) for one in text.split(",") if ":" in one)
 
 
 def read_settings(params: str, seed: int) -> PolicySettings:
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -38,12 +38,12 @@
 MOST = 1 << 20
 
 # What a backend reports of its load: calls it holds, calls that wait there.
-HELD = 50
-WAITING = 51
+LOAD_ACTIVE = 50
+LOAD_WAITING = 51
 # And with what its reports come.
-BY_NOBODY = 60
-BY_ANSWERS = 61
-BY_PROBES = 62
+REPORTS_NONE = 60
+REPORTS_IN_RESPONSES = 61
+REPORTS_BY_PROBES = 62
 
 LONG_AGO = -1 << 60
 
@@ -54,7 +54,7 @@
 
 
 # What is learned of a use case, beside its terms.
-LEARNED = ("usual", "spread", "work")
+LEARNED = ("mean_latency", "latency_deviation", "work")
 
 
 class UseCase:
@@ -65,48 +65,48 @@
 
     __slots__ = (
         "name",
-        "promised",
+        "latency_target",
         "outer_limit",
         "importance",
         "late_share",
         "stretch",
-        "repeat",
+        "retry_class",
         "scope",
-        "remembered",
+        "deduplication_window",
         "zones",
         "kinds",
-        "usual",
-        "spread",
+        "mean_latency",
+        "latency_deviation",
         "work",
     )
 
     def __init__(
         self,
         name: str,
-        promised: int,
+        latency_target: int,
         outer_limit: int,
         importance: float,
         late_share: float = 0.0,
-        repeat: int = REPLAYABLE,
+        retry_class: int = REPLAYABLE,
         scope: int = SCOPE_ALL,
-        remembered: int = 0,
+        deduplication_window: int = 0,
         stretch: float = 0.0,
         zones: frozenset[str] | None = None,
         kinds: frozenset[str] | None = None,
     ) -> None:
         self.name = name
-        self.promised = promised
+        self.latency_target = latency_target
         self.outer_limit = outer_limit
         self.importance = importance
         self.late_share = late_share
-        self.repeat = repeat
+        self.retry_class = retry_class
         self.scope = scope
-        self.remembered = remembered
+        self.deduplication_window = deduplication_window
         self.stretch = stretch
         self.zones = zones
         self.kinds = kinds
-        self.usual = 0
-        self.spread = 0
+        self.mean_latency = 0
+        self.latency_deviation = 0
         self.work = 0  # by the hints of its tickets; 0 where there are none
 
     def same_terms(self, other: UseCase) -> bool:
@@ -136,7 +136,7 @@
         "kind",
         "cell",
         "weight",
-        "born",
+        "started_at",
         "in_flight",
         "held",
         "turn",
@@ -171,7 +171,7 @@
         self.kind = ""
         self.cell = 0
         self.weight = 1.0
-        self.born = 0
+        self.started_at = 0
         self.in_flight = 0
         self.held = 0.0
         self.turn = 0.0
@@ -250,7 +250,7 @@
     `gone` tells the second from the first, where that makes a difference.
     """
 
-    __slots__ = ("backend", "zone", "cell", "weight", "born", "ready", "kind", "gone")
+    __slots__ = ("backend", "zone", "cell", "weight", "started_at", "ready", "kind", "gone")
 
     def __init__(
         self,
@@ -258,7 +258,7 @@
         zone: str,
         cell: int,
         weight: float,
-        born: int,
+        started_at: int,
         ready: bool,
         kind: str = "",
         gone: bool = False,
@@ -269,20 +269,20 @@
         self.zone = zone
         self.cell = cell
         self.weight = weight
-        self.born = born
+        self.started_at = started_at
         self.ready = ready
 
 
 class Attempt:
     """One sending of a ticket to a backend. `ended` is None while it is out."""
 
-    __slots__ = ("ticket", "backend", "sent", "patience", "generation", "trial", "ended", "aside")
+    __slots__ = ("ticket", "backend", "sent_at", "timeout", "generation", "trial", "ended", "aside")
 
-    def __init__(self, ticket: Ticket, backend: Backend, sent: int, patience: int, trial: bool) -> None:
+    def __init__(self, ticket: Ticket, backend: Backend, sent_at: int, timeout: int, trial: bool) -> None:
         self.ticket = ticket
         self.backend = backend
-        self.sent = sent
-        self.patience = patience
+        self.sent_at = sent_at
+        self.timeout = timeout
         self.generation = backend.generation
         self.trial = trial
         self.ended: int | None = None
@@ -297,16 +297,18 @@
     `most` is how often it may go out, where that is less than the ground allows.
     """
 
-    __slots__ = ("use_case", "customer", "came", "until", "cost", "attempts", "over", "pause", "most")
+    __slots__ = ("use_case", "customer", "arrived_at", "deadline", "cost", "attempts", "finished", "pause", "most")
 
-    def __init__(self, use_case: UseCase, customer: Customer | None, came: int, until: int, cost: float = 0.0) -> None:
+    def __init__(
+        self, use_case: UseCase, customer: Customer | None, arrived_at: int, deadline: int, cost: float = 0.0
+    ) -> None:
         self.use_case = use_case
         self.customer = customer
-        self.came = came
-        self.until = until
+        self.arrived_at = arrived_at
+        self.deadline = deadline
         self.cost = cost
         self.attempts: list[Attempt] = []
-        self.over = False
+        self.finished = False
         self.pause = 0
         self.most = MOST
 
@@ -319,27 +321,27 @@
         "use_cases",
         "customers",
         "group_size",
-        "ordinal",
-        "stage",
+        "proxy_index",
+        "tier_index",
         "last_tier",
         "zone",
         "zones",
         "most_attempts",
-        "may_call_off",
-        "may_advise",
-        "longest_advice",
-        "must_ask",
+        "cancel_allowed",
+        "retry_after_allowed",
+        "max_retry_after",
+        "polls_list",
         "ask_within",
         "cold_share",
         "warm_after",
         "tip_multiple",
         "overload_for",
-        "passes_limit",
+        "forwards_deadline",
         "importance_by_work",
-        "drain_binds_alone",
+        "only_drain_binds",
         "reported_by",
-        "beside_client",
-        "pushed",
+        "is_sidecar",
+        "list_is_pushed",
         "drain_within",
     )
 
@@ -347,30 +349,30 @@
     use_cases: list[UseCase]
     customers: list[Customer]
     group_size: int
-    ordinal: int
-    stage: int
+    proxy_index: int
+    tier_index: int
     last_tier: bool
     zone: str
     zones: list[str]
     most_attempts: int
-    may_call_off: bool
-    may_advise: bool
-    longest_advice: int
-    must_ask: bool
-    pushed: bool  # what has been told to whoever pushes the list binds, whether or not it came here
+    cancel_allowed: bool
+    retry_after_allowed: bool
+    max_retry_after: int
+    polls_list: bool
+    list_is_pushed: bool  # what has been told to whoever pushes the list binds, whether or not it came here
     ask_within: int
     drain_within: int  # nothing new to a backend so long after it was told to drain
     cold_share: float
     warm_after: int
     tip_multiple: float
     overload_for: int
-    passes_limit: bool
+    forwards_deadline: bool
     importance_by_work: bool
     reported_by: int
-    beside_client: bool  # each client process has a proxy of its own, and so each proxy traffic of its own
-    drain_binds_alone: bool  # one that is gone or left out of the list may still be sent to
+    is_sidecar: bool  # each client process has a proxy of its own, and so each proxy traffic of its own
+    only_drain_binds: bool  # one that is gone or left out of the list may still be sent to
 
     @property
-    def longest_wait(self) -> int:
+    def max_outer_limit(self) -> int:
         """As long as any client waits, whatever it asks for."""
         return max((use.outer_limit for use in self.use_cases), default=0)
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -42,7 +42,9 @@
     def __init__(self, proxies: int, **changes: object) -> None:
         self.now = 100 * SECOND
         self.chance = Random(5)
-        self.grounds = [policy_settings(group_size=proxies, ordinal=one, seed=one, **changes) for one in range(proxies)]
+        self.grounds = [
+            policy_settings(group_size=proxies, proxy_index=one, seed=one, **changes) for one in range(proxies)
+        ]
         self.balancers = [Balancer(told, self.now, lambda line: None) for told in self.grounds]
         self.pictures: list[dict[str, Backend]] = [{} for _ in self.balancers]
         self.cores: dict[str, Core] = {}
@@ -54,7 +56,7 @@
             self.cores.setdefault(name, Core(speed, born, 0.4))
         for balancer, picture in zip(self.balancers, self.pictures):
             lines = [Listing(picture.setdefault(name, Backend(name)), "here", 0, 1.0, born, ready) for name in names]
-            balancer.listed(lines, False, self.now)
+            balancer.update_endpoints(lines, False, self.now)
 
     def play(self, seconds: float, rate: float, work: float) -> None:
         """`rate` tickets a second over all proxies, each of `work` seconds on the mean."""
@@ -70,7 +72,7 @@
                 one = self.chance.randrange(len(self.balancers))
                 use = self.grounds[one].use_cases[0]
                 ticket = Ticket(use, None, self.now, self.now + 2 * SECOND)
-                backend = self.balancers[one].where(ticket, self.now)
+                backend = self.balancers[one].choose_backend(ticket, self.now)
                 if not isinstance(backend, Backend):
                     self.tally["bounced"] += 1
                     continue
@@ -78,10 +80,10 @@
                 core.work[ticket] = self.chance.expovariate(1 / work)
                 core.sent.append(self.now)
                 self.tally[backend.address] += 1
-                self.out[ticket] = one, self.now + self.balancers[one].wait(ticket, self.now)
+                self.out[ticket] = one, self.now + self.balancers[one].wait_time(ticket, self.now)
 
     def _end(self, name: str, ticket: Ticket, how: int) -> None:
         del self.cores[name].work[ticket]
         one, _ = self.out.pop(ticket)
         self.tally["done" if how == DONE else "timed out"] += 1
-        self.balancers[one].after(ticket.attempts[-1], how, True, self.now)
+        self.balancers[one].attempt_ended(ticket.attempts[-1], how, True, self.now)
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -20,7 +20,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from tests.scene import SETTINGS, Street, configuration
+from tests.scene import SETTINGS, ProxyTestCase, configuration
 
 SLACK = 0.1
 RESET = struct.pack("ii", 1, 0)
@@ -217,7 +217,7 @@
 
 
 def request(use: str, name: str, body: str = "", left: int = 5000) -> bytes:
-    return Street.request(None, use, name, body, left)  # type: ignore[arg-type]
+    return ProxyTestCase.request(None, use, name, body, left)  # type: ignore[arg-type]
 
 
 async def write(at: socket.socket, data: bytes) -> None:
--- a/tests/reconfiguration_scene.py
+++ b/tests/reconfiguration_scene.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tests.scene import UNHURRIED, configuration, own_address
+from tests.scene import LONG_TIMEOUT_SETTINGS, configuration, own_address
 
 HOST = "127.0.0.1"
 # The rules on sockets: what discovery has counts as told so long after SIGHUP, 6 s after it could be reached
@@ -33,7 +33,11 @@
 EMPTY_LINE_EVERY = 2.0
 REQUEST_EVERY = 0.025
 REFUSAL = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-SETTINGS = {**UNHURRIED, "discovery": "ask", "rules": {**UNHURRIED["rules"], "stop-sending-within": 500.0}}
+SETTINGS = {
+    **LONG_TIMEOUT_SETTINGS,
+    "discovery": "ask",
+    "rules": {**LONG_TIMEOUT_SETTINGS["rules"], "stop-sending-within": 500.0},
+}
 
 
 @dataclass(frozen=True)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -34,32 +34,38 @@
         "seed": 7,
         "customers": [],
         "group_size": 1,
-        "ordinal": 0,
-        "stage": 0,
+        "proxy_index": 0,
+        "tier_index": 0,
         "last_tier": True,
         "zone": "here",
         "zones": ["here"],
         "most_attempts": 3,
-        "may_call_off": True,
-        "may_advise": False,
-        "longest_advice": 0,
-        "must_ask": False,
+        "cancel_allowed": True,
+        "retry_after_allowed": False,
+        "max_retry_after": 0,
+        "polls_list": False,
         "ask_within": 10 * SECOND,
         "cold_share": 0.2,
         "warm_after": 10 * SECOND,
         "tip_multiple": 3.0,
         "overload_for": 2 * SECOND,
-        "passes_limit": True,
+        "forwards_deadline": True,
         "importance_by_work": False,
-        "reported_by": terms.BY_NOBODY,
-        "beside_client": False,
-        "drain_binds_alone": False,
+        "reported_by": terms.REPORTS_NONE,
+        "is_sidecar": False,
+        "only_drain_binds": False,
         "use_cases": [
             UseCase("look", SECOND, 2 * SECOND, 1.0),
             UseCase(
-                "book", SECOND, 4 * SECOND, 5.0, repeat=terms.REFERENCED, scope=terms.SCOPE_CELL, remembered=SECOND
+                "book",
+                SECOND,
+                4 * SECOND,
+                5.0,
+                retry_class=terms.REFERENCED,
+                scope=terms.SCOPE_CELL,
+                deduplication_window=SECOND,
             ),
-            UseCase("pay", SECOND, 4 * SECOND, 5.0, repeat=terms.SINGLE_USE),
+            UseCase("pay", SECOND, 4 * SECOND, 5.0, retry_class=terms.SINGLE_USE),
         ],
     }
     for name, value in {**given, **changes}.items():
@@ -67,12 +73,12 @@
     return made
 
 
-class Kept(unittest.TestCase):
+class TraceTestCase(unittest.TestCase):
     """A test case whose steps print; `kept` compares what was printed with tests/traces/NAME.txt."""
 
     lines: list[str]
 
-    def kept(self, name: str) -> None:
+    def compare_trace(self, name: str) -> None:
         path = TRACES / f"{name}.txt"
         said = "\n".join(self.lines) + "\n"
         if os.environ.get("KEEP") == "1":
@@ -84,7 +90,7 @@
             )
 
 
-class Scene(Kept):
+class BalancerTestCase(TraceTestCase):
     """A conversation with the module."""
 
     def open(self, *addresses: str, **changes: object) -> None:
@@ -113,7 +119,7 @@
             Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:] or 0), weight, born, ready)
             for name in addresses
         ]
-        self.balancer.listed(lines, whole, self.now)
+        self.balancer.update_endpoints(lines, whole, self.now)
 
     def pass_time(self, seconds: float) -> None:
         self.now += round(seconds * SECOND)
@@ -122,9 +128,9 @@
         return Ticket(self.use_cases[use], customer, self.now, self.now + round(left * SECOND))
 
     def where(self, ticket: Ticket, quiet: bool = False) -> Backend | int:
-        answer = self.balancer.where(ticket, self.now)
+        answer = self.balancer.choose_backend(ticket, self.now)
         if isinstance(answer, Backend):
-            said = f"{answer.address}, patience {self.balancer.wait(ticket, self.now) / SECOND:.3f}"
+            said = f"{answer.address}, patience {self.balancer.wait_time(ticket, self.now) / SECOND:.3f}"
         else:
             said = WORDS[answer]
         if not quiet:
@@ -136,7 +142,7 @@
         sent = ticket.attempts[-1]
         if not quiet:
             self.note(f"{ticket.use_case.name} at {sent.backend.address} {WORDS[how]}")
-        answer = self.balancer.after(sent, how, over or how == terms.DONE, self.now)
+        answer = self.balancer.attempt_ended(sent, how, over or how == terms.DONE, self.now)
         if not quiet and answer != terms.NOTHING:
             self.note(f"{ticket.use_case.name} -> {WORDS[answer]}")
         return answer
@@ -187,8 +193,8 @@
 }
 
 # No ticket is late, however busy the machine, where its client says that it waits for as long (in ms).
-LONG = 60_000
-UNHURRIED = {
+LONG_TIMEOUT_MS = 60_000
+LONG_TIMEOUT_SETTINGS = {
     **SETTINGS,
     "use-cases": [{**use, "promised-time": 60_000.0, "outer-limit": 60_000.0} for use in SETTINGS["use-cases"]],
 }
@@ -227,7 +233,7 @@
     }
 
 
-class Toy:
+class FakeBackend:
     """A backend that does what it is told with each request, in turn: an answer's text, or a word below."""
 
     def __init__(self, name: str, said: list[str]) -> None:
@@ -289,7 +295,7 @@
         return not what.endswith("half")
 
 
-class Street(Kept, unittest.IsolatedAsyncioTestCase):
+class ProxyTestCase(TraceTestCase, unittest.IsolatedAsyncioTestCase):
     """A whole proxy on loopback between a toy client, toy backends and a toy discovery."""
 
     beats = True  # False where a watch is to be silent, or a line of it to come in parts
@@ -311,8 +317,8 @@
         self.addCleanup(spread.stop)
         self.lines = []
         self.logged: list[str] = []
-        self.toys = {name: Toy(name, self.lines) for name in names}
-        for toy in self.toys.values():
+        self.fake_backends = {name: FakeBackend(name, self.lines) for name in names}
+        for toy in self.fake_backends.values():
             await toy.open()
         self.watches: list[asyncio.StreamWriter] = []
         self.heard: list[asyncio.StreamReader] = []
@@ -356,7 +362,7 @@
     def line(self, name: str, state: str = "ready") -> dict[str, object]:
         return {
             "id": name,
-            "addr": f"127.0.0.1:{self.toys[name].port}",
+            "addr": f"127.0.0.1:{self.fake_backends[name].port}",
             "zone": "here",
             "cell": int(name[1:]),
             "state": state,
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -3,15 +3,15 @@
 from pepperusher.capacity import attempts
 from pepperusher.terms import CALLED_OFF, CLOSED, DONE, ERROR, FULL, MOOT, RESET, TIMED_OUT, UNREACHED
 
-from tests.scene import SECOND, Scene
+from tests.scene import SECOND, BalancerTestCase
 
 
-class Breaker(Scene):
+class Breaker(BalancerTestCase):
     def test_trips_by_run(self) -> None:
         self.open("a1")
         for how in (ERROR, FULL, UNREACHED, RESET, CALLED_OFF, MOOT, ERROR):
             self.call(how)
-        self.kept("trip_by_run")
+        self.compare_trace("trip_by_run")
 
     def test_trips_by_half_of_a_full_window(self) -> None:
         self.open("a1")
@@ -20,7 +20,7 @@
             self.call(ERROR, quiet=True)
             self.call(ERROR)
             self.call(DONE, quiet=True)
-        self.kept("trip_by_window")
+        self.compare_trace("trip_by_window")
 
     def test_counts_reset_and_a_late_result_is_discarded(self) -> None:
         self.open("a1")
@@ -31,7 +31,7 @@
         self.pass_time(5)
         self.call(DONE, times=3)
         self.call(ERROR, times=4)
-        self.kept("late_result")
+        self.compare_trace("late_result")
 
     def test_trials_close_reopen_and_time_out(self) -> None:
         self.open("a1", "b1")
@@ -52,7 +52,7 @@
         self.after(overdue, TIMED_OUT)
         self.pass_time(5)
         self.call(DONE, times=5)
-        self.kept("trials")
+        self.compare_trace("trials")
 
     def test_none_admits(self) -> None:
         self.open("a1", "b1")
@@ -64,14 +64,14 @@
             self.where(ticket)
         self.after(second, TIMED_OUT, 1.0, over=True)
         self.call(DONE, times=4)
-        self.kept("none_admits")
+        self.compare_trace("none_admits")
 
     def test_a_failure_shared_by_all_opens_no_server(self) -> None:
         """A tier below that fails must not open the sound backends above it."""
         self.open("a1", "b1", "c1", "d1")
         self.call(ERROR, times=60, quiet=True)
         self.note(f"states {[backend.state - 40 for backend in self.backends.values()]}")
-        self.kept("shared_failure")
+        self.compare_trace("shared_failure")
 
     def test_one_use_case_that_fails_at_a_server_is_not_sent_there(self) -> None:
         """The others kept its breaker closed: a ticket in two waited in vain for as long as that lasted.
@@ -95,7 +95,7 @@
             self.note(f"state {self.backends['a1'].state - 40}, shut to {len(self.backends['a1'].shut)}")
             said += self.lines
         self.lines = said
-        self.kept("use_shut")
+        self.compare_trace("use_shut")
 
     def test_a_lost_answer_is_no_time(self) -> None:
         """Counted as one, a fifth of answers lost made each wait all that its caller had left, and leave no second try.
@@ -104,7 +104,7 @@
         """
         said = []
         for stage in (1, 0):
-            self.open("a1", "b1", "c1", "d1", stage=stage)
+            self.open("a1", "b1", "c1", "d1", tier_index=stage)
             self.call(DONE, 0.05, times=40, quiet=True)
             for _ in range(12):
                 self.call(TIMED_OUT, 1.0, quiet=True)
@@ -113,18 +113,18 @@
             self.call(DONE)
             said += self.lines
         self.lines = said
-        self.kept("lost_answer")
+        self.compare_trace("lost_answer")
 
     def test_lost_answers_in_a_row_with_nothing_heard_are_a_time(self) -> None:
         """Four tell nothing, nor four and one that is answered, by an error too; from the fifth on each counts as
         twice the usual time, however long it was out; one that was called off breaks no row."""
 
         def learned(*hows: int) -> int:
-            self.open("a1", "b1", "c1", "d1", stage=1)
+            self.open("a1", "b1", "c1", "d1", tier_index=1)
             self.call(DONE, 0.05, times=40, quiet=True)
             for how in hows:
                 self.call(how, 1.0 if how == TIMED_OUT else 0.05, quiet=True)
-            return self.use_cases["look"].usual
+            return self.use_cases["look"].mean_latency
 
         usual = learned()
         for how in (DONE, ERROR, FULL, RESET):
@@ -138,9 +138,9 @@
 
     def test_lost_answers_while_others_come_are_no_time_at_a_proxy_with_many_calls(self) -> None:
         """Ten out at once at a server that hangs all end together: others were done while they were out."""
-        self.open("a1", "b1", "c1", "d1", stage=1)
+        self.open("a1", "b1", "c1", "d1", tier_index=1)
         self.call(DONE, 0.05, times=40, quiet=True)
-        usual = self.use_cases["look"].usual
+        usual = self.use_cases["look"].mean_latency
         out = [self.ticket() for _ in range(10)]
         for ticket in out:
             self.where(ticket, quiet=True)
@@ -148,7 +148,7 @@
         self.pass_time(1.0)
         for ticket in out:
             self.after(ticket, TIMED_OUT, over=True, quiet=True)
-        self.assertEqual(usual, self.use_cases["look"].usual)
+        self.assertEqual(usual, self.use_cases["look"].mean_latency)
 
     def test_a_caller_with_little_time_says_nothing_about_the_server(self) -> None:
         self.open("a1")
@@ -158,7 +158,7 @@
             self.where(ticket, quiet=True)
             self.after(ticket, TIMED_OUT, 0.05, over=True, quiet=True)
         self.note(f"state {self.backends['a1'].state - 40}")
-        self.kept("little_time")
+        self.compare_trace("little_time")
 
     def test_servers_full_one_after_another_stay_closed(self) -> None:
         """A burst that fills every server must not open them all and drown the last."""
@@ -168,7 +168,7 @@
         self.note(f"states {[backend.state - 40 for backend in self.backends.values()]}")
         self.list("b1", "c1", ready=False)
         self.call(FULL, 0.01, times=10, quiet=True)
-        self.kept("crowd")
+        self.compare_trace("crowd")
 
 
 class Chains(unittest.TestCase):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -236,7 +236,7 @@
 class Bends(unittest.TestCase):
     def test_arcs_bend_where_the_curve_of_decisions_does(self) -> None:
         """As many backends below it, and a hundredth of the list above; at 13 zones and one."""
-        self.assertEqual(ARC_BEND, policy.REACH / policy.HEARD * decisions.GROUP)
+        self.assertEqual(ARC_BEND, policy.MIN_BACKENDS_PER_PROXY / policy.PROXIES_PER_BACKEND * decisions.GROUP)
         for zones in (None, stage.ZONES):
             at = decisions.arc_by_list(decisions.GROUP, zones)
             below, bend, above = (at(size, 1) for size in (200, int(ARC_BEND), int(3 * ARC_BEND)))
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -10,13 +10,13 @@
 from pepperusher.changes.confirmed_file import ConfirmedFile as OnDisk
 from pepperusher.changes.transaction_log import CONFIRMED, FOLLOWS, UNDONE, TransactionLog, TransactionError
 from pepperusher.changes.overlay import Overlay
-from pepperusher.changes.active_configuration import FULL, IN, LATE, RATE, WAITS, ActiveConfiguration
+from pepperusher.changes.active_configuration import FULL, ADMITTED, TOO_LATE, RATE, QUEUED, ActiveConfiguration
 from pepperusher.changes.error_watch import Counts, ErrorWatch
 from pepperusher.facade import Endpoint
 from pepperusher.configuration import loader
 from pepperusher.configuration.loader import Read
 
-from tests.scene import SECOND, Kept
+from tests.scene import SECOND, TraceTestCase
 
 MS = 1000
 WATCH = '[changes]\nwatch = "2s"\nleast = 20\n'
@@ -144,7 +144,7 @@
         self.assertEqual(overlay.lines([entry("a")], False), [entry("a")])
 
 
-class Stands(Kept):
+class Stands(TraceTestCase):
     def setUp(self) -> None:
         self.lines = []
         self.listed: list[Endpoint] = []
@@ -181,7 +181,10 @@
         standing.undo(change, "ops", "no", 2 * SECOND)
         after = self.ask(standing, 2 * SECOND)
         self.assertEqual(
-            [(one.version.number, one.terms.patient(SECOND), one.terms.most) for one in (old, new, after)],
+            [
+                (one.version.number, one.terms.attempt_timeout(SECOND), one.terms.max_attempts)
+                for one in (old, new, after)
+            ],
             [(1, 400 * MS, 3), (2, 200 * MS, 1), (3, 400 * MS, 3)],
         )
         self.assertEqual(sorted(standing.versions), [1, 2, 3])
@@ -221,15 +224,15 @@
         )
         standing = self.standing(text.format(1, 4))
         first, second, third = (self.ask(standing, 0) for _ in range(3))
-        self.assertEqual([one.how for one in (first, second, third)], [IN, WAITS, FULL])
-        second.waiting.tell = lambda how: standing.told(second, how, SECOND)
+        self.assertEqual([one.how for one in (first, second, third)], [ADMITTED, QUEUED, FULL])
+        second.waiting.on_decision = lambda how: standing.told(second, how, SECOND)
         other = self.ask(standing, 0, customer="b", given=1 * MS)
         self.assertEqual(other.how, FULL)
         self.assertEqual([self.ask(standing, 0).how for _ in range(2)], [FULL, RATE])
         self.assertEqual(self.ask(standing, 0).advice, SECOND)
         # With more room the one that waits goes in under the terms it came with.
         self.applied(standing, text.format(2, 4), SECOND)
-        self.assertEqual((second.how, second.version.number), (IN, 1))
+        self.assertEqual((second.how, second.version.number), (ADMITTED, 1))
         self.applied_none = standing.undo(standing.ledger.open, "ops", "no", SECOND)
         self.assertEqual(standing.gates()[0]["inside"], 2)
         for one in (first, second):
@@ -238,16 +241,16 @@
         late = self.ask(standing, 9 * SECOND)
         standing.over(late, "done", True, 11 * SECOND)
         self.ask(standing, 11 * SECOND, customer="c")
-        self.assertEqual(self.ask(standing, 11 * SECOND, customer="d", given=500 * MS).how, LATE)
-        self.kept("changes_limits")
+        self.assertEqual(self.ask(standing, 11 * SECOND, customer="d", given=500 * MS).how, TOO_LATE)
+        self.compare_trace("changes_limits")
 
     def test_routes_that_go_let_those_inside_leave(self) -> None:
         standing = self.standing(WATCH + '[[routes]]\nname = "r"\nconcurrency = { most = 1, queue = 5 }\n')
         inside, waits = self.ask(standing, 0), self.ask(standing, 0)
-        waits.waiting.tell = lambda how: standing.told(waits, how, 0)
+        waits.waiting.on_decision = lambda how: standing.told(waits, how, 0)
         self.applied(standing, WATCH, 0)
-        self.assertEqual(waits.how, IN)
-        self.assertEqual(self.ask(standing, 0).how, IN)
+        self.assertEqual(waits.how, ADMITTED)
+        self.assertEqual(self.ask(standing, 0).how, ADMITTED)
         standing.over(inside, "done", True, SECOND)
         standing.over(waits, "left", False, SECOND)
         standing.sweep(SECOND)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -10,12 +10,12 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.facade import Endpoint
 
-from tests.scene import SECOND, Kept, Street
+from tests.scene import SECOND, TraceTestCase, ProxyTestCase
 
 READY = b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n"
 
 
-class Ordered(Kept):
+class Ordered(TraceTestCase):
     """Orders beside the list, without a proxy."""
 
     def test_a_ban_stands_whatever_the_list_says(self) -> None:
@@ -27,7 +27,7 @@
 
         def say(what: str, lines: list[Endpoint]) -> None:
             told = ", ".join(
-                f"{one.id} {'ready' if one.ready else 'drained'} born {one.born // SECOND}" for one in lines
+                f"{one.id} {'ready' if one.ready else 'drained'} born {one.started_at // SECOND}" for one in lines
             )
             self.lines.append(f"{what}: {told or 'nothing'}")
 
@@ -44,7 +44,7 @@
         orders.forget(90 * SECOND)
         say("forgotten once it is warm", orders.lines([entry("a", born=12 * SECOND)], False))
         say("a later order of another's", orders.merge({"a": AdminCommand(True, 21 * SECOND)}, NEVER))
-        self.kept("console_orders")
+        self.compare_trace("console_orders")
 
     def test_without_a_console_nothing_of_it_is_loaded(self) -> None:
         said = subprocess.run(
@@ -61,7 +61,7 @@
         self.assertEqual("[]\n", said.stdout)
 
 
-class Console(Street):
+class Console(ProxyTestCase):
     async def call(self, what: str, path: str, method: str = "POST", more: str = "") -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.desk.port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: c\r\n{more}\r\n".encode())
@@ -93,7 +93,7 @@
         await self.call("not even a head", "/-/drain", more="what is this\r\n")
         await self.call("a head without end", "/-/drain", more=f"X: {'x' * 60_000}\r\n")
         await self.ask("ready for clients", READY)
-        self.kept("console_calls")
+        self.compare_trace("console_calls")
 
     async def test_nothing_goes_to_a_banned_backend(self) -> None:
         """Not on a connection that was kept either, nor when the list has it anew; what was written may end."""
@@ -101,15 +101,15 @@
         at = await self.connect()
         for number in range(4):
             await self.ask(f"look {number}", self.request("look", number), at)
-        self.toys["a1"].does = self.toys["b1"].does = ["slow"]
+        self.fake_backends["a1"].does = self.fake_backends["b1"].does = ["slow"]
         under_way = asyncio.create_task(self.ask("look 4", self.request("look", 4)))
         await self.until(lambda: self.lines[-1].startswith("    "))
         del self.lines[:]
-        out_at = "a1" if not self.toys["a1"].does else "b1"
+        out_at = "a1" if not self.fake_backends["a1"].does else "b1"
         other = "b1" if out_at == "a1" else "a1"
         await self.call("out, while it has a ticket", f"/-/backends/{out_at}/disable")
         await under_way
-        self.toys[other].does = []
+        self.fake_backends[other].does = []
         self.endpoint_update(2, self.line("a1"), self.line("b1"), full=True)
         self.endpoint_update(3, dict(self.line(out_at), started_ms=1))
         await asyncio.sleep(0.05)
@@ -147,7 +147,7 @@
         again = await self.connect()
         await self.ask("kept again", self.request("look", 4), again)
         await self.ask("kept again", self.request("look", 5), again)
-        self.kept("console_drain")
+        self.compare_trace("console_drain")
 
     async def test_callers_that_say_nothing_keep_nobody_out(self) -> None:
         """Each place taken by silence or half a call: whoever asks has an answer all the same, at once."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 from pepperusher.net.connection import StreamConnection, reach
 from pepperusher.net.message import Answer, Request, read_head
 
-from tests.scene import SETTINGS, Street, configuration
+from tests.scene import SETTINGS, ProxyTestCase, configuration
 
 RESET = struct.pack("ii", 1, 0)
 LIMITS = {**SETTINGS["policy-limits"]}
@@ -34,7 +34,7 @@
 KINDS = ("look", "book", "pay")
 
 
-class Crossing(Street):
+class Crossing(ProxyTestCase):
     def dial(self) -> socket.socket:
         """A client's connection outside the loop: what it does is with the kernel before the loop comes round."""
         made = socket.create_connection(("127.0.0.1", self.proxy.port), timeout=10)
@@ -52,7 +52,7 @@
 
     async def warm(self) -> None:
         """A connection kept at each backend: what goes out on one goes out in the turn in which it is decided."""
-        for number in range(len(self.toys)):
+        for number in range(len(self.fake_backends)):
             await self.ask("look", self.request("look", 90 + number))
         await self.until(lambda: all(door.idle for door in self.proxy._backends._doors.values()))
         self.proxy._counts.clear()
@@ -96,7 +96,7 @@
         """Its end and the outcome of the first come in one turn; where nothing is called off it was read later."""
         await self.open("a1", "b1", settings=PATIENT)
         leaver: list[socket.socket] = []
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
 
             async def leaves(
                 reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer
@@ -110,7 +110,7 @@
         await self.warm()
         for use, status in (("look", "503"), ("book", "502"), ("pay", "502")):
             at = self.dial()
-            for toy in self.toys.values():
+            for toy in self.fake_backends.values():
                 toy.does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
             del self.lines[:]
             leaver.append(at)
@@ -158,7 +158,7 @@
         for how in ("resets", "ends"):
             with self.subTest(how):
                 await self.open("a1")
-                self.toys["a1"].does = ["silent"]
+                self.fake_backends["a1"].does = ["silent"]
                 at = self.dial()
                 at.sendall(self.request("look", 1, left=30_000))
                 await self.until(lambda: self.got(1))
@@ -172,7 +172,7 @@
                     at.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                 at.close()
                 await self.closed()
-                await self.until(lambda: not self.proxy._facade.in_hand and not self.proxy._callers.open)
+                await self.until(lambda: not self.proxy._facade.open_tickets and not self.proxy._callers.open)
                 self.assertEqual({}, self.proxy._callers._disconnect_watcher._watched)
                 self.assertEqual({"called off": 1, "left": 1}, self.proxy._counts)
                 await self.asyncTearDown()
@@ -181,7 +181,7 @@
     async def test_reading_that_goes_on_is_no_longer_watched(self) -> None:
         """Where nothing more may be read ahead: until then there is nothing to watch for."""
         await self.open("a1")
-        self.toys["a1"].does = ["slow"]
+        self.fake_backends["a1"].does = ["slow"]
         at = self.dial()
         at.sendall(self.request("pay", 1))
         await self.until(lambda: self.got(1))
@@ -201,7 +201,7 @@
             (PATIENT, "slow", ("200 end",) * 3),
         ):
             await self.open("a1", settings=settings)
-            self.toys["a1"].does = [does] * 3
+            self.fake_backends["a1"].does = [does] * 3
             for number, (use, status) in enumerate(zip(KINDS, expected), 1):
                 at = self.dial()
                 at.sendall(self.request(use, number))
@@ -251,11 +251,11 @@
         await self.open("a1", "b1")
 
         async def ends() -> None:
-            toy = next(toy for toy in self.toys.values() if toy.connections)
+            toy = next(toy for toy in self.fake_backends.values() if toy.connections)
             toy.writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
         for number, use in enumerate(KINDS, 1):
-            for toy in self.toys.values():
+            for toy in self.fake_backends.values():
                 toy.connections = 0
             for door in self.proxy._backends._doors.values():
                 self.proxy._backends._close_idle(door)
@@ -299,7 +299,7 @@
         self.endpoint_update(2, {**self.line("z1"), "state": "draining"})
         await self.until(lambda: "z1" not in self.proxy._backends._doors)
         moved = {**self.line("a1"), "addr": self.line("z1")["addr"]}
-        self.toys["a1"].does = ["slow"]
+        self.fake_backends["a1"].does = ["slow"]
         at = await self.connect()
         at[1].write(self.request("look", 1))
         await self.until(lambda: self.got(1))
@@ -338,7 +338,7 @@
             writer.write(b"cd" + body[:0])
             return True
 
-        self.toys["a1"].answer = late
+        self.fake_backends["a1"].answer = late
         for number, use in enumerate(KINDS, 1):
             self.proxy._facade._balancer._most = 1
             with mock.patch.object(self.proxy._facade._balancer, "_patience", lambda ticket, now: 300_000):
@@ -372,7 +372,7 @@
             writer.write(b"a" * 200_000)
             return True
 
-        self.toys["a1"].answer = long
+        self.fake_backends["a1"].answer = long
         self.proxy._facade._balancer._most = 1
         at = self.dial()
         with mock.patch.object(Exchange, "run", kept), mock.patch.object(StreamConnection, "data_received", received):
@@ -415,7 +415,7 @@
         """It came some milliseconds after the first, and on a connection used again at once it was handed to another."""
         await self.open("a1")
         self.proxy._backends._settles = 60_000_000
-        toy, twice = self.toys["a1"], b""
+        toy, twice = self.fake_backends["a1"], b""
 
         async def again(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             nonlocal twice
@@ -446,7 +446,7 @@
         door = self.proxy._backends._doors["a1"]
         await self.until(lambda: door.idle)
         door.idle[0].idle_since -= 80_000
-        self.toys["a1"].writers[-1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+        self.fake_backends["a1"].writers[-1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         await self.until(lambda: not door.idle)
         self.assertGreaterEqual(self.proxy._backends._settles, 160_000)
 
@@ -536,7 +536,7 @@
         await self.warm()
         half, kernel, bad, kept = self.dial(), self.dial(), self.dial(), self.dial()
         hangs = self.dial()
-        self.toys["a1"].does = ["silent"]
+        self.fake_backends["a1"].does = ["silent"]
         hangs.sendall(self.request("file", 1, left=9000))
         await self.until(lambda: self.got(1))
         sent = self.request("book", 2, "x" * 300)
@@ -577,7 +577,7 @@
         """Each order; the attempt would be counted twice, or never come off those in flight."""
         for does in ("ok", "break", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"):
             await self.open("a1")
-            toy = self.toys["a1"]
+            toy = self.fake_backends["a1"]
             leaver: list[socket.socket] = []
 
             async def leaves(
@@ -595,7 +595,7 @@
                 at.sendall(self.request(use, number))
                 self.assertIn(await self.said(at), ("200 end", "502 end", "503 end"))
                 self.assertEqual(1, len(self.got(number)))
-            self.assertEqual(0, self.proxy._facade.in_hand)
+            self.assertEqual(0, self.proxy._facade.open_tickets)
             self.assertEqual(0, self.proxy._facade._backends["a1"].in_flight)
             self.assertNotIn("exceptions", self.proxy._counts)
             await self.asyncTearDown()
@@ -649,7 +649,7 @@
                         said.append((await served.stderr.readline()).decode())
 
             def request(number: int, use: str) -> bytes:
-                return Street.request(None, use, number, left=8000)
+                return ProxyTestCase.request(None, use, number, left=8000)
 
             async def ask(number: int, use: str, at: object = None) -> object:
                 reader, writer = at or await asyncio.open_connection("127.0.0.1", port)
@@ -768,7 +768,7 @@
         await self.open("a1", settings=PUSHED)
         balancer = self.proxy._facade._balancer
         for _ in range(4):
-            self.proxy._facade.list_failed(0)
+            self.proxy._facade.endpoint_request_failed(0)
             self.assertLessEqual(balancer._ask_at, 125_000)
 
     async def test_where_lists_are_pushed_clients_come_after_the_first_word(self) -> None:
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -3,10 +3,10 @@
 from pepperusher.terms import DONE, ERROR
 
 from tests.crowd import Crowd
-from tests.scene import SECOND, Kept, Scene
+from tests.scene import SECOND, TraceTestCase, BalancerTestCase
 
 
-class Fleet(Kept):
+class Fleet(TraceTestCase):
     def test_fresh_backends_are_not_idle_beside_bounced_tickets(self) -> None:
         """Six in ten replaced: the warm ones jam, and their jam must not hold the fresh ones' part down."""
         crowd = Crowd(7)
@@ -32,10 +32,10 @@
             f" timed out {now['timed out']}",
             f"most to a fresh one in any 3 s {most}; the least of it the rule allows 3 x 0.4 x 3 / 0.06 = 60",
         ]
-        self.kept("fleet_fresh")
+        self.compare_trace("fleet_fresh")
 
 
-class Refused(Scene):
+class Refused(BalancerTestCase):
     def test_a_fresh_backend_is_no_way_past_the_prediction_for_what_may_have_run(self) -> None:
         """The prediction refused it, a fresh one of another cell had budget, and it went to the jammed ones of its own."""
         self.open("a1", "b1")
@@ -50,4 +50,4 @@
         self.backends["c2"].allowance = 1.0
         self.where(ticket)
         self.where(self.ticket())
-        self.kept("fresh_no_way_past")
+        self.compare_trace("fresh_no_way_past")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from pepperusher.net.discovery import START_SPREAD
 from pepperusher.net.endpoint_update import endpoint_update_of
 from pepperusher.rehearsal.askers import Asker
-from tests.scene import SETTINGS, Street
+from tests.scene import SETTINGS, ProxyTestCase
 
 
 # A term as these tests have it, in seconds: long enough for what is to come before its end, also on a busy machine.
@@ -61,7 +61,7 @@
             discovery.stop()
 
 
-class Alone(Street):
+class Alone(ProxyTestCase):
     start_spread = 0.2
 
     async def test_it_waits_where_the_settings_leave_time_to_ask(self) -> None:
@@ -75,7 +75,7 @@
         self.assertEqual(0.0, self.proxy._discovery._source.schedule.paused_till)
 
 
-class Lists(Street):
+class Lists(ProxyTestCase):
     beats = False
     keeps_silent = False  # discovery takes calls and says nothing, not even that it lives
 
@@ -104,7 +104,7 @@
 
     async def test_a_list_that_is_none_leaves_the_last_good_one_and_its_drains(self) -> None:
         await self.open("a1", "b1", "c1")
-        a, b, c = (self.line(name) for name in self.toys)
+        a, b, c = (self.line(name) for name in self.fake_backends)
         self.tell(self.line_of(2, self.line("b1", "draining")))
         await self.settle()
         said = [f"b1 drains: {self.listed()}"]
@@ -129,7 +129,7 @@
         await self.ask("look 1", self.request("look", 1))
         said.append(self.lines[-1])
         self.lines = said
-        self.kept("discovery_bad")
+        self.compare_trace("discovery_bad")
 
     async def test_within_a_watch_what_is_older_lifts_no_drain(self) -> None:
         """Versions reversed and doubled: the drain once went with the late line."""
@@ -154,7 +154,7 @@
             f"its first word after a new start: {self.listed()}, version {self.proxy._discovery._source.version}"
         )
         self.lines = said
-        self.kept("discovery_order")
+        self.compare_trace("discovery_order")
 
     async def test_an_error_of_ours_does_not_end_the_asking(self) -> None:
         """No drain would be heard of again, and nobody would see why."""
@@ -272,7 +272,7 @@
                 return self.looks > 2
 
         for use in ("book", "pay"):
-            for toy in self.toys.values():
+            for toy in self.fake_backends.values():
                 toy.does = ["break"]
             self.lines.clear()  # the backends write to it as well
             with mock.patch.object(type(confirmation), "expired", Expires()):
@@ -382,7 +382,7 @@
     async def test_an_older_list_of_a_new_address_lifts_no_drain(self) -> None:
         """A list that was on its way for long, or of a replica that is behind: by its word b1 had requests again."""
         await self.open("a1", "b1", "c1")
-        a, b, c = (self.line(name) for name in self.toys)
+        a, b, c = (self.line(name) for name in self.fake_backends)
         self.tell(self.line_of(9, self.line("b1", "draining"), {**c, "state": "gone"}))
         await self.settle()
         await self.moved()
@@ -396,7 +396,7 @@
 
     async def test_an_older_list_lifts_a_stop_where_the_endpoint_has_started_since_or_is_the_last(self) -> None:
         await self.open("a1", "b1")
-        a, b = (self.line(name) for name in self.toys)
+        a, b = (self.line(name) for name in self.fake_backends)
         self.tell(self.line_of(9, self.line("b1", "draining")))
         await self.settle()
         await self.moved()
@@ -414,8 +414,11 @@
         """Each laid the ring anew, in one turn of the loop."""
         await self.open("a1", "b1")
         asked = []
-        listed = self.proxy._facade.listed
-        self.proxy._facade.listed = lambda entries, *rest: (asked.append(len(entries)), listed(entries, *rest))
+        listed = self.proxy._facade.update_endpoints
+        self.proxy._facade.update_endpoints = lambda entries, *rest: (
+            asked.append(len(entries)),
+            listed(entries, *rest),
+        )
         text = b"".join(
             self.line_of(number, self.line("b1", "draining" if number % 2 else "ready")) for number in range(2, 502)
         )
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -45,7 +45,7 @@
 from pepperusher.net.configuration_manager import ConfigurationManager
 from pepperusher.store.disk import Disk
 
-from tests.scene import Street
+from tests.scene import ProxyTestCase
 
 SECRET = b"a key for the tests alone"
 KEY: Key = (CONFIG, "shop")
@@ -647,7 +647,7 @@
 """
 
 
-class Whole(Street):
+class Whole(ProxyTestCase):
     """A whole proxy, whose file names control machines."""
 
     async def asyncSetUp(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -20,7 +20,7 @@
 from pepperusher.facade import Endpoint, Facade
 from pepperusher.settings import read_settings
 
-from tests.scene import SECOND, SETTINGS, Kept, Street, own_address
+from tests.scene import SECOND, SETTINGS, TraceTestCase, ProxyTestCase, own_address
 
 
 class Marks(unittest.TestCase):
@@ -48,7 +48,7 @@
         self.assertFalse(looks(3, 250_000))
 
 
-class Passed(Kept):
+class Passed(TraceTestCase):
     def test_what_another_left_is_read_as_a_stranger_s(self) -> None:
         self.lines = []
         good = State(
@@ -86,37 +86,37 @@
                 self.lines.append(f"{what}: {state_of(text)}")
             except BadState as error:
                 self.lines.append(f"{what}: {error}")
-        self.kept("handover_state")
+        self.compare_trace("handover_state")
 
     def test_what_was_learned_goes_on_elsewhere(self) -> None:
         """A breaker that is open stays so for the rest of its period; words that are no figures change nothing."""
         facades = [Facade(read_settings(SETTINGS, 5), 100 * SECOND, lambda _: None) for _ in range(2)]
         for facade in facades:
-            facade.listed(
+            facade.update_endpoints(
                 [Endpoint("a", "here", 1, 1.0, 0, True), Endpoint("b", "here", 1, 1.0, 0, True)], True, 100 * SECOND
             )
         first, second = facades
         for number in range(40):
             now = (100 + number // 10) * SECOND
-            ticket = first.take("look", "", now, SECOND, 0)
-            step = first.pick(ticket, now)
-            while step.what == "send":
+            ticket = first.open_ticket("look", "", now, SECOND, 0)
+            step = first.choose_backend(ticket, now)
+            while step.action == "send":
                 step = first.report(ticket, "done" if step.backend == "a" else "reset", now + 20_000)
-            first.settle(ticket, now + 20_000)
+            first.close_ticket(ticket, now + 20_000)
         now = 104 * SECOND
-        learned = json.loads(json.dumps(first.learned(now)))
+        learned = json.loads(json.dumps(first.export_learned(now)))
         for bad in (
             {},
             {**learned, "open_for": {"a": "soon"}},
             {**learned, "flow": [1]},
             {**learned, "times": {"look": [-1, 0]}},
         ):
-            self.assertRaises(ValueError, second.taught, bad, now)
-        self.assertEqual({"open_for": {}, "times": {}, "flow": [0, 0.0, 0.0]}, second.learned(now))
-        second.taught(learned, now)
+            self.assertRaises(ValueError, second.import_learned, bad, now)
+        self.assertEqual({"open_for": {}, "times": {}, "flow": [0, 0.0, 0.0]}, second.export_learned(now))
+        second.import_learned(learned, now)
         self.assertEqual(list(learned["open_for"]), ["b"])
         self.assertEqual(first.backends()[1]["open_until"], second.backends()[1]["open_until"])
-        self.assertEqual(learned["times"], second.learned(now)["times"])
+        self.assertEqual(learned["times"], second.export_learned(now)["times"])
 
     def test_who_sits_where(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -190,7 +190,7 @@
             return await self.process.wait()
 
 
-class Replaced(Street):
+class Replaced(ProxyTestCase):
     """Clients, backends and discovery are the test's, the proxy is as many processes as it takes."""
 
     async def stand(self, *names: str) -> None:
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -24,7 +24,7 @@
 from pepperusher.control import client
 from pepperusher.configuration.loader import ConfigurationError
 
-from tests.scene import UNHURRIED, Street, configuration, own_address
+from tests.scene import LONG_TIMEOUT_SETTINGS, ProxyTestCase, configuration, own_address
 
 WATCH = '[changes]\nwatch = "2s"\nleast = 20\n[said]\nversion = true\n'
 UNWATCHED = WATCH.replace('"2s"', '"1m"').replace("least = 20", "least = 100000")
@@ -62,14 +62,14 @@
             writer.close()
 
 
-class House(Street):
+class House(ProxyTestCase):
     async def stand(self, own: str, after: float = 0.02, *names: str, **changes: object) -> None:
         asyncio.get_running_loop().set_debug(False)  # three times as slow, and it is the time that these turn on
         await self.open(own=own, limits={"sockets": 8000}, **changes)
         self.backends = {name: Counting(after) for name in names or ("a1", "b1")}
         for one in self.backends.values():
             await one.open()
-        self.toys = self.backends  # type: ignore[assignment]
+        self.fake_backends = self.backends  # type: ignore[assignment]
         await self.until(lambda: self.watches)
         self.endpoint_update(2, *(self.line(name) for name in self.backends), full=True)
         await self.until(lambda: len(self.proxy._facade.backends()) == len(self.backends))
@@ -133,7 +133,9 @@
         # their answers until all thousand are in hand, however long a busy machine takes to bring them in: a crowd
         # that was answered as it came was now and then never as large as was waited for.
         held = '[[routes]]\nname = "all"\nconcurrency = { most = 40, queue = 2000 }\n'
-        await self.stand(UNWATCHED + held, 0.05, *(f"{letter}1" for letter in "abcdefgh"), settings=UNHURRIED)
+        await self.stand(
+            UNWATCHED + held, 0.05, *(f"{letter}1" for letter in "abcdefgh"), settings=LONG_TIMEOUT_SETTINGS
+        )
         for backend in self.backends.values():
             backend.may.clear()
         most = 0
@@ -169,7 +171,7 @@
         self.assertLessEqual(max(waits["2"]), 70_000)
         self.assertGreater(max(waits["2"]), 60_000)
         self.assertGreater(min(waits["1"] | waits["3"]), 70_000)
-        await self.until(lambda: self.proxy._facade.in_hand == 0)
+        await self.until(lambda: self.proxy._facade.open_tickets == 0)
         self.assertEqual(list(self.house.standing.versions), [3])
 
     async def test_a_drain_told_just_before_an_apply_holds_through_it_and_its_undo(self) -> None:
@@ -193,7 +195,7 @@
 
     async def test_a_mark_drains_and_its_end_lifts_it(self) -> None:
         # Not WATCH: on a busy machine the tickets take longer than its 2 s, and a change that is over needs no word.
-        await self.stand(UNWATCHED, settings=UNHURRIED)
+        await self.stand(UNWATCHED, settings=LONG_TIMEOUT_SETTINGS)
         change = await self.house.drain("a1", False, "ops", "a look at it")
         await asyncio.gather(*(self.one(left=60_000) for _ in range(20)))
         self.assertEqual(self.backends["a1"].came, {})
@@ -229,7 +231,7 @@
         await self.until(lambda: gates()[0]["waiting"] == 0)
         await asyncio.gather(*inside)
         self.assertNotIn("999", self.backends["a1"].came | self.backends["b1"].came)
-        self.assertEqual((gates()[0]["inside"], self.proxy._facade.in_hand), (0, 0))
+        self.assertEqual((gates()[0]["inside"], self.proxy._facade.open_tickets), (0, 0))
 
     async def test_one_that_waits_has_its_answer_before_its_time_is_up(self) -> None:
         """Answers have been quick, so nobody is late by the usual time until just before the end; then one holds the place."""
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -94,7 +94,7 @@
     async def much(self, first: int, requests: int, size: int) -> tuple[socket.socket, "asyncio.Future[None]"]:
         """A client with one request out at a slow backend, and more behind it than the reader takes."""
         asyncio.get_running_loop().set_debug(False)  # several times as slow
-        self.toys["a1"].does = ["slow"]
+        self.fake_backends["a1"].does = ["slow"]
         at = self.dial()
         at.sendall(self.request("pay", first))
         await self.until(lambda: self.got(first))
@@ -128,7 +128,7 @@
                 await self.open("a1", "b1", "c1")
                 watch = self.proxy._callers._disconnect_watcher
                 watch._most = 500_000
-                for toy in self.toys.values():
+                for toy in self.fake_backends.values():
                     toy.does = ["silent"] * 3
                 held = [self.dial() for _ in range(3)]
                 for number, at in enumerate(held):
@@ -163,7 +163,7 @@
     async def test_an_end_behind_what_is_read_ahead_calls_off_what_is_out(self) -> None:
         """It never arrived: what was out stayed out, and the client's descriptor with it."""
         await self.open("a1")
-        self.toys["a1"].does = ["silent"]
+        self.fake_backends["a1"].does = ["silent"]
         at = self.dial()
         at.sendall(self.request("look", 1, left=30_000))
         await self.until(lambda: self.got(1))
@@ -186,7 +186,7 @@
 
         stalled = asyncio.Event()
         server = await asyncio.start_server(stalls, "127.0.0.1", 0, limit=READ)
-        self.toys["a1"].port = server.sockets[0].getsockname()[1]
+        self.fake_backends["a1"].port = server.sockets[0].getsockname()[1]
         self.endpoint_update(2, self.line("a1"))
         await self.until(lambda: self.proxy._discovery.version == 2)
         at = self.dial()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,11 +5,11 @@
 import unittest
 from random import Random
 
-from pepperusher.limits.gate import FULL, IN, LATE, WAITS, Gate, Waiting
+from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, Waiting
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Bucket, Buckets, RetryBudget
 
-from tests.scene import SECOND, Kept
+from tests.scene import SECOND, TraceTestCase
 
 MS = 1000
 
@@ -37,20 +37,20 @@
 
     def test_retries_are_a_share_of_firsts_and_a_floor(self) -> None:
         budget = RetryBudget(0.2, 0.5, 10 * SECOND, 0)
-        self.assertEqual([budget.further(0) for _ in range(7)], [True] * 5 + [False] * 2)
+        self.assertEqual([budget.try_retry(0) for _ in range(7)], [True] * 5 + [False] * 2)
         for _ in range(100):
-            budget.first(SECOND)
-        self.assertEqual(sum(budget.further(SECOND) for _ in range(50)), 20)
-        self.assertFalse(budget.further(9 * SECOND))
+            budget.record_first_attempt(SECOND)
+        self.assertEqual(sum(budget.try_retry(SECOND) for _ in range(50)), 20)
+        self.assertFalse(budget.try_retry(9 * SECOND))
         # What was put in and taken out is gone after the span, and what is left is the floor.
-        self.assertEqual(sum(budget.further(12 * SECOND) for _ in range(50)), 5)
+        self.assertEqual(sum(budget.try_retry(12 * SECOND) for _ in range(50)), 5)
 
     def test_a_retry_storm_is_held_to_its_share(self) -> None:
         chance, budget, furthers = Random(2), RetryBudget(0.1, 1.0, 10 * SECOND, 0), 0
         for number in range(20_000):
             now = number * 10 * MS
-            budget.first(now)
-            while chance.random() < 0.9 and budget.further(now):
+            budget.record_first_attempt(now)
+            while chance.random() < 0.9 and budget.try_retry(now):
                 furthers += 1
         self.assertLess(furthers, 20_000 * 0.1 + 200 * 1.0 + 20)
         self.assertGreater(furthers, 20_000 * 0.1)
@@ -106,17 +106,17 @@
         self.assertLessEqual(limit.limit, 6)
 
 
-class Gates(Kept):
+class Gates(TraceTestCase):
     def enter(self, gate: Gate, customer: str, now: int = 0, until: int = 10 * SECOND, priority: int = 5) -> Waiting:
         how, one = gate.enter(customer, priority, now, until)
         name = f"{customer}{one.order}"
-        one.tell = lambda how: self.lines.append(f"  {name} told {how}")
-        self.lines.append(f"{name} {how}; {gate.inside} in, {gate.waiting} wait")
+        one.on_decision = lambda how: self.lines.append(f"  {name} told {how}")
+        self.lines.append(f"{name} {how}; {gate.admitted_count} in, {gate.waiting} wait")
         return one
 
     def leave(self, gate: Gate, customer: str, now: int, took: int = 100 * MS) -> None:
         self.lines.append(f"{customer} leaves")
-        gate.leave(customer, took, True, now)
+        gate.release(customer, took, True, now)
 
     def test_who_waits_who_goes_in_and_who_gives_way(self) -> None:
         """Two at once and three that wait; north weighs twice as much as the others."""
@@ -135,7 +135,7 @@
         self.enter(gate, "east", 300 * MS, until=350 * MS)
         self.leave(gate, "west", 400 * MS)
         self.lines.append(f"swept at 9.95 s: {gate.sweep(9950 * MS)}")
-        self.kept("limits_gate")
+        self.compare_trace("limits_gate")
 
     def test_each_customer_gets_its_share_under_a_flood(self) -> None:
         """One sends ten times as much as the others together: each of them is served all that it asks."""
@@ -153,17 +153,19 @@
             now_is[0] = now
             for one in [one for one in inside if one[0] <= now]:
                 inside.remove(one)
-                gate.leave(one[1], 100 * MS, True, now)
+                gate.release(one[1], 100 * MS, True, now)
             for customer, rate in (("flood", 500), ("a", 20), ("b", 20), ("c", 10)):
                 if chance.random() < rate * 0.005 or customer == "flood" and now % (10 * MS) == 0:
                     asked[customer] = asked.get(customer, 0) + 1
                     how, one = gate.enter(customer, 5, now, now + 2 * SECOND)
-                    if how == IN:
+                    if how == ADMITTED:
                         taken(customer, now)
-                    elif how == WAITS:
-                        one.tell = lambda told, customer=customer: taken(customer, now_is[0]) if told == IN else None
+                    elif how == QUEUED:
+                        one.on_decision = lambda told, customer=customer: (
+                            taken(customer, now_is[0]) if told == ADMITTED else None
+                        )
             gate.sweep(now)
-            self.assertLessEqual(gate.inside, 10)
+            self.assertLessEqual(gate.admitted_count, 10)
             self.assertLessEqual(gate.waiting, 40)
         for customer in ("a", "b", "c"):
             self.assertGreater(served[customer] / asked[customer], 0.95, customer)
@@ -183,7 +185,7 @@
             def tell(one: Waiting, how: str) -> None:
                 told.setdefault(one.order, []).append(how)
                 waiting.pop(one.order, None)
-                if how == IN:
+                if how == ADMITTED:
                     inside.append(one)
 
             now = 0
@@ -194,16 +196,16 @@
                     how, one = gate.enter(
                         chance.choice("abcd"), chance.randint(0, 9), now, now + chance.randint(1, 400 * MS)
                     )
-                    if how == WAITS:
+                    if how == QUEUED:
                         waiting[one.order] = one
-                        one.tell = lambda how, one=one: tell(one, how)
+                        one.on_decision = lambda how, one=one: tell(one, how)
                     else:
                         told.setdefault(one.order, []).append(how)
-                        if how == IN:
+                        if how == ADMITTED:
                             inside.append(one)
                 elif turn < 0.85 and inside:
                     one = inside.pop(chance.randrange(len(inside)))
-                    gate.leave(one.customer, chance.randint(1, 100 * MS), chance.random() < 0.9, now)
+                    gate.release(one.customer, chance.randint(1, 100 * MS), chance.random() < 0.9, now)
                 elif turn < 0.9 and waiting:
                     _, one = waiting.popitem()
                     gate.withdraw(one)
@@ -212,21 +214,21 @@
                     gate.sweep(now)
                 else:
                     gate.change(Fixed(chance.randint(1, 5)), chance.randint(0, 6), {"b": 2.0}, now)
-                self.assertEqual((gate.inside, gate.waiting), (len(inside), len(waiting)))
+                self.assertEqual((gate.admitted_count, gate.waiting), (len(inside), len(waiting)))
             for one in list(waiting.values()):
                 gate.withdraw(one)
             while inside:
                 one = inside.pop()
-                gate.leave(one.customer, 1, True, now)
+                gate.release(one.customer, 1, True, now)
             self.assertEqual({len(words) for words in told.values()}, {1})
-            self.assertEqual((gate.inside, gate.waiting, gate._shares), (0, 0, {}))
+            self.assertEqual((gate.admitted_count, gate.waiting, gate._shares), (0, 0, {}))
 
     def test_no_queue_and_no_time(self) -> None:
         gate = Gate(Fixed(1), 0, {})
-        self.assertEqual([gate.enter("a", 5, 0, SECOND)[0] for _ in range(2)], [IN, FULL])
-        gate.leave("a", 600 * MS, True, 600 * MS)
+        self.assertEqual([gate.enter("a", 5, 0, SECOND)[0] for _ in range(2)], [ADMITTED, FULL])
+        gate.release("a", 600 * MS, True, 600 * MS)
         gate.enter("a", 5, 600 * MS, 9 * SECOND)
-        self.assertEqual(gate.enter("a", 5, 600 * MS, SECOND)[0], LATE)
+        self.assertEqual(gate.enter("a", 5, 600 * MS, SECOND)[0], TOO_LATE)
 
 
 if __name__ == "__main__":
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -14,7 +14,7 @@
 from pepperusher.terms import DONE, TIMED_OUT, Backend, Ticket
 
 from tests.crowd import STEP, Crowd
-from tests.scene import SECOND, SETTINGS, Kept, Street, policy_settings
+from tests.scene import SECOND, SETTINGS, TraceTestCase, ProxyTestCase, policy_settings
 
 OLD, NEW = "old", "new"
 
@@ -34,10 +34,10 @@
         self.kinds = [OLD] * old + [NEW] * new
         for at in range(old, old + new):
             changes = {
-                "beside_client": True,
-                "reported_by": terms.BY_ANSWERS,
+                "is_sidecar": True,
+                "reported_by": terms.REPORTS_IN_RESPONSES,
                 "group_size": old + new,
-                "ordinal": at,
+                "proxy_index": at,
                 "seed": at,
             }
             self.grounds[at] = policy_settings(**changes)
@@ -72,7 +72,7 @@
     def _ask(self, kind: str, work: float) -> None:
         one = self.chance.choice([at for at, of in enumerate(self.kinds) if of == kind])
         ticket = Ticket(self.grounds[one].use_cases[0], None, self.now, self.now + 2 * SECOND)
-        backend = self.balancers[one].where(ticket, self.now)
+        backend = self.balancers[one].choose_backend(ticket, self.now)
         self.tally[kind, "asked"] += 1
         if not isinstance(backend, Backend):
             self.tally[kind, "bounced"] += 1
@@ -82,13 +82,15 @@
         core = self.cores[backend.address]
         core.work[ticket] = self.chance.expovariate(1 / work)
         core.sent.append(self.now)
-        self.out[ticket] = one, self.now + self.balancers[one].wait(ticket, self.now)
+        self.out[ticket] = one, self.now + self.balancers[one].wait_time(ticket, self.now)
 
     def _end(self, name: str, ticket: Ticket, how: int) -> None:
         one = self.out[ticket][0]
         if self.kinds[one] == NEW:
-            self.balancers[one].reported(ticket.attempts[-1].backend, {terms.HELD: self.told.get(name, 0)}, self.now)
-        in_time = self.now - ticket.came <= ticket.use_case.promised
+            self.balancers[one].record_load_report(
+                ticket.attempts[-1].backend, {terms.LOAD_ACTIVE: self.told.get(name, 0)}, self.now
+            )
+        in_time = self.now - ticket.arrived_at <= ticket.use_case.latency_target
         self.tally[self.kinds[one], "in time" if how == DONE and in_time else "late"] += 1
         super()._end(name, ticket, how)
 
@@ -99,7 +101,7 @@
         return self.time[kind] / sum(self.time.values())
 
 
-class Fair(Kept):
+class Fair(TraceTestCase):
     # Of each kind's tickets, which come alike: how far what is done in time may lie apart, and a kind's part of the
     # backends' time from the half that it is asked for.
     DONE_APART = 0.12
@@ -140,10 +142,10 @@
             self.assertTrue(self.fair(self.played(0.8, old=old, new=new)), self.lines[-1])
         # The same measure turns a kind down that never refuses.
         self.assertFalse(self.fair(self.played(1.2, greedy=True)), self.lines[-1])
-        self.kept("mixed_fair")
+        self.compare_trace("mixed_fair")
 
 
-class OnSockets(Street):
+class OnSockets(ProxyTestCase):
     async def test_one_of_each_kind_as_whole_proxies_before_the_same_backends(self) -> None:
         """Tickets of all kinds at both, one backend drained under way and one failing: an answer for each, an effect once."""
         await self.open("a1", "b1", "c1", settings={**SETTINGS, "group-size": 2, "discovery": "ask"})
@@ -153,7 +155,7 @@
             {
                 **SETTINGS,
                 "group-size": 2,
-                "ordinal": 1,
+                "proxy_index": 1,
                 "family": "mesh",
                 "discovery": "push",
                 "reporting": {"how": "piggyback", "names": ["active", "cpu"]},
@@ -167,9 +169,9 @@
         second._log.say = lambda line, figures=None: None
         serving = asyncio.create_task(second.serve())
         await self.until(lambda: second.port and len(self.watches) == 2)
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = ["HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active=1\r\nContent-Length: 2\r\n\r\nok"] * 300
-        self.toys["b1"].does[5:8] = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"] * 3
+        self.fake_backends["b1"].does[5:8] = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"] * 3
         answers: Counter[tuple[int, str]] = Counter()
         at_drain: list[int] = []
 
