--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -25,7 +25,15 @@
 from pepperusher.net.message import Answer, Request
 from pepperusher.net.proxy import READY
 
-from tests.scene import LONG, SETTINGS, UNHURRIED, Kept, Street, configuration, own_address
+from tests.scene import (
+    LONG_TIMEOUT_MS,
+    SETTINGS,
+    LONG_TIMEOUT_SETTINGS,
+    TraceTestCase,
+    ProxyTestCase,
+    configuration,
+    own_address,
+)
 
 NOT_STARTED = "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 
@@ -35,7 +43,7 @@
     return int.from_bytes(fcntl.ioctl(line.fileno(), termios.FIONREAD, bytes(4)), sys.byteorder)
 
 
-class Net(Street):
+class Net(ProxyTestCase):
     async def test_tickets_go_on_unchanged_over_kept_connections(self) -> None:
         await self.open("a1")
         at = await self.connect()
@@ -43,13 +51,13 @@
         await self.ask("book 2", self.request("book", 2, "x" * 64 * 1024), at)
         await self.ask("book 3", self.request("book", 3, "y" * 200), at)
         await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", at)
-        self.lines.append(f"connections at a1: {self.toys['a1'].connections}")
-        self.kept("net_through")
+        self.lines.append(f"connections at a1: {self.fake_backends['a1'].connections}")
+        self.compare_trace("net_through")
 
     async def test_what_may_have_run_is_told_from_what_never_ran(self) -> None:
         """Single-use tells them apart: bounced where it never ran, scrapped where it may have."""
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         for number, does in enumerate(
             (
@@ -68,9 +76,9 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000,
             )
         ):
-            self.toys["a1"].does = [does] * 3
+            self.fake_backends["a1"].does = [does] * 3
             await self.ask(f"pay after {does[:40]!r}", self.request("pay", number))
-            self.toys["a1"].does = []
+            self.fake_backends["a1"].does = []
             # One that was full is not asked before a call of usual length is over, which on a busy machine is long.
             known = self.proxy._facade._balancer._backends
             await self.until(lambda known=known: all(clock.now() >= one.full_until for one in known))
@@ -78,7 +86,7 @@
                 await self.connect_and_forget("look", 100 + number)
         # A full backend may be asked again, which hangs on how long its answers took: a repeat is left out.
         self.lines = [line for line, before in zip(self.lines, ["", *self.lines]) if line != before]
-        self.kept("net_outcomes")
+        self.compare_trace("net_outcomes")
 
     async def connect_and_forget(self, use: str, number: int) -> None:
         reader, writer = await self.connect()
@@ -91,39 +99,40 @@
     async def test_a_broken_answer_is_tried_again_elsewhere(self) -> None:
         await self.open("a1", "b1")
         half = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf"
-        self.toys["a1"].does, self.toys["b1"].does = [half], [half, "ok"]
+        self.fake_backends["a1"].does, self.fake_backends["b1"].does = [half], [half, "ok"]
         await self.ask("look 1", self.request("look", 1))
-        self.toys["a1"].server.close()
-        for writer in self.toys["a1"].writers:
+        self.fake_backends["a1"].server.close()
+        for writer in self.fake_backends["a1"].writers:
             writer.close()
         for number in range(2, 6):
             await self.ask(f"pay {number}", self.request("pay", number))
-        self.kept("net_again")
+        self.compare_trace("net_again")
 
     async def test_a_garbled_attempt_is_closed_before_the_next(self) -> None:
         """Out on an open connection still, it would be a second copy at the same time."""
         await self.open("a1", "b1")
         for number in (1, 2):
             await self.ask(f"look {number}", self.request("look", number))
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = ["garble"]
         reader, writer = await self.connect()
         writer.write(self.request("look", 3))
         await self.hear(reader)
-        self.kept("net_garbled")
+        self.compare_trace("net_garbled")
 
     async def test_what_is_remembered_is_looked_at_before_the_first_byte(self) -> None:
         await self.open("a1")
         facade, came = self.proxy._facade, clock.now()
-        facade._use_cases["book"].remembered = 200_000
-        ticket = facade.take("book", "", came, 1_500_000, 0)
-        facade.pick(ticket, came)
+        facade._use_cases["book"].deduplication_window = 200_000
+        ticket = facade.open_ticket("book", "", came, 1_500_000, 0)
+        facade.choose_backend(ticket, came)
         facade.report(ticket, "reset", came + 1000)
         self.lines = [
-            f"sent again {late / 1e6} s after: {facade.stands(ticket, came + late)}" for late in (100_000, 250_000)
+            f"sent again {late / 1e6} s after: {facade.may_still_send(ticket, came + late)}"
+            for late in (100_000, 250_000)
         ]
-        facade.settle(ticket, came + 250_000)
-        self.kept("net_remembered")
+        facade.close_ticket(ticket, came + 250_000)
+        self.compare_trace("net_remembered")
 
     async def test_written_is_what_the_kernel_took(self) -> None:
         """An attempt given up before its last byte was written never ran, however the wait for it ended."""
@@ -146,7 +155,7 @@
             line.abort()
             far.close()
         self.lines = said
-        self.kept("net_written")
+        self.compare_trace("net_written")
 
     async def test_a_kept_connection_that_broke_makes_the_others_stand_for_less(self) -> None:
         """On a network that drops what stood idle, one ticket in five met a reset; a machine that dies tells nothing."""
@@ -154,45 +163,45 @@
         stands = mock.patch("pepperusher.net.clock.now", return_value=clock.now())
         now = stands.start()
         self.addCleanup(stands.stop)
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         backends, self.lines = self.proxy._backends, []
         for stood, does in ((0, "ok"), (300, "break"), (0, "ok"), (200, "ok"), (100, "ok"), (60, "slow"), (90, "ok")):
-            self.toys["a1"].does = [does, "ok"]
+            self.fake_backends["a1"].does = [does, "ok"]
             now.return_value += 1
             for link in backends._doors["a1"].idle:
                 link.idle_since -= stood * 1000
-            before = self.toys["a1"].connections
+            before = self.fake_backends["a1"].connections
             await self.ask("look 1", self.request("look", 1))
             self.lines[-2:] = []
             self.lines.append(
-                f"stood {stood} ms, {does}: new {self.toys['a1'].connections - before}, then for at most"
+                f"stood {stood} ms, {does}: new {self.fake_backends['a1'].connections - before}, then for at most"
                 f" {backends._kept_most // 50000 * 50} ms"
             )
         self.lines = [line for line in self.lines if "stood" in line]
-        self.kept("net_kept")
+        self.compare_trace("net_kept")
 
     async def test_an_answer_that_has_begun_must_end_soon(self) -> None:
         """Some never do; the patience is for the work. An answer 1xx ahead is not its beginning."""
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         self.proxy._backends._connect_within = 0.1
-        self.toys["a1"].does = ["HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nbegun", "HTTP/1.1 200 O", "soon"]
+        self.fake_backends["a1"].does = ["HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nbegun", "HTTP/1.1 200 O", "soon"]
         for number in range(3):
             await self.ask(f"pay {number}", self.request("pay", number))
-        self.kept("net_begun")
+        self.compare_trace("net_begun")
 
     async def test_what_a_backend_turns_away_is_not_sent_again(self) -> None:
         """Sent to three backends, it counted as the failing of each; some other 4xx speak of the moment alone."""
         await self.open("a1", "b1")
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = [f"HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nno" for status in ("404 None", "429 Many")]
         for number in range(3):
             await self.ask(f"look {number}", self.request("look", number))
         self.lines.append(
             f"calls failed at a1 and b1: {[one.failures for one in self.proxy._facade._backends.values()]}"
         )
-        self.kept("net_turned_away")
+        self.compare_trace("net_turned_away")
 
     async def test_silent_connections_make_room_for_those_that_ask(self) -> None:
         """They went after 2 s alone, and kept all others out till then."""
@@ -204,19 +213,19 @@
         self.lines.append(
             f"after {len(silent)} silent ones with 46 descriptors, in under 1.5 s: {time.monotonic() - began < 1.5}"
         )
-        self.kept("net_crowd")
+        self.compare_trace("net_crowd")
 
     @mock.patch("pepperusher.net.callers.SHY", 60_000_000)
     async def test_silent_connections_leave_room_for_tickets_in_hand(self) -> None:
         """They took every descriptor: who had asked was closed for them, and bounced for want of one to a backend."""
-        await self.open("a1", limits={"sockets": 64}, settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         usual = [await self.connect() for _ in range(5)]
         for number, at in enumerate(usual):
             await self.ask(f"look {number}", self.request("look", number), at)
         silent = [await self.connect() for _ in range(60)]
         await self.until(lambda: self.proxy._callers.open >= 30)
-        self.toys["a1"].does = ["slow"] * 5
+        self.fake_backends["a1"].does = ["slow"] * 5
         for number, (_, writer) in enumerate(usual, 10):
             writer.write(self.request("look", number))
         said = [await self.hear(reader) for reader, _ in usual]
@@ -224,7 +233,7 @@
             f"of 5 at once among {len(silent)} silent ones done: {sum(one[:3] == '200' for one in said)},"
             f" callers {self.proxy._callers.open} of 46"
         ]
-        self.kept("net_share")
+        self.compare_trace("net_share")
 
     async def test_those_that_never_sent_a_ticket_make_room_first(self) -> None:
         """A crowd that asked whether we are ready, and kept its connections, closed those of the usual clients.
@@ -248,26 +257,26 @@
         self.lines = []
         for number, at in enumerate(usual, 10):
             await self.ask(f"look {number}", self.request("look", number), at)
-        self.kept("net_useful")
+        self.compare_trace("net_useful")
 
     async def test_a_silent_backend_is_given_up_by_closing(self) -> None:
         await self.open("a1")
         await self.ask("look 1", self.request("look", 1))
-        self.toys["a1"].does = ["silent"]
+        self.fake_backends["a1"].does = ["silent"]
         reader, writer = await self.connect()
         writer.write(self.request("pay", 2, left=400))
         await self.until(lambda: "closed" in self.lines[-1])
         self.lines.append(f"pay 2 -> {await self.hear(reader)}")
         await self.ask("look 3", self.request("look", 3))
         self.lines.append(
-            f"connections at a1: {self.toys['a1'].connections}, tickets in hand: {self.proxy._facade.in_hand}"
+            f"connections at a1: {self.fake_backends['a1'].connections}, tickets in hand: {self.proxy._facade.open_tickets}"
         )
-        self.kept("net_silent")
+        self.compare_trace("net_silent")
 
     async def test_a_client_that_leaves_calls_its_ticket_off(self) -> None:
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
-        self.toys["a1"].does = ["silent"]
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].does = ["silent"]
         _, writer = await self.connect()
         writer.write(self.request("look", 1))
         await self.until(lambda: "a1 gets" in self.lines[-1])
@@ -276,15 +285,15 @@
         _, writer = await self.connect()
         with mock.patch("pepperusher.net.backends.reach", lambda _: asyncio.sleep(60)):  # comes up, but late
             writer.write(self.request("look", 2))
-            await self.until(lambda: self.proxy._facade.in_hand)
+            await self.until(lambda: self.proxy._facade.open_tickets)
             writer.close()
-            await self.until(lambda: not self.proxy._facade.in_hand)
+            await self.until(lambda: not self.proxy._facade.open_tickets)
         self.lines.append(f"by words: {self.proxy._counts}")
-        self.kept("net_left")
+        self.compare_trace("net_left")
 
     async def test_an_answer_already_read_counts_though_the_timer_is_late(self) -> None:
         await self.open("a1")
-        toy = self.toys["a1"]
+        toy = self.fake_backends["a1"]
         answer = toy.answer
 
         async def busy(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
@@ -294,7 +303,7 @@
 
         toy.answer = busy
         await self.ask("pay 1", self.request("pay", 1, left=300))
-        self.kept("net_late_timer")
+        self.compare_trace("net_late_timer")
 
     async def test_a_ticket_that_waited_unread_has_less_time_left(self) -> None:
         """Else a busy proxy sends on what is past its outer limit, and answers when the client has given up."""
@@ -304,20 +313,20 @@
         writer.write(self.request("look", 2, left=200))
         time.sleep(0.3)  # the proxy's loop stands
         self.lines.append(f"look 2 -> {await self.hear(reader)}")
-        self.kept("net_unread")
+        self.compare_trace("net_unread")
 
     async def test_a_loop_that_runs_late_answers_earlier(self) -> None:
         """With a quarter of a core timers ran 75 ms late, and tickets ended after their clients' time."""
         await self.open("a1")
         time.sleep(0.3)
         await self.until(lambda: self.proxy._process_pause.late > 100_000)
-        self.toys["a1"].does = ["silent"]
+        self.fake_backends["a1"].does = ["silent"]
         reader, writer = await self.connect()
         began = time.monotonic()
         writer.write(self.request("pay", 1, left=1500))
         said = await self.hear(reader)
         self.lines = [f"pay 1 -> {said}, in time: {time.monotonic() - began < 1.5}"]
-        self.kept("net_late_loop")
+        self.compare_trace("net_late_loop")
 
     async def test_bad_input_gets_an_answer_and_ends_nothing_else(self) -> None:
         await self.open("a1")
@@ -358,24 +367,24 @@
         writer.write(self.request("look", 3) + self.request("look", 4))
         self.lines.append(f"look 3 and 4 at once -> {await self.hear(reader)}, {await self.hear(reader)}")
         self.assertEqual([line for line in self.logged if "serving" not in line], [])
-        self.kept("net_bad_input")
+        self.compare_trace("net_bad_input")
 
     async def test_the_id_of_a_ticket_in_hand_is_not_taken_again(self) -> None:
         """Sent on, it would be a second copy; once the first has ended, the name is nobody's."""
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
-        self.toys["a1"].does = ["held"]
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].does = ["held"]
         at = await self.connect()
         at[1].write(self.request("look", 1))
         await self.until(lambda: "a1 gets" in self.lines[-1])
         await self.ask("look 1 of another", self.request("look", 1))
-        self.toys["a1"].may.set()
+        self.fake_backends["a1"].may.set()
         self.lines.append(f"look 1 -> {await self.hear(at[0])}, names kept: {len(self.proxy._names)}")
-        self.kept("net_names")
+        self.compare_trace("net_names")
 
     async def test_the_deadline_told_is_what_is_left_when_the_request_is_written(self) -> None:
         """It was that of when the backend was chosen: where the connection came up late, more than the client had left."""
-        await self.open("a1", settings=UNHURRIED)
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
         connect = self.proxy._backends._connect
 
         async def late(*given: object) -> object:
@@ -386,8 +395,8 @@
         with mock.patch.object(self.proxy._backends, "_connect", late):
             await self.ask("pay 1", self.request("pay", 1, left=1000))
         self.assertIn("200", self.lines[-1])
-        self.assertLessEqual(self.toys["a1"].deadlines[0], 600_000)
-        self.assertGreater(self.toys["a1"].deadlines[0], 300_000)
+        self.assertLessEqual(self.fake_backends["a1"].deadlines[0], 600_000)
+        self.assertGreater(self.fake_backends["a1"].deadlines[0], 300_000)
 
     async def test_what_cannot_be_framed_is_no_fault_of_the_backend(self) -> None:
         """A ticket of HTTP/1.0 without a host ended by an exception, which counted against the backend's breaker."""
@@ -410,17 +419,17 @@
             ),
         )
         self.lines.append(how)
-        self.kept("net_unframed")
+        self.compare_trace("net_unframed")
 
     async def test_an_exception_ends_its_ticket_alone(self) -> None:
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         sound, self.proxy._backends.attempt = self.proxy._backends.attempt, None
         await self.ask("look 1", self.request("look", 1))
         self.proxy._backends.attempt = sound
         await self.ask("look 2", self.request("look", 2))
         self.lines.append(f"calls in flight: {self.proxy._facade._backends['a1'].in_flight}")
-        self.kept("net_exception")
+        self.compare_trace("net_exception")
 
     async def test_limits_run_from_the_connect_or_the_first_byte(self) -> None:
         """They once ran 30 s and from the last step, so whoever says nothing or drips could stay for good.
@@ -453,7 +462,7 @@
                 now.return_value = began + after * 1000 + 1000
                 for what in whose:
                     self.lines.append(f"{what} -> {await asyncio.wait_for(self.hear(at[what][0]), 10)}")
-        self.kept("net_limits")
+        self.compare_trace("net_limits")
 
     async def dripping(self, first: bytes) -> tuple[socket.socket, StreamConnection]:
         """A client outside the loop, whose first part the proxy has, and the proxy's end of its connection."""
@@ -498,7 +507,7 @@
             at.close()
             await self.until(lambda: not self.proxy._callers.open)
         self.assertEqual([], [line for line in self.logged if "serving" not in line])
-        self.kept("net_late")
+        self.compare_trace("net_late")
 
     async def test_what_is_read_on_behind_such_an_answer_has_a_bound(self) -> None:
         """In time, in bytes, and by the need of others for its descriptor."""
@@ -536,7 +545,7 @@
             f"kept of 5 tickets on as many connections: Ticket {kept['Ticket']},"
             f" Attempt {kept['Attempt']}, Caller {kept['Caller']}, StreamConnection {kept['StreamConnection']}"
         ]
-        self.kept("net_let_go")
+        self.compare_trace("net_let_go")
 
     async def test_a_flood_on_one_connection_leaves_the_others_their_turn(self) -> None:
         """All that was sent at once used to be read and answered before any other connection's."""
@@ -555,7 +564,7 @@
         self.lines.append(f"look 2 came among the first five of 51: {b'2' in order[:5]}")
         self.proxy._callers._handle = handle
         await self.ask("no ticket, and more behind it", self.request("buy", 3) + self.request("look", 4))
-        self.kept("net_flood")
+        self.compare_trace("net_flood")
 
     async def test_a_sweep_that_fails_is_not_the_last(self) -> None:
         await self.open("a1")
@@ -570,20 +579,20 @@
         await self.until(lambda: len(swept) == 3)
         self.lines = [line.partition(":")[0] for line in self.logged if "sweep" in line]
         at[1].close()
-        self.kept("net_sweep")
+        self.compare_trace("net_sweep")
 
     async def test_words_out_of_turn_end_a_connection_to_a_backend(self) -> None:
         """Else they were taken for the answer to the next ticket; and an end not yet read is looked for."""
         await self.open("a1")
-        self.toys["a1"].does = ["stray"]
+        self.fake_backends["a1"].does = ["stray"]
         await self.ask("look 1", self.request("look", 1))
         await self.ask("pay 2", self.request("pay", 2))
         kept = self.proxy._backends._doors["a1"].idle[0]
-        self.toys["a1"].writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
+        self.fake_backends["a1"].writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.lines.append(f"its end is in the kernel, the loop has not come round: quiet {kept.line.quiet()}")
         await self.ask("pay 3", self.request("pay", 3))
-        self.lines.append(f"connections at a1: {self.toys['a1'].connections}")
-        self.kept("net_stray")
+        self.lines.append(f"connections at a1: {self.fake_backends['a1'].connections}")
+        self.compare_trace("net_stray")
 
     # A busy machine takes longer to connect than the 2 s and the 0.25 s that a silent connection is let be.
     @mock.patch.multiple("pepperusher.net.callers", BEGUN=60_000_000, SHY=60_000_000)
@@ -592,8 +601,8 @@
 
         And a connection that has had no answer is not closed for room: it may carry a ticket sent once more.
         """
-        await self.open("a1", limits={"sockets": 64}, settings=UNHURRIED)
-        self.left = LONG
+        await self.open("a1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
         budget = self.proxy._budget
         idle = [await self.connect() for _ in range(25)]
         for number, at in enumerate(idle):
@@ -624,38 +633,38 @@
         at[1].write(self.request("look", 301))
         closed = self.proxy._callers._close_oldest()
         self.lines.append(f"look 301, its connection closed for room {closed} -> {await self.hear(at[0])}")
-        self.kept("net_room")
+        self.compare_trace("net_room")
 
     @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)  # else a busy machine's are closed as silent
     async def test_as_many_tickets_as_descriptors_go_round(self) -> None:
         """Connections to backends once stopped at half of all descriptors, those of callers among them."""
-        await self.open("a1", "b1", limits={"sockets": 64}, settings=UNHURRIED)
-        self.left = LONG
-        for toy in self.toys.values():
+        await self.open("a1", "b1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
+        for toy in self.fake_backends.values():
             toy.does = ["slow"] * 40
         at = [await self.connect() for _ in range(20)]
         for number, (_, writer) in enumerate(at):
             writer.write(self.request("pay", number))
         said = [(await self.hear(reader))[:3] for reader, _ in at]
         self.lines = [f"of 20 tickets at once with 46 descriptors done: {said.count('200')}"]
-        self.kept("net_descriptors")
+        self.compare_trace("net_descriptors")
 
     @mock.patch("pepperusher.net.callers.BEGUN", 60_000_000)  # it is the stop that closes the idle one
     async def test_a_stop_answers_all_that_it_took(self) -> None:
-        await self.open("a1", settings=UNHURRIED)
-        self.left = LONG
-        self.toys["a1"].does = ["held"]
+        await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
+        self.left = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].does = ["held"]
         idle, busy = await self.connect(), await self.connect()
         busy[1].write(self.request("look", 1) + self.request("look", 11))
         await self.until(lambda: "a1 gets" in self.lines[-1])
         self.proxy.stop()
         await asyncio.sleep(0.35)
         await self.ask("look 2, on a connection that came after", self.request("look", 2))
-        self.toys["a1"].may.set()
+        self.fake_backends["a1"].may.set()
         self.lines.append(f"look 1 and 11, sent at once -> {await self.hear(busy[0])}, {await self.hear(busy[0])}")
         self.lines.append(f"idle -> {await self.hear(idle[0])}")
         await asyncio.wait_for(self.serving, 10)
-        self.kept("net_stop")
+        self.compare_trace("net_stop")
 
     @mock.patch("pepperusher.net.proxy.LONGEST_GRACE", 4.0)
     async def test_a_stop_serves_on_till_the_last_are_given_up_and_answers_them(self) -> None:
@@ -666,7 +675,7 @@
         """
         long = {"name": "file", "promised-time": 9000.0, "outer-limit": 9000.0, "effect": "side_effect"}
         await self.open("a1", settings={**SETTINGS, "use-cases": [*SETTINGS["use-cases"], long]})
-        self.toys["a1"].does = ["silent"]
+        self.fake_backends["a1"].does = ["silent"]
         (reader, writer), kept = await self.connect(), await self.connect()
         writer.write(self.request("file", 1, left=9000))
         await self.until(lambda: "id 1" in self.lines[-1])
@@ -677,7 +686,7 @@
         await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
         self.lines.append(f"file 1 -> {await asyncio.wait_for(self.hear(reader), 10)}")
         await asyncio.wait_for(self.serving, 10)
-        self.kept("net_stop_late")
+        self.compare_trace("net_stop_late")
 
     async def test_the_list_is_followed_and_asked_for_again(self) -> None:
         await self.open("a1", "b1")
@@ -696,7 +705,7 @@
         self.endpoint_update(7, {**self.line("a1"), "started_ms": float("inf")})
         await self.until(lambda: len(self.watches) == 4)
         await self.ask("look 5", self.request("look", 5))
-        self.kept("net_list")
+        self.compare_trace("net_list")
 
     async def test_sighup_goes_over_to_the_new_discovery_once_it_has_told(self) -> None:
         """It once ended the process. Till then all that is out stands, the old watch and the calls at addresses that were
@@ -730,7 +739,7 @@
         self.lines.append(f"both are left, version {self.proxy._discovery._source.version}")
         await self.ask("look 1", self.request("look", 1))
         self.lines.append(f"bad: {[line for line in self.logged if 'not taken' in line][0].partition('/')[0]}")
-        self.kept("net_sighup")
+        self.compare_trace("net_sighup")
 
     async def test_a_watch_that_falls_silent_is_dead(self) -> None:
         """Its connection stays open as if all were well, and no drain would be heard of."""
@@ -739,7 +748,7 @@
             await self.until(lambda: len(self.watches) == 2 and any("list confirmed" in line for line in self.logged))
         # Behind the mark stand figures: which call, and how old.
         self.lines += [line.partition(";")[0] for line in self.logged if "watch" in line or "list" in line]
-        self.kept("net_silent_watch")
+        self.compare_trace("net_silent_watch")
 
     async def test_a_backend_long_gone_is_forgotten_while_the_watch_lives(self) -> None:
         """The tables of backends were emptied by the asking for the list alone, which a living watch never does."""
@@ -747,11 +756,11 @@
         facade, now, self.lines = self.proxy._facade, clock.now(), []
         here, gone = (Endpoint(name, "here", 1, 1.0, 0, name == "a1") for name in ("a1", "b1"))
         for seconds in (0, 6, 8):  # open for 5 s, and no client waits for longer than 2 s
-            facade.listed([here, gone] if seconds == 0 else [here], False, now + seconds * 1_000_000)
+            facade.update_endpoints([here, gone] if seconds == 0 else [here], False, now + seconds * 1_000_000)
             self.lines.append(
                 f"after {seconds} seconds: {sorted(facade._backends)}, off the list {sorted(facade._unlisted)}"
             )
-        self.kept("net_forgotten")
+        self.compare_trace("net_forgotten")
 
     async def test_nothing_is_sent_to_a_backend_that_drained_while_its_connection_came_up(self) -> None:
         await self.open("a1", "b1")
@@ -767,10 +776,10 @@
         self.proxy._backends._connect = drains_meanwhile
         for number in range(2):
             await self.ask(f"pay {number}", self.request("pay", number))
-        self.kept("net_drained_meanwhile")
+        self.compare_trace("net_drained_meanwhile")
 
 
-class Start(Kept):
+class Start(TraceTestCase):
     def test_a_body_takes_what_it_needs(self) -> None:
         """Each took 64 KiB with its first byte: a few hundred that sent no more filled a small proxy's memory."""
         pool, self.lines = Pool(9), []
@@ -782,7 +791,7 @@
             said = f"{len(body._buffers)} buffers, whole {body.whole() == b''.join(sent)}, full {body.full}"
             body.give_back()
             self.lines.append(f"{sizes}: {said}, spare {len(pool._spare)}")
-        self.kept("net_bodies")
+        self.compare_trace("net_bodies")
 
     def test_a_bad_configuration_is_one_clear_line(self) -> None:
         self.lines = []
@@ -813,7 +822,7 @@
                 )
             said = (done.stderr + done.stdout).replace(file.name, "FILE")
             self.lines.append(f"{done.returncode} {said.strip()}")
-        self.kept("net_configuration")
+        self.compare_trace("net_configuration")
 
     def test_the_program_serves_and_ends_by_itself_after_sigterm(self) -> None:
         host, _, port = (address := own_address()).partition(":")
@@ -834,7 +843,7 @@
                     served.terminate()
                     self.lines.append(f"ends with {served.wait(10)}")
                 self.lines.append(f"a traceback: {'Traceback' in served.stderr.read()}")
-        self.kept("net_sigterm")
+        self.compare_trace("net_sigterm")
 
     def test_what_must_hold_is_asserted_in_debug_and_counted_in_release(self) -> None:
         code = (
@@ -846,7 +855,7 @@
                 [sys.executable, *how, "-c", code], text=True, capture_output=True, timeout=60, check=False
             )
             self.lines.append(f"{done.returncode} {done.stdout.strip()} {done.stderr.splitlines()[-1:]}")
-        self.kept("net_must_hold")
+        self.compare_trace("net_must_hold")
 
     def test_the_log_is_held_to_a_rate(self) -> None:
         log = Log("p1")
--- a/tests/test_no_request_lost.py
+++ b/tests/test_no_request_lost.py
@@ -7,7 +7,7 @@
 
 from pepperusher.net.buffers import HELD
 
-from tests.scene import SETTINGS, Street
+from tests.scene import SETTINGS, ProxyTestCase
 
 KINDS = ("look", "book", "pay")
 # One of the proxy's own, whichever: on a busy machine the time may be over before it is sent on.
@@ -18,11 +18,11 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-class AnswersThatStopShort(Street):
+class AnswersThatStopShort(ProxyTestCase):
     async def asyncSetUp(self) -> None:
         await self.open("a1", settings=FAR)
         self.writes, self.drips = HEAD, b""
-        self.toys["a1"].answer = self.stops
+        self.fake_backends["a1"].answer = self.stops
 
     async def stops(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Its answer begins and never ends."""
@@ -68,7 +68,7 @@
             self.assertRegex(await self.told(use, number), FINAL, use)
 
 
-class TimeWhileABodyComes(Street):
+class TimeWhileABodyComes(ProxyTestCase):
     async def test_it_stands_until_the_body_s_last_byte(self) -> None:
         """Its backend answers before it has the whole body, after longer than the client waits once it has sent all."""
         await self.open("a1", settings=FAR)
@@ -85,7 +85,7 @@
                     pass
             return False
 
-        self.toys["a1"].answer = early
+        self.fake_backends["a1"].answer = early
         body = "x" * 4 * HELD
         sent = self.request("book", 1, body, left=1000)
         reader, writer = await self.connect()
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -18,7 +18,7 @@
 from pepperusher.routes import match
 from pepperusher.routes.match import Routes, TemplateError, pattern
 
-from tests.scene import Kept, policy_settings
+from tests.scene import TraceTestCase, policy_settings
 
 ROUTE = '[[routes]]\nname = "r"\n'
 LOOK, BOOK, PAY = (f'{ROUTE}use_case = "{name}"\n' for name in ("look", "book", "pay"))
@@ -27,7 +27,7 @@
 SAMPLE = Path(__file__).parent.parent / "deploy" / "own.toml"
 
 
-class Files(Kept):
+class Files(TraceTestCase):
     """Use cases of the settings here: look is replayable and waits 2 s, book referenced, 4 s and known for 1
     s, pay single-use."""
 
@@ -149,7 +149,7 @@
                 self.assertEqual([one.rule for one in caught.exception.faults], [rule])
                 self.lines.append(str(caught.exception.faults[0]))
         self.assertEqual({rule for rule, _ in self.BROKEN}, set(validation.RULES))
-        self.kept("own_broken")
+        self.compare_trace("own_broken")
 
     def test_all_that_is_wrong_is_said_at_once(self) -> None:
         with self.assertRaises(ConfigurationError) as caught:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -8,12 +8,12 @@
 from pepperusher.settings import SettingsError, read_settings as read
 from pepperusher.terms import DONE, RESET, TIMED_OUT, UNREACHED, Backend, Listing, UseCase
 
-from tests.scene import SECOND, SETTINGS, Kept, Scene
+from tests.scene import SECOND, SETTINGS, TraceTestCase, BalancerTestCase
 
 CARD = {"zones": frozenset(("there",)), "kinds": frozenset(("big",))}
 
 
-class Placement(Scene):
+class Placement(BalancerTestCase):
     def stand(self, **changes: object) -> None:
         uses = [
             UseCase("look", SECOND, 2 * SECOND, 1.0),
@@ -22,9 +22,9 @@
                 SECOND,
                 4 * SECOND,
                 5.0,
-                repeat=terms.REFERENCED,
+                retry_class=terms.REFERENCED,
                 scope=terms.SCOPE_CELL,
-                remembered=SECOND,
+                deduplication_window=SECOND,
                 **CARD,
             ),
         ]
@@ -34,7 +34,7 @@
         self.put("d2 e3", "there", "big")
 
     def put(self, names: str, zone: str, kind: str, ready: bool = True) -> None:
-        self.balancer.listed(
+        self.balancer.update_endpoints(
             [
                 Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:]), 1.0, 0, ready, kind)
                 for name in names.split()
@@ -58,7 +58,7 @@
         self.put("d2", "here", "big")
         self.note("one is back, elsewhere")
         self.call(DONE, use="card")
-        self.kept("placement")
+        self.compare_trace("placement")
 
     def test_a_further_attempt_keeps_it_too(self) -> None:
         """Its cell holds one of another kind, which drops repeats as well and may not run it."""
@@ -70,18 +70,18 @@
             ticket = self.ticket("card", left=4.0)
         self.after(ticket, RESET, 0.05)
         self.where(ticket)
-        self.kept("placement_further")
+        self.compare_trace("placement_further")
 
     def test_it_is_kept_by_chance_s_every_turn(self) -> None:
         """Thousands of tickets with every outcome, lists that change, cold ones, a large group: never elsewhere."""
         chance = random.Random(3)
         for group in (1, 60):
-            self.stand(group_size=group, ordinal=group // 2)
+            self.stand(group_size=group, proxy_index=group // 2)
             names = ["a1", "b1", "c2", "d2", "e3"]
             for _ in range(4000):
                 self.now += chance.randrange(40_000)
                 if chance.random() < 0.02:
-                    self.balancer.listed(
+                    self.balancer.update_endpoints(
                         [
                             Listing(
                                 self.backends[chance.choice(names)],
@@ -97,18 +97,18 @@
                         self.now,
                     )
                 ticket = self.ticket(chance.choice(("card", "look")), left=chance.choice((0.1, 2.0)))
-                answer = self.balancer.where(ticket, self.now)
+                answer = self.balancer.choose_backend(ticket, self.now)
                 while isinstance(answer, Backend):
                     if ticket.use_case.name == "card":
                         self.assertEqual(("there", "big"), (answer.zone, answer.kind))
                     self.now += chance.randrange(20_000)
                     how = chance.choice((DONE, terms.ERROR, terms.FULL, TIMED_OUT, UNREACHED, RESET))
-                    answer = self.balancer.after(ticket.attempts[-1], how, how == DONE, self.now)
+                    answer = self.balancer.attempt_ended(ticket.attempts[-1], how, how == DONE, self.now)
                     if answer == terms.AGAIN:
-                        answer = self.balancer.where(ticket, self.now)
+                        answer = self.balancer.choose_backend(ticket, self.now)
 
 
-class Told(Kept):
+class Told(TraceTestCase):
     def test_what_can_t_be_kept_is_refused_by_name(self) -> None:
         self.lines = []
         for name, value in (
@@ -130,7 +130,7 @@
         for value in (1, "true", None, True):
             try:
                 made = read({**SETTINGS, "rules": {**SETTINGS["rules"], "drain-binds-alone": value}}, 1)
-                self.lines.append(f"drain-binds-alone {value}: {made.drain_binds_alone}")
+                self.lines.append(f"drain-binds-alone {value}: {made.only_drain_binds}")
             except SettingsError as error:
                 self.lines.append(f"drain-binds-alone {value}: {error}")
-        self.kept("placement_told")
+        self.compare_trace("placement_told")
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -9,12 +9,12 @@
 
 from pepperusher.net.backends import Door, Link
 from tests.reconfiguration_scene import ReconfigurationScene
-from tests.scene import Street
+from tests.scene import ProxyTestCase
 
 PAUSE = 0.4  # seconds, more than a process may stand unnoticed
 
 
-class ProcessPause(Street):
+class ProcessPause(ProxyTestCase):
     async def keep_connections(self) -> None:
         """Four, each of which has had an answer."""
         await self.open("a1", "b1")
@@ -78,7 +78,7 @@
 
     async def test_an_attempt_that_ended_meanwhile_is_not_followed_by_another_before_the_list_is_read(self) -> None:
         await self.open("a1", "b1")
-        self.toys["a1"].does = self.toys["b1"].does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
+        self.fake_backends["a1"].does = self.fake_backends["b1"].does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
         attempt = self.proxy._backends.attempt
         tried: list[str] = []
 
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -19,7 +19,7 @@
 from pepperusher.rehearsal.stalls import Heart, Margin, Spans
 
 from tests.rehearsal_scene import small
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 MS = 1000
 
@@ -261,7 +261,7 @@
 DRAIN = Told(0, "desk-1", "draining", 0)
 
 
-class Books(Kept):
+class Books(TraceTestCase):
     """Each entry for and against, as small as it comes; printed and kept, to be read by people."""
 
     CASES = (
@@ -430,7 +430,7 @@
                     or "nothing"
                 )
             )
-        self.kept("rehearsal_books")
+        self.compare_trace("rehearsal_books")
 
     def test_work_wasted_and_living_on(self) -> None:
         """The client outside leaves at 50 ms; a call made for it two tiers down goes on till 90 ms."""
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -14,7 +14,7 @@
 from pepperusher.durations import said, span
 
 from tests.rehearsal_scene import raw, small
-from tests.scene import Kept
+from tests.scene import TraceTestCase
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "rehearsals"
 
@@ -138,7 +138,7 @@
                 self.planned(text, form)
 
 
-class Troubles(Kept):
+class Troubles(TraceTestCase):
     def test_what_strikes_whom_and_who_stands_where(self) -> None:
         of = small(
             span="20s",
@@ -168,7 +168,7 @@
         self.lines += [
             f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}" for one in line.lives
         ]
-        self.kept("rehearsal_troubles")
+        self.compare_trace("rehearsal_troubles")
 
     def test_weather_is_all_that_acts_together(self) -> None:
         strikes = [
@@ -207,7 +207,7 @@
             )
             at = roster.next_change(at)
         self.lines.append(f"one that knows a later version is told all: {roster.entries(0, 4, 9)[0]}")
-        self.kept("rehearsal_roster")
+        self.compare_trace("rehearsal_roster")
 
     def test_watches_that_were_open_fall_silent_for_good(self) -> None:
         of = small(span="20s", faults=[{"what": "watches-silent", "at": "3s"}])
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -27,7 +27,7 @@
 from pepperusher.configuration import loader
 from pepperusher.configuration.loader import Fault, ConfigurationError
 from pepperusher.store.disk import Disk
-from tests.scene import SETTINGS, UNHURRIED, configuration, own_address
+from tests.scene import SETTINGS, LONG_TIMEOUT_SETTINGS, configuration, own_address
 from tests.test_distribution_processes import HOST, SECRET, WITHIN, Machine, ended, free_ports, until
 
 NAME = "east/web"
@@ -141,7 +141,7 @@
     def __init__(self, folder: Path, name: str, discovery: int, machines: list[int], pushed: bool = False) -> None:
         self.name, self.folder = name, folder
         self.socket = str(folder / f"{name}.sock")
-        settings = {**UNHURRIED, "discovery": "push"} if pushed else UNHURRIED
+        settings = {**LONG_TIMEOUT_SETTINGS, "discovery": "push"} if pushed else LONG_TIMEOUT_SETTINGS
         self.config = folder / f"{name}.json"
         made = configuration(name=name, listen=own_address(), discovery=f"{HOST}:{discovery}", settings=settings)
         self.config.write_text(json.dumps(made))
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -11,10 +11,10 @@
 from pepperusher.distribution.messages import Version
 from pepperusher.net import clock
 from pepperusher.net.endpoint_update import EndpointUpdate, endpoint_update_of
-from tests.scene import Street
+from tests.scene import ProxyTestCase
 
 
-class RelayedList(Street):
+class RelayedList(ProxyTestCase):
     def update(self, version: int, *servers: dict[str, object]) -> EndpointUpdate:
         return endpoint_update_of({"version": version, "full": True, "servers": list(servers)})
 
@@ -71,8 +71,8 @@
         discovery = self.proxy.discovery
         discovery.rest()
         told: list[tuple[list[str], bool]] = []
-        listed = self.proxy._facade.listed
-        self.proxy._facade.listed = lambda entries, whole, now: (  # type: ignore[method-assign]
+        listed = self.proxy._facade.update_endpoints
+        self.proxy._facade.update_endpoints = lambda entries, whole, now: (  # type: ignore[method-assign]
             told.append(([one.id + (" gone" if one.gone else "") for one in entries], whole)),
             listed(entries, whole, now),
         )
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -6,18 +6,18 @@
 import json
 
 from pepperusher import terms
-from pepperusher.settings import SettingsError, read_settings, load
+from pepperusher.settings import SettingsError, read_settings, parse_load_report
 from pepperusher.net import load_reports
 from pepperusher.net.bootstrap import BootstrapError
 from pepperusher.terms import DONE, Backend
 
-from tests.scene import SECOND, SETTINGS, Kept, Scene, Street
+from tests.scene import SECOND, SETTINGS, TraceTestCase, BalancerTestCase, ProxyTestCase
 
 ORCA = "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active={}\r\nContent-Length: 2\r\n\r\nok"
 SPOILT = ("nan", "inf", "-5", "many", "", "1e400")
 
 
-class Read(Kept):
+class Read(TraceTestCase):
     def test_what_a_header_tells(self) -> None:
         self.lines = []
         for text in (
@@ -34,9 +34,11 @@
             "active=3",
             "",
         ):
-            told = load(load_reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
-            self.lines.append(f"{text or 'nothing'} -> held {told.get(terms.HELD)}, waiting {told.get(terms.WAITING)}")
-        self.kept("reports_read")
+            told = parse_load_report(load_reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
+            self.lines.append(
+                f"{text or 'nothing'} -> held {told.get(terms.LOAD_ACTIVE)}, waiting {told.get(terms.LOAD_WAITING)}"
+            )
+        self.compare_trace("reports_read")
 
     def test_settings_that_cannot_be_worked_by_are_named(self) -> None:
         self.lines = []
@@ -57,14 +59,14 @@
         ):
             try:
                 made = read_settings(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
-                said = f"asked {made.must_ask}, beside its client {made.beside_client}, reported by {made.reported_by}"
+                said = f"asked {made.polls_list}, beside its client {made.is_sidecar}, reported by {made.reported_by}"
             except SettingsError as error:
                 said = f"turned down: {error}"
             self.lines.append(f"{json.dumps(changes)}: {said}")
-        self.kept("reports_settings")
+        self.compare_trace("reports_settings")
 
 
-class Decided(Scene):
+class Decided(BalancerTestCase):
     def sent(self, reports_of: dict[str, str], age: float = 0.1, **changes: object) -> str:
         """Forty tickets of 0.1 s, one each 0.1 s, with what backends say of themselves ahead of each."""
         self.open("a1", "b1", "c1", "d1", **changes)
@@ -72,7 +74,9 @@
         refused = 0
         for _ in range(40):
             for name, text in reports_of.items():
-                self.balancer.reported(self.backends[name], load([("active", text)]), self.now - int(age * SECOND))
+                self.balancer.record_load_report(
+                    self.backends[name], parse_load_report([("active", text)]), self.now - int(age * SECOND)
+                )
             ticket = self.ticket()
             picked = self.where(ticket, True)
             if isinstance(picked, Backend):
@@ -95,7 +99,7 @@
             self.assertEqual(spoilt, none)
         lines.append(f"a1 alone tells, of 1e8: {self.sent({'a1': '1e8'})}")
         self.lines = lines
-        self.kept("reports_decided")
+        self.compare_trace("reports_decided")
 
     def test_one_backend_that_lies_shuts_nobody_out(self) -> None:
         """The floor of the prediction goes by the median: with the mean, one figure of 1e8 took the floor from all."""
@@ -103,12 +107,12 @@
         self.assertTrue(self.sent(told).endswith("refused 0"))
 
 
-class OnSockets(Street):
+class OnSockets(ProxyTestCase):
     async def test_answers_tell_and_their_header_goes_no_further(self) -> None:
         settings = {**SETTINGS, "reporting": {"how": "piggyback", "names": ["active", "cpu"]}}
         await self.open("a1", "b1", settings=settings)
-        self.toys["a1"].does = [ORCA.format(9)] * 8
-        self.toys["b1"].does = [ORCA.format(0)] * 8
+        self.fake_backends["a1"].does = [ORCA.format(9)] * 8
+        self.fake_backends["b1"].does = [ORCA.format(0)] * 8
         reader, writer = await self.connect()
         heads = []
         for number in range(8):
@@ -132,12 +136,12 @@
         on = self.read_again()
         facade = self.proxy._facade
         told = []
-        facade.retuned(on.policy_settings, SECOND)
-        facade.reported("a1", {terms.HELD: 7.0}, SECOND)
+        facade.reconfigure(on.policy_settings, SECOND)
+        facade.record_load_report("a1", {terms.LOAD_ACTIVE: 7.0}, SECOND)
         told.append(facade._backends["a1"].told)
         given({"how": "silent", "names": []})
-        facade.retuned(self.read_again(on).policy_settings, SECOND)
-        facade.reported("a1", {terms.HELD: 3.0}, SECOND)
+        facade.reconfigure(self.read_again(on).policy_settings, SECOND)
+        facade.record_load_report("a1", {terms.LOAD_ACTIVE: 3.0}, SECOND)
         told.append(facade._backends["a1"].told)
         self.assertEqual(told, [7.0, 7.0])
         for reporting, said in (
@@ -151,7 +155,7 @@
 
     async def test_a_spoilt_report_ends_no_ticket_and_an_unasked_one_counts_for_nothing(self) -> None:
         await self.open("a1")
-        self.toys["a1"].does = [ORCA.format(text) for text in SPOILT] + [ORCA.format(4)]
+        self.fake_backends["a1"].does = [ORCA.format(text) for text in SPOILT] + [ORCA.format(4)]
         reader, writer = await self.connect()
         for number in range(len(SPOILT) + 1):
             writer.write(self.request("look", number))
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -13,7 +13,7 @@
 from pepperusher.facade import Endpoint, Facade
 from pepperusher.settings import read_settings
 
-from tests.scene import SECOND, SETTINGS, Kept, Street
+from tests.scene import SECOND, SETTINGS, TraceTestCase, ProxyTestCase
 
 ERROR = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
@@ -24,14 +24,14 @@
     return settings
 
 
-class Module(Kept):
+class Module(TraceTestCase):
     def test_tickets_in_hand_keep_their_use_case_and_go_out_no_more_often_than_either_allows(self) -> None:
         self.lines = []
         now = 100 * SECOND
 
         def opened() -> Facade:
             facade = Facade(read_settings(SETTINGS, 5), now, lambda _: None)
-            facade.listed([Endpoint(name, "here", 1, 1.0, 0, True) for name in "abcde"], True, now)
+            facade.update_endpoints([Endpoint(name, "here", 1, 1.0, 0, True) for name in "abcde"], True, now)
             return facade
 
         def settings(most: int) -> Any:
@@ -49,15 +49,15 @@
 
         def ends(facade: Facade, use: str, how: str, most: int | None) -> str:
             """What becomes of a ticket whose attempts all end so; the settings change before the first has."""
-            ticket = facade.take(use, "", now, 2 * SECOND, 0)
-            step, out = facade.pick(ticket, now), 0
+            ticket = facade.open_ticket(use, "", now, 2 * SECOND, 0)
+            step, out = facade.choose_backend(ticket, now), 0
             if most is not None:
-                facade.retuned(settings(most), now)
-            while step.what == "send":
+                facade.reconfigure(settings(most), now)
+            while step.action == "send":
                 out += 1
                 step = facade.report(ticket, how, now + 1000)
-            facade.settle(ticket, now + 1000)
-            return f"{out} out, {step.what}"
+            facade.close_ticket(ticket, now + 1000)
+            return f"{out} out, {step.action}"
 
         self.lines.append(f"look, three allowed: {ends(opened(), 'look', 'unreached', None)}")
         self.lines.append(f"look in hand, one allowed from then on: {ends(opened(), 'look', 'unreached', 1)}")
@@ -68,13 +68,13 @@
         self.lines.append(f"book taken after that: {ends(facade, 'book', 'error', None)}")
         self.lines.append(f"look taken after that: {ends(facade, 'look', 'unreached', None)}")
         self.lines.append(
-            f"pay: {facade.repeat_of('pay')}; what is known of look stays: {facade._use_cases['look'] is learned}"
+            f"pay: {facade.retry_class_of('pay')}; what is known of look stays: {facade._use_cases['look'] is learned}"
         )
         self.lines.append(f"results that breakers keep: {sum(int(one['of']) for one in facade.backends())}")
-        self.kept("retuned_module")
+        self.compare_trace("retuned_module")
 
 
-class Files(Street):
+class Files(ProxyTestCase):
     async def hang_up(self, text: str) -> str:
         """What the log says of it."""
         self.given, said = text, len(self.logged)
@@ -151,13 +151,13 @@
         ]
         await self.ask("look is known still", self.request("look", 1))
         self.lines = [line for line in self.lines if "gets" not in line and "..." not in line]
-        self.kept("retuned_broken")
+        self.compare_trace("retuned_broken")
 
     async def test_a_good_file_is_in_force_at_once(self) -> None:
         await self.open("a1", "b1")
         good = json.loads(self.given)
         # One in hand under a use case that vanishes: it ends as it was taken.
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = ["slow"]
         under_way = asyncio.create_task(self.ask("book under way", self.request("book", 1)))
         await self.until(lambda: self.lines[-1].startswith("    "))
@@ -168,13 +168,13 @@
         good["settings"]["policy-limits"]["most-transmissions"] = 1
         await self.hang_up(json.dumps(good))
         await under_way
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = []
         self.lines[:] = [line.replace("b1", "a1") for line in self.lines if "discovery" not in line]
         await self.ask("book has vanished", self.request("book", 2))
         await self.ask("look-v2 appears", self.request("look-v2", 3))
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.does = [ERROR] * 2
         await self.ask("look goes out once", self.request("look", 4))
         self.lines = [line.replace("b1", "a1") for line in self.lines]
-        self.kept("retuned_good")
+        self.compare_trace("retuned_good")
--- a/tests/test_sides.py
+++ b/tests/test_sides.py
@@ -8,7 +8,7 @@
 from pepperusher.policy import Balancer
 from pepperusher.terms import BOUNCE, DONE, ERROR, SCRAP, TIMED_OUT, Backend, Customer, Listing, UseCase
 
-from tests.scene import SECOND, Scene, policy_settings
+from tests.scene import SECOND, BalancerTestCase, policy_settings
 
 HERE, THERE = "here", "there"
 
@@ -23,12 +23,12 @@
     return lines
 
 
-class Sides(Scene):
+class Sides(BalancerTestCase):
     def two(self, here: int, there: int, **changes: object) -> None:
         self.open(zones=[HERE, THERE], zone=HERE, **changes)
         lines = listed(here, there)
         self.backends = {line.backend.address: line.backend for line in lines}
-        self.balancer.listed(lines, True, self.now)
+        self.balancer.update_endpoints(lines, True, self.now)
 
     def where_to(self, times: int, use: str = "look") -> Counter[str]:
         went: Counter[str] = Counter()
@@ -66,7 +66,7 @@
         gone = [
             Listing(backend, HERE, 1, 1.0, 0, False) for name, backend in self.backends.items() if name.startswith(HERE)
         ]
-        self.balancer.listed(gone, False, self.now)
+        self.balancer.update_endpoints(gone, False, self.now)
         went = self.where_to(20)
         self.assertEqual(went[HERE], 0)
         self.assertGreater(went[THERE], 15)  # some of the first are refused while no time is known
@@ -77,12 +77,12 @@
         for one in range(294):
             balancer = Balancer(
                 policy_settings(
-                    zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, ordinal=one, seed=one
+                    zones=[HERE, THERE], zone=(HERE, THERE)[one % 2], group_size=294, proxy_index=one, seed=one
                 ),
                 0,
                 lambda line: None,
             )
-            balancer.listed(listed(5, 35, 6.0), True, 0)
+            balancer.update_endpoints(listed(5, 35, 6.0), True, 0)
             heard.update(b.address for side in balancer._sides.values() for b in side.ring if b.near)
         self.assertLess(max(heard.values()), 120)
         self.assertGreater(min(heard.values()), 10)
@@ -90,8 +90,8 @@
     def test_a_busy_proxy_asks_more_and_a_quiet_one_its_part_again(self) -> None:
         said = []
         for beside in (True, False):
-            self.open(group_size=200, beside_client=beside, zone=HERE, zones=[HERE])
-            self.balancer.listed(listed(40, 0), True, self.now)
+            self.open(group_size=200, is_sidecar=beside, zone=HERE, zones=[HERE])
+            self.balancer.update_endpoints(listed(40, 0), True, self.now)
 
             def near() -> int:
                 return sum(b.near for b in self.balancer._sides[""].ring)
@@ -115,11 +115,11 @@
         self.assertEqual(said[1], (said[1][0], False, said[1][0]))
 
 
-class Beside(Scene):
+class Beside(BalancerTestCase):
     def test_use_cases_of_no_importance_raise_nothing(self) -> None:
         """The pressure was the greatest of none: a ValueError for each ticket beyond the floor."""
         for stage in (0, 1):
-            self.open("a1", stage=stage, use_cases=[UseCase("look", SECOND, 2 * SECOND, 0.0)])
+            self.open("a1", tier_index=stage, use_cases=[UseCase("look", SECOND, 2 * SECOND, 0.0)])
             self.call(DONE, 0.1, times=5, quiet=True)
             self.backends["a1"].in_flight = 20
             self.where(self.ticket(), True)
@@ -128,15 +128,15 @@
         """Kept at the sides, which came with the list, the flow and the budget for fresh ones were lost."""
         self.open()
         self.balancer = Balancer(policy_settings(), self.now, self.note)
-        self.balancer.taught(100_000, 40.0, 3.0, self.now)
+        self.balancer.import_learned(100_000, 40.0, 3.0, self.now)
         self.list("a1")
-        self.assertEqual([round(one) for one in self.balancer.learned(self.now)], [100_000, 40, 3])
+        self.assertEqual([round(one) for one in self.balancer.export_learned(self.now)], [100_000, 40, 3])
 
     def test_an_even_part_of_a_customers_share_binds_nobody_beside_one_client(self) -> None:
         bounds = []
         for beside in (True, False):
             customer = Customer("tall", 4.0)
-            self.open("a1", group_size=100, beside_client=beside, customers=[customer])
+            self.open("a1", group_size=100, is_sidecar=beside, customers=[customer])
             ticket = self.ticket()
             ticket.customer = customer
             bounds.append([self.balancer._within_share(ticket, self.now) for _ in range(12)])
@@ -160,7 +160,7 @@
 
     def test_one_that_is_given_up_is_answered_at_once_and_a_bounce_says_when_to_come_back(self) -> None:
         """Held back till its outer limit its client would not ask again; it has to be told instead."""
-        self.open("a1", may_advise=True, longest_advice=SECOND, beside_client=True)
+        self.open("a1", retry_after_allowed=True, max_retry_after=SECOND, is_sidecar=True)
         self.call(DONE, 0.1, times=30, quiet=True)
         self.backends["a1"].in_flight += 60
         answers = [self.where(self.ticket(), True) for _ in range(30)]
@@ -169,15 +169,15 @@
         bounced = self.ticket()
         while self.where(bounced, True) != BOUNCE:
             bounced = self.ticket()
-        self.assertTrue(bounced.over)
-        self.assertTrue(0 < self.balancer.wait(bounced, self.now) <= SECOND)
+        self.assertTrue(bounced.finished)
+        self.assertTrue(0 < self.balancer.wait_time(bounced, self.now) <= SECOND)
         # What may have run and may not again is scrapped by the call that tells how it ended.
-        self.open("a1", may_advise=True, longest_advice=SECOND, beside_client=True)
+        self.open("a1", retry_after_allowed=True, max_retry_after=SECOND, is_sidecar=True)
         for how in (ERROR, TIMED_OUT):
             paid = self.ticket("pay")
             self.where(paid, True)
             self.assertEqual(self.after(paid, how, 0.2, quiet=True), SCRAP)
-            self.assertTrue(paid.over)
+            self.assertTrue(paid.finished)
 
     def test_a_use_case_late_by_its_own_times_is_refused(self) -> None:
         """The tightest one's pressure and the bound let others stand at the edge of their own promised time."""
@@ -187,7 +187,7 @@
         ]
         self.open("a1", use_cases=uses, importance_by_work=True)
         for use in uses:
-            use.usual, use.spread = 900_000, 150_000
+            use.mean_latency, use.latency_deviation = 900_000, 150_000
         self.balancer._usual = 900_000
         # As many in hand as are done in the time that a ticket takes: no jam, and the bound is 1.2 for what is worth most.
         self.backends["a1"].in_flight = 6
@@ -195,5 +195,5 @@
         side.held, side.flow, side.flow_at, side.started = 6.0, 6 / 0.9, self.now, self.now - 100 * SECOND
         self.assertEqual(self.where(self.ticket("add"), True), BOUNCE)
         for use in uses:
-            use.spread = 50_000
+            use.latency_deviation = 50_000
         self.assertIs(self.where(self.ticket("add"), True), self.backends["a1"])
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -2,7 +2,7 @@
 import sys
 import unittest
 
-from tests.scene import TRACES, Scene
+from tests.scene import TRACES, BalancerTestCase
 
 
 def host(lines: str) -> subprocess.CompletedProcess[str]:
@@ -16,12 +16,12 @@
     )
 
 
-class SimHost(Scene):
+class SimHost(BalancerTestCase):
     def test_an_exchange_on_standard_input_and_output(self) -> None:
         said = host((TRACES / "exchange_in.tsv").read_text())
         self.assertEqual(said.stderr, "")
         self.lines = said.stdout.splitlines()
-        self.kept("exchange")
+        self.compare_trace("exchange")
 
     def test_bad_input_ends_with_one_plain_line(self) -> None:
         self.lines = []
@@ -39,7 +39,7 @@
         ):
             said = host(lines)
             self.lines.append(f"{said.returncode} {said.stderr.rstrip()}")
-        self.kept("bad_input")
+        self.compare_trace("bad_input")
 
 
 if __name__ == "__main__":
--- a/tests/test_stopped_endpoints.py
+++ b/tests/test_stopped_endpoints.py
@@ -31,7 +31,7 @@
 
     def test_one_that_has_started_since_is_another(self) -> None:
         self.stopped.note(update(5), [READY], NOW)
-        self.assertEqual(set(), self.stopped.lifted_by(update(4, READY._replace(born=1001)), NOW))
+        self.assertEqual(set(), self.stopped.lifted_by(update(4, READY._replace(started_at=1001)), NOW))
 
     def test_a_stop_is_forgotten_by_age_and_once_it_is_lifted(self) -> None:
         self.stopped.note(update(5), [READY], NOW)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -19,7 +19,7 @@
 
 from pepperusher.net.buffers import HELD
 
-from tests.scene import SETTINGS, UNHURRIED, Street, own_address
+from tests.scene import SETTINGS, LONG_TIMEOUT_SETTINGS, ProxyTestCase, own_address
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 LONG = 3 * HELD
@@ -53,7 +53,7 @@
     return length, digest.hexdigest()[:8]
 
 
-class Streaming(Street):
+class Streaming(ProxyTestCase):
     async def stand(
         self,
         settings: dict[str, object] = SETTINGS,
@@ -61,7 +61,7 @@
     ) -> None:
         """Toys that do as they are told with each connection, beside those that a Street has."""
         await self.open(*does, settings=settings)
-        for name, toy in self.toys.items():
+        for name, toy in self.fake_backends.items():
             toy.server.close()
             toy.server = await asyncio.start_server(does[name], "127.0.0.1", toy.port)
 
@@ -109,7 +109,7 @@
         await self.ask("two in a row", self.long(4, len(body)) + body + self.long(5, 3) + b"abc", at)
         self.lines.append(f"the second -> {await self.hear(at[0])}")
         self.lines = [line for line in self.lines if "..." not in line]
-        self.kept("streams_up")
+        self.compare_trace("streams_up")
 
     async def test_a_word_ahead_of_the_answer_stops_no_body(self) -> None:
         """The backend waited for the rest of the body, and the proxy for its answer, with no limit on either."""
@@ -136,13 +136,13 @@
         for part in range(4):
             await asyncio.sleep(0.4)  # 1.6 s in all, and the client waits 0.9 s
             self.lines.append(
-                f"in flight {self.proxy._facade._backends['a1'].in_flight}, in hand {self.proxy._facade.in_hand}"
+                f"in flight {self.proxy._facade._backends['a1'].in_flight}, in hand {self.proxy._facade.open_tickets}"
             )
             at[1].write(bytes(PIECE))
         self.lines.append(f"done -> {await self.hear(at[0])}")
         use = self.proxy._facade._use_cases["book"]
-        self.lines.append(f"its time was learned as under 0.3 s: {0 < use.usual < 300_000}")
-        self.kept("streams_slow")
+        self.lines.append(f"its time was learned as under 0.3 s: {0 < use.mean_latency < 300_000}")
+        self.compare_trace("streams_slow")
 
     async def test_a_head_of_2_s_is_waited_for_and_a_body_that_stops_is_not(self) -> None:
         await self.stand(a1=self.whole)
@@ -160,10 +160,10 @@
             self.lines.append(f"a body that stops -> {await self.hear(stopped[0])}")
         # Its backend is given up at once with the answer, and hears of it when the loop comes round.
         await self.until(lambda: self.lines[-1] == "    a backend's connection ends")
-        await self.until(lambda: not self.proxy._facade.in_hand)
+        await self.until(lambda: not self.proxy._facade.open_tickets)
         self.lines.append(f"in flight {self.proxy._facade._backends['a1'].in_flight}")
         self.lines = [line for line in self.lines if "gets" not in line and "discovery" not in line]
-        self.kept("streams_stopped")
+        self.compare_trace("streams_stopped")
 
     async def test_what_is_partly_gone_never_goes_out_again(self) -> None:
         """While nothing of the rest was read it may; after that it is bounced, since its last byte was never written: they are
@@ -175,7 +175,7 @@
             self.lines.append("    a backend breaks off")
             writer.transport.abort()
 
-        await self.stand(UNHURRIED, a1=breaks, b1=breaks)
+        await self.stand(LONG_TIMEOUT_SETTINGS, a1=breaks, b1=breaks)
         await self.ask("a backend breaks off midway", self.long(1, 100 * LONG, left=60_000) + bytes(100 * LONG))
 
         async def refuses(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -183,20 +183,22 @@
             self.lines.append("    a backend is full before it has read the body")
             writer.write(b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.server.close()
             toy.server = await asyncio.start_server(refuses, "127.0.0.1", toy.port)
         await self.ask("refused midway", self.long(2, 100 * LONG, left=60_000) + bytes(100 * LONG))
-        for toy in self.toys.values():
+        for toy in self.fake_backends.values():
             toy.server.close()
             toy.server = await asyncio.start_server(self.whole, "127.0.0.1", toy.port)
-        (self.toys["a1"].server if self.proxy._facade.pick else self.toys["b1"].server).close()
+        (
+            self.fake_backends["a1"].server if self.proxy._facade.choose_backend else self.fake_backends["b1"].server
+        ).close()
         for number in range(3, 6):
             await self.ask("one backend takes no connection", self.long(number, LONG, left=60_000) + bytes(LONG))
         self.lines = [
             line for line in self.lines if "discovery" not in line and "..." not in line and "ends" not in line
         ]
-        self.kept("streams_again")
+        self.compare_trace("streams_again")
 
     async def test_long_answers_flow_and_broken_ones_look_broken(self) -> None:
         """Each is told from its end: whole, or an end that is none."""
@@ -255,7 +257,7 @@
                     now[:] = [("", ok + b"Content-Length: 2\r\n\r\nok")]
                     await self.ask("between", self.request("look", 1000 + len(self.lines)))
         self.lines = [line for line in self.lines if line.startswith("HTTP")]
-        self.kept("streams_down")
+        self.compare_trace("streams_down")
 
     async def test_an_answer_that_drips_is_neither_cut_nor_held_back(self) -> None:
         """Held for 1 s, and passed on from there. How far its backend has come by then tells it: by the clock
@@ -271,7 +273,7 @@
                 dripped += 1
                 await asyncio.sleep(0.1)
 
-        await self.stand(UNHURRIED, a1=drips)
+        await self.stand(LONG_TIMEOUT_SETTINGS, a1=drips)
         self.proxy._backends._connect_within = 10.0  # it is not silent, however late it runs
         reader, writer = await self.connect()
         loop = asyncio.get_running_loop()
@@ -282,7 +284,7 @@
         self.lines = [f"its head after 0.9 s: {held}, with 15 of 40 bytes at the most: {early}"]
         self.lines.append(f"whole, though its client waits 3 s: {await reader.readexactly(40)!r}")
         self.lines.append(f"that long it took: {loop.time() - began > 3}")
-        self.kept("streams_drip")
+        self.compare_trace("streams_drip")
 
     async def test_a_head_alone_and_answers_that_have_no_body(self) -> None:
         async def gives(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -312,13 +314,13 @@
                 await body_of(at[0], fields)
             self.lines.append(f"{method} {target} -> {first}, length {fields.get('content-length')}")
         self.lines = [line for line in self.lines if "discovery" not in line]
-        self.kept("streams_bodiless")
+        self.compare_trace("streams_bodiless")
 
     # On a busy machine connections took over 2 s to open, and bodies longer to come than 2.4 s.
     @mock.patch.multiple("pepperusher.net.callers", BEGUN=60_000_000, WHOLE=60_000_000)
     async def test_what_is_held_of_all_bodies_has_a_bound(self) -> None:
         """Beyond it each holds a buffer or two and flows from there on."""
-        await self.stand(UNHURRIED, a1=self.whole)
+        await self.stand(LONG_TIMEOUT_SETTINGS, a1=self.whole)
         pool = self.proxy._pool
         pool._most = 40
         most = 0
