--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -70,7 +70,7 @@
 
 def _read(config: str, **given: str | None) -> bootstrap.BootstrapConfiguration:
     try:
-        return bootstrap.read(config, **given)
+        return bootstrap.read_bootstrap(config, **given)
     except bootstrap.BootstrapError as error:
         raise click.ClickException(str(error)) from None
 
@@ -108,7 +108,9 @@
         make_extensions = import_module("pepperusher.console.admin_handlers").admin_handlers_alone
 
     def again(before: bootstrap.BootstrapConfiguration) -> bootstrap.BootstrapConfiguration:
-        return bootstrap.read(config, name=name, listen=listen, discovery=discovery, console=console, before=before)
+        return bootstrap.read_bootstrap(
+            config, name=name, listen=listen, discovery=discovery, console=console, before=before
+        )
 
     try:
         run(read, again, make_extensions)
@@ -137,7 +139,7 @@
     click.echo(
         f"{given.name} listens at {given.listen[0]}:{given.listen[1]}, tier {policy_settings.tier_index + 1},"
         f" {policy_settings.proxy_index + 1} of {policy_settings.group_size}; {len(policy_settings.use_cases)} use cases,"
-        f" {len(policy_settings.customers)} customers, {len(given.known.entries) if given.known else 0} backends known;"
+        f" {len(policy_settings.customers)} customers, {len(given.initial_endpoints.entries) if given.initial_endpoints else 0} backends known;"
         f" {'beside its client' if policy_settings.is_sidecar else 'one of a pool'}, load reported by"
         f" {REPORTED_BY[policy_settings.reported_by]}"
     )
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -16,7 +16,7 @@
 from pepperusher.capacity.stage import SECOND
 from pepperusher.facade import SEND, Facade
 from pepperusher.settings import read_settings
-from pepperusher.net.endpoint_update import endpoint_update_of
+from pepperusher.net.endpoint_update import parse_endpoint_update
 
 # A service's own work, and how long a client at the top waits.
 WORK, WAITS = 1_000, 2 * SECOND
@@ -60,7 +60,7 @@
             told["tiers"] = [f"tier-{number}" for number in range(depth)]
             told["stage"] = level
             facade = Facade(read_settings(told, seed + level), NOW, quiet)
-            facade.update_endpoints(endpoint_update_of(stage.listing(BACKENDS)).entries, True, NOW)
+            facade.update_endpoints(parse_endpoint_update(stage.listing(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
     def call(self, level: int = 0, until: int | None = None) -> bool:
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -22,7 +22,7 @@
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
 from pepperusher.net.discovery import Discovery
-from pepperusher.net.endpoint_update import endpoint_update_of
+from pepperusher.net.endpoint_update import parse_endpoint_update
 from pepperusher.net.log import Log
 from pepperusher.configuration import loader
 from pepperusher.policy import Balancer
@@ -73,7 +73,7 @@
 
 def facade_with(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
     facade = Facade(stage.ground_of(group, seed, ordinal, zones=zones), NOW, quiet)
-    facade.update_endpoints(endpoint_update_of(stage.listing(size, zones)).entries, True, NOW)
+    facade.update_endpoints(parse_endpoint_update(stage.listing(size, zones)).entries, True, NOW)
     return facade
 
 
@@ -119,17 +119,17 @@
 
 def list_parse(size: int, _: int) -> float:
     text = stage.text_of(stage.listing(size, stage.ZONES))
-    return cost(lambda: endpoint_update_of(json.loads(text.decode())) and None)
+    return cost(lambda: parse_endpoint_update(json.loads(text.decode())) and None)
 
 
 def list_take(size: int, seed: int, enough: int = ENOUGH) -> float:
     """By a watch that has none yet: the same list once more takes under half of that."""
-    update = endpoint_update_of(stage.listing(size))
+    update = parse_endpoint_update(stage.listing(size))
     turns, spent = 0, 0.0
     while spent < enough:
         watch = watch_of(GROUP, seed)  # not timed, nor is the end of the one before
         began = process_time()
-        watch.take(update)
+        watch.apply_update(update)
         spent += (process_time() - began) * 1e6
         turns += 1
     return spent / turns
@@ -140,12 +140,12 @@
     in.
     """
     watch = watch_of(GROUP, seed)
-    watch.take(endpoint_update_of(stage.listing(size)))
+    watch.apply_update(parse_endpoint_update(stage.listing(size)))
     texts = [stage.text_of(stage.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
 
     def both() -> None:
         for text in texts:
-            watch.take(endpoint_update_of(json.loads(text.decode())))
+            watch.apply_update(parse_endpoint_update(json.loads(text.decode())))
 
     return cost(both) / 2
 
@@ -153,7 +153,7 @@
 def list_memory(size: int, seed: int) -> float:
     def makes() -> object:
         watch = watch_of(GROUP, seed)
-        watch.take(endpoint_update_of(json.loads(stage.text_of(stage.listing(size)))))
+        watch.apply_update(parse_endpoint_update(json.loads(stage.text_of(stage.listing(size)))))
         return watch
 
     return held_by(makes)
@@ -165,7 +165,7 @@
 def near_of(backends: int, callers: int, ordinal: int, zones: list[str] | None) -> list[str]:
     """The backends that the proxy at that place sends to as a rule."""
     balancer = Balancer(stage.ground_of(callers, 0, ordinal, zones=zones), NOW, quiet)
-    told = endpoint_update_of(stage.listing(backends, zones))
+    told = parse_endpoint_update(stage.listing(backends, zones))
     balancer.update_endpoints(
         [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
     )
--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -108,7 +108,7 @@
 
     # --- tickets ----------------------------------------------------------------------------------
 
-    def ask(
+    def request_admission(
         self,
         method: str,
         target: str,
@@ -161,7 +161,7 @@
             held.said_at = now
         return made
 
-    def told(self, made: AdmittedTicket, how: str, now: int) -> None:
+    def admission_decided(self, made: AdmittedTicket, how: str, now: int) -> None:
         """One that waited is ADMITTED, or FULL or TOO_LATE."""
         made.how = how
         made.inside = how == ADMITTED
@@ -178,12 +178,12 @@
         if made.how == QUEUED and held is not None and held.gate is not None and made.waiting is not None:
             held.gate.withdraw(made.waiting)
 
-    def usual(self, made: AdmittedTicket) -> int:
+    def mean_service_time(self, made: AdmittedTicket) -> int:
         """How long those take that its gate lets in (us); 0 where there is none."""
         held = self._held.get(made.terms.name)
         return held.gate.mean_service_time if held is not None and held.gate is not None else 0
 
-    def first(self, made: AdmittedTicket, now: int) -> None:
+    def record_first_attempt(self, made: AdmittedTicket, now: int) -> None:
         """It goes out; the first time counts for the retry budget. Not told from the ticket's attempts: those that a
         store remembers stand among them."""
         if made.out:
@@ -193,7 +193,7 @@
         if held is not None and held.budget is not None:
             held.budget.record_first_attempt(now)
 
-    def again(self, made: AdmittedTicket, how: str, now: int) -> bool:
+    def retry_allowed(self, made: AdmittedTicket, how: str, now: int) -> bool:
         """Whether it may go out once more after an attempt that ended so."""
         if how == "done" or not made.terms.may_retry_after(how):
             return False
@@ -206,7 +206,7 @@
             held.said_at = now
         return False
 
-    def unspent(self, made: AdmittedTicket, how: str, now: int) -> None:
+    def refund_retry(self, made: AdmittedTicket, how: str, now: int) -> None:
         """`again` allowed one more, and the decisions did not make it."""
         held = self._held.get(made.terms.name)
         if held is not None and held.budget is not None and how != "done":
@@ -219,7 +219,7 @@
             if held.gate is not None:
                 held.gate.limit_deadlines(latest)
 
-    def over(self, made: AdmittedTicket, end: str, worked: bool, now: int) -> None:
+    def finish(self, made: AdmittedTicket, end: str, worked: bool, now: int) -> None:
         """The last word on a ticket: `end` is done, bounced, scrapped, or left (which tells nothing);
         `worked` where its time tells of the servers."""
         check_invariant(not made.over, "a ticket passes its gate once")
--- a/pepperusher/console/admin_handlers.py
+++ b/pepperusher/console/admin_handlers.py
@@ -16,13 +16,13 @@
 from pepperusher.net import clock
 from pepperusher.net.extension import Extension, ExtensionHost
 from pepperusher.net.log import Log
-from pepperusher.net.message import Answer, plain
+from pepperusher.net.message import Answer, text_answer
 from pepperusher.net.handover_state import HandoverState
 from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.terms import PolicySettings
 
-NOT_YET = plain(503, "no backends known yet, or about to stop")
-NOT_KEPT = plain(500, "in force, but not kept for the next process: see the log")
+NOT_YET = text_answer(503, "no backends known yet, or about to stop")
+NOT_KEPT = text_answer(500, "in force, but not kept for the next process: see the log")
 # A lifted ban is remembered for so long at the least.
 KEPT = 60_000_000
 
@@ -44,7 +44,7 @@
         self._log = log
         self.orders = AdminCommands(max(KEPT, policy_settings.warm_after))
         self._door = AdminListener(self.answer, log)
-        self.narrow = self.orders.lines
+        self.filter_endpoints = self.orders.lines
         self._proxy: ExtensionHost
         self.port = 0
         # The first is whose holder reigns, the second whose holder is next; None without a folder for them.
@@ -65,7 +65,7 @@
 
     # --- the places ---------------------------------------------------------------------------------
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         """Before anything is served: takes the first place, or the next one and what the process before has
         to pass on."""
         self._proxy = host
@@ -86,12 +86,12 @@
             if (left := self._read(self._first)) is not None:
                 self._merge(left._replace(drain=NEVER))
             return
-        host.keep_to(HALF)
+        host.limit_descriptors(HALF)
         self._kept()
         left = await self._told()
         if left is not None:
             self._merge(left)
-        self._proxy.follow(left.passed_on if left is not None else HandoverState())
+        self._proxy.take_over_from(left.passed_on if left is not None else HandoverState())
         self._log.say(
             "taking the place of a process that serves" + ("" if left is not None else ", which tells nothing")
         )
@@ -121,12 +121,12 @@
 
     def _merge(self, other: State) -> None:
         drained = self.orders.drain
-        self._proxy.narrowed(self, self.orders.merge(other.bans, other.drain))
+        self._proxy.reapply_filters(self, self.orders.merge(other.bans, other.drain))
         if self.orders.drain != drained:
             self._proxy.send_away(self.orders.drain.on)
 
     def _state(self) -> State:
-        passed = self._proxy.passed_on() if self._sits and self._seen else HandoverState()
+        passed = self._proxy.handover_state() if self._sits and self._seen else HandoverState()
         seen = self._seen if self._sits else self._token
         return State(self.orders.bans, self.orders.drain, seen, self._serves, beats=True, **passed._asdict())
 
@@ -150,7 +150,7 @@
                 self._merge(left)
             self._tell()
             self._next.give_up()
-            self._proxy.keep_to(1.0)
+            self._proxy.limit_descriptors(1.0)
             self._log.say("the process before has ended")
             return
         if not self._sits:
@@ -164,7 +164,7 @@
             self._alone()
             if self._seen:
                 self._seen, self._next_serves = "", False
-                self._proxy.keep_to(1.0)
+                self._proxy.limit_descriptors(1.0)
                 self._tell()
                 self._log.say("the process that was to take this one's place has ended")
             return
@@ -173,7 +173,7 @@
             self._next_serves = other.serves
             if other.seen != self._seen:
                 self._seen = other.seen
-                self._proxy.keep_to(HALF)
+                self._proxy.limit_descriptors(HALF)
                 self._tell()
         self._feel(self._next)
 
@@ -185,11 +185,11 @@
         if still == self._took or still and not self._serves:
             return
         if still:
-            if not self._proxy.steer(0 if self._sits else 1):
+            if not self._proxy.steer_connections(0 if self._sits else 1):
                 return
         elif self._other_serves:
             # Not where it is on its way out: a connection handed to it again would be reset as it closes.
-            self._proxy.steer(None)
+            self._proxy.steer_connections(None)
         self._took = still
         self._log.say(
             "the other process stands still: new connections come here"
@@ -205,9 +205,9 @@
         self._beats = False
         if self._took:
             self._took = False
-            self._proxy.steer(None)
+            self._proxy.steer_connections(None)
 
-    def woke(self) -> None:
+    def process_resumed(self) -> None:
         try:
             self.look()
         except OSError as error:
@@ -222,7 +222,7 @@
                 self._log.say(f"a look at the other process ended by {type(error).__name__}: {error}")
 
     @property
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process takes the clients from here on."""
         try:
             self.look()
@@ -240,7 +240,7 @@
         self.port = await self._door.listen(self._address)
         self._log.say(f"console at {self._address[0]}:{self.port}")
 
-    def leaving(self, until: int) -> None:
+    def drain_started(self, until: int) -> None:
         """Whoever looks from here on finds one that takes no more clients."""
         self._serves = False
         self._kept()
@@ -267,7 +267,7 @@
 
     def take(self, bans: dict[str, AdminCommand]) -> None:
         """Orders that were called at another proxy, beside those here."""
-        self._proxy.narrowed(self, self.orders.merge(bans, NEVER))
+        self._proxy.reapply_filters(self, self.orders.merge(bans, NEVER))
         self._kept()
 
     async def answer(self, method: bytes, target: bytes) -> Answer:
@@ -275,7 +275,7 @@
         made, ordered = self._answered(method, target)
         held = await self.held() if ordered and self.held is not None and made.status == 200 else None
         if held is not None:
-            made = plain(200, f"{made.body.decode().strip()}, held by {held[0]} of {held[1]} proxies")
+            made = text_answer(200, f"{made.body.decode().strip()}, held by {held[0]} of {held[1]} proxies")
         return made
 
     def _answered(self, method: bytes, target: bytes) -> tuple[Answer, bool]:
@@ -283,28 +283,28 @@
         try:
             word = console_calls.console_call_of(method, target)
         except console_calls.BadConsoleCall as bad:
-            return plain(bad.status, str(bad)), False
+            return text_answer(bad.status, str(bad)), False
         if word.what == console_calls.READY:
             ready = self._proxy.can_serve
-            return (plain(200, "ready") if ready else NOT_YET), False
+            return (text_answer(200, "ready") if ready else NOT_YET), False
         if word.what in (console_calls.DRAIN, console_calls.RESUME):
             on = word.what == console_calls.DRAIN
             self.orders.send_away(on, clock.now())
             self._proxy.send_away(on)
             if not self._kept():
                 return NOT_KEPT, False
-            return plain(200, "clients are sent away" if on else "clients may come"), False
+            return text_answer(200, "clients are sent away" if on else "clients may come"), False
         on, backend = word.what == console_calls.BAN, word.backend
-        if not self._proxy.knows(backend) and not self.orders.banned(backend):
-            return plain(404, "no backend has this id"), False
+        if not self._proxy.has_backend(backend) and not self.orders.banned(backend):
+            return text_answer(404, "no backend has this id"), False
         if self.orders.banned(backend) != on:
             self._log.say(f"{backend} {'banned' if on else 'put back'} at the console")
-        self._proxy.narrowed(self, self.orders.ban(backend, on, clock.now()))
+        self._proxy.reapply_filters(self, self.orders.ban(backend, on, clock.now()))
         if not self._kept():
             return NOT_KEPT, True
-        return plain(200, "banned" if on else "in use"), True
+        return text_answer(200, "banned" if on else "in use"), True
 
 
-def admin_handlers_alone(told: BootstrapConfiguration, log: Log) -> list[Extension]:
+def admin_handlers_alone(bootstrap: BootstrapConfiguration, log: Log) -> list[Extension]:
     """What a proxy has beside it whose operators have an address, and no file of its own."""
-    return [] if told.console is None else [AdminHandlers(told.console, told.policy_settings, log)]
+    return [] if bootstrap.console is None else [AdminHandlers(bootstrap.console, bootstrap.policy_settings, log)]
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -12,7 +12,15 @@
 from pepperusher.net.buffers import Body, Pool
 from pepperusher.net.connection import StreamConnection
 from pepperusher.net.log import Log
-from pepperusher.net.message import HEAD, Answer, BadMessage, framed_answer, plain, read_head, read_held
+from pepperusher.net.message import (
+    MAX_HEAD_BYTES,
+    Answer,
+    BadMessage,
+    encode_answer,
+    text_answer,
+    read_head,
+    buffer_body,
+)
 
 # Connections at once. A further one takes the place of whoever has said least for longest.
 PLACES = 6
@@ -21,7 +29,7 @@
 # After its answer so much time to take it and close, so that what it still writes does not reset the answer
 # away.
 LINGER = 0.5
-BROKEN = plain(500, "an error in the console")
+BROKEN = text_answer(500, "an error in the console")
 
 
 class AdminListener:
@@ -59,21 +67,21 @@
         return line
 
     async def _serve(self, line: StreamConnection) -> None:
-        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD)
+        parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         body = Body(self._pool)
         try:
-            answer = plain(408, "the call did not end in time")
+            answer = text_answer(408, "the call did not end in time")
             try:
                 async with asyncio.timeout(WITHIN):
                     head = await read_head(parser, line)
                     if head is None:
                         return
-                    if not await read_held(parser, line, body):
+                    if not await buffer_body(parser, line, body):
                         raise BadMessage(413, "a call has no body")
                     assert isinstance(head, h11.Request)
                     answer = await self._answer(head.method, head.target)
             except BadMessage as bad:
-                answer = plain(bad.status, str(bad))
+                answer = text_answer(bad.status, str(bad))
             except TimeoutError:
                 pass
             except Exception as error:  # ends this call alone, with an answer
@@ -81,7 +89,7 @@
                 answer = BROKEN
             self._asking.pop(line, None)
             if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                line.send(framed_answer(parser, answer, True))
+                line.send(encode_answer(parser, answer, True))
                 line.send_end()
                 async with asyncio.timeout(LINGER):
                     while await line.read():
@@ -92,5 +100,5 @@
             self._log.say(f"a connection at the console ended: {type(error).__name__}: {error}")
         finally:
             self._asking.pop(line, None)
-            body.give_back()
+            body.release()
             line.abort()
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -30,7 +30,7 @@
     one_line,
 )
 from pepperusher.net import clock
-from pepperusher.packet_authentication import BadPacket
+from pepperusher.packet_authentication import InvalidPacketError
 
 # When a control machine last confirmed what is held is written down so often.
 TOUCH_EVERY = 10_000_000
@@ -305,4 +305,4 @@
             self._say("what is in force can't be kept", why=why)
 
 
-__all__ = ["BadPacket", "Client"]
+__all__ = ["InvalidPacketError", "Client"]
--- a/pepperusher/distribution/commands.py
+++ b/pepperusher/distribution/commands.py
@@ -91,14 +91,14 @@
     file = read.file
     log = Log(file.name)
     if file.log != "plain":
-        from pepperusher.net.structured_log import form_of
+        from pepperusher.net.structured_log import formatter_of
 
-        log.take_form(form_of(file.log))
+        log.set_formatter(formatter_of(file.log))
     terms = terms_of(file)
     wanted = descriptors_of(terms)
     if (may := raised(wanted)) < wanted:
-        log.tell("fewer descriptors than its subscribers may need", may=may, wanted=wanted)
-    server = Server(terms, read.key, Disk(Path(file.state_dir)), log.tell, int.from_bytes(os.urandom(8)))
+        log.write_event("fewer descriptors than its subscribers may need", may=may, wanted=wanted)
+    server = Server(terms, read.key, Disk(Path(file.state_dir)), log.write_event, int.from_bytes(os.urandom(8)))
     ended = asyncio.Event()
     for one in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(one, ended.set)
--- a/pepperusher/distribution/link.py
+++ b/pepperusher/distribution/link.py
@@ -11,7 +11,7 @@
 
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import Message
-from pepperusher.packet_authentication import BadPacket
+from pepperusher.packet_authentication import InvalidPacketError
 
 # Small words that wait behind one that is being written: beats and the like, which their makers bound.
 MOST_WAITING = 1024
@@ -75,7 +75,7 @@
                 self._came(self, message)
             if not before and self._session.open and not self._over:
                 self._opened(self)
-        except BadPacket as bad:
+        except InvalidPacketError as bad:
             self.abort(str(bad))
         except Exception as error:  # a fault of ours in reading it ends this connection and nothing else
             self.abort(f"{type(error).__name__}: {error}")
--- a/pepperusher/distribution/relay.py
+++ b/pepperusher/distribution/relay.py
@@ -50,10 +50,10 @@
 class _NoBackends:
     """Nobody here connects to those listed."""
 
-    def reached_at(self, name: str, address: tuple[str, int], ready: bool) -> None:
+    def set_address(self, name: str, address: tuple[str, int], ready: bool) -> None:
         pass
 
-    def only(self, names: set[str]) -> None:
+    def retain_only(self, names: set[str]) -> None:
         pass
 
 
@@ -86,7 +86,7 @@
         self._name, self._write, self._word, self._say = name, write, word, say
         self._asking = _Asking(Random(seed))
         self._discovery = Discovery(address, self._asking, _NoBackends(), _Lines(say), (), seed)
-        self._discovery.on_word = self._spoke
+        self._discovery.on_update = self._spoke
         self._spoke_at: int | None = None  # and it has not been said yet
         self._last_at: int | None = None
         self._coming = False
@@ -114,7 +114,7 @@
         if self._spoke_at is None or not self._asking.told:
             return
         if self._version is None or self._asking.changed or self._number != self._discovery.version:
-            listed = self._discovery.listed()
+            listed = self._discovery.own_list()
             body = json.dumps({**(listed or {}), "discovery": self._discovery.source}).encode()
             if len(body) > LONGEST_BODY:
                 if not self._too_long:
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -52,7 +52,7 @@
     one_line,
 )
 from pepperusher.net import clock
-from pepperusher.packet_authentication import BadPacket
+from pepperusher.packet_authentication import InvalidPacketError
 from pepperusher.store.disk import Disk
 
 if TYPE_CHECKING:
@@ -303,23 +303,23 @@
         one.heard_at = now
         if one.allowance < 1.0:
             self.counts["floods"] += 1
-            raise BadPacket("too many messages")
+            raise InvalidPacketError("too many messages")
         one.allowance -= 1.0
         if one.greeting is not None:
             if len(one.said) >= MOST_SAID:
-                raise BadPacket("too many messages")
+                raise InvalidPacketError("too many messages")
             if not isinstance(message, Heartbeat):
                 one.said.append(message)
         elif one.hello is None:
             if not isinstance(message, Hello):
-                raise BadPacket("sound, but no greeting")
+                raise InvalidPacketError("sound, but no greeting")
             self._greeted(id, one, message, now)
         else:
             self._served(id, one, one.hello, message, now)
         self._pump_soon()
 
     def _served(self, id: int, one: _Connection, hello: Hello, message: Message, now: int) -> None:
-        """Raises BadPacket for what it may not say."""
+        """Raises InvalidPacketError for what it may not say."""
         publisher = self.publisher
         if isinstance(message, Heartbeat):
             if hello.role != OPERATOR:
@@ -335,7 +335,7 @@
         elif isinstance(message, RolloutRequest) and hello.role == RELAY:
             self._say_to(one, publisher.rows(message.number, (message.kind, message.name), now))
         else:
-            raise BadPacket("sound, but nothing that it may say")
+            raise InvalidPacketError("sound, but nothing that it may say")
 
     def _greeted(self, id: int, one: _Connection, hello: Hello, now: int) -> None:
         """Proxies stand in the line, and are told at once that this machine is there."""
@@ -367,7 +367,7 @@
                 for message in said:
                     if one.hello is not None:
                         self._served(id, one, one.hello, message, now)
-            except BadPacket as bad:
+            except InvalidPacketError as bad:
                 one.link.abort(str(bad))
             except Exception as error:  # a fault of ours ends this connection, and the line goes on
                 one.link.abort(f"{type(error).__name__}: {error}")
@@ -599,7 +599,7 @@
         elif isinstance(message, FiguresRequest):
             self._say_to(one, Figures(self._figures()))
         else:
-            raise BadPacket("sound, but nothing that it may say")
+            raise InvalidPacketError("sound, but nothing that it may say")
 
     def _figures(self) -> dict[str, int | str]:
         return {
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -44,7 +44,7 @@
     mark_of,
     one_line,
 )
-from pepperusher.packet_authentication import BadPacket
+from pepperusher.packet_authentication import InvalidPacketError
 
 UPSTREAMS = 2
 # Both sides speak so often, and a side that was silent for so long has gone, whatever its socket says.
@@ -397,7 +397,7 @@
     # --- what they send -----------------------------------------------------------------------------
 
     def received(self, upstream: str, message: Message, now: int) -> None:
-        """Raises BadPacket for what no control machine says."""
+        """Raises InvalidPacketError for what no control machine says."""
         one = self._upstreams[upstream]
         if one.state != UP:
             return
@@ -423,7 +423,7 @@
             self._close(one, "refused there", now, self._chance.randrange(REFUSED_AGAIN, 2 * REFUSED_AGAIN))
             self._settle(now)
         else:
-            raise BadPacket("sound, but nothing that a control machine says")
+            raise InvalidPacketError("sound, but nothing that a control machine says")
 
     def _beat(self, one: _Upstream, beat: Heartbeat, now: int) -> None:
         if (beat.epoch, beat.stamp) <= self.confirmed:
@@ -526,7 +526,7 @@
             return
         self.counts["snapshots"] += 1
         if said.kind not in KINDS or digest_of(said.body) != said.mark.digest:
-            raise BadPacket("sound, but its digest is not its body's")
+            raise InvalidPacketError("sound, but its digest is not its body's")
         made = Resource(said.kind, said.name, said.mark.version, said.mark.digest, said.body, KINDS[said.kind])
         self._wants.pop((said.key, said.steady), None)
         self._misfits.discard(said.key)
--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -16,7 +16,7 @@
 
 from pepperusher.distribution import messages
 from pepperusher.distribution.messages import Message
-from pepperusher.packet_authentication import BadPacket, PacketAuthenticator
+from pepperusher.packet_authentication import InvalidPacketError, PacketAuthenticator
 
 MARK = b"pd"
 FORM = 1
@@ -39,16 +39,16 @@
 
 
 def decoded(data: bytes) -> Message:
-    """Raises BadPacket."""
+    """Raises InvalidPacketError."""
     try:
         return _decode(data)
     except (msgspec.MsgspecError, RecursionError):
         # Sound and not to be read: from whoever has the key, so a fault of a release.
-        raise BadPacket("sound, but no message") from None
+        raise InvalidPacketError("sound, but no message") from None
 
 
 class Session:
-    """One connection as one side has it. Raises BadPacket for whatever is not of the other side, and is of no
+    """One connection as one side has it. Raises InvalidPacketError for whatever is not of the other side, and is of no
     use from then on. `longest` is how long a message from there may be; raised once it is known who it is.
     """
 
@@ -74,9 +74,9 @@
 
     def _opened(self, data: bytes) -> None:
         if len(data) != OPENING - LENGTH.size or not data.startswith(MARK):
-            raise BadPacket("not of this program")
+            raise InvalidPacketError("not of this program")
         if data[len(MARK)] != FORM:
-            raise BadPacket(f"of form {data[len(MARK)]}, not {FORM}")
+            raise InvalidPacketError(f"of form {data[len(MARK)]}, not {FORM}")
         theirs = data[len(MARK) + 1 :]
         both = self._chance + theirs if self._calls else theirs + self._chance
         keys = {side: hashlib.blake2b(side + both, key=self._key, digest_size=32).digest() for side in (CALLER, CALLED)}
@@ -92,12 +92,12 @@
         return LENGTH.pack(len(sealed)) + sealed, end
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """The messages that are whole. Raises BadPacket."""
+        """The messages that are whole. Raises InvalidPacketError."""
         self._buffer += data
         while len(self._buffer) >= LENGTH.size:
             (length,) = LENGTH.unpack_from(self._buffer)
             if length > PART + 64 or (self._in is None and length > OPENING):
-                raise BadPacket("a frame that is too long" if self._in else "not of this program")
+                raise InvalidPacketError("a frame that is too long" if self._in else "not of this program")
             if len(self._buffer) < LENGTH.size + length:
                 return
             frame = bytes(self._buffer[LENGTH.size : LENGTH.size + length])
@@ -108,9 +108,9 @@
             body = self._in.open(frame, COUNT.pack(self._read))
             self._read += 1
             if not body:
-                raise BadPacket("sound, but no message")
+                raise InvalidPacketError("sound, but no message")
             if len(self._parts) + len(body) > self.longest:
-                raise BadPacket("a message that is too long")
+                raise InvalidPacketError("a message that is too long")
             self._parts += body[1:]
             if body[:1] == MORE:
                 continue
--- a/pepperusher/endpoint.py
+++ b/pepperusher/endpoint.py
@@ -20,4 +20,4 @@
 
 
 # What one makes of lines, whole or not, before they are acted on.
-Narrow = Callable[[list[Endpoint], bool], list[Endpoint]]
+FilterEndpoints = Callable[[list[Endpoint], bool], list[Endpoint]]
--- a/pepperusher/extensions.py
+++ b/pepperusher/extensions.py
@@ -24,20 +24,22 @@
     return kept(own)
 
 
-def extensions_of(own: str | Path, given: tuple[str, ...], told: BootstrapConfiguration, log: Log) -> list[Extension]:
+def extensions_of(
+    own: str | Path, given: tuple[str, ...], bootstrap: BootstrapConfiguration, log: Log
+) -> list[Extension]:
     """In the order in which they narrow the list: operators' orders have the last word. Raises ConfigurationError."""
-    house = ConfigurationManager(own, given_of(given), told.policy_settings, log, _kept)
+    house = ConfigurationManager(own, given_of(given), bootstrap.policy_settings, log, _kept)
     made: list[Extension] = [house]
     desk = node = None
-    if told.console is not None:
+    if bootstrap.console is not None:
         from pepperusher.console.admin_handlers import AdminHandlers
 
-        desk = AdminHandlers(told.console, told.policy_settings, log)
+        desk = AdminHandlers(bootstrap.console, bootstrap.policy_settings, log)
     if house.own.group.listen is not None:
         from pepperusher.net.node import Node
 
         with_desk = (desk.orders, desk.take) if desk is not None else (None, None)
-        node = Node(house.own.group, told.policy_settings, told.name, log.tell, *with_desk)
+        node = Node(house.own.group, bootstrap.policy_settings, bootstrap.name, log.write_event, *with_desk)
         made.append(node)
         if desk is not None:
             desk.held = node.held
@@ -45,12 +47,12 @@
     if house.own.distribution.machines:
         from pepperusher.net.distributed_configuration import DistributedConfiguration
 
-        distributed = DistributedConfiguration(house.own.distribution, house, told.name, str(own), log.tell)
+        distributed = DistributedConfiguration(house.own.distribution, house, bootstrap.name, str(own), log.write_event)
         made.append(distributed)
     if house.own.control.socket is not None:
         from pepperusher.net.answers import Answers
 
-        made.append(Answers(house, node, log.tell, distributed))
+        made.append(Answers(house, node, log.write_event, distributed))
     if desk is not None:
         made.append(desk)
     return made
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -28,7 +28,7 @@
 from pepperusher.group.shares import Reachability
 from pepperusher.group.membership import Change, Member, Membership
 from pepperusher.group.gossip_queue import CHARGE, NOTICE, SAID, GossipQueue
-from pepperusher.group.wire import DATAGRAM, HEAD, BadPacket, Wire
+from pepperusher.group.wire import DATAGRAM, HEAD, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ACK,
     ALIVE,
@@ -509,7 +509,7 @@
         self._stood(now)
         try:
             packet = self._wire.unpack(data)
-        except BadPacket as bad:
+        except InvalidPacketError as bad:
             self._count(f"packets {bad}")
             return
         sender = packet.sender
--- a/pepperusher/group/wire.py
+++ b/pepperusher/group/wire.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from pepperusher.group.messages import Suspicion, Broadcast, Packet, MemberRecord
-from pepperusher.packet_authentication import SUM, BadPacket, PacketAuthenticator
+from pepperusher.packet_authentication import CHECKSUM_BYTES, InvalidPacketError, PacketAuthenticator
 
 MARK = b"pu"
 FORM = 1
-HEAD = len(MARK) + 1 + SUM
+HEAD = len(MARK) + 1 + CHECKSUM_BYTES
 # One datagram: within the least that networks carry whole, headers of IPv6 and UDP taken off.
 DATAGRAM = 1200
-__all__ = ["DATAGRAM", "FORM", "HEAD", "MARK", "SUM", "BadPacket", "Wire"]
+__all__ = ["DATAGRAM", "FORM", "HEAD", "MARK", "CHECKSUM_BYTES", "InvalidPacketError", "Wire"]
 
 
 class _Outgoing(msgspec.Struct, frozen=True, array_like=True):
@@ -81,10 +81,10 @@
         return self.seal(body)
 
     def unpack(self, data: bytes) -> Packet:
-        """Raises BadPacket."""
+        """Raises InvalidPacketError."""
         body = self.open(data)
         try:
             return self._decode(body)
         except (msgspec.MsgspecError, RecursionError):
             # Sound and not to be read: from whoever has the key, so a fault of a release.
-            raise BadPacket("sound, but no packet") from None
+            raise InvalidPacketError("sound, but no packet") from None
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -48,7 +48,7 @@
 class Shared(Protocol):
     """What control machines distribute, as it can be asked."""
 
-    def said(self) -> dict[str, Any]: ...
+    def status(self) -> dict[str, Any]: ...
 
 
 class Answers(Extension):
@@ -64,12 +64,12 @@
         self._house = house
         self._shared = shared
         self._members = members
-        said = house.standing.version.read.own.control
+        said = house.active_configuration.version.read.own.control
         assert said.socket is not None
         self._control = Control(said.socket, said.connections, said.within / 1e6, self.to, say)
         self._host: ExtensionHost
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
@@ -130,7 +130,7 @@
     def _read(self, command: str) -> Iterable[dict[str, Any]]:
         house, facade = self._house, self._host.facade
         if command == "status":
-            standing = house.standing
+            standing = house.active_configuration
             change = standing.ledger.open
             yield {
                 "ok": True,
@@ -143,7 +143,7 @@
                 "open_change": None if change is None else _change(change),
                 "kept_out": dict(house.kept_out),
                 "limits": standing.gates(),
-                "distribution": None if self._shared is None else self._shared.said(),
+                "distribution": None if self._shared is None else self._shared.status(),
                 "since_change": {
                     "done": standing.toll.since.done,
                     "bounced": standing.toll.since.bounced,
@@ -151,7 +151,7 @@
                 },
             }
         elif command == "history":
-            yield from _rows("changes", map(_change, house.standing.ledger.history))
+            yield from _rows("changes", map(_change, house.active_configuration.ledger.history))
         elif command == "tickets":
             yield from _rows("tickets", facade.tickets(clock.now()))
         elif command == "backends":
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -11,8 +11,8 @@
 from pepperusher.net.budget import Budget
 from pepperusher.net.exchange import Attempt, Exchange, Placed
 from pepperusher.net.body_streaming import ResponseForwarder
-from pepperusher.net.connection import StreamConnection, reach
-from pepperusher.net.message import HEAD, Answer, Request
+from pepperusher.net.connection import StreamConnection, connect
+from pepperusher.net.message import MAX_HEAD_BYTES, Answer, Request
 
 # No connection to a backend is opened above this part of all descriptors: the rest is for callers, who must
 # always get in, if only to be bounced.
@@ -27,7 +27,7 @@
 SETTLES_MOST = 200_000
 
 
-class Link:
+class BackendConnection:
     """One connection to a backend with its parser."""
 
     __slots__ = ("line", "address", "answered", "parser", "idle_since")
@@ -36,40 +36,40 @@
         self.line = line
         self.address = address
         self.answered = False  # it has carried a ticket
-        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD)
+        self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.idle_since = 0
 
 
-class Door:
+class BackendConnections:
     """Where one backend is reached, with the connections that stand idle there, the latest used last."""
 
     __slots__ = ("address", "idle", "listed", "heard_at", "out")
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.idle: list[Link] = []  # emptied by use, by age, when the other side leaves, and with the list
+        self.idle: list[BackendConnection] = []  # emptied by use, by age, when the other side leaves, and with the list
         self.listed = True
         self.heard_at = 0
         self.out: set[Attempt] = set()  # under way there; emptied as they end
 
 
 class Backends:
-    def __init__(self, budget: Budget, pool: Pool, connect_within: int, idle_most: int) -> None:
+    def __init__(self, budget: Budget, pool: Pool, connect_timeout: int, idle_timeout: int) -> None:
         self._budget = budget
         self._pool = pool
-        self._connect_within = connect_within / 1e6
+        self._connect_timeout = connect_timeout / 1e6
         # Well before the backend's own limit: a request that crosses its close may have run.
-        self._idle_most = idle_most // 2
+        self._idle_timeout = idle_timeout // 2
         # What stands between may drop a connection long before that, and tells it with a reset of the next
         # ticket.
-        self._kept_most = self._idle_most
+        self._kept_most = self._idle_timeout
         self._settles = SETTLES
-        self._doors: dict[str, Door] = {}  # emptied by the list, once nothing is out there
+        self._doors: dict[str, BackendConnections] = {}  # emptied by the list, once nothing is out there
         budget.may_close_idle(self._close_oldest)
 
-    def reconfigure(self, connect_within: int, idle_most: int) -> None:
-        self._connect_within, self._idle_most = connect_within / 1e6, idle_most // 2
-        self._kept_most = min(self._kept_most, self._idle_most)
+    def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
+        self._connect_timeout, self._idle_timeout = connect_timeout / 1e6, idle_timeout // 2
+        self._kept_most = min(self._kept_most, self._idle_timeout)
 
     @property
     def known(self) -> bool:
@@ -77,19 +77,19 @@
 
     # --- the list ---------------------------------------------------------------------------------
 
-    def reached_at(self, backend: str, address: tuple[str, int], wanted: bool) -> None:
+    def set_address(self, backend: str, address: tuple[str, int], wanted: bool) -> None:
         door = self._doors.get(backend)
         if door is None:
             if not wanted:
                 return
-            door = self._doors[backend] = Door(address)
+            door = self._doors[backend] = BackendConnections(address)
         if door.address != address or not wanted:
             door.address = address
             self._close_idle(door)
         door.listed = wanted
         self._forget(backend, door)
 
-    def only(self, backends: set[str]) -> None:
+    def retain_only(self, backends: set[str]) -> None:
         """The whole list: others are gone."""
         for name, door in list(self._doors.items()):
             if name not in backends:
@@ -97,7 +97,7 @@
                 self._close_idle(door)
                 self._forget(name, door)
 
-    def _forget(self, backend: str, door: Door) -> None:
+    def _forget(self, backend: str, door: BackendConnections) -> None:
         if not door.listed and not door.out:
             self._doors.pop(backend, None)
 
@@ -108,12 +108,12 @@
 
     # --- connections that stand idle --------------------------------------------------------------
 
-    def _close_idle(self, door: Door) -> None:
+    def _close_idle(self, door: BackendConnections) -> None:
         while door.idle:
             self._drop(door, door.idle[-1])
 
     @staticmethod
-    def _drop(door: Door, link: Link) -> None:
+    def _drop(door: BackendConnections, link: BackendConnection) -> None:
         if link in door.idle:
             door.idle.remove(link)
         link.line.abort()
@@ -132,7 +132,7 @@
             while door.idle and now - door.idle[0].idle_since >= self._kept_most:
                 self._drop(door, door.idle[0])
 
-    def _rest(self, door: Door, link: Link) -> None:
+    def _rest(self, door: BackendConnections, link: BackendConnection) -> None:
         if link.parser.our_state is h11.DONE:
             link.parser.start_next_cycle()
         link.idle_since = clock.now()
@@ -147,7 +147,7 @@
         link.line.on_end, link.line.on_data = lambda: self._drop(door, link), strays
         door.idle.append(link)
 
-    def _keep(self, door: Door, link: Link) -> bool:
+    def _keep(self, door: BackendConnections, link: BackendConnection) -> bool:
         """Whether it may serve the next: a backend that has gone, or stands at another address by now, has none kept."""
         if not door.listed or door.address != link.address:
             link.line.abort()
@@ -155,7 +155,7 @@
         self._rest(door, link)
         return True
 
-    def _latest(self, door: Door) -> Link | None:
+    def _latest(self, door: BackendConnections) -> BackendConnection | None:
         now = clock.now()
         for at in range(len(door.idle) - 1, -1, -1):
             link = door.idle[at]
@@ -179,9 +179,9 @@
         if not answered:
             self._kept_most = max(KEPT_LEAST, min(self._kept_most, stood) // 2)
         elif 2 * stood >= self._kept_most:
-            self._kept_most = min(self._idle_most, self._kept_most + self._kept_most // 128)
+            self._kept_most = min(self._idle_timeout, self._kept_most + self._kept_most // 128)
 
-    async def _connect(self, door: Door, out: Attempt, within: float) -> Link | str:
+    async def _connect(self, door: BackendConnections, out: Attempt, within: float) -> BackendConnection | str:
         for turn in range(TURNS, -1, -1):
             if self._budget.take(PART, True):
                 break
@@ -190,7 +190,7 @@
             # Of many that came in one turn of the loop the last were refused, beside idle clients that could be closed.
             await asyncio.sleep(0)
         address = door.address
-        reaching = asyncio.ensure_future(reach(address))
+        reaching = asyncio.ensure_future(connect(address))
         reaching.add_done_callback(self._connected)
         out.stopped_by(reaching.cancel)
         done, _ = await asyncio.wait((reaching,), timeout=within)
@@ -203,7 +203,7 @@
             await asyncio.wait((reaching,))
         if reaching.cancelled() or reaching.exception() is not None:
             return "unreached"
-        return Link(reaching.result(), address)
+        return BackendConnection(reaching.result(), address)
 
     def _connected(self, reaching: asyncio.Future[StreamConnection]) -> None:
         """The descriptor goes back to the budget when the connection ends, or at once if there is none."""
@@ -243,7 +243,7 @@
 
     async def _attempt(
         self,
-        door: Door,
+        door: BackendConnections,
         request: Request,
         out: Attempt,
         patience: int,
@@ -254,7 +254,7 @@
         link = self._latest(door)
         stood = None if link is None else clock.now() - link.idle_since
         if link is None:
-            made = await self._connect(door, out, min(self._connect_within, patience / 1e6))
+            made = await self._connect(door, out, min(self._connect_timeout, patience / 1e6))
             if isinstance(made, str):
                 return "moot" if out.how == "called off" else made, None
             link = made
@@ -273,7 +273,7 @@
         began = clock.now()
         left = max(0, until - began)
         request = request._replace(headers=[*request.headers, (b"request-timeout", b"%du" % max(1, left))])
-        exchange = Exchange(link.line, link.parser, self._pool, out, left, self._connect_within, placed)
+        exchange = Exchange(link.line, link.parser, self._pool, out, left, self._connect_timeout, placed)
         kept = False
         try:
             how, answer = await exchange.run(request, onward)
@@ -286,7 +286,7 @@
                 and how == "reset"
                 and out.how is None
                 and link.line.heard_at < began
-                and clock.now() - began < self._connect_within * 1e6
+                and clock.now() - began < self._connect_timeout * 1e6
             ):
                 # At once and without a word: an answer that broke off, or work that ended in a crash, tells
                 # nothing of it.
--- a/pepperusher/net/body_streaming.py
+++ b/pepperusher/net/body_streaming.py
@@ -8,7 +8,7 @@
 import h11
 
 from pepperusher.net.connection import StreamConnection
-from pepperusher.net.message import MOST, Answer, BadMessage, read_data
+from pepperusher.net.message import MAX_BODY_BYTES, Answer, BadMessage, read_data
 
 
 class RequestBodyReader:
@@ -38,7 +38,7 @@
         try:
             data = await read_data(self._parser, self._line)
             self._length += len(data)
-            if self._length > MOST:
+            if self._length > MAX_BODY_BYTES:
                 raise BadMessage(413, "the body is too large")
             return data
         except BadMessage as bad:
@@ -104,6 +104,6 @@
             return True
         self._waits(True)
         try:
-            return await self._line.sent()
+            return await self._line.flush()
         finally:
             self._waits(False)
--- a/pepperusher/net/bootstrap.py
+++ b/pepperusher/net/bootstrap.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from pepperusher.settings import SettingsError, read_settings, typed_field, duration_field
-from pepperusher.net.endpoint_update import BadList, EndpointUpdate, address_of, endpoint_update_of
+from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_address, parse_endpoint_update
 from pepperusher.terms import PolicySettings
 
 SOCKETS = 1024
@@ -38,10 +38,10 @@
         "listen",
         "discovery",
         "sockets",
-        "known",
+        "initial_endpoints",
         "policy_settings",
-        "connect_within",
-        "idle_most",
+        "connect_timeout",
+        "idle_timeout",
         "console",
         "keys",
         "memory",
@@ -51,10 +51,10 @@
     listen: tuple[str, int]
     discovery: tuple[str, int]
     sockets: int
-    known: EndpointUpdate | None
+    initial_endpoints: EndpointUpdate | None
     policy_settings: PolicySettings
-    connect_within: int
-    idle_most: int
+    connect_timeout: int
+    idle_timeout: int
     console: tuple[str, int] | None  # None where operators have no address of their own
     memory: int  # bytes that the process may take
     keys: dict[str, frozenset[str]]  # which each object of the file has, for the next file to be held against
@@ -62,7 +62,7 @@
 
 def _address(given: str | None, of: dict[str, Any], name: str) -> tuple[str, int]:
     try:
-        return address_of(given or of.get(name))
+        return parse_address(given or of.get(name))
     except BadList as error:
         raise BootstrapError(f"{name}: {error}") from None
 
@@ -99,7 +99,7 @@
         raise BootstrapError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
 
 
-def read(
+def read_bootstrap(
     path: str,
     name: str | None = None,
     listen: str | None = None,
@@ -151,12 +151,12 @@
             raise BootstrapError("settings: use-cases: there is none")
         _check(made, settings)
         allowed = typed_field(settings, "policy-limits", dict)
-        made.connect_within = duration_field(allowed, "connect-timeout", CONNECT_WITHIN)
-        made.idle_most = duration_field(allowed, "keepalive", KEEPALIVE)
+        made.connect_timeout = duration_field(allowed, "connect-timeout", CONNECT_WITHIN)
+        made.idle_timeout = duration_field(allowed, "keepalive", KEEPALIVE)
     except SettingsError as error:
         raise BootstrapError(f"settings: {error}") from None
     try:
-        made.known = endpoint_update_of(of["known"]) if of.get("known") else None
+        made.initial_endpoints = parse_endpoint_update(of["known"]) if of.get("known") else None
     except BadList as error:
         raise BootstrapError(f"known: {error}") from None
     return made
--- a/pepperusher/net/buffers.py
+++ b/pepperusher/net/buffers.py
@@ -5,7 +5,7 @@
 # Of a body so much is held, and one buffer. Most bodies take one; at 64 KiB each, those of a few hundred
 # callers that
 # send no more than a part were half of a small proxy's memory.
-HELD = 64 * 1024
+MAX_HELD_BODY_BYTES = 64 * 1024
 SIZE = 4 * 1024
 
 
@@ -25,7 +25,7 @@
     def full(self) -> bool:
         """Whether no more is to be held, or hardly more where all that is held together comes to its
         bound."""
-        return self.length > HELD or self.length > SIZE and self._pool.short
+        return self.length > MAX_HELD_BODY_BYTES or self.length > SIZE and self._pool.short
 
     def add(self, data: bytes) -> None:
         while data:
@@ -37,7 +37,7 @@
             self.length += len(part)
             data = data[len(part) :]
 
-    def whole(self) -> memoryview | bytes:
+    def contents(self) -> memoryview | bytes:
         """Once all of it has come. Copied only where it is in several, in place of them: many tickets may be
         in hand. Good
         until it is given back."""
@@ -50,7 +50,7 @@
                 self._pool.give(self._buffers.pop())
         return self._joined
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         while self._buffers:
             self._pool.give(self._buffers.pop())
         if self._joined:
--- a/pepperusher/net/call_schedule.py
+++ b/pepperusher/net/call_schedule.py
@@ -13,7 +13,7 @@
 # misses is held against this proxy 6 s after its last line, and by then another watch has to have told it: after
 # 4.5 s, and a wait of up to 500 ms, a call that stood 2.8 s in discovery's queue was too late. The second figure is
 # spread over proxies, since all watches may fall silent at once; asked is then without a further wait.
-SILENT = 2.5
+WATCH_SILENCE_TIMEOUT_S = 2.5
 SPREAD = 0.5
 # Calls wait in turn at discovery, and one that waits looks like one that is lost: it is never left to begin
 # anew at the queue's end. Another goes out beside it, since a change counts 6 s after discovery had it and
@@ -21,7 +21,7 @@
 # as long as makes a watch dead. After a failure, or where nothing is known, a queue of many callers is as
 # likely, and each call more makes it longer for all: the next goes out so late that it leaves 1.5 s for the
 # answer. The spread is added to either.
-FIRST_WITHIN = 4.0
+FIRST_ANSWER_TIMEOUT_S = 4.0
 # A call that was kept so long and then refused stood in a queue that is longer than discovery lets anybody wait,
 # and is worked through all the same: once all that it works through was refused before, calls that come again
 # soon, and all at the same time, keep it so for good. So the next goes out by chance within 2.5 times as long,
@@ -116,7 +116,9 @@
 
     def _beside_at(self, now: float, spread: float) -> float:
         """When another goes out beside calls that have no answer."""
-        soonest, latest = (self.asked_at + within + spread for within in (SILENT, FIRST_WITHIN))
+        soonest, latest = (
+            self.asked_at + within + spread for within in (WATCH_SILENCE_TIMEOUT_S, FIRST_ANSWER_TIMEOUT_S)
+        )
         if self.silent or self._beside_soon:
             return soonest
         if now >= self._due_at:
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -10,24 +10,24 @@
 import h11
 
 from pepperusher.net import clock
-from pepperusher.net.buffers import HELD, Body, Pool
+from pepperusher.net.buffers import MAX_HELD_BODY_BYTES, Body, Pool
 from pepperusher.net.budget import HALF, SHORT, Budget
-from pepperusher.net.connection import StreamConnection, adopt
+from pepperusher.net.connection import StreamConnection, wrap_socket
 from pepperusher.net.listening import NOBODY, listener, steer
 from pepperusher.net.log import Log
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
 from pepperusher.net.body_streaming import RequestBodyReader, ResponseForwarder
 from pepperusher.net.message import (
-    HEAD,
-    MOST,
+    MAX_HEAD_BYTES,
+    MAX_BODY_BYTES,
     Answer,
     BadMessage,
     Request,
-    framed_answer,
+    encode_answer,
     length_of,
-    plain,
+    text_answer,
     read_head,
-    read_held,
+    buffer_body,
 )
 
 # Connections let in one after another before others have their turn.
@@ -50,7 +50,7 @@
 PART = 2 / 3
 # After an answer to bad input so much more is read, so that the answer is not lost in a reset.
 LINGER = 1.0
-LINGER_MOST = 4 * HELD
+LINGER_MOST = 4 * MAX_HELD_BODY_BYTES
 # An honest one whose body was not read to its end has longer to notice.
 NOTICED = 3.0
 # And one that is told to close with its answer, so that what it still sends does not turn our close into a reset.
@@ -66,7 +66,7 @@
 # Over all that the budget holds, where nothing else would do.
 FOR_ONCE = 2.0
 
-LATE = plain(408, "the request did not end in time")
+LATE = text_answer(408, "the request did not end in time")
 
 
 def _accepted(listener: socket.socket) -> socket.socket | None:
@@ -97,14 +97,18 @@
     too: docs/crossings.md says what counts as leaving.
     """
 
-    __slots__ = ("request", "came", "onward", "on_leave", "left", "bad", "ticket", "_away")
+    __slots__ = ("request", "received_at", "onward", "on_leave", "left", "bad", "ticket", "_away")
 
     def __init__(
-        self, request: Request, came: int, onward: ResponseForwarder | None = None, away: Callable[[], bool] = bool
+        self,
+        request: Request,
+        received_at: int,
+        onward: ResponseForwarder | None = None,
+        away: Callable[[], bool] = bool,
     ) -> None:
         self._away = away
         self.request = request
-        self.came = came
+        self.received_at = received_at
         self.onward = onward
         self.on_leave: Callable[[], None] | None = None
         self.left = False
@@ -122,14 +126,14 @@
             if self.on_leave is not None:
                 self.on_leave()
 
-    def gone(self) -> bool:
+    def check_disconnected(self) -> bool:
         """Whether its client has left by now: asked before a byte goes to a backend, since the loop tells of an end behind
         all that came before it."""
         if not self.left and self._away():
             self.leave()
         return self.left
 
-    def over(self) -> None:
+    def release(self) -> None:
         """It has its answer. What it was handed points back to its connection: the two would stay until a collection."""
         self._away = bool
 
@@ -141,7 +145,7 @@
 
     def __init__(self, line: StreamConnection) -> None:
         self.line = line
-        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD)
+        self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         # For the caller: to ask or to ask again, to end what it began, to take an answer; None while we work
         # for it.
         self.waiting_since: int | None = clock.now()
@@ -164,7 +168,7 @@
 
     @property
     def whole_within(self) -> int:
-        return WHOLE + 1_000_000 * (self.line.received - self.before) // SLOWEST
+        return WHOLE + 1_000_000 * (self.line.bytes_received - self.before) // SLOWEST
 
 
 class Callers:
@@ -270,7 +274,7 @@
 
     async def _serve(self, taken: socket.socket) -> None:
         try:
-            line = await adopt(taken)
+            line = await wrap_socket(taken)
         except Exception as error:  # this connection's trouble, and nobody else's
             taken.close()
             self._budget.give()
@@ -283,13 +287,13 @@
         body = Body(self._pool)
         try:
             while await self._serve_one(caller, body):
-                body.give_back()
-            body.give_back()
-            await line.dropped(LINGER)
+                body.release()
+            body.release()
+            await line.discard_until_closed(LINGER)
         except Exception as error:  # this connection's trouble, and nobody else's
             self._log.say(f"connection ended: {type(error).__name__}: {error}")
         finally:
-            body.give_back()
+            body.release()
             self._rest(caller, False)
             self._callers.pop(caller, None)
             self._ending.pop(caller, None)
@@ -306,14 +310,14 @@
         if ahead:
             # Against hundreds sent at once, which would be read and answered while all others wait.
             await asyncio.sleep(0)
-        caller.before = line.received - line.unread - len(parser.trailing_data[0])
+        caller.before = line.bytes_received - line.unread_bytes - len(parser.trailing_data[0])
         line.on_data = lambda: self._rest(caller, False)
         line.may_read_ahead = True
         whole = False
         try:
             head = await read_head(parser, line)
             if head is not None:
-                whole = await read_held(parser, line, body)
+                whole = await buffer_body(parser, line, body)
                 if whole:  # else what is behind is of its own body, which is passed on as it comes
                     await line.looked_ahead()
         except BadMessage as bad:
@@ -327,7 +331,7 @@
             return False
         assert isinstance(head, h11.Request)
         caller.waits(False)
-        request = Request(head.method, head.target, list(head.headers), body.whole())
+        request = Request(head.method, head.target, list(head.headers), body.contents())
         came = line.came_at()
         if not whole:
             request = request._replace(
@@ -342,7 +346,7 @@
         answer = await self._handle(call)
         line.on_end = None
         onward.over()
-        call.over()
+        call.release()
         caller.waiting_since, caller.spent = None, 0
         if onward.begun and not onward.ended:
             line.reset()  # broken off: it must not look like an end
@@ -352,16 +356,16 @@
         if not onward.begun:
             if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
                 return False  # its time was up, and it has been told
-            line.send(framed_answer(parser, answer, self._closes(caller, call)))
+            line.send(encode_answer(parser, answer, self._closes(caller, call)))
         caller.answered = True
         caller.useful = caller.useful or call.ticket
         caller.waiting_since = clock.now()
-        if not await line.sent():
+        if not await line.flush():
             return False
         if parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             caller.waiting_since = None
             if parser.their_state is h11.SEND_BODY:
-                await self._linger(line, *((NOTICED, MOST) if call.ticket else (LINGER, LINGER_MOST)))
+                await self._linger(line, *((NOTICED, MAX_BODY_BYTES) if call.ticket else (LINGER, LINGER_MOST)))
             elif self._closing and call.ticket and not line.ended:
                 # Only where clients are sent away: where descriptors run short, one held on to is worth more to others.
                 self._ending[caller] = None
@@ -393,7 +397,7 @@
         line = caller.line
         if caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        line.send(framed_answer(caller.parser, plain(bad.status, str(bad)), True))
+        line.send(encode_answer(caller.parser, text_answer(bad.status, str(bad)), True))
         await self._linger(line, LINGER, LINGER_MOST)
 
     @staticmethod
@@ -401,7 +405,7 @@
         """Reads on for a while, so that the answer is not lost in a reset."""
         try:
             async with asyncio.timeout(within):
-                if await line.sent():
+                if await line.flush():
                     line.send_end()
                 while left > 0 and (read := await line.read()):
                     left -= len(read)
@@ -472,7 +476,7 @@
                 and caller.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE)
                 and line.quiet()
             ):
-                if line.send(framed_answer(caller.parser, LATE, True)):
+                if line.send(encode_answer(caller.parser, LATE, True)):
                     line.close()
                 else:
                     line.abort()  # its descriptor is wanted now, and it takes nothing
@@ -511,7 +515,7 @@
                 # It may be sending still, and would lose the answer in a reset; for room it goes first.
                 caller.waiting_since = None
                 self._ending[caller] = None
-                caller.line.end_with(framed_answer(caller.parser, LATE, True), LINGER_MOST)
+                caller.line.send_last(encode_answer(caller.parser, LATE, True), LINGER_MOST)
 
     # --- the end ----------------------------------------------------------------------------------
 
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -30,7 +30,7 @@
 from pepperusher.net.callers import Call
 from pepperusher.net.extension import Extension, ExtensionHost
 from pepperusher.net.log import Log
-from pepperusher.net.message import Answer, Request, plain
+from pepperusher.net.message import Answer, Request, text_answer
 from pepperusher.configuration import loader
 from pepperusher.configuration.loader import ConfigurationError, Read
 from pepperusher.configuration.tables import Own
@@ -67,7 +67,7 @@
         log: Log,
         shared: Callable[[Own], str] | None = None,
     ) -> None:
-        say = log.tell
+        say = log.write_event
         self._hanging: asyncio.Task[None] | None = None
         self.kept_out: dict[str, int] = {}  # by the words of STATUS, so it grows with the code alone
         self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
@@ -85,24 +85,24 @@
         self.shared = ""  # behind the file's own text, as `changes.shared_section` puts it there
         self._kept_shared = shared
         self._sharing: tuple[Change, str] | None = None  # the last change of it, and what was shared before
-        self.standing = ActiveConfiguration(self._begin(), clock.now(), self._list_again, say)
+        self.active_configuration = ActiveConfiguration(self._begin(), clock.now(), self._list_again, say)
         self.gate = self
-        self.narrow = self.standing.overlay.lines
-        self.shelf: RequestStore | None = None
-        if self.standing.version.read.own.store.folder is not None:
+        self.filter_endpoints = self.active_configuration.overlay.lines
+        self.request_store: RequestStore | None = None
+        if self.active_configuration.version.read.own.store.folder is not None:
             from pepperusher.net.request_store import RequestStore
 
-            self.shelf = RequestStore(self.standing.version.read.own.store, say)
-        form = self.standing.version.read.own.said.form
+            self.request_store = RequestStore(self.active_configuration.version.read.own.store, say)
+        form = self.active_configuration.version.read.own.said.form
         if form != "plain":
-            from pepperusher.net.structured_log import form_of
+            from pepperusher.net.structured_log import formatter_of
 
-            log.take_form(form_of(form))
+            log.set_formatter(formatter_of(form))
 
     @property
     def own(self) -> Own:
         """The file in force."""
-        return self.standing.version.read.own
+        return self.active_configuration.version.read.own
 
     def _count(self, what: str) -> None:
         self.kept_out[what] = self.kept_out.get(what, 0) + 1
@@ -160,33 +160,33 @@
         except shared_section.NotSharedError as error:
             raise ConfigurationError([loader.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
 
-    def told_anew(self, policy_settings: PolicySettings) -> None:
+    def settings_changed(self, policy_settings: PolicySettings) -> None:
         """The operators' settings as they are now; the own file is read against them from here on, and proposed
         as it stands."""
         self._policy_settings = policy_settings
         self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
         self.hang_up()
 
-    def leaving(self, until: int) -> None:
-        self.standing.limit_deadlines(until)
+    def drain_started(self, until: int) -> None:
+        self.active_configuration.limit_deadlines(until)
 
     def _list_again(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
-            self._host.narrowed(self, lines)
+            self._host.reapply_filters(self, lines)
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
         if self._instead:
             self._say("started with the last confirmed file", why=self._instead)
-        if self.shelf is not None:
-            self.shelf.start()
+        if self.request_store is not None:
+            self.request_store.start()
         self._watching = asyncio.get_running_loop().create_task(self._watch())
 
     async def stop(self) -> None:
-        if self.shelf is not None:
-            await self.shelf.stop()
+        if self.request_store is not None:
+            await self.request_store.stop()
         if self._watching is not None:
             self._watching.cancel()
 
@@ -205,8 +205,10 @@
 
     # --- tickets ----------------------------------------------------------------------------------
 
-    def ask(self, request: Request, use_case: str, customer: str, given: int | None, usual: int) -> AdmittedTicket:
-        version = self.standing.version
+    def request_admission(
+        self, request: Request, use_case: str, customer: str, given: int | None, usual: int
+    ) -> AdmittedTicket:
+        version = self.active_configuration.version
         headers: dict[str, str] = {}
         host = b""
         for name, value in request.headers:
@@ -214,7 +216,7 @@
                 host = value
             elif version.matches_headers:
                 headers[name.decode("latin-1")] = value.decode("latin-1")
-        return self.standing.ask(
+        return self.active_configuration.request_admission(
             request.method.decode("latin-1"),
             request.target.decode("latin-1"),
             host.rpartition(b":")[0].decode("latin-1").lower() if b":" in host else host.decode("latin-1").lower(),
@@ -229,7 +231,7 @@
     async def admit(self, made: AdmittedTicket, call: Call) -> bool:
         """Whether it may go in, waited for where it must be. One that may not is over with it."""
         if not await self._admitted(made, call):
-            self.standing.over(made, "left" if call.left else "bounced", False, clock.now())
+            self.active_configuration.finish(made, "left" if call.left else "bounced", False, clock.now())
             return False
         return True
 
@@ -241,27 +243,27 @@
         told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
         def tell(how: str) -> None:
-            self.standing.told(made, how, clock.now())
+            self.active_configuration.admission_decided(made, how, clock.now())
             if not told.done():
                 told.set_result(how)
 
         def leave() -> None:
             if made.how == QUEUED:
-                self.standing.withdraw(made)
+                self.active_configuration.withdraw(made)
                 made.how = "left"
                 if not told.done():
                     told.set_result("left")
 
         def late() -> None:
             if made.how == QUEUED:
-                self.standing.withdraw(made)
+                self.active_configuration.withdraw(made)
                 tell(TOO_LATE)
 
         made.waiting.on_decision = tell
         call.on_leave = leave
         # Of its own, and not with the next look at all: that is up to LOOK_EVERY later, and its client has
         # left by then.
-        left = made.until - clock.now() - max(LEAST_LEFT, self.standing.usual(made))
+        left = made.until - clock.now() - max(LEAST_LEFT, self.active_configuration.mean_service_time(made))
         timer = asyncio.get_running_loop().call_later(max(0, left) / 1e6, late)
         try:
             return await told == ADMITTED and not call.left
@@ -279,24 +281,24 @@
             if self._policy_settings.retry_after_allowed
             else []
         )
-        return self.named(made, plain(STATUS[made.how], WHY[made.how], *advice))
+        return self.add_version_header(made, text_answer(STATUS[made.how], WHY[made.how], *advice))
 
-    def goes(self, made: AdmittedTicket, wait: int) -> int:
+    def start_attempt(self, made: AdmittedTicket, wait: int) -> int:
         """It goes out now; for how long at the most."""
-        self.standing.first(made, clock.now())
+        self.active_configuration.record_first_attempt(made, clock.now())
         return made.terms.attempt_timeout(wait)
 
-    def again(self, made: AdmittedTicket, how: str) -> bool:
-        return self.standing.again(made, how, clock.now())
+    def retry_allowed(self, made: AdmittedTicket, how: str) -> bool:
+        return self.active_configuration.retry_allowed(made, how, clock.now())
 
-    def unspent(self, made: AdmittedTicket, how: str) -> None:
+    def refund_retry(self, made: AdmittedTicket, how: str) -> None:
         """It might have gone out once more and did not."""
-        self.standing.unspent(made, how, clock.now())
+        self.active_configuration.refund_retry(made, how, clock.now())
 
-    def over(self, made: AdmittedTicket, end: str, worked: bool) -> None:
-        self.standing.over(made, end, worked, clock.now())
+    def finish(self, made: AdmittedTicket, end: str, worked: bool) -> None:
+        self.active_configuration.finish(made, end, worked, clock.now())
 
-    def named(self, made: AdmittedTicket, answer: Answer | None) -> Answer | None:
+    def add_version_header(self, made: AdmittedTicket, answer: Answer | None) -> Answer | None:
         """An answer that names the version of its terms, where the file has it so."""
         if answer is None or not made.version.read.own.said.version:
             return answer
@@ -317,17 +319,17 @@
         and TransactionError where another change is open."""
 
         def parsed() -> Read:
-            text = self._put(self.standing.version.read.text, shared, "what is shared")
+            text = self._put(self.active_configuration.version.read.text, shared, "what is shared")
             return loader.parse(text, "what is shared", self._policy_settings, self._environment, self._given)
 
         read = await asyncio.to_thread(parsed)
-        if self.standing.ledger.open is not None:
+        if self.active_configuration.ledger.open is not None:
             # It does not wait as others may: what it is put behind could be another by then.
-            raise TransactionError(f"change {self.standing.ledger.open.number} is open")
-        if read.digest == self.standing.version.read.digest:
+            raise TransactionError(f"change {self.active_configuration.ledger.open.number} is open")
+        if read.digest == self.active_configuration.version.read.digest:
             self.shared = shared
             return None
-        change = self.standing.propose(read, who, why, clock.now())
+        change = self.active_configuration.propose(read, who, why, clock.now())
         self._sharing, self.shared = (change, self.shared), shared
         await self._carry_out(change)
         if change.over:
@@ -342,21 +344,21 @@
     async def drain(self, id: str, lift: bool, who: str, why: str) -> Change:
         """A mark by hand, as a change like any other; `lift` takes one off again that was put on so. Raises
         ConfigurationError, TransactionError."""
-        text = self.standing.version.read.text
+        text = self.active_configuration.version.read.text
         block = DRAIN.format(id=json.dumps(id))
         if lift:
             if block not in text:
                 raise TransactionError(f"{id} was not drained by hand")
             return await self.propose_text(text.replace(block, "", 1), who, why)
-        if not any(one.id == id for one in self.standing.overlay.ready()):
+        if not any(one.id == id for one in self.active_configuration.overlay.ready()):
             raise TransactionError(f"{id} is no backend that is listed as ready")
-        if id in self.standing.version.marks:
+        if id in self.active_configuration.version.marks:
             raise TransactionError(f"{id} has a mark already")
         return await self.propose_text(text + block, who, why)
 
     async def _propose(self, read: Read, who: str, why: str) -> Change:
-        change = self.standing.propose(read, who, why, clock.now())
-        if change is self.standing.ledger.open:
+        change = self.active_configuration.propose(read, who, why, clock.now())
+        if change is self.active_configuration.ledger.open:
             await self._carry_out(change)
         return change
 
@@ -369,7 +371,7 @@
                 try:
                     await asyncio.to_thread(self._kept.open, change.number, change.what.text)
                 except OSError as error:
-                    self.standing.undo(
+                    self.active_configuration.undo(
                         change,
                         "the proxy",
                         f"its mark can't be written: {error.strerror or error}",
@@ -380,12 +382,12 @@
                 # Undone by hand while its mark was written.
                 await self._mark_undone(change)
                 return
-            self.standing.stage(change, clock.now())
-            self.standing.apply(change, clock.now())
+            self.active_configuration.stage(change, clock.now())
+            self.active_configuration.apply(change, clock.now())
 
     async def confirm(self, number: int | None, who: str, why: str) -> Change:
         """Raises TransactionError."""
-        change = self.standing.ledger.find(number)
+        change = self.active_configuration.ledger.find(number)
         async with self._turn:
             if change.state != APPLIED:
                 raise TransactionError(
@@ -398,7 +400,7 @@
                     raise TransactionError(f"it can't be written: {error.strerror or error}") from None
             if change.state != APPLIED:
                 raise TransactionError(f"change {change.number} was undone meanwhile")
-            self.standing.confirm(change, who, why, clock.now())
+            self.active_configuration.confirm(change, who, why, clock.now())
             # The history tells of it; a file's text for each of its changes would be memory for nothing.
             change.what = None
         await self._next()
@@ -406,8 +408,8 @@
 
     async def undo(self, number: int | None, who: str, why: str) -> Change:
         """At once; what lasts is written after. Raises TransactionError."""
-        change = self.standing.ledger.find(number)
-        self.standing.undo(change, who, why, clock.now())
+        change = self.active_configuration.ledger.find(number)
+        self.active_configuration.undo(change, who, why, clock.now())
         self._unshare(change)
         async with self._turn:
             await self._mark_undone(change)
@@ -419,33 +421,33 @@
         if self._kept is not None and change.what is not None:
             try:
                 await asyncio.to_thread(self._kept.undo, change.what.text)
-                await asyncio.to_thread(self._kept.restore, self.standing.confirmed.read.text)
+                await asyncio.to_thread(self._kept.restore, self.active_configuration.confirmed.read.text)
             except OSError as error:
                 self._say("what was undone can't be written", why=error.strerror or str(error))
 
     async def _next(self) -> None:
         """The change that waited for this one, checked anew against what stands."""
-        change = self.standing.ledger.next()
+        change = self.active_configuration.ledger.next()
         while change is not None:
             try:
                 change.what = await asyncio.to_thread(self._parse, change.what.text, "what is proposed")
-                if change.what.digest == self.standing.version.read.digest:
+                if change.what.digest == self.active_configuration.version.read.digest:
                     raise TransactionError("it is what stands already")
                 await self._carry_out(change)
                 return
             except (ConfigurationError, TransactionError) as error:
-                self.standing.undo(change, "the proxy", str(error), clock.now())
-                change = self.standing.ledger.next()
+                self.active_configuration.undo(change, "the proxy", str(error), clock.now())
+                change = self.active_configuration.ledger.next()
 
     async def _watch(self) -> None:
         while True:
             await asyncio.sleep(LOOK_EVERY)
             try:
                 now = clock.now()
-                self.standing.sweep(now)
-                due = self.standing.due(now)
+                self.active_configuration.sweep(now)
+                due = self.active_configuration.due(now)
                 if due is not None:
-                    change = self.standing.ledger.find(None)
+                    change = self.active_configuration.ledger.find(None)
                     if due[0] == CONFIRMED:
                         await self.confirm(change.number, "the proxy", due[1])
                     else:
--- a/pepperusher/net/connection.py
+++ b/pepperusher/net/connection.py
@@ -29,7 +29,7 @@
         self.heard_at = 0
         self.ended = False
         self.ended_in_order = False  # by the other side's end, not by a reset or by us
-        self.received = 0
+        self.bytes_received = 0
         self.on_end: Callable[[], None] | None = None
         self.on_data: Callable[[], None] | None = None
         # The base class has a name _closed of its own.
@@ -46,7 +46,7 @@
         self._ahead = bytearray()
         self._end_due = False
         # Come and not yet read; what is left after an answer belongs to no ticket.
-        self.unread = 0
+        self.unread_bytes = 0
         # Once our last word is out: done when the other side ends too, or has sent `_droppable` bytes more.
         self._dropped_all: asyncio.Future[None] | None = None
         self._droppable = 0
@@ -73,8 +73,8 @@
                 self._drop_no_more()
             return
         self.heard_at = clock.now()
-        self.unread += len(data)
-        self.received += len(data)
+        self.unread_bytes += len(data)
+        self.bytes_received += len(data)
         if self._reads_ahead and self.disconnect_watcher is not None:
             self._ahead += data
             self.disconnect_watcher.held += len(data)
@@ -102,7 +102,7 @@
 
     def _taken(self) -> None:
         """Some of what came is read: where more is taken again, its end is told with it."""
-        if self._reads_ahead and self.unread - len(self._ahead) <= READ:
+        if self._reads_ahead and self.unread_bytes - len(self._ahead) <= READ:
             part = bytes(self._ahead[:READ])
             self._dropped(len(part))
             if part:
@@ -182,7 +182,7 @@
             data = await self.reader.read(READ)
         except OSError:
             return b""
-        self.unread -= len(data)
+        self.unread_bytes -= len(data)
         self._taken()
         return data
 
@@ -190,8 +190,8 @@
         """Until all is read ahead that the other side had for us by now, its end perhaps behind it: where it filled the
         kernel's buffers it follows as these empty, a part with each turn of the loop."""
         seen = -1
-        while self._reads_ahead and not self.ended and seen != self.received:
-            seen = self.received
+        while self._reads_ahead and not self.ended and seen != self.bytes_received:
+            seen = self.bytes_received
             await asyncio.sleep(0)
 
     def came_at(self) -> int:
@@ -205,16 +205,16 @@
 
     def quiet(self) -> bool:
         """Whether the kernel holds nothing of the other side's, neither its end nor words out of turn."""
-        if self.ended or self.unread or self.transport.is_closing():
+        if self.ended or self.unread_bytes or self.transport.is_closing():
             return False
         look = select.poll()
         look.register(self.transport.get_extra_info("socket"), select.POLLIN)
         return not look.poll(0)
 
     @property
-    def holds_more(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether the other side's words wait to be read, here or in the kernel alone; its end counts as one there."""
-        return bool(self.unread) or not self.ended and not self.quiet()
+        return bool(self.unread_bytes) or not self.ended and not self.quiet()
 
     def left(self) -> bool:
         """Whether the other side has ended its sending or the connection, be it in the kernel alone: the loop tells it later,
@@ -235,7 +235,7 @@
             self._unwritten = True
         return not self._unwritten
 
-    async def sent(self) -> bool:
+    async def flush(self) -> bool:
         """Whether the kernel took the rest."""
         if self._unwritten and not self.transport.is_closing():
             try:
@@ -254,7 +254,7 @@
         """Whether it ends by our will: closed, or with our last word said."""
         return self._dropped_all is not None or self.transport.is_closing()
 
-    def end_with(self, last: bytes, most: int) -> None:
+    def send_last(self, last: bytes, most: int) -> None:
         """Sends the last that we say, and ends our sending: whoever reads here finds an end at once.
 
         What still comes, up to `most` bytes, is dropped for as long as `dropped` is waited for: a close over
@@ -268,7 +268,7 @@
         self.reader.feed_eof()
         self._end()
 
-    async def dropped(self, within: float) -> None:
+    async def discard_until_closed(self, within: float) -> None:
         """After `end_with`: till the other side ends too or has sent more than it may, or for `within` seconds."""
         if self._dropped_all is not None:
             await asyncio.wait((self._dropped_all,), timeout=within)
@@ -292,11 +292,11 @@
         self.transport.abort()
 
 
-async def reach(address: tuple[str, int]) -> StreamConnection:
+async def connect(address: tuple[str, int]) -> StreamConnection:
     _, line = await asyncio.get_running_loop().create_connection(StreamConnection, *address)
     return line
 
 
-async def adopt(taken: socket.socket) -> StreamConnection:
+async def wrap_socket(taken: socket.socket) -> StreamConnection:
     _, line = await asyncio.get_running_loop().create_connection(StreamConnection, sock=taken)
     return line
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -8,14 +8,14 @@
 from random import Random
 from typing import Any
 
-from pepperusher.endpoint import Endpoint, Narrow
+from pepperusher.endpoint import Endpoint, FilterEndpoints
 from pepperusher.net import call_schedule, clock
 from pepperusher.net.call_schedule import CallSchedule
 from pepperusher.net.discovery_source import ABREAST, Call, Refused, Silent, Source
 from pepperusher.net.endpoint_metrics import EndpointMetrics
 from pepperusher.net.endpoint_table import Decides, EndpointTable, Reaches
-from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of, merged, text_of_address
-from pepperusher.net.connection import StreamConnection, reach
+from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_endpoint_update, merged, format_address
+from pepperusher.net.connection import StreamConnection, connect
 from pepperusher.net.list_confirmation import LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation
 from pepperusher.net.log import Log
 from pepperusher.net.watch_stream import WatchStream
@@ -42,7 +42,7 @@
         facade: Decides,
         backends: Reaches,
         log: Log,
-        narrows: Sequence[Narrow] = (),
+        narrows: Sequence[FilterEndpoints] = (),
         seed: int = 0,
     ) -> None:
         self._chance = Random(seed)
@@ -67,7 +67,7 @@
         self.confirmation = ListConfirmation(self.metrics, log)
         self._took_over = False  # another process's place
         self._taken_over_due_at: float | None = None  # when the list expires that it passed on
-        self.on_word: Callable[[], None] | None = None  # a watch has spoken; what it told stands in the list
+        self.on_update: Callable[[], None] | None = None  # a watch has spoken; what it told stands in the list
 
     def _schedule(self) -> CallSchedule:
         return CallSchedule(self._chance, self._backoff)
@@ -77,7 +77,7 @@
         wait = self._facade.endpoint_request_delay(clock.now())
         return wait / 1e6 if wait >= 0 else 1.0
 
-    def take(self, update: EndpointUpdate, source: Source | None = None) -> None:
+    def apply_update(self, update: EndpointUpdate, source: Source | None = None) -> None:
         source = source or self._source
         if self._borrowed:
             # Also where it tells changes alone, since it was asked before: they are all that it has, and what another had
@@ -87,9 +87,9 @@
         self._list_source, self._list_version = source, update.version
         self._table.apply(update, source.address)
 
-    def put(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
+    def publish(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
         """As `EndpointTable.put`."""
-        self._table.put(entries, whole, past)
+        self._table.publish(entries, whole, past)
 
     @property
     def size(self) -> int:
@@ -98,15 +98,15 @@
 
     @property
     def source(self) -> str:
-        return text_of_address(self._source.address)
+        return format_address(self._source.address)
 
-    def listed(self) -> dict[str, Any] | None:
+    def own_list(self) -> dict[str, Any] | None:
         """The list as it stands, in discovery's own form; None before its source has told anything."""
         if self._source.version is None:
             return None
         return {"version": self._source.version, "full": True, "servers": self._table.servers()}
 
-    def list_in_use(self) -> tuple[dict[str, Any] | None, bool]:
+    def handover_list(self) -> tuple[dict[str, Any] | None, bool]:
         """The list that requests go by, whoever told it, None where it is empty; and whether its source has."""
         if self._table.empty:
             return None, False
@@ -119,18 +119,18 @@
         return max(0, self._source.version or 0)
 
     @property
-    def wanting(self) -> bool:
+    def needs_list(self) -> bool:
         """Whether there is no list at all."""
         return self._table.empty
 
-    def borrow(self, update: EndpointUpdate, confirmed_at: int) -> None:
+    def borrow_list(self, update: EndpointUpdate, confirmed_at: int) -> None:
         """Another proxy's list, for as long as discovery has told nothing: its own first word then replaces it, and it is asked
         on as before."""
         if self._table.empty:
             age = max(0, clock.now() - confirmed_at) / 1e6
             self.confirmation.expect(Cause.STARTED, LOST_TERM, asyncio.get_running_loop().time() - age)
             self.confirmed_at = confirmed_at
-            self.take(update)
+            self.apply_update(update)
             self._source.version, self._borrowed = None, True
             self._facade.endpoint_request_failed(clock.now())
 
@@ -140,12 +140,12 @@
         return self._source.watch is not None
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether words of discovery wait on a connection that stands, in the kernel or behind it."""
         calls = [call for source in (self._source, *self._replaced) for call in source.calls]
-        return any(call.unread for call in calls)
+        return any(call.has_unread_data for call in calls)
 
-    def rest(self) -> None:
+    def suspend_calls(self) -> None:
         """From here on another tells the list: no call goes out, and none is waited for, until `ask`."""
         if self._asks is None:
             self._asks = asyncio.Event()
@@ -157,17 +157,17 @@
     def _rests(self) -> bool:
         return self._asks is not None and not self._asks.is_set()
 
-    def ask(self) -> None:
+    def resume_calls(self) -> None:
         """At once, and from then on as ever."""
         if self._asks is not None:
             self._asks.set()
 
-    def relayed(self, update: EndpointUpdate, confirmed_at: int) -> None:
+    def take_relayed_list(self, update: EndpointUpdate, confirmed_at: int) -> None:
         """The whole list as another had it of the discovery that this one would ask. Only what is different is acted on."""
         if not self._table.empty and not self._borrowed and self._source.version is not None:
             update = self._table.changes_to(update)
         self.confirmed_at = max(confirmed_at, self.confirmed_at or 0)
-        self.take(update)
+        self.apply_update(update)
         self._let_go()
         self._said()
 
@@ -186,7 +186,7 @@
                 self._source.schedule.pause(now + START_SPREAD * self._chance.random())
         self._source.following = asyncio.get_running_loop().create_task(self._follow(self._source, False))
 
-    async def told(self, within: float) -> None:
+    async def wait_for_update(self, within: float) -> None:
         """Until a watch has spoken, but `within` seconds at the most."""
         try:
             async with asyncio.timeout(within):
@@ -215,15 +215,15 @@
         of it ends."""
         self._took_over, self._taken_over_due_at = True, due_at
 
-    def go_on(self, address: tuple[str, int], update: EndpointUpdate, told_there: bool) -> None:
+    def resume_from_handover(self, address: tuple[str, int], update: EndpointUpdate, told_there: bool) -> None:
         """Before its start: from another process's list; discovery is asked at that address, for what came after this list
         where it was told there, or else for the whole."""
         self._source = Source(address, 0, self._schedule())
-        self.take(update)
+        self.apply_update(update)
         if not told_there:
             self._source.version = None
 
-    def reconfigured(self, address: tuple[str, int] | None, waited: float) -> None:
+    def configuration_changed(self, address: tuple[str, int] | None, waited: float) -> None:
         """A new configuration with that address, None where it can't be read: the signal came at most `waited` seconds ago,
         and what discovery has counts RECONFIGURED_TERM seconds after that."""
         now = asyncio.get_running_loop().time()
@@ -395,7 +395,7 @@
     async def _watch(self, source: Source, call: Call) -> str:
         try:
             async with asyncio.timeout(CONNECT_WITHIN):
-                line = call.line = await reach(source.address)
+                line = call.line = await connect(source.address)
         except OSError as error:
             if error.errno in OWN_WANTS:
                 self.confirmation.reached()
@@ -409,7 +409,7 @@
             refused.kept = loop.time() - asked_at
             raise
         except Exception as error:
-            if line.received:
+            if line.bytes_received:
                 raise
             raise Refused(_words(error), loop.time() - asked_at) from None
         finally:
@@ -419,7 +419,7 @@
         # Versions of another address mean nothing here, nor those of before a new beginning: without one the whole list
         # comes.
         asked = None if source.begun_anew else source.version
-        stream = WatchStream(line, lambda: call_schedule.SILENT + self._spread)
+        stream = WatchStream(line, lambda: call_schedule.WATCH_SILENCE_TIMEOUT_S + self._spread)
         stream.ask(source.address, asked)
         first = True
         while (heard := await stream.next()) is not None:
@@ -444,7 +444,7 @@
         if not current:
             if self._newer(update, source):
                 self.metrics.taken_late += call.leaving
-                self.take(update, source)
+                self.apply_update(update, source)
             return
         if first and not update.whole and asked is not None and update.version < asked:
             source.begun_anew = True
@@ -468,11 +468,11 @@
         """An older whole list may only be late: what a newer one has stopped stays so for now, unless nobody would be left."""
         lifted = self._table.lifted_by(update) if update.version < self._list_version else set()
         if not lifted or all(entry.id in lifted for entry in update.entries if entry.ready):
-            self.take(update, source)
+            self.apply_update(update, source)
             return
         self._log.say(f"version {update.version} after {self._list_version}; {len(lifted)} stay stopped for now")
         entries = [entry._replace(ready=False) if entry.id in lifted else entry for entry in update.entries]
-        self.take(update._replace(entries=entries), source)
+        self.apply_update(update._replace(entries=entries), source)
         held = self._table.hold(entry for entry in update.entries if entry.id in lifted)
         asyncio.get_running_loop().call_later(LOST_TERM, self._table.release, held)
 
@@ -486,8 +486,8 @@
         if self._lost:
             self._lost = False
             self._facade.update_endpoints((), False, clock.now())
-        if self.on_word is not None:
-            self.on_word()
+        if self.on_update is not None:
+            self.on_update()
 
     def _watch_described(self) -> str:
         watch = self._source.watch
@@ -496,7 +496,7 @@
     @staticmethod
     def _update(told: Any) -> EndpointUpdate:
         try:
-            return endpoint_update_of(told)
+            return parse_endpoint_update(told)
         except ValueError as error:
             raise BadList(f"a line {error}") from None
 
--- a/pepperusher/net/discovery_source.py
+++ b/pepperusher/net/discovery_source.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from pepperusher.net.call_schedule import CallSchedule
-from pepperusher.net.endpoint_update import text_of_address
+from pepperusher.net.endpoint_update import format_address
 from pepperusher.net.connection import StreamConnection
 
 # As many calls stand at once: for a fifth the oldest is given up, after a silence 10 s old, otherwise 16 s.
@@ -46,12 +46,12 @@
 
     def described(self, now: float) -> str:
         connection = "" if self.line is not None else ", no connection"
-        return f"call {self.number} to {text_of_address(self.address)}, {now - self.asked_at:.2f} s old{connection}"
+        return f"call {self.number} to {format_address(self.address)}, {now - self.asked_at:.2f} s old{connection}"
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether something came that was not looked at, be it in the kernel alone."""
-        return self.line is not None and self.line.holds_more
+        return self.line is not None and self.line.has_unread_data
 
     def drop(self) -> None:
         """Closes it at once."""
--- a/pepperusher/net/distributed_configuration.py
+++ b/pepperusher/net/distributed_configuration.py
@@ -98,18 +98,18 @@
             provisional=True, words=None if self._relay is None else self._relay.words,
         )  # fmt: skip
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         if self._relay is not None:
-            self._relay.enter(host)
+            self._relay.attach(host)
 
-    def told_anew(self, policy_settings: PolicySettings) -> None:
+    def settings_changed(self, policy_settings: PolicySettings) -> None:
         if self._relay is not None:
             self._relay.look()
 
     async def start(self) -> None:
         self._client.start()
 
-    def leaving(self, until: int) -> None:
+    def drain_started(self, until: int) -> None:
         """What is changed from now on is for whoever takes its place, under its name. Where the list comes this way and
         the end takes long, discovery is asked as after any silence.
         """
@@ -162,7 +162,7 @@
         now = clock.now()
         if not self._client.upstreams and now - self._said_at >= SAID_EVERY:
             self._said_at = now
-            self._say("no control machine is there: serving by what is in force", **self.said())
+            self._say("no control machine is there: serving by what is in force", **self.status())
 
     def _look(self) -> None:
         """What became of the change that was taken last."""
@@ -176,7 +176,7 @@
             self._watched = None
             self._client.undone(self._key, f"undone: {change.steps[-1].why}")
 
-    def said(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """For people: what is in force, how old that is, what was refused, and who is there."""
         version = refused = None
         if self._key is not None:
@@ -188,5 +188,5 @@
             "confirmed_us_ago": age,
             "refused": None if refused is None else f"{refused[0]}: {refused[1]}",
             "machines": self._client.upstreams,
-            "endpoints": None if self._relay is None else self._relay.said(),
+            "endpoints": None if self._relay is None else self._relay.status(),
         }
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -16,7 +16,7 @@
 from pepperusher.distribution.messages import ENDPOINTS, Key, Resource, FreshnessWord
 from pepperusher.net import clock
 from pepperusher.net.extension import ExtensionHost
-from pepperusher.net.endpoint_update import BadList, EndpointUpdate, endpoint_update_of
+from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_endpoint_update
 
 # Its timer came later than that: the process stood still, and what waits in its sockets is read before a word counts
 # as missing.
@@ -40,17 +40,17 @@
         self._due = 0
         self._by: int | None = None  # as it was said last
 
-    def enter(self, host: ExtensionHost) -> None:
+    def attach(self, host: ExtensionHost) -> None:
         """Before discovery is asked for the first time."""
         self._host = host
         now, discovery, policy_settings = clock.now(), host.discovery, host.policy_settings
-        self._number = None if discovery.wanting else discovery.version
+        self._number = None if discovery.needs_list else discovery.version
         # Where lists are pushed, nobody is let in before discovery was asked.
         self._source = EndpointSource(
             now, self._chance, self._number, 0 if policy_settings.list_is_pushed else START_AFTER
         )
         if not policy_settings.list_is_pushed:
-            discovery.rest()
+            discovery.suspend_calls()
         self._asks = policy_settings.list_is_pushed
         self._look()
 
@@ -63,7 +63,7 @@
         """The newest that the subscription has. Why it is none."""
         try:
             listed = json.loads(one.body)
-            update = endpoint_update_of(listed)
+            update = parse_endpoint_update(listed)
             address = listed.get("discovery")
             if not update.whole or not isinstance(address, str):
                 raise BadList("is no whole list with its discovery")
@@ -101,23 +101,23 @@
         if source is None or host is None:
             return
         discovery, now = host.discovery, clock.now()
-        if not discovery.wanting and discovery.version != self._number:
+        if not discovery.needs_list and discovery.version != self._number:
             self._number = discovery.version
             source.told(discovery.version, now)
         step = source.step(now, discovery.watched)
         if step.take and self._list is not None:
             update = self._list[0]
             self._number = update.version
-            discovery.relayed(update, now - (source.age(now) or 0))
+            discovery.take_relayed_list(update, now - (source.age(now) or 0))
         elif source.by == CONTROL and (age := source.age(now)) is not None:
             # As an empty line of a watch of its own does.
             discovery.confirmed_at = max(now - age, discovery.confirmed_at or 0)
         if step.ask != self._asks:
             self._asks = step.ask
             if step.ask:
-                discovery.ask()
+                discovery.resume_calls()
             else:
-                discovery.rest()
+                discovery.suspend_calls()
         if source.by != self._by:
             self._by = source.by
             if source.by in (CONTROL, DISCOVERY):
@@ -135,7 +135,7 @@
         else:
             self._look()
 
-    def said(self) -> dict[str, Any] | None:
+    def status(self) -> dict[str, Any] | None:
         """For people."""
         if self._source is None or self._host is None:
             return None
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, Protocol
 
-from pepperusher.endpoint import Endpoint, Narrow
+from pepperusher.endpoint import Endpoint, FilterEndpoints
 from pepperusher.net import clock
-from pepperusher.net.endpoint_update import GONE, EndpointUpdate, text_of_address
+from pepperusher.net.endpoint_update import GONE, EndpointUpdate, format_address
 from pepperusher.net.log import Log
 from pepperusher.net.stopped_endpoints import StoppedEndpoints
 
@@ -29,15 +29,15 @@
 class Reaches(Protocol):
     """What holds connections to those listed."""
 
-    def reached_at(self, name: str, address: tuple[str, int], ready: bool) -> None: ...
+    def set_address(self, name: str, address: tuple[str, int], ready: bool) -> None: ...
 
-    def only(self, names: set[str]) -> None: ...
+    def retain_only(self, names: set[str]) -> None: ...
 
 
 class EndpointTable:
     """`narrows` are what extensions make of each line, in this order: the last has the last word."""
 
-    def __init__(self, facade: Decides, backends: Reaches, log: Log, narrows: Sequence[Narrow]) -> None:
+    def __init__(self, facade: Decides, backends: Reaches, log: Log, narrows: Sequence[FilterEndpoints]) -> None:
         self._facade = facade
         self._backends = backends
         self._log = log
@@ -61,7 +61,7 @@
         return [
             {
                 "id": entry.id,
-                "addr": text_of_address(address),
+                "addr": format_address(address),
                 "zone": entry.zone,
                 "cell": entry.cell,
                 "weight": entry.weight,
@@ -85,7 +85,7 @@
         for entry, address in zip(update.entries, update.addresses):
             self._told[entry.id] = entry, address
         if update.entries or update.whole:
-            self.put(update.entries, update.whole)
+            self.publish(update.entries, update.whole)
         for entry, address in zip(update.entries, update.addresses):
             if address == GONE:
                 self._told.pop(entry.id, None)
@@ -107,18 +107,18 @@
                 changes.append(f"{entry.id} {state}")
         if changes:
             more = f" and {len(changes) - NAMED_MOST} more" if len(changes) > NAMED_MOST else ""
-            self._log.say(f"version {update.version} of {text_of_address(by)}: {', '.join(changes[:NAMED_MOST])}{more}")
+            self._log.say(f"version {update.version} of {format_address(by)}: {', '.join(changes[:NAMED_MOST])}{more}")
 
-    def put(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
+    def publish(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
         """Lines to be acted on, once those who narrow them had their say; the first `past` of these had it.
         What is drained by a mark or an order has no connection kept either."""
         for narrow in self._narrows[past:]:
             entries = narrow(entries, whole)
         for entry in entries:
             _, address = self._told.get(entry.id, (None, GONE))
-            self._backends.reached_at(entry.id, address, entry.ready)
+            self._backends.set_address(entry.id, address, entry.ready)
         if whole:
-            self._backends.only({entry.id for entry in entries})
+            self._backends.retain_only({entry.id for entry in entries})
         if entries or whole:
             self._facade.update_endpoints(entries, whole, clock.now())
 
@@ -154,4 +154,4 @@
             del self._held[entry.id]
             self._told[entry.id] = entry, self._told[entry.id][1]
         if back:
-            self.put(back)
+            self.publish(back)
--- a/pepperusher/net/endpoint_update.py
+++ b/pepperusher/net/endpoint_update.py
@@ -24,18 +24,18 @@
     addresses: list[tuple[str, int]]
 
 
-def address_of(text: Any) -> tuple[str, int]:
+def parse_address(text: Any) -> tuple[str, int]:
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise BadList(f"{text!r} is not an address and port")
     return host.strip("[]"), int(port)
 
 
-def text_of_address(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
 
 
-def endpoint_update_of(told: Any) -> EndpointUpdate:
+def parse_endpoint_update(told: Any) -> EndpointUpdate:
     if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
         raise BadList("is not an object with servers")
     entries, addresses = [], []
@@ -48,7 +48,7 @@
             if isinstance(value, bool) or not isinstance(value, kind) or not abs(value) < 1e15:
                 raise BadList(f"{name}: {value!r} is not a number")
         gone = one.get("state") == "gone"
-        addresses.append(GONE if gone else address_of(one.get("addr")))
+        addresses.append(GONE if gone else parse_address(one.get("addr")))
         entries.append(
             Endpoint(
                 name,
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -8,7 +8,7 @@
 
 import h11
 
-from pepperusher.net.buffers import HELD, Body, Pool
+from pepperusher.net.buffers import MAX_HELD_BODY_BYTES, Body, Pool
 from pepperusher.net.body_streaming import ResponseForwarder
 from pepperusher.net.connection import StreamConnection
 from pepperusher.net.message import (
@@ -17,7 +17,7 @@
     BadMessage,
     Request,
     check_framing,
-    framed_request,
+    encode_request,
     length_of,
     read_data,
     read_head,
@@ -113,7 +113,7 @@
         pool: Pool,
         out: Attempt,
         patience: int,
-        connect_within: float,
+        connect_timeout: float,
         placed: Placed,
     ) -> None:
         self._placed = placed
@@ -122,7 +122,7 @@
         self._body = Body(pool)
         self._out = out
         self._patience = patience
-        self._quiet = max(REST * connect_within, QUIET)
+        self._quiet = max(REST * connect_timeout, QUIET)
         self._overdue: asyncio.Handle | None = None
         self._silent: asyncio.Handle | None = None
         self.heard = False
@@ -157,7 +157,7 @@
                 if timer is not None:
                     timer.cancel()
             out.end()
-            self._body.give_back()
+            self._body.release()
 
     @property
     def clean(self) -> bool:
@@ -168,7 +168,7 @@
             and self._parser.their_state is h11.DONE
             and not self._line.ended
             and self._out.how is None
-            and not self._line.unread
+            and not self._line.unread_bytes
             and not self._parser.trailing_data[0]
         )
 
@@ -177,12 +177,12 @@
     async def _send(self, request: Request) -> str | None:
         """None once it is with the kernel, or the backend has spoken before that; else how it ended."""
         line, rest = self._line, request.rest
-        framed = framed_request(self._parser, request)
+        framed = encode_request(self._parser, request)
         if self._placed.expired():
             return "moot"  # chosen before its term ended
         if self._placed.stood():
             return "unreached"
-        sent = line.send(framed) or await line.sent()
+        sent = line.send(framed) or await line.flush()
         if not sent:
             return "moot" if self._out.how == "called off" else "unreached"
         if rest is not None:
@@ -198,7 +198,7 @@
                 event = h11.Data(data=data) if data else h11.EndOfMessage()
                 if not line.send(self._parser.send(event) or b""):
                     async with asyncio.timeout(STALLED):
-                        sent = await line.sent()
+                        sent = await line.flush()
                     if not sent:
                         return "moot" if self._out.how == "called off" else "unreached"
                 if not data:
@@ -212,7 +212,7 @@
         """Whether the backend has begun its answer before it has the whole body. An answer 1xx ahead is none: taken
         for one, each side would wait for the other."""
         line, parser = self._line, self._parser
-        while line.unread:
+        while line.unread_bytes:
             parser.receive_data(await line.read())
         event = parser.next_event()
         while isinstance(event, h11.InformationalResponse):
@@ -239,13 +239,13 @@
         length = length_of(head)
         how = _outcome(head)
         whole = False
-        if length is None or length <= HELD or how not in PASSED_ON:
+        if length is None or length <= MAX_HELD_BODY_BYTES or how not in PASSED_ON:
             try:
                 async with asyncio.timeout(HOLD):
                     whole = await self._hold()
             except TimeoutError:
                 pass
-        answer = Answer(head.status_code, list(head.headers), bytes(self._body.whole()))
+        answer = Answer(head.status_code, list(head.headers), bytes(self._body.contents()))
         if whole:
             return how, answer
         if self._out.how is not None:
@@ -273,7 +273,7 @@
             if timer is not None:
                 timer.cancel()
         taken = await onward.begin(answer, length)
-        self._body.give_back()
+        self._body.release()
         while taken:
             async with asyncio.timeout(STALLED):
                 data = await read_data(self._parser, self._line)
@@ -300,7 +300,7 @@
         """Under load timers run late, and an answer may have been read already: it has its turn first, and ends this. So has
         one that comes with the last look, whose reader takes it with the next turn; once, since a reader that waits to
         write takes none."""
-        if looks > 0 or looks == 0 and self._line.unread:
+        if looks > 0 or looks == 0 and self._line.unread_bytes:
             again = asyncio.get_running_loop().call_soon(self._late, how, looks - 1)
             # Kept, so that what calls off the timer calls off this: an answer whose head came in the same turn, and whose
             # rest came later, was cut off.
--- a/pepperusher/net/extension.py
+++ b/pepperusher/net/extension.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from pepperusher.endpoint import Endpoint
-from pepperusher.endpoint import Narrow as Narrow
+from pepperusher.endpoint import FilterEndpoints as FilterEndpoints
 from pepperusher.facade import Facade
 
 if TYPE_CHECKING:
@@ -33,22 +33,22 @@
     def stopping(self) -> bool: ...
 
     @property
-    def followed(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether, as this one stops, another process serves on at its address."""
 
     @property
     def can_serve(self) -> bool: ...
 
-    def knows(self, backend: str) -> bool: ...
+    def has_backend(self, backend: str) -> bool: ...
 
-    def keep_to(self, part: float) -> None: ...
+    def limit_descriptors(self, part: float) -> None: ...
 
-    def passed_on(self) -> HandoverState: ...
+    def handover_state(self) -> HandoverState: ...
 
-    def follow(self, passed: HandoverState) -> None:
+    def take_over_from(self, passed: HandoverState) -> None:
         """Takes the place of another process, which passed this on, or nothing."""
 
-    def narrowed(self, by: Extension, lines: list[Endpoint]) -> None:
+    def reapply_filters(self, by: Extension, lines: list[Endpoint]) -> None:
         """The lines that change by what `by` narrows now; those behind it have their say of them."""
 
     @property
@@ -62,16 +62,16 @@
     def list_version(self) -> int: ...
 
     @property
-    def wants_list(self) -> bool:
+    def needs_list(self) -> bool:
         """Whether it has no list at all."""
 
-    def lent(self) -> tuple[int, dict[str, Any]] | None:
+    def list_for_peers(self) -> tuple[int, dict[str, Any]] | None:
         """The list and when discovery last confirmed it; None where nobody has, and where it has expired."""
 
-    def borrow(self, listed: dict[str, Any], confirmed_at: int) -> None:
+    def borrow_list(self, listed: dict[str, Any], confirmed_at: int) -> None:
         """Another's list, until discovery tells one. Raises ValueError where it is none."""
 
-    def steer(self, to: int | None) -> bool:
+    def steer_connections(self, to: int | None) -> bool:
         """All new connections to the first (0) or second (1) process at this address, or as the kernel has
         it.
         """
@@ -84,23 +84,25 @@
 class AdmissionGate(Protocol):
     """Through whom each ticket goes, where there is one: in, out again, and over."""
 
-    shelf: Any
+    request_store: Any
 
-    def ask(self, request: Request, use_case: str, customer: str, given: int | None, usual: int) -> Any: ...
+    def request_admission(
+        self, request: Request, use_case: str, customer: str, given: int | None, usual: int
+    ) -> Any: ...
 
     async def admit(self, made: Any, call: Any) -> bool: ...
 
     def refusal(self, made: Any) -> Answer | None: ...
 
-    def goes(self, made: Any, wait: int) -> int: ...
+    def start_attempt(self, made: Any, wait: int) -> int: ...
 
-    def again(self, made: Any, how: str) -> bool: ...
+    def retry_allowed(self, made: Any, how: str) -> bool: ...
 
-    def unspent(self, made: Any, how: str) -> None: ...
+    def refund_retry(self, made: Any, how: str) -> None: ...
 
-    def over(self, made: Any, end: str, worked: bool) -> None: ...
+    def finish(self, made: Any, end: str, worked: bool) -> None: ...
 
-    def named(self, made: Any, answer: Answer | None) -> Answer | None: ...
+    def add_version_header(self, made: Any, answer: Answer | None) -> Answer | None: ...
 
 
 class Extension:
@@ -108,19 +110,19 @@
 
     descriptors = 0  # that it takes for itself, beside those of tickets
     shares_address = False  # whether another process may listen at the proxy's address
-    narrow: Narrow | None = None  # what it makes of lines of the list
+    filter_endpoints: FilterEndpoints | None = None  # what it makes of lines of the list
     gate: AdmissionGate | None = None
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         """Before anything is served."""
 
     async def start(self) -> None:
         """Once callers can connect. Raises OSError where it can't be had."""
 
-    def told_anew(self, policy_settings: PolicySettings) -> None:
+    def settings_changed(self, policy_settings: PolicySettings) -> None:
         """Other settings are in force."""
 
-    def leaving(self, until: int) -> None:
+    def drain_started(self, until: int) -> None:
         """The proxy stops: whom it has to tell it tells now. What waits is given up at `until`."""
 
     async def stop(self) -> None:
@@ -129,12 +131,12 @@
     def sweep(self) -> None:
         """A few times a second."""
 
-    def woke(self) -> None:
+    def process_resumed(self) -> None:
         """The process did not run for a while: before another ticket is taken, what others did meanwhile
         counts.
         """
 
     @property
-    def succeeded(self) -> bool:
+    def has_successor(self) -> bool:
         """Whether another process takes the clients from here on."""
         return False
--- a/pepperusher/net/list_confirmation.py
+++ b/pepperusher/net/list_confirmation.py
@@ -120,7 +120,7 @@
         self._lost_due_at = due if self._lost_due_at is None else min(self._lost_due_at, due)
 
     @property
-    def binding_due_at(self) -> float | None:
+    def hard_deadline(self) -> float | None:
         """When the list expires unless it is confirmed; None where no binding term ends."""
         return self._binding_due_at
 
@@ -168,7 +168,7 @@
         if self._binding_due_at is not None and self._binding_due_at <= self._now():
             self._binding_due_at = None
 
-    def sent(self, request: bytes, endpoint: str) -> None:
+    def request_sent(self, request: bytes, endpoint: str) -> None:
         """The request of this id goes out to that endpoint."""
         if self.overdue:
             self._metrics.sent_overdue += 1
@@ -176,7 +176,7 @@
                 self._said_of.add(endpoint)
                 self._log.say(f"request {request.decode('latin-1')} goes to {endpoint} by a list past its term")
 
-    def refused(self, request: bytes) -> None:
+    def request_refused(self, request: bytes) -> None:
         """The request of this id does not go out, since the list has expired."""
         self._metrics.refused_expired += 1
         self._refused += 1
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -23,10 +23,10 @@
         # Puts a line otherwise than plain: its words, and figures that go with them.
         self._form: Callable[[dict[str, Any]], str] | None = None
 
-    def take_form(self, form: Callable[[dict[str, Any]], str]) -> None:
+    def set_formatter(self, form: Callable[[dict[str, Any]], str]) -> None:
         self._form = form
 
-    def tell(self, what: str, **figures: Any) -> None:
+    def write_event(self, what: str, **figures: Any) -> None:
         """A line with its figures, each by name."""
         self.say(what, figures)
 
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -12,9 +12,9 @@
 from pepperusher.net.connection import StreamConnection
 
 # A body at the most, whether it is held or flows.
-MOST = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 # A message's head; more is bad input.
-HEAD = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 # Answers 1xx ahead of one; more never come to an end.
 INTERIM = 16
 BODILESS = (204, 304)
@@ -71,7 +71,7 @@
     length: int | None = None  # where it has a length and no body, as the answer to HEAD
 
 
-def plain(status: int, text: str, *more: tuple[bytes, bytes]) -> Answer:
+def text_answer(status: int, text: str, *more: tuple[bytes, bytes]) -> Answer:
     """An answer of the proxy's own: one line, with `more` headers."""
     return Answer(status, [(b"content-type", b"text/plain"), *more], f"{text}\n".encode())
 
@@ -95,7 +95,7 @@
     if length is not None and coding is not None:
         # Whoever goes by the other of the two finds another request in the body.
         raise BadMessage(400, "both Content-Length and Transfer-Encoding")
-    if length is not None and length > MOST:
+    if length is not None and length > MAX_BODY_BYTES:
         # Not read first: some say 3 GB and send them.
         raise BadMessage(413, "the body is too large")
 
@@ -147,7 +147,7 @@
                 raise BadMessage(400, "the message broke off")
 
 
-async def read_held(parser: h11.Connection, line: StreamConnection, body: Body) -> bool:
+async def buffer_body(parser: h11.Connection, line: StreamConnection, body: Body) -> bool:
     """Reads a body into `body`, as far as that holds it; whether it is whole."""
     while not body.full:
         data = await read_data(parser, line)
@@ -173,7 +173,7 @@
     return next((int(value) for name, value in head.headers if name == b"content-length"), None)
 
 
-def framed_request(parser: h11.Connection, request: Request) -> bytes:
+def encode_request(parser: h11.Connection, request: Request) -> bytes:
     """The whole of it, or as much as is held: the rest flows."""
     headers = request.headers
     if request.rest is not None:
@@ -186,7 +186,7 @@
     return _framed(parser, head, request.body, request.rest is None)
 
 
-def framed_answer(parser: h11.Connection, answer: Answer, close: bool) -> bytes:
+def encode_answer(parser: h11.Connection, answer: Answer, close: bool) -> bytes:
     headers = list(answer.headers)
     # Some have no body by their status, and a length is not theirs to tell.
     if answer.status not in BODILESS:
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -19,7 +19,7 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.group import endpoint_borrowing
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
+from pepperusher.group.wire import DATAGRAM, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
@@ -108,18 +108,18 @@
         self._unsent = 0
         if orders is None:
             orders = AdminCommands(max(KEPT, policy_settings.warm_after))
-            self.narrow = orders.lines
+            self.filter_endpoints = orders.lines
             put = self._put
         self._own_orders = put == self._put
         assert put is not None
         self._orders, self._in_force = orders, put
 
     def _put(self, bans: dict[str, AdminCommand]) -> None:
-        self._host.narrowed(self, self._orders.merge(bans, NEVER))
+        self._host.reapply_filters(self, self._orders.merge(bans, NEVER))
 
     # --- start and end ------------------------------------------------------------------------------
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
@@ -185,16 +185,16 @@
             raise
         return made
 
-    def told_anew(self, policy_settings: PolicySettings) -> None:
+    def settings_changed(self, policy_settings: PolicySettings) -> None:
         """A size that the settings have now goes before what was reckoned from the one before."""
         self._policy_settings = policy_settings
         if self.swim is not None:
             self.swim.reconfigure(policy_settings.group_size, policy_settings.tier_index, policy_settings.proxy_index)
             self._share()
 
-    def leaving(self, until: int) -> None:
+    def drain_started(self, until: int) -> None:
         """Another process that takes this one's place is the member from now on; else the others are told."""
-        if self._host.followed:
+        if self._host.has_successor:
             self._close()
         elif self.swim is not None:
             self.swim.say(LEAVING, clock.now())
@@ -337,7 +337,7 @@
                     await reader.read()
             finally:
                 self._streams -= 1
-        except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, BadPacket):
+        except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, InvalidPacketError):
             pass  # its caller's trouble
         finally:
             writer.transport.abort()
@@ -346,7 +346,7 @@
 
     def _list_parts(self) -> list[bytes]:
         """This proxy's list as sealed parts, with when it was last confirmed; none where it has none."""
-        lent = self._host.lent()
+        lent = self._host.list_for_peers()
         if lent is None:
             return []
         text = json.dumps({"age": max(0, clock.now() - lent[0]), "listed": lent[1]}, separators=(",", ":")).encode()
@@ -358,7 +358,7 @@
         """
         assert self.swim is not None
         try:
-            while self._host.wants_list and self._socket is not None:
+            while self._host.needs_list and self._socket is not None:
                 there = [
                     one.said.address
                     for one in self.swim.roll
@@ -370,9 +370,9 @@
                 made = await asyncio.gather(*map(self._list_of, asked))
                 try:
                     joined = endpoint_borrowing.joined([one for one in made if one is not None])
-                    if joined is not None and self._host.wants_list:
+                    if joined is not None and self._host.needs_list:
                         age, listed = joined
-                        self._host.borrow(listed, clock.now() - age)
+                        self._host.borrow_list(listed, clock.now() - age)
                         self._say(
                             "group: serving by the list of other members, since discovery has told none",
                             backends=len(listed["servers"]),
@@ -418,7 +418,7 @@
         self.swim.list = self._host.list_version
         if not self._host.stopping:
             self.swim.say(self._phase(), now)
-        if self._listing is None and self._host.wants_list and now - self.swim.me.number >= LIST_AFTER:
+        if self._listing is None and self._host.needs_list and now - self.swim.me.number >= LIST_AFTER:
             self._listing = asyncio.get_running_loop().create_task(self._lists())
         if self._own_orders:
             self._orders.forget(now)
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -20,34 +20,34 @@
 from pepperusher.net.callers import SHY, Call, Callers
 from pepperusher.net.extension import Extension
 from pepperusher.net.discovery import Discovery
-from pepperusher.net.endpoint_update import address_of, endpoint_update_of, text_of_address
+from pepperusher.net.endpoint_update import parse_address, parse_endpoint_update, format_address
 from pepperusher.net.exchange import PASSED_ON, Attempt, Placed
 from pepperusher.net.log import Log
-from pepperusher.net.message import Answer, Request, end_to_end, plain
+from pepperusher.net.message import Answer, Request, end_to_end, text_answer
 from pepperusher.net.handover_state import HandoverState
 from pepperusher.net.request_headers import BadRequest, duration_of, read_headers, timeout_of
 from pepperusher.net.process_pause import ProcessPause
 from pepperusher.net.bootstrap import BootstrapConfiguration, BootstrapError
 from pepperusher.terms import PolicySettings
 
-READY = plain(200, "ready")
-BROKEN = plain(500, "an error in the proxy")
+READY = text_answer(200, "ready")
+BROKEN = text_answer(500, "an error in the proxy")
 # For whoever ended its sending and reads on: nothing of it is sent on any more.
-LEFT = plain(503, "its client left before it was sent on")
-LEFT_LATER = plain(502, "its client left")
-NOT_READY = plain(503, "no backends known, clients sent away, or about to stop")
+LEFT = text_answer(503, "its client left before it was sent on")
+LEFT_LATER = text_answer(502, "its client left")
+NOT_READY = text_answer(503, "no backends known, clients sent away, or about to stop")
 # After SIGTERM connections go on coming for a while.
-STILL_COMING = 0.55
+ACCEPT_AFTER_SIGTERM_S = 0.55
 # SIGKILL comes no sooner after SIGTERM than the longest wait of a client, or this if that is shorter, and a
 # moment.
-LONGEST_GRACE = 3.0
-MOMENT = 0.7
+MAX_GRACE_S = 3.0
+GRACE_MARGIN_S = 0.7
 # Before that, the last are given up, to have their answers, and so much before that it ends.
 GIVEN_UP = 0.45
 ENDED = 0.25
 # And so much before that connections end with their answers, so that those given up do.
 CLOSED_BEFORE = 0.1
-SWEEP_EVERY = 0.25
+SWEEP_INTERVAL_S = 0.25
 # After operators sent clients away, fronts notice within this; connections that stand idle then are closed.
 SENT_AWAY = 600_000
 COUNTS_EVERY = 240
@@ -77,30 +77,32 @@
 class Proxy:
     def __init__(
         self,
-        told: BootstrapConfiguration,
+        bootstrap: BootstrapConfiguration,
         again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
         make_extensions: ExtensionFactory | None = None,
     ) -> None:
-        self._told = told
+        self._bootstrap = bootstrap
         self._again = again
-        self._log = Log(told.name)
-        self._extensions = make_extensions(told, self._log) if make_extensions is not None else ()
+        self._log = Log(bootstrap.name)
+        self._extensions = make_extensions(bootstrap, self._log) if make_extensions is not None else ()
         gates = [one.gate for one in self._extensions if one.gate is not None]
         invariants.check_invariant(len(gates) <= 1, "a ticket goes through one gate")
         self._gate = gates[0] if gates else None
-        self._pool = Pool(256, told.memory // HELD_PART)
-        self._budget = Budget(_descriptors(told.sockets), sum(one.descriptors for one in self._extensions))
-        self._facade = Facade(told.policy_settings, clock.now(), self._log.say)
+        self._pool = Pool(256, bootstrap.memory // HELD_PART)
+        self._budget = Budget(_descriptors(bootstrap.sockets), sum(one.descriptors for one in self._extensions))
+        self._facade = Facade(bootstrap.policy_settings, clock.now(), self._log.say)
         # Callers first: where descriptors run out, it is theirs that are closed first, since they cost least.
-        self._callers = Callers(self._handle, self._budget, self._pool, self._log, told.policy_settings.max_outer_limit)
-        self._backends = Backends(self._budget, self._pool, told.connect_within, told.idle_most)
+        self._callers = Callers(
+            self._handle, self._budget, self._pool, self._log, bootstrap.policy_settings.max_outer_limit
+        )
+        self._backends = Backends(self._budget, self._pool, bootstrap.connect_timeout, bootstrap.idle_timeout)
         self._discovery = Discovery(
-            told.discovery,
+            bootstrap.discovery,
             self._facade,
             self._backends,
             self._log,
-            [one.narrow for one in self._extensions if one.narrow is not None],
-            told.policy_settings.seed,
+            [one.filter_endpoints for one in self._extensions if one.filter_endpoints is not None],
+            bootstrap.policy_settings.seed,
         )
         self._names: set[bytes] = set()  # of the tickets in hand; emptied as they end
         self._stopping = asyncio.Event()
@@ -109,7 +111,7 @@
         self._served = False  # whether backends have been known
         self.port = 0
         self._process_pause = ProcessPause(
-            lambda: self._discovery.unread, lambda: self._tell("woke", lambda one: one.woke())
+            lambda: self._discovery.has_unread_data, lambda: self._tell("woke", lambda one: one.process_resumed())
         )
         self._counts: dict[str, int] = {}  # by the words of facade and pages here, so it grows with the code alone
 
@@ -147,7 +149,7 @@
         except BadRequest as bad:
             call.bad = True
             self._count("bad calls")
-            return plain(bad.status, str(bad))
+            return text_answer(bad.status, str(bad))
         except Exception as error:  # ends this ticket alone, with an answer
             self._count("exceptions")
             self._log.say(f"a ticket ended by {type(error).__name__}: {error}")
@@ -157,7 +159,7 @@
         method, target, headers, body, rest, length = call.request
         if b"host" not in told:
             # HTTP/1.0 may do without; what goes on is HTTP/1.1.
-            headers = [(b"host", text_of_address(self._told.listen).encode()), *headers]
+            headers = [(b"host", format_address(self._bootstrap.listen).encode()), *headers]
         named = target.partition(b"?")[0].removeprefix(b"/").partition(b"/")[0]
         if told.get(b"request-class", named) != named:
             raise BadRequest("Request-Class is not the first part of the path")
@@ -189,19 +191,21 @@
             return LEFT
         passed = None
         if self._gate is not None:
-            passed = self._gate.ask(call.request, use_case, customer, wait, self._facade.default_timeout_of(use_case))
+            passed = self._gate.request_admission(
+                call.request, use_case, customer, wait, self._facade.default_timeout_of(use_case)
+            )
             if not await self._gate.admit(passed, call):
                 return self._gate.refusal(passed)
             wait = passed.terms.caller_timeout(wait)
-        ticket = self._facade.open_ticket(use_case, customer, call.came, wait, cost)
+        ticket = self._facade.open_ticket(use_case, customer, call.received_at, wait, cost)
         name = told[b"request-id"]
         if passed is not None:
             self._facade.limit_attempts(ticket, passed.terms.max_attempts)
         # What was sent under a mark counts over tickets and restarts, where it is kept.
-        shelf = self._gate.shelf if self._gate is not None and repeat == REFERENCED else None
+        shelf = self._gate.request_store if self._gate is not None and repeat == REFERENCED else None
         mark = told[b"idempotency-key"].decode("latin-1") if shelf is not None else ""
-        if shelf is not None and shelf.on:
-            for one in shelf.past(use_case, mark):
+        if shelf is not None and shelf.enabled:
+            for one in shelf.attempts_of(use_case, mark):
                 self._facade.restore_attempt(ticket, one.backend, one.cell, one.sent, one.ran)
         elif shelf is not None and any(header == b"client-retry" for header, _ in headers):
             # Nobody knows any more how often it went out.
@@ -231,12 +235,12 @@
             head = heard(head)
             self._facade.response_started(ticket, clock.now())
             made = Answer(head.status, end_to_end(head.headers), head.body)
-            return made if passed is None or self._gate is None else self._gate.named(passed, made) or made
+            return made if passed is None or self._gate is None else self._gate.add_version_header(passed, made) or made
 
         if call.onward is not None:
             call.onward.dress = dress
         placed = Placed(
-            lambda: not call.gone() and self._facade.may_still_send(ticket, clock.now()),
+            lambda: not call.check_disconnected() and self._facade.may_still_send(ticket, clock.now()),
             lambda: call.left,
             lambda: self._facade.pause_attempt(ticket, clock.now()),
             lambda: self._facade.resume_attempt(ticket, clock.now()),
@@ -256,14 +260,14 @@
                     await self._process_pause.list_read()
                     step = self._facade.choose_backend(ticket, clock.now())
                     continue
-                if call.gone():
+                if call.check_disconnected():
                     # Seen here where the loop has not come round to it: nothing more goes out.
                     how = "moot"
                     step = self._facade.report(ticket, how, clock.now(), False)
                     continue
                 kept = None
-                if shelf is not None and shelf.on:
-                    kept = await shelf.sending(
+                if shelf is not None and shelf.enabled:
+                    kept = await shelf.record_attempt(
                         use_case,
                         mark,
                         step.backend,
@@ -274,25 +278,25 @@
                     if kept is None or not placed.may_still_send():
                         how = "moot"
                         if kept is not None:
-                            shelf.ended(use_case, mark, kept, how)
+                            shelf.record_outcome(use_case, mark, kept, how)
                         step = self._facade.report(ticket, how, clock.now(), False)
                         continue
                 if self._discovery.confirmation.expired:
-                    self._discovery.confirmation.refused(name)
+                    self._discovery.confirmation.request_refused(name)
                     self._count("list expired")
                     how = "moot"
                     if shelf is not None and kept is not None:
-                        shelf.ended(use_case, mark, kept, how)
+                        shelf.record_outcome(use_case, mark, kept, how)
                     step = self._facade.report(ticket, how, clock.now(), False)
                     continue
                 if attempts:
                     self._count("retried")
                 attempts += 1
-                self._discovery.confirmation.sent(name, step.backend)
+                self._discovery.confirmation.request_sent(name, step.backend)
                 out = Attempt()
                 patience = step.wait
                 if passed is not None and self._gate is not None:
-                    patience = self._gate.goes(passed, step.wait)
+                    patience = self._gate.start_attempt(passed, step.wait)
                 how, answer = await self._backends.attempt(
                     step.backend,
                     Request(method, target, onward, body, rest, length),
@@ -305,15 +309,15 @@
                 if answer is not None:
                     answer = heard(answer)
                 if shelf is not None and kept is not None:
-                    shelf.ended(use_case, mark, kept, how)
-                again = passed is None or self._gate is None or self._gate.again(passed, how)
+                    shelf.record_outcome(use_case, mark, kept, how)
+                again = passed is None or self._gate is None or self._gate.retry_allowed(passed, how)
                 # What was read of its rest is gone, and a second copy would be without it.
                 again = again and (rest is None or not rest.touched)
                 if again and how != "done":
                     await self._process_pause.list_read()
                 step = self._facade.report(ticket, how, clock.now(), again)
                 if passed is not None and self._gate is not None and again and step.action != SEND:
-                    self._gate.unspent(passed, how)
+                    self._gate.refund_retry(passed, how)
             if rest is not None and rest.bad is not None:
                 raise BadRequest(*rest.bad)
             end = "done" if how == "done" else ENDS.get(step.action, "left")
@@ -321,12 +325,12 @@
             if answered is None and call.left and not call.begun:
                 self._count("left")
                 answered = LEFT if self._facade.choose_backend(ticket, clock.now()).action == BOUNCE else LEFT_LATER
-            return answered if passed is None or self._gate is None else self._gate.named(passed, answered)
+            return answered if passed is None or self._gate is None else self._gate.add_version_header(passed, answered)
         finally:
             call.on_leave = None
             self._facade.close_ticket(ticket, clock.now())
             if passed is not None and self._gate is not None:
-                self._gate.over(passed, end, how in WORKED)
+                self._gate.finish(passed, end, how in WORKED)
 
     def _answer(self, step: Step, how: str, answer: Answer | None) -> Answer | None:
         if how in PASSED_ON and answer is not None:
@@ -338,10 +342,10 @@
         if step.action == BOUNCE:
             self._count("bounces")
             advice = [(b"retry-after", f"{step.wait / 1e6:.3f}".encode())] if step.wait > 0 else []
-            return plain(503, "bounced", *advice)
+            return text_answer(503, "bounced", *advice)
         if step.action == SCRAP:
             self._count("scraps")
-            return plain(504 if how == "timed out" else 502, "scrapped")
+            return text_answer(504 if how == "timed out" else 502, "scrapped")
         return None
 
     def _count(self, what: str) -> None:
@@ -362,7 +366,7 @@
 
     @property
     def name(self) -> str:
-        return self._told.name
+        return self._bootstrap.name
 
     @property
     def facade(self) -> Facade:
@@ -373,21 +377,21 @@
         return self._stopping.is_set()
 
     @property
-    def followed(self) -> bool:
+    def has_successor(self) -> bool:
         return self._succeeded
 
     def sent_away(self) -> bool:
         return self._sent_away_at is not None
 
-    def keep_to(self, part: float) -> None:
+    def limit_descriptors(self, part: float) -> None:
         """So much of the descriptors: two processes of one proxy share them."""
         self._budget.share(part)
         self._log.say(f"keeps to {self._budget.most} connections")
 
-    def passed_on(self) -> HandoverState:
+    def handover_state(self) -> HandoverState:
         """For the next process."""
-        listed, told_by_source = self._discovery.list_in_use()
-        due = self._discovery.confirmation.binding_due_at
+        listed, told_by_source = self._discovery.handover_list()
+        due = self._discovery.confirmation.hard_deadline
         return HandoverState(
             self._discovery.source,
             listed,
@@ -396,15 +400,15 @@
             None if due is None else round(due * 1e6),
         )
 
-    def follow(self, passed: HandoverState) -> None:
+    def take_over_from(self, passed: HandoverState) -> None:
         """Goes on from what the process before passed on, as far as it can be read."""
         self._discovery.take_over(None if passed.expires_at is None else passed.expires_at / 1e6)
         try:
             if passed.listed is not None:
                 known = passed.source in (self._discovery.source, self._newest_discovery())
-                self._discovery.go_on(
-                    address_of(passed.source) if known else address_of(self._discovery.source),
-                    endpoint_update_of(passed.listed),
+                self._discovery.resume_from_handover(
+                    parse_address(passed.source) if known else parse_address(self._discovery.source),
+                    parse_endpoint_update(passed.listed),
                     known and passed.told_by_source,
                 )
             if passed.learned is not None:
@@ -415,21 +419,21 @@
     def _newest_discovery(self) -> str:
         """The file's: it may have been replaced since the environment was set."""
         try:
-            return text_of_address(self._again(self._told).discovery)
+            return format_address(self._again(self._bootstrap).discovery)
         except BootstrapError:
             return ""
 
-    def knows(self, backend: str) -> bool:
+    def has_backend(self, backend: str) -> bool:
         return self._facade.has_backend(backend)
 
-    def narrowed(self, by: Extension, lines: list[Endpoint]) -> None:
+    def reapply_filters(self, by: Extension, lines: list[Endpoint]) -> None:
         """Lines of the list as `by` has them now: those whose say comes behind its own have it too."""
-        before = [one for one in self._extensions if one.narrow is not None]
-        self._discovery.put(lines, False, before.index(by) + 1)
+        before = [one for one in self._extensions if one.filter_endpoints is not None]
+        self._discovery.publish(lines, False, before.index(by) + 1)
 
     @property
     def policy_settings(self) -> PolicySettings:
-        return self._told.policy_settings
+        return self._bootstrap.policy_settings
 
     @property
     def discovery(self) -> Discovery:
@@ -440,19 +444,19 @@
         return self._discovery.version
 
     @property
-    def wants_list(self) -> bool:
-        return self._discovery.wanting and not self._stopping.is_set()
+    def needs_list(self) -> bool:
+        return self._discovery.needs_list and not self._stopping.is_set()
 
-    def lent(self) -> tuple[int, dict[str, Any]] | None:
+    def list_for_peers(self) -> tuple[int, dict[str, Any]] | None:
         if self._discovery.confirmation.expired:
             return None
-        listed, confirmed_at = self._discovery.listed(), self._discovery.confirmed_at
+        listed, confirmed_at = self._discovery.own_list(), self._discovery.confirmed_at
         return (confirmed_at, listed) if listed is not None and confirmed_at is not None and listed["servers"] else None
 
-    def borrow(self, listed: dict[str, Any], confirmed_at: int) -> None:
-        self._discovery.borrow(endpoint_update_of(listed), confirmed_at)
+    def borrow_list(self, listed: dict[str, Any], confirmed_at: int) -> None:
+        self._discovery.borrow_list(parse_endpoint_update(listed), confirmed_at)
 
-    def steer(self, to: int | None) -> bool:
+    def steer_connections(self, to: int | None) -> bool:
         return self._callers.steer(to)
 
     def send_away(self, on: bool) -> None:
@@ -471,9 +475,9 @@
     # --- start and end ----------------------------------------------------------------------------
 
     async def serve(self) -> None:
-        told = self._told.policy_settings
-        if self._told.known is not None:
-            self._discovery.take(self._told.known)
+        told = self._bootstrap.policy_settings
+        if self._bootstrap.initial_endpoints is not None:
+            self._discovery.apply_update(self._bootstrap.initial_endpoints)
         loop = asyncio.get_running_loop()
         # What the loop trips over is a line in the log, not a traceback.
         loop.set_exception_handler(
@@ -482,15 +486,15 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self.stop)
         # Without a handler it ends the process, and with it every ticket in hand.
-        loop.add_signal_handler(signal.SIGHUP, self.tell_anew)
+        loop.add_signal_handler(signal.SIGHUP, self.reload_configuration)
         for one in self._extensions:
-            await one.enter(self)
+            await one.attach(self)
         # What is known nearby binds from the first moment on; otherwise the settings leave time to ask.
         self._discovery.start(at_once=told.list_is_pushed)
         if told.list_is_pushed:
             # The list that this process was told may be old.
-            await self._discovery.told(told.drain_within / 1e6)
-        self.port = self._callers.listen(self._told.listen, any(one.shares_address for one in self._extensions))
+            await self._discovery.wait_for_update(told.drain_within / 1e6)
+        self.port = self._callers.listen(self._bootstrap.listen, any(one.shares_address for one in self._extensions))
         for one in self._extensions:
             await one.start()
         sweep = loop.create_task(self._sweep())
@@ -501,7 +505,7 @@
         gc.collect()
         gc.freeze()
         gc.set_threshold(2_000, 10, 10)
-        self._log.say(f"serving at {self._told.listen[0]}:{self.port}")
+        self._log.say(f"serving at {self._bootstrap.listen[0]}:{self.port}")
         await self._stopping.wait()
         await self._drain()
         for one in reversed(self._extensions):
@@ -514,31 +518,31 @@
 
     def stop(self) -> None:
         if not self._stopping.is_set():
-            self._succeeded = any(one.succeeded for one in self._extensions)
+            self._succeeded = any(one.has_successor for one in self._extensions)
         self._stopping.set()
 
-    def tell_anew(self) -> None:
+    def reload_configuration(self) -> None:
         """The configuration may have been replaced: settings and where discovery answers are taken from it,
         all else at a start."""
         try:
-            told = self._again(self._told)
+            told = self._again(self._bootstrap)
         except BootstrapError as error:
             self._log.say(f"the new configuration is not taken: {error}")
-            self._discovery.reconfigured(None, self._process_pause.unwatched_for)
+            self._discovery.configuration_changed(None, self._process_pause.unwatched_for)
             return
-        before = self._told
+        before = self._bootstrap
         self._log.say(
-            f"configuration read anew, discovery at {text_of_address(told.discovery)},"
+            f"configuration read anew, discovery at {format_address(told.discovery)},"
             f" use cases {', '.join(use.name for use in told.policy_settings.use_cases)}"
         )
         if stays := [name for name in AT_A_START if getattr(told, name) != getattr(before, name)]:
             self._log.say(f"not before the next start: {', '.join(stays)}")
-        self._told = told
+        self._bootstrap = told
         self._facade.reconfigure(told.policy_settings, clock.now())
-        self._backends.reconfigure(told.connect_within, told.idle_most)
+        self._backends.reconfigure(told.connect_timeout, told.idle_timeout)
         self._callers.reconfigure(told.policy_settings.max_outer_limit)
-        self._discovery.reconfigured(told.discovery, self._process_pause.unwatched_for)
-        self._tell("told anew", lambda one: one.told_anew(told.policy_settings))
+        self._discovery.configuration_changed(told.discovery, self._process_pause.unwatched_for)
+        self._tell("told anew", lambda one: one.settings_changed(told.policy_settings))
 
     async def _drain(self) -> None:
         """Accepts to the last: what the kernel takes on our behalf is ours.
@@ -548,21 +552,21 @@
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        killed = min(self._told.policy_settings.max_outer_limit / 1e6, LONGEST_GRACE) + MOMENT
+        killed = min(self._bootstrap.policy_settings.max_outer_limit / 1e6, MAX_GRACE_S) + GRACE_MARGIN_S
         self._log.say(
             f"stopping, {self._facade.open_tickets} tickets in hand"
             + (", another process serves on" if self._succeeded else "")
         )
         last = killed - GIVEN_UP
         self._facade.limit_deadlines(clock.now() + round(last * 1e6))
-        self._tell("leaving", lambda one: one.leaving(clock.now() + round(last * 1e6)))
+        self._tell("leaving", lambda one: one.drain_started(clock.now() + round(last * 1e6)))
         loop.call_later(last, self._backends.give_up_all, "timed out")
         if self._succeeded:
             # New ones are the next process's, and those here end as they are answered.
             self._callers.give_way()
             self._callers.close_after_answers()
         else:
-            await asyncio.sleep(STILL_COMING)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         while (passed := loop.time() - began) < killed - ENDED:
             if passed >= last - CLOSED_BEFORE:
                 self._callers.close_after_answers()
@@ -575,7 +579,7 @@
 
     async def _sweep(self) -> None:
         for rounds in count(1):
-            await asyncio.sleep(SWEEP_EVERY)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             try:
                 self._backends.sweep(clock.now())
                 self._callers.sweep(clock.now())
@@ -604,10 +608,10 @@
 
 
 def run(
-    told: BootstrapConfiguration,
+    bootstrap: BootstrapConfiguration,
     again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
     make_extensions: ExtensionFactory | None = None,
 ) -> None:
     """`again` reads the configuration anew, beside the one in force; `make_extensions` makes the extensions, where
     there are any."""
-    asyncio.run(Proxy(told, again, make_extensions).serve())
+    asyncio.run(Proxy(bootstrap, again, make_extensions).serve())
--- a/pepperusher/net/request_store.py
+++ b/pepperusher/net/request_store.py
@@ -51,14 +51,14 @@
             await self._keeper.close()
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         return self._keeper is not None and not self._keeper.off
 
-    def past(self, use_case: str, mark: str) -> list[PastAttempt]:
+    def attempts_of(self, use_case: str, mark: str) -> list[PastAttempt]:
         """What was sent under this mark and is not forgotten, the first first."""
         return self._tables.marks.past(use_case, mark, clock.now())
 
-    async def sending(self, use_case: str, mark: str, backend: str, cell: int, remembered: int) -> int | None:
+    async def record_attempt(self, use_case: str, mark: str, backend: str, cell: int, remembered: int) -> int | None:
         """One is about to go out; the time it is known by once it is on disk. None where it is not: then it may not go,
         since after a crash nobody would know of it."""
         now = clock.now()
@@ -69,12 +69,12 @@
         body = marks.sent(use_case, mark, backend, cell, now, now + remembered)
         if await self._keeper.put(SENT, body, self._said.wait / 1e6) != KEPT:
             self.counts["not kept"] += 1
-            self.ended(use_case, mark, now, "moot")
+            self.record_outcome(use_case, mark, now, "moot")
             return None
         self.counts["kept"] += 1
         return now
 
-    def ended(self, use_case: str, mark: str, at: int, how: str) -> None:
+    def record_outcome(self, use_case: str, mark: str, at: int, how: str) -> None:
         """The one sent at `at` ended so."""
         if how in NEVER and self._keeper is not None:
             self._keeper.note(NEVER_RAN, self._tables.marks.never_ran(use_case, mark, at))
--- a/pepperusher/net/structured_log.py
+++ b/pepperusher/net/structured_log.py
@@ -20,7 +20,7 @@
     return told
 
 
-def form_of(form: str) -> Callable[[dict[str, Any]], str]:
+def formatter_of(form: str) -> Callable[[dict[str, Any]], str]:
     """ "text" for key=value, "json" for an object a line."""
     last = (
         structlog.processors.JSONRenderer()
--- a/pepperusher/net/watch_stream.py
+++ b/pepperusher/net/watch_stream.py
@@ -11,7 +11,7 @@
 from pepperusher.net.discovery_source import Refused, Silent
 from pepperusher.net.endpoint_update import BadList, complete_objects
 from pepperusher.net.connection import StreamConnection
-from pepperusher.net.message import HEAD, Request, framed_request
+from pepperusher.net.message import MAX_HEAD_BYTES, Request, encode_request
 
 # A line that has begun is whole as soon as that, and a second later for each so many bytes that came: discovery may
 # drip, or stop in the middle, and each byte alone is in time.
@@ -37,7 +37,7 @@
     def __init__(self, line: StreamConnection, silence: Callable[[], float]) -> None:
         self._line = line
         self._silence = silence
-        self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD)
+        self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._text = bytearray()
         self._until: float | None = None  # a call waits its turn till it is given up for another
         self._spoke_at = 0.0  # its head or last line
@@ -46,7 +46,7 @@
         """For what came after that version, or for the whole list."""
         host = f"{address[0]}:{address[1]}".encode()
         target = b"/v1/endpoints?watch=1" + (b"" if after is None else b"&after=%d" % after)
-        self._line.send(framed_request(self._parser, Request(b"GET", target, [(b"host", host)], b"")))
+        self._line.send(encode_request(self._parser, Request(b"GET", target, [(b"host", host)], b"")))
 
     async def next(self) -> Heard | None:
         """What comes next; None at the end. Raises Refused, Silent, BadList, and what a connection may."""
@@ -69,7 +69,7 @@
             async with asyncio.timeout_at(self._until):
                 self._parser.receive_data(await self._line.read())
         except TimeoutError:
-            if not self._line.holds_more:
+            if not self._line.has_unread_data:
                 raise Silent(self._spoke_at) from None
             # Both were due at once, as after a process pause: what came is read, and ends the silence or does not.
             self._until = asyncio.get_running_loop().time() + READ_WITHIN
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -28,11 +28,11 @@
 from pepperusher.settings import read_settings
 from pepperusher.net import clock
 from pepperusher.net.backends import Backends
-from pepperusher.net.extension import Extension, ExtensionHost, Narrow
+from pepperusher.net.extension import Extension, ExtensionHost, FilterEndpoints
 from pepperusher.net.discovery import Discovery, Source
-from pepperusher.net.endpoint_update import GONE, EndpointUpdate, endpoint_update_of
+from pepperusher.net.endpoint_update import GONE, EndpointUpdate, parse_endpoint_update
 from pepperusher.net.log import Log
-from pepperusher.net.proxy import STILL_COMING, SWEEP_EVERY, Proxy
+from pepperusher.net.proxy import ACCEPT_AFTER_SIGTERM_S, SWEEP_INTERVAL_S, Proxy
 from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.configuration import loader
 from pepperusher.configuration.loader import ConfigurationError, Read
@@ -58,14 +58,14 @@
         facade: Facade,
         backends: Backends,
         log: Log,
-        narrows: Sequence[Narrow],
+        narrows: Sequence[FilterEndpoints],
         seed: int,
     ) -> None:
         super().__init__(address, facade, backends, log, narrows, seed)
         self._noted = noted
 
-    def take(self, update: EndpointUpdate, source: Source | None = None) -> None:
-        super().take(update, source)
+    def apply_update(self, update: EndpointUpdate, source: Source | None = None) -> None:
+        super().apply_update(update, source)
         self._noted("list", update.version)
 
 
@@ -75,8 +75,8 @@
     def __init__(self, text: str, at: PolicySettings, log: Log) -> None:
         self._policy_settings = at
         self._host: ExtensionHost | None = None
-        self.standing = ActiveConfiguration(self.read(text), clock.now(), self._list_again, log.tell)
-        self.narrow = self.standing.overlay.lines
+        self.standing = ActiveConfiguration(self.read(text), clock.now(), self._list_again, log.write_event)
+        self.filter_endpoints = self.standing.overlay.lines
 
     def read(self, text: str) -> Read:
         """Raises ConfigurationError."""
@@ -84,9 +84,9 @@
 
     def _list_again(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
-            self._host.narrowed(self, lines)
+            self._host.reapply_filters(self, lines)
 
-    async def enter(self, host: ExtensionHost) -> None:
+    async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     def put(self, text: str) -> str | None:
@@ -128,7 +128,7 @@
             if group is not None:
                 from pepperusher.rehearsal.hollow_group import MemberNode
 
-                self.node = MemberNode(group, of.policy_settings, of.name, log.tell, self.book)
+                self.node = MemberNode(group, of.policy_settings, of.name, log.write_event, self.book)
                 made.append(self.node)
             return made
 
@@ -139,7 +139,7 @@
             self._facade,
             self._backends,
             self._log,
-            [one.narrow for one in self._extensions if one.narrow is not None],
+            [one.filter_endpoints for one in self._extensions if one.filter_endpoints is not None],
             told.policy_settings.seed,
         )
         self._lists: dict[str, dict[str, Endpoint]] = {}  # by service, what distribution told last; replaced with each
@@ -164,7 +164,7 @@
             seed=place["index"],
             keep=None if keep is None else Path(keep) / place["name"],
             local=place.get("local", "127.0.0.1"),
-            say=self._log.tell,
+            say=self._log.write_event,
         )
 
     def take_resource(self, one: Resource) -> str | None:
@@ -197,7 +197,7 @@
         """As `serve` does it, without a listener."""
         self.on = True
         for one in self._extensions:
-            await one.enter(self)
+            await one.attach(self)
         if watch:
             self._discovery.start()
         if self.client is not None:
@@ -208,7 +208,7 @@
             self._sweep_later(self.node)
 
     def _sweep_later(self, node: MemberNode) -> None:
-        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_EVERY, self._sweep_group, node)
+        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep_group, node)
 
     def _sweep_group(self, node: MemberNode) -> None:
         """As a whole one's sweep does: the other companions here have nothing to do in it."""
@@ -218,8 +218,8 @@
     async def leave(self) -> None:
         """As a whole one that is told to stop, and has no client left."""
         self._stopping.set()
-        self._tell("leaving", lambda one: one.leaving(clock.now()))
-        await asyncio.sleep(STILL_COMING)
+        self._tell("leaving", lambda one: one.drain_started(clock.now()))
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await self.end()
 
     async def end(self) -> None:
@@ -255,7 +255,7 @@
     def take_list(self, service: str, body: bytes) -> str | None:
         """One service's list, whole, as a change of the whole list."""
         try:
-            update = endpoint_update_of(json.loads(body))
+            update = parse_endpoint_update(json.loads(body))
         except ValueError as error:
             return f"a list {error}"
         fresh = {entry.id: entry for entry in update.entries}
@@ -268,7 +268,7 @@
         gone = [(entry._replace(ready=False, gone=True), GONE) for id, entry in before.items() if id not in fresh]
         self._lists[service] = fresh
         self._told_version += 1
-        Discovery.take(
+        Discovery.apply_update(
             self._discovery,
             EndpointUpdate(
                 self._told_version,
@@ -328,8 +328,8 @@
     made.policy_settings = read_settings(
         {**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number
     )
-    made.connect_within, made.idle_most = 500_000, 10_000_000
-    made.known = endpoint_update_of(known) if known is not None else None
+    made.connect_timeout, made.idle_timeout = 500_000, 10_000_000
+    made.initial_endpoints = parse_endpoint_update(known) if known is not None else None
     return made
 
 
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -109,7 +109,7 @@
         lines = self._orders.ban(backend, on, clock.now())
         if not lines and self._orders.banned(backend) != on:
             return 0
-        self._host.narrowed(self, lines)
+        self._host.reapply_filters(self, lines)
         self.spread(clock.now())
         self._wake()
         at = self._orders.bans[backend].at
--- a/pepperusher/rehearsal/hollow_group_scenes.py
+++ b/pepperusher/rehearsal/hollow_group_scenes.py
@@ -12,7 +12,7 @@
 
 from pepperusher.group.membership import MOST
 from pepperusher.group.wire import DATAGRAM
-from pepperusher.net.proxy import STILL_COMING
+from pepperusher.net.proxy import ACCEPT_AFTER_SIGTERM_S
 from pepperusher.rehearsal import hollow_group_books
 from pepperusher.rehearsal.hollow_books import Reached, Row
 from pepperusher.rehearsal.hollow_group import ALL_THERE
@@ -204,7 +204,7 @@
     await ground.read()
     # It says so once it has stopped, as a whole one does, a while after it was told to.
     known = ground.had(f"left {ground.name(leaver)}", at, others)
-    made = ground.within("left: all know", known, STILL_COMING + ground.news)
+    made = ground.within("left: all know", known, ACCEPT_AFTER_SIGTERM_S + ground.news)
     ground.lost_only("left", ())
     await ground.shares("left", ground.size - 1)
     await ground.play.ask_all("again", indices=[leaver])
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -351,7 +351,7 @@
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(self.given)
             file.flush()
-            return bootstrap.read(
+            return bootstrap.read_bootstrap(
                 file.name, discovery=None if "discovery" in self.given else "127.0.0.1:1", before=before
             )
 
--- a/tests/test_call_schedule.py
+++ b/tests/test_call_schedule.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from pepperusher.net.call_schedule import (
-    ANSWERED_WITHIN, APART_MOST, FIRST_ANSWERED_WITHIN, FIRST_WITHIN, KEPT_LONG, PACE_HELD, RETRY_MOST, SILENT, CallSchedule,
+    ANSWERED_WITHIN, APART_MOST, FIRST_ANSWERED_WITHIN, FIRST_ANSWER_TIMEOUT_S, KEPT_LONG, PACE_HELD, RETRY_MOST, WATCH_SILENCE_TIMEOUT_S, CallSchedule,
 )  # fmt: skip
 
 BACKOFF = 2.5
@@ -89,24 +89,24 @@
         """A start asks within 2 s by chance, and the time for the first call was counted from there."""
         self.schedule.expect_by(106.0)
         self.schedule.called(100.2, False)
-        self.assertAlmostEqual(FIRST_WITHIN, self.schedule.wait(100.2, True, 0.0))
+        self.assertAlmostEqual(FIRST_ANSWER_TIMEOUT_S, self.schedule.wait(100.2, True, 0.0))
         self.schedule.called(102.0, False)
         self.assertAlmostEqual(106.0 - FIRST_ANSWERED_WITHIN - 102.0, self.schedule.wait(102.0, True, 0.0))
         self.schedule.called(103.0, False)
-        self.assertAlmostEqual(SILENT, self.schedule.wait(103.0, True, 0.0))
+        self.assertAlmostEqual(WATCH_SILENCE_TIMEOUT_S, self.schedule.wait(103.0, True, 0.0))
         self.schedule.called(106.1, False)
-        self.assertAlmostEqual(FIRST_WITHIN, self.schedule.wait(106.1, True, 0.0))
+        self.assertAlmostEqual(FIRST_ANSWER_TIMEOUT_S, self.schedule.wait(106.1, True, 0.0))
 
     def test_beside_the_first_call_of_a_term_one_goes_out_soon_and_no_more(self) -> None:
         """The first may be lost, and the term is shorter than the time that a call is waited for alone."""
         self.schedule.called(90.0, False)
-        self.assertEqual(FIRST_WITHIN, self.schedule.wait(90.0, True, 0.0))
+        self.assertEqual(FIRST_ANSWER_TIMEOUT_S, self.schedule.wait(90.0, True, 0.0))
         self.schedule.begin_term(100.0, TERM)
         self.schedule.called(100.0, False)
-        self.assertEqual(SILENT, self.schedule.wait(100.0, True, 0.0))
-        self.assertLess(SILENT, TERM)
+        self.assertEqual(WATCH_SILENCE_TIMEOUT_S, self.schedule.wait(100.0, True, 0.0))
+        self.assertLess(WATCH_SILENCE_TIMEOUT_S, TERM)
         self.schedule.called(102.5, True)
-        self.assertEqual(FIRST_WITHIN, self.schedule.wait(102.5, True, 0.0))
+        self.assertEqual(FIRST_ANSWER_TIMEOUT_S, self.schedule.wait(102.5, True, 0.0))
 
     def test_a_call_that_was_cut_short_beside_one_without_an_answer_is_made_again_as_if_alone(self) -> None:
         """Discovery answers, so the one that is out is more likely lost than waiting in a queue."""
@@ -118,7 +118,7 @@
         self.schedule.cut_short(104.1)
         self.assertLessEqual(self.schedule.wait(104.1, True, 0.0), 0.2)
         self.schedule.called(104.3, True)
-        self.assertEqual(FIRST_WITHIN, self.schedule.wait(104.3, True, 0.0))
+        self.assertEqual(FIRST_ANSWER_TIMEOUT_S, self.schedule.wait(104.3, True, 0.0))
 
     def test_what_was_cut_short_puts_off_no_call(self) -> None:
         self.schedule.called(100.0, False)
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -165,7 +165,7 @@
         customer: str = "a",
         given: int | None = None,
     ) -> object:
-        return standing.ask("GET", path, "h", {}, path.split("/")[1], customer, given, 2 * SECOND, now)
+        return standing.request_admission("GET", path, "h", {}, path.split("/")[1], customer, given, 2 * SECOND, now)
 
     def applied(self, standing: ActiveConfiguration, text: str, now: int) -> object:
         change = standing.propose(of(text), "ops", "try it", now)
@@ -189,17 +189,17 @@
         )
         self.assertEqual(sorted(standing.versions), [1, 2, 3])
         for one in (old, new, after):
-            standing.over(one, "done", True, 3 * SECOND)
+            standing.finish(one, "done", True, 3 * SECOND)
         # A version goes with its last ticket.
         self.assertEqual(sorted(standing.versions), [3])
 
     def test_harm_undoes_and_none_confirms(self) -> None:
         standing = self.standing(WATCH)
         for now in range(0, SECOND, 20 * MS):
-            standing.over(self.ask(standing, now), "done", True, now + 10 * MS)
+            standing.finish(self.ask(standing, now), "done", True, now + 10 * MS)
         change = self.applied(standing, WATCH + "[weights]\nx = 1\n", SECOND)
         for now in range(SECOND, 2 * SECOND, 20 * MS):
-            standing.over(self.ask(standing, now), "scrapped", True, now + 10 * MS)
+            standing.finish(self.ask(standing, now), "scrapped", True, now + 10 * MS)
         self.assertEqual(standing.due(2 * SECOND), (UNDONE, "scrapped went from 0.0% to 100.0%"))
         standing.undo(change, "the proxy", "harm", 2 * SECOND)
         self.assertEqual(standing.version.read.text, WATCH)
@@ -211,7 +211,7 @@
         standing = self.standing(WATCH)
         self.applied(standing, '[changes]\nwatch = "1s"\nleast = 100000\nerrors = 1.0\nbounces = 1.0\n', 0)
         for now in range(0, SECOND, 20 * MS):
-            standing.over(self.ask(standing, now), "scrapped", True, now)
+            standing.finish(self.ask(standing, now), "scrapped", True, now)
         self.assertEqual(standing.due(SECOND)[0], UNDONE)
         by_hand = self.standing(WATCH + 'confirm = "by hand"\n')
         self.applied(by_hand, WATCH, 0)
@@ -225,7 +225,7 @@
         standing = self.standing(text.format(1, 4))
         first, second, third = (self.ask(standing, 0) for _ in range(3))
         self.assertEqual([one.how for one in (first, second, third)], [ADMITTED, QUEUED, FULL])
-        second.waiting.on_decision = lambda how: standing.told(second, how, SECOND)
+        second.waiting.on_decision = lambda how: standing.admission_decided(second, how, SECOND)
         other = self.ask(standing, 0, customer="b", given=1 * MS)
         self.assertEqual(other.how, FULL)
         self.assertEqual([self.ask(standing, 0).how for _ in range(2)], [FULL, RATE])
@@ -236,10 +236,10 @@
         self.applied_none = standing.undo(standing.ledger.open, "ops", "no", SECOND)
         self.assertEqual(standing.gates()[0]["inside"], 2)
         for one in (first, second):
-            standing.over(one, "done", True, 2 * SECOND)
+            standing.finish(one, "done", True, 2 * SECOND)
         self.assertEqual(standing.gates()[0]["inside"], 0)
         late = self.ask(standing, 9 * SECOND)
-        standing.over(late, "done", True, 11 * SECOND)
+        standing.finish(late, "done", True, 11 * SECOND)
         self.ask(standing, 11 * SECOND, customer="c")
         self.assertEqual(self.ask(standing, 11 * SECOND, customer="d", given=500 * MS).how, TOO_LATE)
         self.compare_trace("changes_limits")
@@ -247,12 +247,12 @@
     def test_routes_that_go_let_those_inside_leave(self) -> None:
         standing = self.standing(WATCH + '[[routes]]\nname = "r"\nconcurrency = { most = 1, queue = 5 }\n')
         inside, waits = self.ask(standing, 0), self.ask(standing, 0)
-        waits.waiting.on_decision = lambda how: standing.told(waits, how, 0)
+        waits.waiting.on_decision = lambda how: standing.admission_decided(waits, how, 0)
         self.applied(standing, WATCH, 0)
         self.assertEqual(waits.how, ADMITTED)
         self.assertEqual(self.ask(standing, 0).how, ADMITTED)
-        standing.over(inside, "done", True, SECOND)
-        standing.over(waits, "left", False, SECOND)
+        standing.finish(inside, "done", True, SECOND)
+        standing.finish(waits, "left", False, SECOND)
         standing.sweep(SECOND)
         self.assertEqual(standing.gates(), [])
 
@@ -262,17 +262,17 @@
         )
         one = self.ask(standing, 0)
         for _ in range(4):
-            standing.first(self.ask(standing, 0), 0)
+            standing.record_first_attempt(self.ask(standing, 0), 0)
         # Once a ticket, however often it goes out.
         first = self.ask(standing, 0)
         for _ in range(9):
-            standing.first(first, 0)
+            standing.record_first_attempt(first, 0)
         self.assertEqual(
-            [standing.again(one, how, 0) for how in ("timed out", "done", "full", "error", "error")],
+            [standing.retry_allowed(one, how, 0) for how in ("timed out", "done", "full", "error", "error")],
             [False, False, True, True, False],
         )
         plain = self.standing("")
-        self.assertTrue(plain.again(self.ask(plain, 0), "reset", 0))
+        self.assertTrue(plain.retry_allowed(self.ask(plain, 0), "reset", 0))
 
     def test_what_stands_already_is_no_change(self) -> None:
         with self.assertRaisesRegex(TransactionError, "what stands already"):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,7 +21,7 @@
 from pepperusher.net.extension import Extension
 from pepperusher.net.exchange import Exchange
 from pepperusher.net.body_streaming import ResponseForwarder
-from pepperusher.net.connection import StreamConnection, reach
+from pepperusher.net.connection import StreamConnection, connect
 from pepperusher.net.message import Answer, Request, read_head
 
 from tests.scene import SETTINGS, ProxyTestCase, configuration
@@ -131,11 +131,11 @@
         self.proxy._backends._doors["a1"].address = slow.getsockname()
 
         async def narrow(address: tuple[str, int]) -> StreamConnection:
-            line = await reach(address)
+            line = await connect(address)
             line.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             return line
 
-        with mock.patch("pepperusher.net.backends.reach", narrow):
+        with mock.patch("pepperusher.net.backends.connect", narrow):
             for number, use in ((1, "book"), (2, "pay")):
                 at = self.dial()
                 at.sendall(self.request(use, number, "x" * 60_000))
@@ -527,7 +527,7 @@
         self.proxy._callers.close_idle()
         self.assertEqual(" end", await self.said(shy))
 
-    @mock.patch("pepperusher.net.proxy.LONGEST_GRACE", 1.6)
+    @mock.patch("pepperusher.net.proxy.MAX_GRACE_S", 1.6)
     async def test_whatever_stage_a_ticket_is_at_when_the_end_comes_it_has_its_answer(self) -> None:
         """Half read, whole in the kernel, in the accept queue, one behind another, out at one that hangs; told to end twice, with a
         new configuration in between, and with bad input beside it."""
@@ -541,13 +541,13 @@
         await self.until(lambda: self.got(1))
         sent = self.request("book", 2, "x" * 300)
         half.sendall(sent[:-100])
-        await self.until(lambda: sum(bool(one.line.received) for one in self.proxy._callers._callers) == 2)
+        await self.until(lambda: sum(bool(one.line.bytes_received) for one in self.proxy._callers._callers) == 2)
         kernel.sendall(self.request("look", 3) + self.request("pay", 4))
         bad.sendall(b"no request\r\n\r\n")
         self.proxy.stop()
         queued = self.dial()
         queued.sendall(self.request("pay", 5))
-        self.proxy.tell_anew()
+        self.proxy.reload_configuration()
         self.proxy.stop()
         half.sendall(sent[-100:])
         loop = asyncio.get_running_loop()
@@ -798,7 +798,7 @@
 
     async def test_after_a_silence_the_next_call_goes_out_at_once(self) -> None:
         """It waited as after a call that failed, and longer after each: the wait is part of what is left of 6 s."""
-        with mock.patch("pepperusher.net.call_schedule.SILENT", 0.05):
+        with mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.05):
             await self.open("a1")
             balancer = self.proxy._facade._balancer
             balancer._ask_step = 4_000_000
@@ -825,14 +825,14 @@
             ended.append(number)
             writer.close()
 
-        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=0.3):
+        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_ANSWER_TIMEOUT_S=0.3):
             self.proxy._discovery._spread = 0.0
             self.server.close()
             server = await asyncio.start_server(mute, "127.0.0.1", self.discovery_port)
             self.watches[-1].close()
             await self.until(lambda: len(ended) >= 3)
         # None goes out from here on, however long the rest takes.
-        with mock.patch("pepperusher.net.call_schedule.FIRST_WITHIN", 1000.0):
+        with mock.patch("pepperusher.net.call_schedule.FIRST_ANSWER_TIMEOUT_S", 1000.0):
             await self.until(lambda: len(calls) - len(ended) == 4)
             # Each that ended was the oldest, none before there were five, and no two went out close together.
             self.assertEqual(list(range(len(calls) - 4)), ended)
@@ -867,7 +867,9 @@
                 await reader.read()  # till it is left
             writer.close()
 
-        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=4.0, SILENT=0.5):
+        with mock.patch.multiple(
+            "pepperusher.net.call_schedule", FIRST_ANSWER_TIMEOUT_S=4.0, WATCH_SILENCE_TIMEOUT_S=0.5
+        ):
             self.proxy._discovery._spread = 0.0
             self.server.close()
             server = await asyncio.start_server(mute, "127.0.0.1", self.discovery_port)
@@ -899,7 +901,9 @@
             writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
             writer.close()
 
-        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=0.5, SILENT=0.5):
+        with mock.patch.multiple(
+            "pepperusher.net.call_schedule", FIRST_ANSWER_TIMEOUT_S=0.5, WATCH_SILENCE_TIMEOUT_S=0.5
+        ):
             self.proxy._discovery._spread = 0.0
             self.server.close()
             server = await asyncio.start_server(slow, "127.0.0.1", self.discovery_port)
@@ -929,7 +933,7 @@
             text = json.dumps({"version": version, "full": True, "servers": servers}).encode() + b"\n"
             return b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(text), text)
 
-        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=0.3):
+        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_ANSWER_TIMEOUT_S=0.3):
             self.proxy._discovery._spread = 0.0
             self.server.close()
             server = await asyncio.start_server(late, "127.0.0.1", self.discovery_port)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from pepperusher.net.discovery import START_SPREAD
-from pepperusher.net.endpoint_update import endpoint_update_of
+from pepperusher.net.endpoint_update import parse_endpoint_update
 from pepperusher.rehearsal.askers import Asker
 from tests.scene import SETTINGS, ProxyTestCase
 
@@ -25,7 +25,7 @@
 
     async def test_those_with_a_list_ask_one_after_another(self) -> None:
         loop = asyncio.get_running_loop()
-        update = endpoint_update_of(
+        update = parse_endpoint_update(
             {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
         )
         waits: dict[str, list[float]] = {"with a list": [], "with a list, told to": [], "without": []}
@@ -37,7 +37,7 @@
             ):
                 discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
                 if lists:
-                    discovery.take(update)
+                    discovery.apply_update(update)
                 discovery.start(at_once=at_once)
                 waits[what].append(discovery._source.schedule.paused_till - loop.time())
                 discovery.stop()
@@ -49,13 +49,13 @@
     async def test_who_takes_anothers_place_asks_at_once(self) -> None:
         """What discovery tells binds 2 s after its yes, and it asked within 2 s by chance."""
         loop = asyncio.get_running_loop()
-        update = endpoint_update_of(
+        update = parse_endpoint_update(
             {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
         )
         for number in range(10):
             discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
             discovery.take_over(None)
-            discovery.go_on(("127.0.0.1", 1), update, told_there=True)
+            discovery.resume_from_handover(("127.0.0.1", 1), update, told_there=True)
             discovery.start(at_once=False)
             self.assertLessEqual(discovery._source.schedule.wait(loop.time(), False, 0.0), 0.0)
             discovery.stop()
@@ -159,7 +159,9 @@
     async def test_an_error_of_ours_does_not_end_the_asking(self) -> None:
         """No drain would be heard of again, and nobody would see why."""
         await self.open("a1", "b1")
-        with mock.patch.object(self.proxy._facade, "tick", side_effect=RuntimeError("a fault")) as tick:
+        with mock.patch.object(
+            self.proxy._facade, "endpoint_request_delay", side_effect=RuntimeError("a fault")
+        ) as tick:
             self.watches[-1].close()
             await self.until(lambda: tick.called)
         await self.until(lambda: len(self.watches) == 2)
@@ -178,7 +180,7 @@
         )
         watches = len(self.watches)
         time.sleep(stopped_for)
-        self.proxy.tell_anew()
+        self.proxy.reload_configuration()
         await self.until(lambda: len(self.watches) > watches)
 
     async def lost(self) -> None:
@@ -285,7 +287,7 @@
         await self.open("a1")
         self.given = json.dumps({**json.loads(self.given), "discovery": "127.0.0.1:1"})
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM):
-            self.proxy.tell_anew()
+            self.proxy.reload_configuration()
         metrics = self.proxy._discovery.metrics
         await self.until(lambda: metrics.unconnected and self.proxy._discovery.confirmation.overdue)
         await self.ask("look 1", self.request("look", 1))
@@ -296,11 +298,11 @@
         await self.open("a1")
         full = OSError(errno.EMFILE, "Too many open files")
         with (
-            mock.patch("pepperusher.net.discovery.reach", side_effect=full),
+            mock.patch("pepperusher.net.discovery.connect", side_effect=full),
             mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM),
         ):
             self.given = json.dumps({**json.loads(self.given), "discovery": "127.0.0.1:1"})
-            self.proxy.tell_anew()
+            self.proxy.reload_configuration()
             await self.until(lambda: self.proxy._discovery.confirmation.expired)
             await self.ask("look 1", self.request("look", 1))
         self.assertIn("503", self.lines[-1])
@@ -310,12 +312,12 @@
         await self.open("a1")
         self.given = "{"
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4):
-            self.proxy.tell_anew()
+            self.proxy.reload_configuration()
         await asyncio.sleep(0.45)
         await self.ask("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1], "its watch stood all the while")
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4):
-            self.proxy.tell_anew()
+            self.proxy.reload_configuration()
         self.keeps_silent = True
         self.watches[-1].close()
         await asyncio.sleep(0.45)
@@ -336,31 +338,33 @@
         await self.until(lambda: discovery.watched)
         discovery.stop()
         discovery.take_over(None)
-        discovery.go_on(discovery._source.address, endpoint_update_of(discovery.listed()), told_there=True)
+        discovery.resume_from_handover(
+            discovery._source.address, parse_endpoint_update(discovery.own_list()), told_there=True
+        )
         self.keeps_silent = True
         with mock.patch("pepperusher.net.discovery.TAKEN_OVER_TERM", TERM):
             discovery.start(at_once=False)
         await self.ask("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
-        self.assertIsNotNone(self.proxy.lent())
+        self.assertIsNotNone(self.proxy.list_for_peers())
         await asyncio.sleep(TERM + 0.05)
         await self.ask("look 2", self.request("look", 2))
         self.assertIn("503", self.lines[-1])
-        self.assertIsNone(self.proxy.lent(), "another process would send by a list that has expired here")
+        self.assertIsNone(self.proxy.list_for_peers(), "another process would send by a list that has expired here")
 
     async def test_a_list_told_at_another_address_is_passed_on_and_asked_for_anew(self) -> None:
         """Until its newest address has told, a proxy has no number to ask from, and the next process none."""
         await self.open("a1")
         discovery = self.proxy._discovery
-        told, told_by_source = discovery.list_in_use()
-        self.assertEqual((discovery.listed(), True), (told, told_by_source))
+        told, told_by_source = discovery.handover_list()
+        self.assertEqual((discovery.own_list(), True), (told, told_by_source))
         self.keeps_silent = True
-        discovery.reconfigured(("127.0.0.1", 9), 0.0)
-        self.assertEqual((None, (told, False)), (discovery.listed(), discovery.list_in_use()))
+        discovery.configuration_changed(("127.0.0.1", 9), 0.0)
+        self.assertEqual((None, (told, False)), (discovery.own_list(), discovery.handover_list()))
         discovery.stop()
-        discovery.go_on(("127.0.0.1", 9), endpoint_update_of(told), told_there=False)
+        discovery.resume_from_handover(("127.0.0.1", 9), parse_endpoint_update(told), told_there=False)
         self.assertIsNone(discovery._source.version)
-        self.assertFalse(discovery.wanting)
+        self.assertFalse(discovery.needs_list)
 
     async def test_the_term_of_a_silent_watch_counts_from_its_last_word(self) -> None:
         await self.open("a1")
@@ -368,7 +372,7 @@
         await self.until(lambda: discovery.watched)
         discovery._spread = 0.0
         with (
-            mock.patch("pepperusher.net.call_schedule.SILENT", 0.4),
+            mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.4),
             mock.patch("pepperusher.net.discovery.LOST_TERM", 0.4 + TERM),
         ):
             self.tell(b"\n")
@@ -468,7 +472,9 @@
             else int(json.loads(self.given)["discovery"].split(":")[1])
         )
         server = await asyncio.start_server(hardly, "127.0.0.1", port)
-        with mock.patch.multiple("pepperusher.net.call_schedule", FIRST_WITHIN=0.3, SILENT=0.3):
+        with mock.patch.multiple(
+            "pepperusher.net.call_schedule", FIRST_ANSWER_TIMEOUT_S=0.3, WATCH_SILENCE_TIMEOUT_S=0.3
+        ):
             for what in ("says nothing", "drips", "drips a line", "503", "resets"):
                 before = len(asked)
                 for writer in self.watches:
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -28,7 +28,7 @@
     CONFIG, ENDPOINTS, NEVER, PROXY, RELAY, Ack, Heartbeat, BodiesSwitch, Delta, HaveVersion, Hello, Key, Mark, Message, Offer, Publish,
     Resource, Snapshot, Version, SubscribeRequest, digest_of, mark_of, resource,
 )  # fmt: skip
-from pepperusher.packet_authentication import BadPacket
+from pepperusher.packet_authentication import InvalidPacketError
 
 KEY: Key = (CONFIG, "shop")
 S = 1_000_000
@@ -121,28 +121,28 @@
                     first, second = self.frames(self.caller, Heartbeat(1))[0], self.frames(self.caller, Heartbeat(2))[0]
                     frames = {"repeated": [first, first], "left out": [second],
                               "damaged": [first[:-1] + bytes([first[-1] ^ 1])]}[what]  # fmt: skip
-                with self.assertRaises(BadPacket):
+                with self.assertRaises(InvalidPacketError):
                     for frame in frames:
                         list(self.called.feed(frame))
 
     def test_recorded_on_another_connection(self) -> None:
         recorded = self.caller.opening() + self.frames(self.caller, hello("p"))[0]
         again = Session(b"k" * 16, False)
-        with self.assertRaises(BadPacket):
+        with self.assertRaises(InvalidPacketError):
             list(again.feed(recorded))
 
     def test_strange_and_too_long(self) -> None:
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\0" * 40, b"\xff" * 9, bytes(OPENING)):
-            with self.subTest(data), self.assertRaises(BadPacket):
+            with self.subTest(data), self.assertRaises(InvalidPacketError):
                 list(Session(b"k" * 16, False).feed(data))
         self.called.longest = 50_000
-        with self.assertRaises(BadPacket):
+        with self.assertRaises(InvalidPacketError):
             for frame in self.frames(self.caller, Publish(CONFIG, "shop", bytes(200_000))):
                 list(self.called.feed(frame))
 
     def test_sound_and_no_message(self) -> None:
         for data in (b"\xc1", b"\x93\x01", b"\x92\x63\x01", b"\x92\x05\xa1x"):
-            with self.subTest(data), self.assertRaises(BadPacket):
+            with self.subTest(data), self.assertRaises(InvalidPacketError):
                 wire.decoded(data)
 
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -698,16 +698,16 @@
             said = await self.ctl("publish", "shop", str(self.folder / "shop.toml"), *machine)
             self.assertRegex(said, r"^config/shop 1\.\d+ is written\n$")
             await until(lambda: self.names() == ["own", "shared"], what="in force")
-            first = self.distributed.said()["version"]
+            first = self.distributed.status()["version"]
             # Watched and confirmed as any other change.
-            await until(lambda: self.house.standing.ledger.open is None, what="confirmed")
-            self.assertEqual("a control machine", self.house.standing.ledger.history[-1].steps[0].who)
+            await until(lambda: self.house.active_configuration.ledger.open is None, what="confirmed")
+            self.assertEqual("a control machine", self.house.active_configuration.ledger.history[-1].steps[0].who)
             await until(lambda: (self.folder / "kept").exists(), what="kept")
             said = await self.ctl("rollout", "shop", *machine)
             self.assertIn("in force at 1, pending 0, refused 0", said)
             # Not one that the rules refuse: three attempts are the most.
             refused = await publish(self.at, SECRET, *KEY, (SHARED % 9).encode())
-            await until(lambda: bool(self.distributed.said()["refused"]), what="refused")
+            await until(lambda: bool(self.distributed.status()["refused"]), what="refused")
             self.assertEqual((["own", "shared"], 2), (self.names(), self.house.own.routes[1].attempts))
             said = json.loads(await self.ctl("rollout", "shop", "--json", *machine))
             self.assertEqual(list(refused), said["version"])
@@ -718,19 +718,19 @@
             said = await self.ctl("publish", "shop", str(self.folder / "bad.toml"), *machine)
             self.assertIn("control is a proxy's own", said)
             await publish(self.at, SECRET, *KEY, b'[control]\nsocket = "/elsewhere"\n')
-            await until(lambda: "control is" in (self.distributed.said()["refused"] or ""), what="refused too")
+            await until(lambda: "control is" in (self.distributed.status()["refused"] or ""), what="refused too")
             # What people do by hand stands beside it.
             await self.house.drain("a1", False, "test", "by hand")
             self.assertEqual(["own", "shared"], self.names())
-            self.assertIn("a1", self.house.standing.version.marks)
+            self.assertIn("a1", self.house.active_configuration.version.marks)
             said = await self.ctl("--socket", self.house.own.control.socket or "", "status")
             self.assertIn(f"config/shop {first}, confirmed", said)
             # All control machines gone, and the proxy starts anew: by what it kept, from its first request on.
             await self.machine.end()
             await self.serve_again()
             self.assertEqual(["own", "shared"], self.names())
-            await until(lambda: self.distributed.said()["version"] == first, what="from what was kept")
-            self.assertGreater(self.distributed.said()["confirmed_us_ago"], 0)
+            await until(lambda: self.distributed.status()["version"] == first, what="from what was kept")
+            self.assertGreater(self.distributed.status()["confirmed_us_ago"], 0)
             await self.ask("served", self.request("look", 1))
             self.assertIn("served -> 200 'a1 1'", self.lines)
             # And back: the next one is taken.
@@ -742,13 +742,13 @@
         async with asyncio.timeout(2 * WITHIN):
             await self.open("a1", own=self.own)
             first = await publish(self.at, SECRET, *KEY, (SHARED % 2).encode())
-            await until(lambda: self.distributed.said()["version"] == str(first), what="in force")
+            await until(lambda: self.distributed.status()["version"] == str(first), what="in force")
             await until(lambda: (self.folder / "kept").exists(), what="kept")
             await publish(self.at, SECRET, *KEY, (SHARED % 1).encode())
             await until(lambda: self.house.own.routes[-1].attempts == 1, what="in force")
             await self.house.undo(None, "test", "it does harm")
-            await until(lambda: bool(self.distributed.said()["refused"]), what="told")
-            self.assertEqual(str(first), self.distributed.said()["version"])
+            await until(lambda: bool(self.distributed.status()["refused"]), what="told")
+            self.assertEqual(str(first), self.distributed.status()["version"])
             self.assertEqual(2, self.house.own.routes[-1].attempts)
             # What is changed by hand from here on stands beside what was confirmed, not beside what was undone.
             await self.house.drain("a1", False, "test", "by hand")
