--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -17,7 +17,7 @@
 from pepperusher.group.broadcasts import Broadcasts
 from pepperusher.group.membership import Membership
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, BadPacket, Wire
+from pepperusher.group.wire import DATAGRAM, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
@@ -164,7 +164,7 @@
         bad += [good[:at] + bytes([good[at] ^ 1 << chance.randrange(8)]) + good[at + 1 :] for at in range(3, len(good))]
         swim = Swim(said("me", token=7), SwimSettings(200_000, 60_000, (), 1, SECOND), wire, Random(1), NOW)
         for data in bad:
-            self.assertRaises(BadPacket, wire.unpack, data)
+            self.assertRaises(InvalidPacketError, wire.unpack, data)
             swim.receive(data, NOW)
         self.assertEqual(([], 0), (swim.out, len(swim.roll)))
         self.assertEqual(len(bad), sum(swim.counts.values()))
@@ -180,7 +180,7 @@
             b"\xc0",
             b"\x93\1\2\3",
         ):
-            self.assertRaises(BadPacket, wire.unpack, wire.pack(TELL, 1, 0, part, "", 0, None, [], [], []))
+            self.assertRaises(InvalidPacketError, wire.unpack, wire.pack(TELL, 1, 0, part, "", 0, None, [], [], []))
 
     def test_a_later_release_s_words_are_read(self) -> None:
         """What it put at the end of a word is read over."""
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -144,7 +144,7 @@
             nonlocal most
             made = [asyncio.create_task(self.one(left=60_000)) for _ in range(count)]
             most += count
-            gate = self.house.standing.gates
+            gate = self.house.active_configuration.gates
             async with asyncio.timeout(30):
                 while gate()[0]["inside"] + gate()[0]["waiting"] < most:
                     await asyncio.sleep(0.01)
@@ -155,7 +155,11 @@
         second = await burst(300)
         await self.house.undo(change.number, "ops", "and back")
         third = await burst(300)
-        self.assertEqual(self.house.standing.gates()[0]["inside"] + self.house.standing.gates()[0]["waiting"], 1000)
+        self.assertEqual(
+            self.house.active_configuration.gates()[0]["inside"]
+            + self.house.active_configuration.gates()[0]["waiting"],
+            1000,
+        )
         for backend in self.backends.values():
             backend.may.set()
         ends = await asyncio.gather(*first, *second, *third)
@@ -172,7 +176,7 @@
         self.assertGreater(max(waits["2"]), 60_000)
         self.assertGreater(min(waits["1"] | waits["3"]), 70_000)
         await self.until(lambda: self.proxy._facade.open_tickets == 0)
-        self.assertEqual(list(self.house.standing.versions), [3])
+        self.assertEqual(list(self.house.active_configuration.versions), [3])
 
     async def test_a_drain_told_just_before_an_apply_holds_through_it_and_its_undo(self) -> None:
         await self.stand(WATCH)
@@ -222,7 +226,7 @@
         self.assertEqual(sorted(status for _, status, _ in ends), ["200", "200", "429", "429"])
         # One that waits and whose client leaves is no longer there.
         inside = [asyncio.create_task(self.one()) for _ in range(2)]
-        gates = self.house.standing.gates
+        gates = self.house.active_configuration.gates
         await self.until(lambda: gates()[0]["inside"] == 2)
         reader, writer = await self.connect()
         writer.write(self.request("look", 999))
@@ -241,7 +245,7 @@
         for backend in self.backends.values():
             backend.after = 0.4
         holds = asyncio.create_task(self.one("pay", left=2000))
-        await self.until(lambda: self.house.standing.gates()[0]["inside"] == 1)
+        await self.until(lambda: self.house.active_configuration.gates()[0]["inside"] == 1)
         stood = 0.0
 
         async def looks() -> None:
@@ -270,7 +274,7 @@
     async def test_a_stop_answers_those_that_wait(self) -> None:
         await self.stand(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 1.0)
         tasks = [asyncio.create_task(self.one(left=9000)) for _ in range(10)]
-        await self.until(lambda: self.house.standing.gates()[0]["waiting"] == 9)
+        await self.until(lambda: self.house.active_configuration.gates()[0]["waiting"] == 9)
         self.proxy.stop()
         ends = await asyncio.gather(*tasks)
         self.assertEqual({status for _, status, _ in ends} - {"200", "503"}, set())
@@ -278,12 +282,12 @@
     async def test_sighup_proposes_the_file_and_a_bad_one_is_not_taken(self) -> None:
         await self.stand(WATCH)
         self.own_file.write_text(WATCH + "[[routes]]\nname = 'r'\nattempts = 5\nsecond_copy = true\n")
-        self.proxy.tell_anew()
+        self.proxy.reload_configuration()
         await self.until(lambda: sum("not taken" in line for line in self.logged) >= 2)
         self.own_file.write_text(SLOW)
-        self.proxy.tell_anew()
-        await self.until(lambda: self.house.standing.version.number == 2)
-        self.assertEqual(self.house.standing.ledger.open.steps[0].who, "SIGHUP")
+        self.proxy.reload_configuration()
+        await self.until(lambda: self.house.active_configuration.version.number == 2)
+        self.assertEqual(self.house.active_configuration.ledger.open.steps[0].who, "SIGHUP")
         with self.assertRaises(ConfigurationError):
             await self.house.propose_text("a = ", "ops", "")
         with self.assertRaisesRegex(TransactionError, r"change 1 \(\w+\) of SIGHUP is applied"):
@@ -291,7 +295,7 @@
 
     async def test_a_change_that_waited_is_checked_anew_and_follows(self) -> None:
         await self.stand(WATCH.replace("least = 20", "least = 20\nwait = true"))
-        text = self.house.standing.version.read.text
+        text = self.house.active_configuration.version.read.text
         first = await self.house.propose_text(text + "[weights]\na = 2\n", "one", "")
         second = await self.house.propose_text(text + "[weights]\na = 3\n", "two", "")
         third = await self.house.propose_text(text + "[weights]\na = 3\n# the same\n", "three", "")
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -117,7 +117,7 @@
                     [one.split(" id ")[1].split()[0] for one in self.lines if " id " in one],
                 )
                 watcher = self.proxy._callers._disconnect_watcher
-                self.assertEqual((0, 0, True), (watcher.held, line.unread, line.transport.is_reading()))
+                self.assertEqual((0, 0, True), (watcher.held, line.unread_bytes, line.transport.is_reading()))
                 self.assertEqual({}, self.proxy._callers._disconnect_watcher._watched)
                 await self.asyncTearDown()
 
@@ -197,8 +197,8 @@
         line = next(iter(self.proxy._callers._callers)).line
         # Read ahead it may have been before its first byte went out; that is used, and nothing more comes.
         await self.until(lambda: not line.transport.is_reading() and not line.may_read_ahead)
-        self.assertLess(line.unread, disconnect_watcher.EACH)
-        self.assertLess(line.received, 12_000_000)
+        self.assertLess(line.unread_bytes, disconnect_watcher.EACH)
+        self.assertLess(line.bytes_received, 12_000_000)
         sending.cancel()
         stalled.set()
         at.close()
@@ -211,14 +211,14 @@
         await self.open("a1", own='[store]\nfolder = "HERE/store"\nwait = "1s"\n')
         await self.warm()
         at = self.dial()
-        sending = RequestStore.sending
+        sending = RequestStore.record_attempt
 
         async def ends_behind(*given: object) -> object:
             kept = await sending(*given)  # type: ignore[arg-type]
             at.close()
             return kept
 
-        with mock.patch.object(RequestStore, "sending", ends_behind):
+        with mock.patch.object(RequestStore, "record_attempt", ends_behind):
             at.sendall(self.request("book", 1))
             await self.until(lambda: self.proxy._counts.get("left"))
         self.assertEqual([], self.got(1))
--- a/tests/test_list_confirmation.py
+++ b/tests/test_list_confirmation.py
@@ -148,7 +148,7 @@
                 self.setUp()
                 self.confirmation.expect(Cause.TAKEN_OVER, TAKEN_OVER_TERM, self.now)
                 self.confirmation.end_by(due)
-                self.assertEqual(due, self.confirmation.binding_due_at)
+                self.assertEqual(due, self.confirmation.hard_deadline)
                 self.confirmation.reached()
                 self.now = max(self.now, due) + A_MOMENT
                 self.assertTrue(self.confirmation.expired)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
 from pepperusher.net.exchange import Attempt, Placed
 from pepperusher.net.buffers import Body, Pool
 from pepperusher.net.callers import LINGER_MOST, Call
-from pepperusher.net.connection import StreamConnection, adopt
+from pepperusher.net.connection import StreamConnection, wrap_socket
 from pepperusher.net.log import SAVED, Log
 from pepperusher.net.message import Answer, Request
 from pepperusher.net.proxy import READY
@@ -141,7 +141,7 @@
         for what in ("reads all", "is given up", "breaks"):
             far, near = socket.socketpair()
             near.setblocking(False)
-            line = await adopt(near)
+            line = await wrap_socket(near)
             said.append(f"{what}: at once {line.send(b'x' * 4_000_000)}")
             if what == "reads all":
                 reading = asyncio.get_running_loop().run_in_executor(None, far.makefile("rb").read, 4_000_000)
@@ -149,7 +149,7 @@
                 far.close()
             else:
                 asyncio.get_running_loop().call_soon(line.abort)
-            said.append(f"{what}: in the end {await line.sent()}")
+            said.append(f"{what}: in the end {await line.flush()}")
             if what == "reads all":
                 await reading
             line.abort()
@@ -185,7 +185,7 @@
         """Some never do; the patience is for the work. An answer 1xx ahead is not its beginning."""
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
         self.left = LONG_TIMEOUT_MS
-        self.proxy._backends._connect_within = 0.1
+        self.proxy._backends._connect_timeout = 0.1
         self.fake_backends["a1"].does = ["HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nbegun", "HTTP/1.1 200 O", "soon"]
         for number in range(3):
             await self.ask(f"pay {number}", self.request("pay", number))
@@ -283,7 +283,7 @@
         writer.close()
         await self.until(lambda: "closed" in self.lines[-1])
         _, writer = await self.connect()
-        with mock.patch("pepperusher.net.backends.reach", lambda _: asyncio.sleep(60)):  # comes up, but late
+        with mock.patch("pepperusher.net.backends.connect", lambda _: asyncio.sleep(60)):  # comes up, but late
             writer.write(self.request("look", 2))
             await self.until(lambda: self.proxy._facade.open_tickets)
             writer.close()
@@ -448,12 +448,12 @@
             sent = self.request("look", 1)
             at["dripping"][1].write(sent[:1])
             await self.ask("look 2", self.request("look", 2), at["asked once"])
-            await self.until(lambda: 1 in [one.line.received for one in callers._callers])
+            await self.until(lambda: 1 in [one.line.bytes_received for one in callers._callers])
             await self.until(lambda: len(callers._idle) == 2)
             for step in range(1, 6):  # a byte now and then, the last of them just before
                 now.return_value = began + step * 59_800
                 at["dripping"][1].write(sent[step : step + 1])
-                await self.until(lambda: step + 1 in [one.line.received for one in callers._callers])
+                await self.until(lambda: step + 1 in [one.line.bytes_received for one in callers._callers])
             for after, whose in ((300, ("silent", "dripping")), (600, ("asked once",))):
                 now.return_value = began + after * 1000 - 1000
                 callers.sweep(now.return_value)
@@ -474,7 +474,7 @@
             lambda: [
                 one
                 for one in callers
-                if one.waiting_since is not None and one.line.received == len(first) and not one.line.unread
+                if one.waiting_since is not None and one.line.bytes_received == len(first) and not one.line.unread_bytes
             ]
         )
         return made, next(iter(callers)).line
@@ -666,7 +666,7 @@
         await asyncio.wait_for(self.serving, 10)
         self.compare_trace("net_stop")
 
-    @mock.patch("pepperusher.net.proxy.LONGEST_GRACE", 4.0)
+    @mock.patch("pepperusher.net.proxy.MAX_GRACE_S", 4.0)
     async def test_a_stop_serves_on_till_the_last_are_given_up_and_answers_them(self) -> None:
         """SIGKILL comes by the longest wait that the settings know; what it finds unanswered is lost.
 
@@ -743,7 +743,7 @@
 
     async def test_a_watch_that_falls_silent_is_dead(self) -> None:
         """Its connection stays open as if all were well, and no drain would be heard of."""
-        with mock.patch("pepperusher.net.call_schedule.SILENT", 0.1):
+        with mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.1):
             await self.open("a1")
             await self.until(lambda: len(self.watches) == 2 and any("list confirmed" in line for line in self.logged))
         # Behind the mark stand figures: which call, and how old.
@@ -788,8 +788,8 @@
             sent = [bytes([n % 7 for n in range(size)]) for size in sizes]
             for data in sent:
                 body.add(data)
-            said = f"{len(body._buffers)} buffers, whole {body.whole() == b''.join(sent)}, full {body.full}"
-            body.give_back()
+            said = f"{len(body._buffers)} buffers, whole {body.contents() == b''.join(sent)}, full {body.full}"
+            body.release()
             self.lines.append(f"{sizes}: {said}, spare {len(pool._spare)}")
         self.compare_trace("net_bodies")
 
--- a/tests/test_no_request_lost.py
+++ b/tests/test_no_request_lost.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-from pepperusher.net.buffers import HELD
+from pepperusher.net.buffers import MAX_HELD_BODY_BYTES
 
 from tests.scene import SETTINGS, ProxyTestCase
 
@@ -86,14 +86,14 @@
             return False
 
         self.fake_backends["a1"].answer = early
-        body = "x" * 4 * HELD
+        body = "x" * 4 * MAX_HELD_BODY_BYTES
         sent = self.request("book", 1, body, left=1000)
         reader, writer = await self.connect()
-        writer.write(sent[:-HELD])
+        writer.write(sent[:-MAX_HELD_BODY_BYTES])
         await asyncio.sleep(1.1)  # past its time, which begins with its last byte
         half.set()
         await asyncio.sleep(0.1)  # the answer's head waits at the proxy; were it late, it would come behind the body
-        writer.write(sent[-HELD:])
+        writer.write(sent[-MAX_HELD_BODY_BYTES:])
         await asyncio.sleep(0.1)  # and is read with the body's next part; were it not, the answer is whole all the same
         rest.set()
         async with asyncio.timeout(10):
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -7,7 +7,7 @@
 import time
 from unittest import mock
 
-from pepperusher.net.backends import Door, Link
+from pepperusher.net.backends import BackendConnections, BackendConnection
 from tests.reconfiguration_scene import ReconfigurationScene
 from tests.scene import ProxyTestCase
 
@@ -65,7 +65,7 @@
         await self.open("a1", "b1")
         connect = self.proxy._backends._connect
 
-        async def stands(*given: object) -> Link | str:
+        async def stands(*given: object) -> BackendConnection | str:
             made = await connect(*given)  # type: ignore[arg-type]
             self.endpoint_update(2, self.line("a1", "draining"))
             time.sleep(PAUSE)
@@ -103,7 +103,7 @@
         latest = self.proxy._backends._latest
         chosen: list[str] = []
 
-        def stands(door: Door) -> Link | None:
+        def stands(door: BackendConnections) -> BackendConnection | None:
             if not chosen:
                 chosen.append(next(name for name, one in self.proxy._backends._doors.items() if one is door))
                 self.endpoint_update(2, self.line(chosen[0], "draining"))
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -10,13 +10,13 @@
 from pepperusher.distribution.relay import Relay
 from pepperusher.distribution.messages import Version
 from pepperusher.net import clock
-from pepperusher.net.endpoint_update import EndpointUpdate, endpoint_update_of
+from pepperusher.net.endpoint_update import EndpointUpdate, parse_endpoint_update
 from tests.scene import ProxyTestCase
 
 
 class RelayedList(ProxyTestCase):
     def update(self, version: int, *servers: dict[str, object]) -> EndpointUpdate:
-        return endpoint_update_of({"version": version, "full": True, "servers": list(servers)})
+        return parse_endpoint_update({"version": version, "full": True, "servers": list(servers)})
 
     def listed(self) -> str:
         ready = [str(row["id"]) for row in self.proxy.facade.backends() if row["ready"]]
@@ -26,18 +26,18 @@
         await self.open("a1", "b1")
         discovery = self.proxy.discovery
         await self.until(lambda: discovery.watched)
-        discovery.rest()
+        discovery.suspend_calls()
         self.assertFalse(discovery.watched)
         # The watch ends, and no other goes out; nobody counts it as lost.
         self.assertEqual(b"", await asyncio.wait_for(self.heard[0].read(), 5.0))
-        discovery.relayed(self.update(7, self.line("a1"), self.line("b1", "draining")), clock.now())
+        discovery.take_relayed_list(self.update(7, self.line("a1"), self.line("b1", "draining")), clock.now())
         await asyncio.sleep(1.5)
         self.assertEqual(
             (1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.listed(), discovery.version)
         )
         self.assertFalse([line for line in self.logged if "watch ended" in line])
         self.assertFalse(self.proxy.facade._balancer._list_lost)
-        discovery.ask()
+        discovery.resume_calls()
         await self.until(lambda: len(self.watches) == 2)
         self.assertIn("after=7", [line for line in self.lines if "discovery gets" in line][-1])
 
@@ -45,9 +45,9 @@
         """Nobody is asked who could confirm the list: each request would be logged as sent by one past its term."""
         await self.open("a1")
         discovery = self.proxy.discovery
-        discovery.rest()
+        discovery.suspend_calls()
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.1):
-            self.proxy.tell_anew()
+            self.proxy.reload_configuration()
         await asyncio.sleep(0.2)
         self.assertEqual((False, False), (discovery.confirmation.overdue, discovery.confirmation.expired))
         self.assertFalse([line for line in self.logged if "unconfirmed" in line])
@@ -57,19 +57,19 @@
         await self.open("a1")
         discovery = self.proxy.discovery
         await self.until(lambda: discovery.watched)
-        discovery.rest()
+        discovery.suspend_calls()
         await asyncio.sleep(0.1)
-        discovery.ask()
-        discovery.rest()
+        discovery.resume_calls()
+        discovery.suspend_calls()
         await asyncio.sleep(0.5)
         self.assertEqual((1, 1, False), (len(self.watches), discovery.metrics.calls, discovery.watched))
-        discovery.ask()
+        discovery.resume_calls()
         await self.until(lambda: discovery.watched)
 
     async def test_what_is_the_same_is_told_to_nobody(self) -> None:
         await self.open("a1", "b1", "c1")
         discovery = self.proxy.discovery
-        discovery.rest()
+        discovery.suspend_calls()
         told: list[tuple[list[str], bool]] = []
         listed = self.proxy._facade.update_endpoints
         self.proxy._facade.update_endpoints = lambda entries, whole, now: (  # type: ignore[method-assign]
@@ -77,16 +77,16 @@
             listed(entries, whole, now),
         )
         lines = [self.line("a1"), self.line("b1", "draining"), self.line("c1")]
-        discovery.relayed(self.update(2, *lines), clock.now())
-        discovery.relayed(self.update(3, *lines), clock.now())
-        discovery.relayed(self.update(4, *lines[:2]), clock.now())
+        discovery.take_relayed_list(self.update(2, *lines), clock.now())
+        discovery.take_relayed_list(self.update(3, *lines), clock.now())
+        discovery.take_relayed_list(self.update(4, *lines[:2]), clock.now())
         self.assertEqual([(["b1"], False), (["c1 gone"], False)], told)
         self.assertEqual(("a1", 4), (self.listed(), discovery.version))
-        made = discovery.listed()
+        made = discovery.own_list()
         assert made is not None
         self.assertEqual(["a1", "b1"], [one["id"] for one in made["servers"]])
         # In discovery's own form, as it is handed on.
-        self.assertEqual(self.update(4, *lines[:2]), endpoint_update_of(json.loads(json.dumps(made))))
+        self.assertEqual(self.update(4, *lines[:2]), parse_endpoint_update(json.loads(json.dumps(made))))
 
     async def test_a_word_that_was_on_its_way_lowers_nothing(self) -> None:
         """Asked after 1, told 5 by another, and then discovery's answer of before that is read."""
@@ -97,7 +97,7 @@
         await self.until(lambda: discovery.version == 2)
         self.watches[-1].close()
         await self.until(lambda: len(self.watches) == 2)
-        discovery.relayed(self.update(5, self.line("a1"), self.line("b1", "draining")), clock.now())
+        discovery.take_relayed_list(self.update(5, self.line("a1"), self.line("b1", "draining")), clock.now())
         await self.until(lambda: discovery.watched)
         self.endpoint_update(3, self.line("b1"))
         for _ in range(20):
@@ -117,8 +117,8 @@
         self.server.close()
         self.watches[-1].close()
         await self.until(lambda: self.proxy.facade._balancer._list_lost)
-        discovery.rest()
-        discovery.relayed(self.update(1, self.line("a1")), clock.now())
+        discovery.suspend_calls()
+        discovery.take_relayed_list(self.update(1, self.line("a1")), clock.now())
         self.assertFalse(self.proxy.facade._balancer._list_lost)
 
 
@@ -139,7 +139,7 @@
 
         relay = Relay(("127.0.0.1", 1), "east/web", write, word, lambda what, **figures: None, 1)
         servers = [{"id": "a1", "addr": "127.0.0.1:5", "state": "ready"}]
-        relay._discovery.take(endpoint_update_of({"version": 7, "full": True, "servers": servers}))
+        relay._discovery.apply_update(parse_endpoint_update({"version": 7, "full": True, "servers": servers}))
         relay._spoke()
         await asyncio.sleep(0.01)
         self.assertEqual((1, [Version(1, 1)]), (len(written), words))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -17,12 +17,12 @@
 
 import pytest
 
-from pepperusher.net.buffers import HELD
+from pepperusher.net.buffers import MAX_HELD_BODY_BYTES
 
 from tests.scene import SETTINGS, LONG_TIMEOUT_SETTINGS, ProxyTestCase, own_address
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
-LONG = 3 * HELD
+LONG = 3 * MAX_HELD_BODY_BYTES
 PIECE = 16 * 1024
 
 
@@ -171,7 +171,7 @@
 
         async def breaks(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await head_of(reader)
-            await reader.readexactly(HELD + 2 * PIECE)
+            await reader.readexactly(MAX_HELD_BODY_BYTES + 2 * PIECE)
             self.lines.append("    a backend breaks off")
             writer.transport.abort()
 
@@ -274,7 +274,7 @@
                 await asyncio.sleep(0.1)
 
         await self.stand(LONG_TIMEOUT_SETTINGS, a1=drips)
-        self.proxy._backends._connect_within = 10.0  # it is not silent, however late it runs
+        self.proxy._backends._connect_timeout = 10.0  # it is not silent, however late it runs
         reader, writer = await self.connect()
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -326,7 +326,7 @@
         most = 0
         held = [await self.connect() for _ in range(10)]
         for number, at in enumerate(held):
-            at[1].write(self.long(number, HELD, left=60_000) + bytes(HELD - 1))
+            at[1].write(self.long(number, MAX_HELD_BODY_BYTES, left=60_000) + bytes(MAX_HELD_BODY_BYTES - 1))
         for _ in range(50):
             await asyncio.sleep(0.01)
             most = max(most, pool._lent)
