--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.capacity.decisions import NOW, quiet
-from pepperusher.capacity.stage import SECOND
+from pepperusher.capacity.fixtures import SECOND
 from pepperusher.facade import SEND, Facade
 from pepperusher.settings import read_settings
 from pepperusher.net.endpoint_update import endpoint_update_of
@@ -56,11 +56,11 @@
         self._spoke_to = [""] * depth
         self._facades = []
         for level in range(depth):
-            told = stage.settings(BACKENDS * 4, promised=promised, most=most)
+            told = fixtures.settings(BACKENDS * 4, promised=promised, most=most)
             told["tiers"] = [f"tier-{number}" for number in range(depth)]
             told["stage"] = level
             facade = Facade(read_settings(told, seed + level), NOW, quiet)
-            facade.update_endpoints(endpoint_update_of(stage.listing(BACKENDS)).entries, True, NOW)
+            facade.update_endpoints(endpoint_update_of(fixtures.listing(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
     def call(self, level: int = 0, until: int | None = None) -> bool:
--- a/pepperusher/capacity/storms.py
+++ b/pepperusher/capacity/call_storms.py
@@ -10,9 +10,9 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.capacity.decisions import NOW, quiet
-from pepperusher.capacity.stage import SECOND
+from pepperusher.capacity.fixtures import SECOND
 from pepperusher.facade import Facade
 
 # A call takes so long at discovery, and so many wait; an answer is so long under way.
@@ -34,7 +34,7 @@
     once.
     """
     chance = Random(seed)
-    facades = [Facade(stage.ground_of(1_000, seed * 10_007 + number), NOW, quiet) for number in range(proxies)]
+    facades = [Facade(fixtures.ground_of(1_000, seed * 10_007 + number), NOW, quiet) for number in range(proxies)]
     opens = NOW + AWAY if back else NOW
     due: list[tuple[int, int]] = []  # when, and whose turn to ask it is
     for number, facade in enumerate(facades):
--- a/pepperusher/capacity/told_play.py
+++ b/pepperusher/capacity/configuration_run.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from pepperusher.capacity.control_play import KEY, NAME, WITHIN, Fleet, body_of
+from pepperusher.capacity.control_run import KEY, NAME, WITHIN, Fleet, body_of
 from pepperusher.capacity.control_state import name_of
 from pepperusher.capacity.processes import Proxied, ProcessError, proxy, standins
 from pepperusher.distribution import operator_client
--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_run.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.capacity.processes import HOST, PAGE, ProcessError, free_port
 from pepperusher.distribution import resource_cache, operator_client, wire
 from pepperusher.distribution.client import Client
@@ -50,7 +50,7 @@
 
 def body_of(routes: int, most: int = 20) -> bytes:
     """A configuration to be shared; another `most` makes it another, by one route."""
-    text = stage.routes(routes)
+    text = fixtures.routes(routes)
     head, _, last = text.rpartition("most = ")
     return f"{head}most = {most + 100}{last[last.index(',') :]}".encode()
 
@@ -224,7 +224,7 @@
             name = NAME if number < self.some else OTHER
             one = Beating(
                 self.upstreams, [(CONFIG, name)], lambda _: None, key=KEY.encode(),
-                name=f"proxy-{number:05d}", region="r0", zone=stage.ZONES[number % len(stage.ZONES)],
+                name=f"proxy-{number:05d}", region="r0", zone=fixtures.ZONES[number % len(fixtures.ZONES)],
                 seed=self._seed * 1_000_003 + number, keep=keep, local=LOCAL,
             )  # fmt: skip
             self.clients.append(one)
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from random import Random
 
-from pepperusher.capacity import stage
-from pepperusher.capacity.control_play import NAME, ROUTES, body_of, framed
+from pepperusher.capacity import fixtures
+from pepperusher.capacity.control_run import NAME, ROUTES, body_of, framed
 from pepperusher.capacity.decisions import NOW, held_by
 from pepperusher.distribution import wire
 from pepperusher.distribution.link import Link
@@ -30,7 +30,7 @@
 
 def hello(number: int, names: list[Key], have: list[Resource] | None = None) -> Hello:
     """As it comes off the wire: nothing in it is shared with another's."""
-    zone = stage.ZONES[number % len(stage.ZONES)]
+    zone = fixtures.ZONES[number % len(fixtures.ZONES)]
     said = Hello(
         PROXY, name_of(number), Random(number).getrandbits(62), zone[:2], zone, True, names, [], []
     )  # fmt: skip
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -13,8 +13,8 @@
 from time import process_time
 from typing import Any
 
-from pepperusher.capacity import stage
-from pepperusher.capacity.stage import SECOND
+from pepperusher.capacity import fixtures
+from pepperusher.capacity.fixtures import SECOND
 from pepperusher.changes.active_configuration import ActiveConfiguration
 from pepperusher.facade import SEND, Facade
 from pepperusher.settings import read_settings
@@ -72,14 +72,14 @@
 
 
 def facade_with(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
-    facade = Facade(stage.ground_of(group, seed, ordinal, zones=zones), NOW, quiet)
-    facade.update_endpoints(endpoint_update_of(stage.listing(size, zones)).entries, True, NOW)
+    facade = Facade(fixtures.ground_of(group, seed, ordinal, zones=zones), NOW, quiet)
+    facade.update_endpoints(endpoint_update_of(fixtures.listing(size, zones)).entries, True, NOW)
     return facade
 
 
 def watch_of(group: int, seed: int, zones: list[str] | None = None) -> Discovery:
     """The watch on the list with all behind it but the sockets."""
-    facade = Facade(stage.ground_of(group, seed, zones=zones), NOW, quiet)
+    facade = Facade(fixtures.ground_of(group, seed, zones=zones), NOW, quiet)
     backends = Backends(Budget(1024), Pool(16, 1 << 20), SECOND, 60 * SECOND)
     return Discovery(("127.0.0.1", 1), facade, backends, QuietLog("measured"))
 
@@ -114,17 +114,17 @@
 
 
 def list_bytes(size: int, _: int) -> float:
-    return float(len(stage.text_of(stage.listing(size, stage.ZONES))))
+    return float(len(fixtures.text_of(fixtures.listing(size, fixtures.ZONES))))
 
 
 def list_parse(size: int, _: int) -> float:
-    text = stage.text_of(stage.listing(size, stage.ZONES))
+    text = fixtures.text_of(fixtures.listing(size, fixtures.ZONES))
     return cost(lambda: endpoint_update_of(json.loads(text.decode())) and None)
 
 
 def list_take(size: int, seed: int, enough: int = ENOUGH) -> float:
     """By a watch that has none yet: the same list once more takes under half of that."""
-    update = endpoint_update_of(stage.listing(size))
+    update = endpoint_update_of(fixtures.listing(size))
     turns, spent = 0, 0.0
     while spent < enough:
         watch = watch_of(GROUP, seed)  # not timed, nor is the end of the one before
@@ -140,8 +140,8 @@
     in.
     """
     watch = watch_of(GROUP, seed)
-    watch.take(endpoint_update_of(stage.listing(size)))
-    texts = [stage.text_of(stage.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
+    watch.take(endpoint_update_of(fixtures.listing(size)))
+    texts = [fixtures.text_of(fixtures.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
 
     def both() -> None:
         for text in texts:
@@ -153,7 +153,7 @@
 def list_memory(size: int, seed: int) -> float:
     def makes() -> object:
         watch = watch_of(GROUP, seed)
-        watch.take(endpoint_update_of(json.loads(stage.text_of(stage.listing(size)))))
+        watch.take(endpoint_update_of(json.loads(fixtures.text_of(fixtures.listing(size)))))
         return watch
 
     return held_by(makes)
@@ -164,8 +164,8 @@
 
 def near_of(backends: int, callers: int, ordinal: int, zones: list[str] | None) -> list[str]:
     """The backends that the proxy at that place sends to as a rule."""
-    balancer = Balancer(stage.ground_of(callers, 0, ordinal, zones=zones), NOW, quiet)
-    told = endpoint_update_of(stage.listing(backends, zones))
+    balancer = Balancer(fixtures.ground_of(callers, 0, ordinal, zones=zones), NOW, quiet)
+    told = endpoint_update_of(fixtures.listing(backends, zones))
     balancer.update_endpoints(
         [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
     )
@@ -208,18 +208,18 @@
 
 
 def config_bytes(routes: int, _: int) -> float:
-    return float(len(stage.own_file(routes).encode()))
+    return float(len(fixtures.own_file(routes).encode()))
 
 
 def config_check(routes: int, seed: int) -> float:
-    text, told = stage.own_file(routes), stage.ground_of(GROUP, seed)
+    text, told = fixtures.own_file(routes), fixtures.ground_of(GROUP, seed)
     return cost(lambda: loader.parse(text, policy_settings=told) and None)
 
 
 def config_take(routes: int, seed: int) -> float:
     """From a file that was checked to the version in force, one way and back."""
-    told = stage.ground_of(GROUP, seed)
-    first, other = (loader.parse(stage.own_file(routes, least), policy_settings=told) for least in (30, 31))
+    told = fixtures.ground_of(GROUP, seed)
+    first, other = (loader.parse(fixtures.own_file(routes, least), policy_settings=told) for least in (30, 31))
     standing = ActiveConfiguration(first, NOW, lambda _: None, lambda *_, **__: None)
     reads = [other, first]
     now = NOW
@@ -236,5 +236,5 @@
 def settings_take(use_cases: int, seed: int) -> float:
     """Other settings, in force for a list of 1,000."""
     facade = facade_with(1000, GROUP, seed)
-    told = stage.settings(GROUP, use_cases=use_cases)
+    told = fixtures.settings(GROUP, use_cases=use_cases)
     return cost(lambda: facade.reconfigure(read_settings(told, seed), NOW))
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -15,8 +15,8 @@
 from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import Wire
 from pepperusher.group.messages import SENT_AWAY, SERVING, Broadcast, MemberRecord
-from pepperusher.rehearsal.groupfigures import introduced
-from pepperusher.rehearsal.groupmodel import SECOND, Model
+from pepperusher.rehearsal.group_figures import introduced
+from pepperusher.rehearsal.group_model import SECOND, Model
 
 # As the own file has them where it says nothing.
 PERIOD, WITHIN = 500_000, 150_000
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.rehearsal.worker import environment, with_parent
 
 READY_WITHIN = 30.0
@@ -120,8 +120,8 @@
             "discovery": f"127.0.0.1:{discovery}",
             "seed": "5eed",
             "limits": {"sockets": SOCKETS, "memory_mb": 512},
-            "known": stage.listing(listed, zones, address),
-            "settings": stage.settings(group, zones=zones, promised=PROMISED, most=most),
+            "known": fixtures.listing(listed, zones, address),
+            "settings": fixtures.settings(group, zones=zones, promised=PROMISED, most=most),
         }
         (folder / "proxy.json").write_text(json.dumps(told))
         words = ["--config", str(folder / "proxy.json")]
@@ -242,7 +242,7 @@
         ones = [held.enter_context(proxy(24, own=CONTROLLED)) for _ in range(proxies)]
         until(lambda: all(one.control.exists() for one in ones))
         for one in ones:
-            text = CONTROLLED.replace("HERE", str(one.folder)) + stage.routes(20)
+            text = CONTROLLED.replace("HERE", str(one.folder)) + fixtures.routes(20)
             (one.folder / "change.toml").write_text(text)
         before = resource.getrusage(resource.RUSAGE_CHILDREN)  # of those that ended: the proxies have not
         for one in ones:
--- a/pepperusher/capacity/scenes.py
+++ b/pepperusher/capacity/scenes.py
@@ -12,7 +12,7 @@
 
 import click
 
-from pepperusher.rehearsal import hollow_fidelity, hollow_group_fidelity, hollow_group_scenes, hollow_scenes
+from pepperusher.rehearsal import hollow_fidelity, hollow_group_fidelity, hollow_group_scenarios, hollow_scenarios
 from pepperusher.rehearsal.worker import WorkerError
 
 
@@ -87,11 +87,11 @@
     """Play scenes at scale with hollow proxies: all where none is named; `before` has discovery alone,
     `group` a group of members without control machines, `group-join` its joining, a loss and a ban alone."""
     apart = "before", "group", "group-join"
-    unknown = [name for name in names if name not in (*hollow_scenes.SCENES, *apart)]
+    unknown = [name for name in names if name not in (*hollow_scenarios.SCENES, *apart)]
     if unknown:
-        raise click.ClickException(f"{unknown[0]!r} is none of {', '.join((*hollow_scenes.SCENES, *apart))}")
-    if set(names) & {"group", "group-join"} and size > hollow_group_scenes.LARGEST:
-        raise click.ClickException(f"a group ends at {hollow_group_scenes.LARGEST}")
+        raise click.ClickException(f"{unknown[0]!r} is none of {', '.join((*hollow_scenarios.SCENES, *apart))}")
+    if set(names) & {"group", "group-join"} and size > hollow_group_scenarios.LARGEST:
+        raise click.ClickException(f"a group ends at {hollow_group_scenarios.LARGEST}")
 
     ended: list[dict[str, Any]] = []
 
@@ -108,15 +108,15 @@
     async def run(work: Path) -> dict[str, Any]:
         made: list[dict[str, Any]] = []
         if "before" in names:
-            made += await hollow_scenes.before(size, seed, work, _say, each)
+            made += await hollow_scenarios.before(size, seed, work, _say, each)
         if "group" in names:
-            made += await hollow_group_scenes.played(size, seed, quick, work, _say, each)
+            made += await hollow_group_scenarios.played(size, seed, quick, work, _say, each)
         if "group-join" in names:
-            short = hollow_group_scenes.SHORT
-            made += await hollow_group_scenes.played(size, seed, quick, work, _say, each, steps=short)
+            short = hollow_group_scenarios.SHORT
+            made += await hollow_group_scenarios.played(size, seed, quick, work, _say, each, steps=short)
         if not names or set(names) - set(apart):
-            mine = [name for name in names if name not in apart] or list(hollow_scenes.SCENES)
-            made += await hollow_scenes.played(mine, size, controls, seed, quick, work, _say, each)
+            mine = [name for name in names if name not in apart] or list(hollow_scenarios.SCENES)
+            made += await hollow_scenarios.played(mine, size, controls, seed, quick, work, _say, each)
         return {"verdict": "passed" if all(one["verdict"] == "passed" for one in made) else "failed"}
 
     try:
--- a/pepperusher/capacity/slope_commands.py
+++ b/pepperusher/capacity/slope_commands.py
@@ -15,7 +15,7 @@
 from pepperusher.capacity import latency, page, slopes as measurements
 from pepperusher.capacity.fit import LEAST_SIZES
 from pepperusher.capacity.measures import Book, Measured, merged, only, taken
-from pepperusher.capacity.pace import reference
+from pepperusher.capacity.reference_speed import reference
 from pepperusher.capacity.processes import ProcessError
 from pepperusher.capacity.projection import Projection
 
--- a/pepperusher/capacity/slopes.py
+++ b/pepperusher/capacity/slopes.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Iterator
 
-from pepperusher.capacity import attempts, control_play, control_state, decisions, latency, membership
-from pepperusher.capacity import processes, storms, told_play, watching
+from pepperusher.capacity import attempts, control_run, control_state, decisions, latency, membership
+from pepperusher.capacity import processes, call_storms, configuration_run, watch_costs
 from pepperusher.capacity.measures import CLOCKED, COUNTED, TIMED, Measure, Single
 from pepperusher.capacity.processes import ProcessError
-from pepperusher.capacity.stage import ZONES
+from pepperusher.capacity.fixtures import ZONES
 
 BESIDE, FRONT, CONTROL, DISCOVERY, BACKEND, OPERATOR = (
     "proxy beside a backend",
@@ -160,7 +160,7 @@
             COUNTED,
             LISTS,
             LIST_MOST,
-            storms.played(figure, back),
+            call_storms.played(figure, back),
         )
     yield Measure(
         "discovery.change_bytes",
@@ -171,7 +171,7 @@
         COUNTED,
         (10, 20, 30, 40, 50),
         100,
-        watching.played("change_bytes"),
+        watch_costs.played("change_bytes"),
     )
 
 
@@ -336,7 +336,7 @@
     yield Measure(
         "control.state.resource",
         CONTROL,
-        f"what it holds, nobody connected, {control_play.ROUTES} routes each",
+        f"what it holds, nobody connected, {control_run.ROUTES} routes each",
         "resource",
         "bytes",
         COUNTED,
@@ -376,7 +376,7 @@
             COUNTED,
             (500, 1000, 1500, 2000, 2500),
             5000,
-            told_play.fullest(lost),
+            configuration_run.fullest(lost),
         )
 
 
@@ -395,7 +395,7 @@
             TIMED,
             (5, 10, 20, 40, 60, 100),
             200,
-            told_play.whole(name),
+            configuration_run.whole(name),
             PLAYS,
             # At rest each route that was used looks through all for its own (`changes/active_configuration.py` sweep).
             "n + n squared / 84" if name == "rest_cpu" else "",
@@ -427,7 +427,7 @@
                 worth,
                 FLEETS,
                 FLEET_MOST,
-                control_play.by_proxies(f"{occasion}.{name}"),
+                control_run.by_proxies(f"{occasion}.{name}"),
             )
         for name, what, unit, worth in (
             ("out_bytes", "bytes out", "bytes", COUNTED), ("in_bytes", "bytes in", "bytes", COUNTED),
@@ -444,7 +444,7 @@
                 worth,
                 FLEETS,
                 FLEET_MOST,
-                control_play.by_proxies(f"{occasion}.client_{name}"),
+                control_run.by_proxies(f"{occasion}.client_{name}"),
             )
     yield Measure(
         "control.memory",
@@ -455,7 +455,7 @@
         TIMED,
         FLEETS,
         FLEET_MOST,
-        control_play.by_proxies("memory"),
+        control_run.by_proxies("memory"),
     )
     yield Measure(
         "control.descriptors",
@@ -466,7 +466,7 @@
         COUNTED,
         FLEETS,
         FLEET_MOST,
-        control_play.by_proxies("descriptors"),
+        control_run.by_proxies("descriptors"),
     )
     yield Measure(
         "operator.publish",
@@ -477,7 +477,7 @@
         TIMED,
         FLEETS,
         FLEET_MOST,
-        control_play.by_proxies("publish.cpu"),
+        control_run.by_proxies("publish.cpu"),
     )
     for name, what, unit in (
         ("out_messages", "messages out", "messages"), ("out_bytes", "bytes out", "bytes"),
@@ -491,7 +491,7 @@
             COUNTED,
             (10, 20, 30, 40, 50),
             80,
-            control_play.by_takers(f"change.{name}"),
+            control_run.by_takers(f"change.{name}"),
         )
     for occasion, said, unit in (
         ("rest", "at rest, a second", "bytes/s"), ("change", "one change", "bytes"),
@@ -505,7 +505,7 @@
             COUNTED,
             (2, 3, 4, 5, 6),
             9,
-            control_play.by_machines(f"{occasion}.origin_out_bytes"),
+            control_run.by_machines(f"{occasion}.origin_out_bytes"),
         )
 
 
--- a/pepperusher/capacity/standins.py
+++ b/pepperusher/capacity/standins.py
@@ -12,7 +12,7 @@
 import sys
 from typing import Any
 
-from pepperusher.capacity.watching import StandIn
+from pepperusher.capacity.watch_costs import StandIn
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n"
 FAILED = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"
--- a/pepperusher/rehearsal/weather.py
+++ b/pepperusher/rehearsal/active_faults.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.troubles import Strike
+from pepperusher.rehearsal.fault_schedule import Strike
 
 GOOD, ERROR, RESET, GARBLE, LOST, HALF = "good", "error", "reset", "garble", "lost", "half-answer"
 # Which of several at once an answer comes to, worst last.
--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -10,13 +10,13 @@
 
 import h11
 
-from pepperusher.rehearsal import weather as weathers
+from pepperusher.rehearsal import active_faults as weathers
 from pepperusher.rehearsal.caller import Asked, Client, Reply
 from pepperusher.rehearsal.engine import FULL, RUNS, Engine, Job, Memory, parts_of
-from pepperusher.rehearsal.fleetplan import Place
+from pepperusher.rehearsal.fleet_plan import Place
 from pepperusher.rehearsal.records import DONE, LEFT, Sent, Stood, Try, Writer
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.weather import Weather
+from pepperusher.rehearsal.active_faults import Weather
 from pepperusher.rehearsal.wire import READ, Broken, Message, Peer, Start, answer_body, clock, since
 
 BACKLOG = 512
--- a/pepperusher/rehearsal/coldsum.py
+++ b/pepperusher/rehearsal/cold_backend_sum.py
@@ -18,7 +18,7 @@
 
 from pepperusher import terms
 from pepperusher.policy import Balancer
-from pepperusher.rehearsal.books import Records
+from pepperusher.rehearsal.rule_checker import Records
 from pepperusher.rehearsal.script import Script
 from pepperusher.terms import AGAIN, DONE, FULL, TIMED_OUT, UNREACHED, Backend, PolicySettings, Listing, Ticket, UseCase
 
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -10,8 +10,8 @@
 
 import click
 
-from pepperusher.rehearsal import results, script as scripts, spoken
-from pepperusher.rehearsal.director import PlayError, rehearse as play
+from pepperusher.rehearsal import results, script as scripts, text_report
+from pepperusher.rehearsal.run_controller import PlayError, rehearse as play
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import ScriptError
 from pepperusher.durations import span as span_of
@@ -94,7 +94,7 @@
             result = play(script, build.resolve() if build else None, work, played)
         if out is not None:
             results.write(out, result)
-        click.echo(spoken.summary(result))
+        click.echo(text_report.summary(result))
         if report is not None:
             from pepperusher.rehearsal import page
 
@@ -122,15 +122,15 @@
 
     Only addresses of this machine's loopback are asked.
     """
-    from pepperusher.rehearsal import solo
+    from pepperusher.rehearsal import standalone
 
     with one_line():
         script = _script(file, seed, span)
         with progress(script.title, script.span) as played:
-            result = solo.load(script, [solo.loopback(one) for one in targets], played)
+            result = standalone.load(script, [standalone.loopback(one) for one in targets], played)
         if out is not None:
             results.write(out, result)
-        click.echo(spoken.load_summary(result))
+        click.echo(text_report.load_summary(result))
 
 
 @click.command()
@@ -142,10 +142,10 @@
 
     Prints the addresses of proxies, backends and discovery.
     """
-    from pepperusher.rehearsal import solo
+    from pepperusher.rehearsal import standalone
 
     with one_line():
-        solo.emulate(_script(file, seed, None), proxies, click.echo)
+        standalone.emulate(_script(file, seed, None), proxies, click.echo)
 
 
 @click.command()
@@ -184,7 +184,7 @@
     with one_line():
         read: list[Result] = [results.read(file) for file in files]
         for result in read:
-            click.echo(spoken.summary(result))
+            click.echo(text_report.summary(result))
         if html is not None:
             from pepperusher.rehearsal import page
 
@@ -197,15 +197,15 @@
 @click.option("--plays", default=5, show_default=True, help="Plays of each, by seed; of groups over 100 one.")
 def group_figures(sizes: str, plays: int) -> None:
     """Measure a group of proxies in virtual time: detection, news, wrong suspicions, and what it costs."""
-    from pepperusher.rehearsal import groupfigures
+    from pepperusher.rehearsal import group_figures
 
     if not all(one.isdecimal() and 2 <= int(one) <= 2000 for one in sizes.split(",")) or plays < 1:
         raise click.ClickException("--sizes are whole numbers from 2 to 2000, and --plays is 1 or more")
     with one_line():
         made = list(
-            groupfigures.rows([int(one) for one in sizes.split(",")], plays, lambda line: click.echo(line, err=True))
+            group_figures.rows([int(one) for one in sizes.split(",")], plays, lambda line: click.echo(line, err=True))
         )
-        click.echo(groupfigures.table(made))
+        click.echo(group_figures.table(made))
 
 
 @click.command("askers")
@@ -240,7 +240,7 @@
     """Measure a crowd of proxies at one discovery: how late they hear of a change after it is back, and the calls it took."""
     import json
 
-    from pepperusher.rehearsal import askers as crowds
+    from pepperusher.rehearsal import discovery_clients as crowds
 
     wanted = scenes.split(",")
     if strange := [one for one in wanted if one not in (*crowds.TROUBLES, *crowds.STARTS)]:
@@ -293,18 +293,18 @@
 
     Ends with 1 if a window was over it.
     """
-    from pepperusher.rehearsal import coldsum
+    from pepperusher.rehearsal import cold_backend_sum
 
-    names = [one.name for one in coldsum.DEPLOYMENTS]
+    names = [one.name for one in cold_backend_sum.DEPLOYMENTS]
     if unknown := [one for one in deployments if one not in names]:
         raise click.ClickException(f"--deployment {unknown[0]} is none of {', '.join(names)}")
     if not 2 <= proxies <= 1000 or seeds < 1:
         raise click.ClickException("--proxies are 2 to 1000, and --seeds is 1 or more")
     with one_line():
         kept = True
-        click.echo(coldsum.HEAD)
-        for row in coldsum.rows(proxies, range(seeds), deployments or names):
-            click.echo(coldsum.line(*row))
+        click.echo(cold_backend_sum.HEAD)
+        for row in cold_backend_sum.rows(proxies, range(seeds), deployments or names):
+            click.echo(cold_backend_sum.line(*row))
             kept = kept and not row[2].over
     if not kept:
         sys.exit(RULE_BROKEN)
--- a/pepperusher/rehearsal/askers.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -2,7 +2,7 @@
 that takes, and how soon new processes are ready.
 
 Hollow askers are the proxy's own Discovery, Facade and Backends with no tickets, all in one process; the
-discovery that they ask is `turns.Turns`. Times are those of `steady`, and real where there are whole
+discovery that they ask is `queued_discovery.Turns`. Times are those of `steady_loop`, and real where there are whole
 processes. What an asker has is in force once the decisions were told of it."""
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from pepperusher.net.buffers import Pool
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.log import Log
-from pepperusher.rehearsal.steady import SteadyLoop
-from pepperusher.rehearsal.turns import KEEPING, REFUSING, SILENT, Turns
+from pepperusher.rehearsal.steady_loop import SteadyLoop
+from pepperusher.rehearsal.queued_discovery import KEEPING, REFUSING, SILENT, Turns
 
 Made = TypeVar("Made")
 BACKENDS = 20
--- a/pepperusher/rehearsal/listing.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -11,10 +11,10 @@
 import h11
 import msgspec
 
-from pepperusher.rehearsal.fleetplan import FleetPlan, Gate
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
 from pepperusher.rehearsal.records import Told, Writer
-from pepperusher.rehearsal.roster import Roster
-from pepperusher.rehearsal.troubles import Timeline
+from pepperusher.rehearsal.endpoint_history import Roster
+from pepperusher.rehearsal.fault_schedule import Timeline
 from pepperusher.rehearsal.wire import Broken, Peer, Start, clock
 
 EMPTY_EVERY = 2_000_000
--- a/pepperusher/rehearsal/deemed.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -9,11 +9,11 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
-from pepperusher.rehearsal.fleetplan import FleetPlan
+from pepperusher.rehearsal.fleet_plan import FleetPlan
 from pepperusher.rehearsal.records import Ran, Reconfigured, Told
-from pepperusher.rehearsal.roster import READY, WATCHES_SILENT, Change, changes
+from pepperusher.rehearsal.endpoint_history import READY, WATCHES_SILENT, Change, changes
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.troubles import Strike, timeline
+from pepperusher.rehearsal.fault_schedule import Strike, timeline
 
 RECONFIGURED_TERM = 4_000_000
 REACHED_TERM = 6_000_000
--- a/pepperusher/rehearsal/roster.py
+++ b/pepperusher/rehearsal/endpoint_history.py
@@ -9,9 +9,9 @@
 
 from typing import Any, NamedTuple
 
-from pepperusher.rehearsal.fleetplan import FleetPlan
+from pepperusher.rehearsal.fleet_plan import FleetPlan
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.troubles import Strike, Timeline
+from pepperusher.rehearsal.fault_schedule import Strike, Timeline
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # How far a list goes back in version where it is made to, in changes.
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from pepperusher.rehearsal import compare, director, results, script as scripts
+from pepperusher.rehearsal import compare, run_controller, results, script as scripts
 from pepperusher.rehearsal.compare import MEASURES, Difference
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import Script, ScriptError, Table
@@ -160,7 +160,7 @@
         word = "kept"
         if result is None:
             build = (Path(experiment.folder) / one.arm.build).resolve() if one.arm.build else None
-            result = director.rehearse(one.script, build)
+            result = run_controller.rehearse(one.script, build)
             result.parameters = {**one.parameters, "arm": one.arm.name}
             result.build = one.arm.name
             results.write(path, result)
--- a/pepperusher/rehearsal/troubles.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.fleetplan import FleetPlan, Gate, Place
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate, Place
 from pepperusher.rehearsal.script import OF_BACKENDS, OF_LINKS, OF_PROXIES, Chance, Fault, Script
 from pepperusher.durations import Span
 
--- a/pepperusher/rehearsal/fleet.py
+++ b/pepperusher/rehearsal/fleet.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 
 from pepperusher.rehearsal import script as scripts
-from pepperusher.rehearsal import weather
+from pepperusher.rehearsal import active_faults
 from pepperusher.rehearsal.backend import Backend
 from pepperusher.rehearsal.engine import Memory
-from pepperusher.rehearsal.fleetplan import FleetPlan, Place
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Place
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.troubles import Life, timeline
+from pepperusher.rehearsal.fault_schedule import Life, timeline
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import Orders
 
@@ -70,7 +70,7 @@
 
     async def _live(self, place: Place) -> None:
         """All that happens at one place, in its order."""
-        edges = [(at, 1, None) for at in weather.edges(self._line.strikes, place.number)]
+        edges = [(at, 1, None) for at in active_faults.edges(self._line.strikes, place.number)]
         stays: list[tuple[int, int, Life | None]] = []
         for life in self._line.lives:
             if life.place != place.number:
@@ -97,7 +97,7 @@
                 else:
                     await self._arrive(life, place)
             if (backend_now := self._standing.get(place.number)) is not None:
-                await backend_now.weather(weather.at(self._line.strikes, place.number, at))
+                await backend_now.weather(active_faults.at(self._line.strikes, place.number, at))
 
     async def flush(self) -> None:
         while True:
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -18,7 +18,7 @@
 from pepperusher.rehearsal import traces
 from pepperusher.rehearsal.arrivals import Arrival, Mix, work_of
 from pepperusher.rehearsal.caller import Asked, Client, Reply
-from pepperusher.rehearsal.manners import Wish
+from pepperusher.rehearsal.client_behavior import Wish
 from pepperusher.rehearsal.records import NOBODY, Stall, Try, Writer
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.stalls import Heart, Margin
--- a/pepperusher/rehearsal/groupfigures.py
+++ b/pepperusher/rehearsal/group_figures.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from pepperusher.group.messages import LOST, Broadcast
-from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
+from pepperusher.rehearsal.group_model import SECOND, Manner, Model
 
 # A member's figures are taken over so long.
 SPAN = 10 * SECOND
--- a/pepperusher/rehearsal/grouping.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -10,11 +10,11 @@
 from random import Random
 from typing import Any
 
-from pepperusher.rehearsal.fleetplan import Gate
+from pepperusher.rehearsal.fleet_plan import Gate
 from pepperusher.rehearsal.links import Links, Manner
 from pepperusher.rehearsal.records import Believed
 from pepperusher.rehearsal.script import Grouped, Link, Script
-from pepperusher.rehearsal.troubles import Strike
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import clock
 
 KEY = "of this rehearsal alone"
--- a/pepperusher/rehearsal/hollow_list.py
+++ b/pepperusher/rehearsal/hollow_discovery.py
@@ -1,7 +1,7 @@
 """Discovery for scale tests: one process that every proxy watches, each by the view that it is given.
 
 A view is a port of its own and a list of its own; one change reaches all whose view has the backend. Counted
-are calls, lines and bytes, by view and by second. Run as `python -m pepperusher.rehearsal.hollow_list SPEC`,
+are calls, lines and bytes, by view and by second. Run as `python -m pepperusher.rehearsal.hollow_discovery SPEC`,
 under orders.
 """
 
--- a/pepperusher/rehearsal/hollow_fidelity.py
+++ b/pepperusher/rehearsal/hollow_fidelity.py
@@ -17,7 +17,7 @@
 
 from pepperusher.control import client
 from pepperusher.rehearsal.hollow_plan import SETTINGS, Place, Plan, row
-from pepperusher.rehearsal.hollow_play import BOTH, OWN, Play
+from pepperusher.rehearsal.hollow_run import BOTH, OWN, Play
 from pepperusher.rehearsal.worker import environment, with_parent
 
 BACKENDS = 60
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal.grouping import IN
+from pepperusher.rehearsal.group_run import IN
 from pepperusher.rehearsal.hollow_fidelity import BACKENDS, WITHIN, Compared, Whole
 from pepperusher.rehearsal.hollow_group import kinds_of
-from pepperusher.rehearsal.hollow_group_play import KEY, PERIOD, PORT, GroupPlay, host_of
-from pepperusher.rehearsal.hollow_group_play import WITHIN as ANSWER
+from pepperusher.rehearsal.hollow_group_run import KEY, PERIOD, PORT, GroupPlay, host_of
+from pepperusher.rehearsal.hollow_group_run import WITHIN as ANSWER
 from pepperusher.rehearsal.hollow_plan import Place, Plan, row
-from pepperusher.rehearsal.hollow_play import DISCOVERY, OWN
-from pepperusher.rehearsal.nets import own_net
+from pepperusher.rehearsal.hollow_run import DISCOVERY, OWN
+from pepperusher.rehearsal.loopback_networks import own_net
 from pepperusher.rehearsal.worker import Worker
 
 SEEDS = 3
--- a/pepperusher/rehearsal/hollow_group_play.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pepperusher.rehearsal.hollow_plan import BETWEEN, WITHIN_REGION, Place, Plan, region_of
-from pepperusher.rehearsal.hollow_play import DISCOVERY, Play
+from pepperusher.rehearsal.hollow_run import DISCOVERY, Play
 from pepperusher.rehearsal.worker import Worker
 
 KEY = "of this play alone"
--- a/pepperusher/rehearsal/hollow_group_scenes.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -13,13 +13,13 @@
 from pepperusher.group.membership import MOST
 from pepperusher.group.wire import DATAGRAM
 from pepperusher.net.proxy import STILL_COMING
-from pepperusher.rehearsal import hollow_group_books
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal import hollow_group_statistics
+from pepperusher.rehearsal.hollow_statistics import Reached, Row
 from pepperusher.rehearsal.hollow_group import ALL_THERE
-from pepperusher.rehearsal.hollow_group_books import QUIET_MOST
-from pepperusher.rehearsal.hollow_group_play import PERIOD, WITHIN, GroupPlay
+from pepperusher.rehearsal.hollow_group_statistics import QUIET_MOST
+from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, GroupPlay
 from pepperusher.rehearsal.hollow_plan import ZONES, plan
-from pepperusher.rehearsal.nets import own_net
+from pepperusher.rehearsal.loopback_networks import own_net
 from pepperusher.rehearsal.wire import clock
 
 # The roll takes so many names beside a member's own (group/membership.py).
@@ -48,8 +48,8 @@
         self.size = play.size
         self.period = period
         self.slack = slack
-        self.silence = slack * hollow_group_books.silence(self.size, period)
-        self.news = slack * hollow_group_books.news(period)
+        self.silence = slack * hollow_group_statistics.silence(self.size, period)
+        self.news = slack * hollow_group_statistics.news(period)
         self.checks: list[dict[str, Any]] = []
         self.rows: list[Row] = []
 
@@ -83,7 +83,7 @@
     def lost_only(self, label: str, those: Iterable[int]) -> None:
         """Nobody is found lost but them."""
         meant = {self.name(one) for one in those}
-        wrong = {of: by for of, by in hollow_group_books.told(self.rows, "lost").items() if of not in meant}
+        wrong = {of: by for of, by in hollow_group_statistics.told(self.rows, "lost").items() if of not in meant}
         self.check(f"{label}: nobody else is lost", not wrong, dict(list(wrong.items())[:5]))
 
     async def shares(self, label: str, of: int, by: Iterable[int] | None = None) -> Counter[str]:
@@ -164,7 +164,7 @@
         "news_end_after_s": settled,
         "until_then": after,
         "datagrams_a_period": round(each, 2),
-        "suspicions": hollow_group_books.told(rows, "suspected").total(),
+        "suspicions": hollow_group_statistics.told(rows, "suspected").total(),
         **costs,
     }
 
@@ -258,10 +258,10 @@
     rows = await ground.read()
     back = ground.within(
         "a tenth goes on: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
-    own = hollow_group_books.told([row for row in rows if row[0] in away], "lost")
+    own = hollow_group_statistics.told([row for row in rows if row[0] in away], "lost")
     ground.check("a tenth goes on: those that stood still lose nobody", not own, dict(list(own.items())[:5]))
     await ground.shares("a tenth goes on", ground.size)
     return {
@@ -318,7 +318,7 @@
     rows = await ground.read()
     back = ground.within(
         "a zone healed: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, healed, ground.everyone()),
+        hollow_group_statistics.last(rows, ALL_THERE, healed, ground.everyone()),
         ground.silence,
     )
     taken = ground.within(
@@ -359,12 +359,12 @@
     rows = await ground.read()
     back = ground.within(
         "links healed: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
     return {
-        "suspicions": hollow_group_books.told(rows, "suspected").total(),
-        "losses": hollow_group_books.told(rows, "lost").total(),
+        "suspicions": hollow_group_statistics.told(rows, "suspected").total(),
+        "losses": hollow_group_statistics.told(rows, "lost").total(),
         "lost_at_its_end": during["lost"],
         "found_again": back,
         **costs,
--- a/pepperusher/rehearsal/hollow_group_books.py
+++ b/pepperusher/rehearsal/hollow_group_statistics.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from math import log10
 
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Reached, Row
 
 # As docs/group.md has them for a small group: periods until silence is found by all, and until news of a
 # member's own are with all. The first grows with the logarithm of the size, as suspicion does
--- a/pepperusher/rehearsal/hollow_play.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal import hollow_books
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal import hollow_statistics
+from pepperusher.rehearsal.hollow_statistics import Reached, Row
 from pepperusher.rehearsal.hollow_control import KEY, Controls
 from pepperusher.rehearsal.hollow_plan import (
     BETWEEN,
@@ -119,7 +119,7 @@
                 }
             )
         )
-        self.discovery = await self._start("hollow_list", "discovery 0", str(spec))
+        self.discovery = await self._start("hollow_discovery", "discovery 0", str(spec))
         listening = (await self.discovery.said("listening", STAND_WITHIN))["listening"]
         count = max(self.plan.workers) + 1
         self.zones = [
@@ -314,7 +314,7 @@
         }
 
     def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Reached:
-        return hollow_books.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
+        return hollow_statistics.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
         """At discovery; when, and what version each view has of it."""
@@ -396,7 +396,7 @@
 
     @staticmethod
     def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Reached:
-        return hollow_books.reached(rows, "list", versions, at, meant)
+        return hollow_statistics.reached(rows, "list", versions, at, meant)
 
     # --- what is done to it -------------------------------------------------------------------------
 
@@ -456,7 +456,7 @@
     def use(self) -> dict[str, dict[str, Any]]:
         """By role, since it was last asked for."""
         samples, self._samples = self._samples, self._samples[-1:]
-        return {role: use.row() for role, use in hollow_books.used(samples).items()}
+        return {role: use.row() for role, use in hollow_statistics.used(samples).items()}
 
     def memory(self) -> float:
         """MB of all processes together, what they share counted once for each part of it."""
--- a/pepperusher/rehearsal/hollow_scenes.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -10,11 +10,11 @@
 from typing import Any
 
 from pepperusher.distribution import operator_client
-from pepperusher.rehearsal import hollow_books
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal import hollow_statistics
+from pepperusher.rehearsal.hollow_statistics import Reached, Row
 from pepperusher.rehearsal.hollow_control import ORIGIN, Controls
 from pepperusher.rehearsal.hollow_plan import TEAMS, ZONES, list_of, names_of, plan, row
-from pepperusher.rehearsal.hollow_play import CONTROL, DISCOVERY, OWN, Play, body_of
+from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, Play, body_of
 from pepperusher.rehearsal.wire import clock
 
 # In force everywhere that can be reached within this, and so long after a healing.
@@ -106,7 +106,7 @@
             told.all is not None and told.all <= within,
             told.row(),
         )
-        self.check(f"{label}: nothing older after something newer", hollow_books.backwards(rows) == 0, len(rows))
+        self.check(f"{label}: nothing older after something newer", hollow_statistics.backwards(rows) == 0, len(rows))
         return told.row()
 
     async def rested(self) -> dict[str, int]:
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -6,7 +6,7 @@
 from html import escape
 from pathlib import Path
 
-from pepperusher.rehearsal import plots, spoken
+from pepperusher.rehearsal import plots, text_report
 from pepperusher.rehearsal.experiments import Compared
 from pepperusher.rehearsal.results import Result
 from pepperusher.durations import said
@@ -70,7 +70,7 @@
         f"<h2>{escape(result.title)}</h2>",
         f"<p>Seed {result.seed}, {said(result.span)}, build {escape(result.build)}, played {escape(result.played_at)} by"
         f" version {escape(result.program)}; plan {escape(result.plan)}, troubles {escape(result.troubles)}.</p>",
-        f"<pre>{escape(spoken.summary(result))}</pre>",
+        f"<pre>{escape(text_report.summary(result))}</pre>",
         "<h3>Rule book</h3>",
         _rules(result),
         plots.outcomes(result),
--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -17,8 +17,8 @@
 import h11
 
 from pepperusher.control import client
-from pepperusher.rehearsal.fleetplan import Gate
-from pepperusher.rehearsal.grouping import Grouping, parsed
+from pepperusher.rehearsal.fleet_plan import Gate
+from pepperusher.rehearsal.group_run import Grouping, parsed
 from pepperusher.rehearsal.records import Believed, Held, Ran, Reconfigured, Sample, Turn, Writer
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.wire import Broken, Start, clock, reach, since
--- a/pepperusher/rehearsal/results.py
+++ b/pepperusher/rehearsal/results.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from pepperusher.rehearsal.books import Entry
+from pepperusher.rehearsal.rule_checker import Entry
 from pepperusher.rehearsal.tally import Figures
 
 VERSION = 2
--- a/pepperusher/rehearsal/books.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from pepperusher.rehearsal.deemed import deemed
-from pepperusher.rehearsal.fleetplan import FleetPlan, Place
+from pepperusher.rehearsal.effective_changes import deemed
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Place
 from pepperusher.rehearsal.records import (
     BOUNCED,
     DONE,
@@ -33,7 +33,7 @@
     Try,
     Turn,
 )
-from pepperusher.rehearsal.roster import READY
+from pepperusher.rehearsal.endpoint_history import READY
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.stalls import Spans
 
--- a/pepperusher/rehearsal/director.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 
 from pepperusher import __version__
-from pepperusher.rehearsal import arrivals, books, records, script as scripts, tally, traces, troubles
-from pepperusher.rehearsal.fleetplan import FleetPlan, Gate
-from pepperusher.rehearsal.grouping import Grouping, twin_of
-from pepperusher.rehearsal.listing import Listing
-from pepperusher.rehearsal.nets import PlayError, own_net
+from pepperusher.rehearsal import arrivals, rule_checker, records, script as scripts, tally, traces, fault_schedule
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
+from pepperusher.rehearsal.group_run import Grouping, twin_of
+from pepperusher.rehearsal.discovery_server import Listing
+from pepperusher.rehearsal.loopback_networks import PlayError, own_net
 from pepperusher.rehearsal.proxies import SAMPLE_EVERY, Runner
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.results import VERSION, Result
-from pepperusher.rehearsal.roster import Roster
+from pepperusher.rehearsal.endpoint_history import Roster
 from pepperusher.rehearsal.script import OF_LINKS, Script
-from pepperusher.rehearsal.troubles import Strike
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
@@ -67,7 +67,7 @@
         self._work = work
         self._progress = progress
         self.plan = FleetPlan(script, net)
-        self._line = troubles.timeline(script, self.plan)
+        self._line = fault_schedule.timeline(script, self.plan)
         self._start = Start()
         self._writer = Writer(work / "director.records")
         self.listing = Listing(self.plan, self._line, Roster(script, self.plan, self._line), self._writer, self._start)
@@ -394,8 +394,8 @@
         self._aside.close()
         self._writer.close()
 
-    def records(self) -> books.Records:
-        kept = books.Records()
+    def records(self) -> rule_checker.Records:
+        kept = rule_checker.Records()
         for path in sorted(self._work.glob("*.records")):
             for record in records.read(path):
                 kept.add(record)
@@ -405,11 +405,11 @@
                 ran.killed = -1
         return kept
 
-    def _end_of(self, kept: books.Records) -> int:
+    def _end_of(self, kept: rule_checker.Records) -> int:
         return max((one.ended for one in kept.tries), default=self._script.span)
 
     @property
-    def line(self) -> troubles.Timeline:
+    def line(self) -> fault_schedule.Timeline:
         return self._line
 
 
@@ -420,7 +420,7 @@
 
 async def _play(
     script: Script, net: int, work: Path, build: Path | None, progress: Callable[[int], None] | None
-) -> tuple[books.Records, Director]:
+) -> tuple[rule_checker.Records, Director]:
     director = Director(script, net, work, build, progress)
     try:
         await director.stand()
@@ -452,7 +452,7 @@
             kept, director = asyncio.run(_play(script, net, folder, build, progress))
         except (RuntimeError, OSError) as error:
             raise PlayError(str(error)) from None
-        book = books.check(script, kept)
+        book = rule_checker.check(script, kept)
         names = [gate.name for gate in director.plan.gates]
         return Result(
             VERSION,
@@ -463,7 +463,7 @@
             __version__,
             int(script.span),
             digest,
-            troubles.digest(director.line),
+            fault_schedule.digest(director.line),
             book.counts,
             book.entries,
             tally.tally(script, names, kept),
--- a/pepperusher/rehearsal/soak.py
+++ b/pepperusher/rehearsal/soak.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from pepperusher.rehearsal.director import rehearse
+from pepperusher.rehearsal.run_controller import rehearse
 from pepperusher.rehearsal.results import Result
 from pepperusher.rehearsal.script import Script, made
 
--- a/pepperusher/rehearsal/solo.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from pepperusher import __version__
-from pepperusher.rehearsal import books, records, script as scripts, tally
-from pepperusher.rehearsal.director import LEAD, Director, PlayError, own_net, plan_digest
+from pepperusher.rehearsal import rule_checker, records, script as scripts, tally
+from pepperusher.rehearsal.run_controller import LEAD, Director, PlayError, own_net, plan_digest
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.script import Script, ScriptError
 from pepperusher.rehearsal.wire import address_of, clock
@@ -85,7 +85,7 @@
             asyncio.run(_load(script, targets, work, progress))
         except (RuntimeError, OSError) as error:
             raise PlayError(str(error)) from None
-        kept = books.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
+        kept = rule_checker.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
     names = [f"{host}:{port}" for host, port in targets]
     return Result(
         VERSION,
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -13,8 +13,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from pepperusher.rehearsal import books
-from pepperusher.rehearsal.books import Records
+from pepperusher.rehearsal import rule_checker
+from pepperusher.rehearsal.rule_checker import Records
 from pepperusher.rehearsal.records import DONE, Sample, Try
 from pepperusher.rehearsal.script import Script
 from pepperusher.durations import Span
@@ -268,7 +268,7 @@
     late = [one.first.sent - one.first.intended for one in wishes if one.first.sent >= 0]
     asked = sum(one.asked for one in wishes)
     worst, worst_at = _worst(wishes, script.window)
-    used = books.use_of(script, records)
+    used = rule_checker.use_of(script, records)
     by_use: dict[int, list[Wish]] = defaultdict(list)
     by_customer: dict[int, list[Wish]] = defaultdict(list)
     for one in wishes:
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal import books
-from pepperusher.rehearsal.director import Director
+from pepperusher.rehearsal import rule_checker
+from pepperusher.rehearsal.run_controller import Director
 from pepperusher.rehearsal.links import Links
-from pepperusher.rehearsal.nets import own_net
+from pepperusher.rehearsal.loopback_networks import own_net
 from pepperusher.rehearsal.proxies import Runner
 
 from tests.rehearsal_scene import small
@@ -114,12 +114,12 @@
             if one.what == what
         ]
 
-    async def over(self) -> books.Records:
+    async def over(self) -> rule_checker.Records:
         """Plays on to the end of the load; tickets flowed through every proxy, and no rule is broken."""
         await self.director.over()
         await self.director.end()
         kept = self.director.records()
-        book = books.check(self.script, kept)
+        book = rule_checker.check(self.script, kept)
         self.assertEqual([], book.entries)
         for gate in self.director.plan.gates:
             done = sum(one.how == "done" for one in kept.tries if one.proxy == gate.number)
--- a/tests/rehearsal_scene.py
+++ b/tests/rehearsal_scene.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from pepperusher.rehearsal import director, script
+from pepperusher.rehearsal import run_controller, script
 from pepperusher.rehearsal.results import Result
 from pepperusher.rehearsal.script import Script
 
@@ -65,6 +65,6 @@
 def played(wrong: str | None = None, **changes: Any) -> Result:
     """Played with the real proxy, or with one that is wrong on purpose."""
     if wrong is None:
-        return director.rehearse(small(**changes))
+        return run_controller.rehearse(small(**changes))
     with mock.patch.dict(os.environ, {"WRONG": wrong}):
-        return director.rehearse(small(**changes), WRONG)
+        return run_controller.rehearse(small(**changes), WRONG)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -20,8 +20,8 @@
     OutgoingMessage,
     VoteReply,
 )
-from pepperusher.rehearsal import agreemodel
-from pepperusher.rehearsal.agreemodel import Limits, explore, wander
+from pepperusher.rehearsal import raft_model
+from pepperusher.rehearsal.raft_model import Limits, explore, wander
 
 SECOND = 1_000_000
 
@@ -270,7 +270,7 @@
         self.rates = {name: self.chance.uniform(0.98, 1.02) for name in self.NAMES}
         self.began = self.now
         self.up: dict[str, RaftVoter] = {}
-        self.disks: dict[str, agreemodel.Disk | None] = dict.fromkeys(self.NAMES)
+        self.disks: dict[str, raft_model.Disk | None] = dict.fromkeys(self.NAMES)
         self.ids: dict[str, str] = {}
         self.due: dict[str, int] = {}
         self.still: dict[str, int] = {}  # who stands still, and until when
@@ -284,7 +284,7 @@
     def clock(self, name: str) -> int:
         return self.began + round((self.now - self.began) * self.rates[name])
 
-    def start(self, name: str, disk: agreemodel.Disk | None = None) -> RaftVoter:
+    def start(self, name: str, disk: raft_model.Disk | None = None) -> RaftVoter:
         """With a disk as it was, or with none."""
         if disk is None:
             self.ids[name] = f"{name}#{self.chance.getrandbits(32):x}"
@@ -330,8 +330,8 @@
         one.wake(self.clock(name))
         # Written before it is said.
         if one.writes:
-            before = self.disks[name] or agreemodel.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
-            self.disks[name] = agreemodel.flushed(before, one)
+            before = self.disks[name] or raft_model.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
+            self.disks[name] = raft_model.flushed(before, one)
             number = one.writes[-1].number
             one.writes = []
             one.on_disk(number, self.clock(name))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,9 +17,18 @@
 from msgspec.structs import fields
 
 from pepperusher import policy
-from pepperusher.capacity import attempts, control_play, control_rows, control_state, decisions, latency
-from pepperusher.capacity import membership, page, processes, projection, slopes, stage, storms, told_play
-from pepperusher.capacity import watching
+from pepperusher.capacity import attempts, control_run, control_rows, control_state, decisions, latency
+from pepperusher.capacity import (
+    membership,
+    page,
+    processes,
+    projection,
+    slopes,
+    fixtures,
+    call_storms,
+    configuration_run,
+)
+from pepperusher.capacity import watch_costs
 from pepperusher.capacity.commands import COMMANDS, capacity
 from pepperusher.capacity.fit import ARC_BEND, Point, best, checked, fitted
 from pepperusher.capacity.measures import CLOCKED, COUNTED, TIMED, Book, Measure, Measured, Single
@@ -237,7 +246,7 @@
     def test_arcs_bend_where_the_curve_of_decisions_does(self) -> None:
         """As many backends below it, and a hundredth of the list above; at 13 zones and one."""
         self.assertEqual(ARC_BEND, policy.MIN_BACKENDS_PER_PROXY / policy.PROXIES_PER_BACKEND * decisions.GROUP)
-        for zones in (None, stage.ZONES):
+        for zones in (None, fixtures.ZONES):
             at = decisions.arc_by_list(decisions.GROUP, zones)
             below, bend, above = (at(size, 1) for size in (200, int(ARC_BEND), int(3 * ARC_BEND)))
             self.assertLess(abs(below - bend), 0.15 * bend)
@@ -359,10 +368,10 @@
     def test_each_proxy_asks_once_at_a_start_and_once_at_a_return(self) -> None:
         """As many as wait at discovery: a storm begins beyond that."""
         for name, lowest, most in (("start_calls", 1.0, 1.0), ("return_calls", 1.0, 2.0)):
-            at = watching.played(name)
+            at = watch_costs.played(name)
             for size in (6, 12):
                 self.assertTrue(lowest * size <= at(size, 1) <= most * size, f"{name} {at(size, 1)} for {size}")
-        change = watching.played("change_bytes")
+        change = watch_costs.played("change_bytes")
         self.assertEqual(change(6, 1) * 2, change(12, 1))
 
     def test_beyond_discoverys_queue_calls_grow_with_the_square(self) -> None:
@@ -370,10 +379,10 @@
         or so.
         """
         for back in (False, True):
-            self.assertEqual(storms.storm(40, 1, back).calls, 40)
-            some, more = (storms.storm(size, 1, back).calls for size in (400, 1600))
+            self.assertEqual(call_storms.storm(40, 1, back).calls, 40)
+            some, more = (call_storms.storm(size, 1, back).calls for size in (400, 1600))
             self.assertTrue(6 * some < more < 24 * some, f"{some} and {more}")
-            self.assertEqual(storms.storm(400, 1, back).calls, some)
+            self.assertEqual(call_storms.storm(400, 1, back).calls, some)
 
     def test_an_idle_connection_is_one_descriptor(self) -> None:
         at = processes.by_connections("descriptors")
@@ -397,35 +406,35 @@
         self.assertEqual(control_state.delta_bytes(5, 1), control_state.delta_bytes(100, 1))
         self.assertLess(control_state.delta_bytes(100, 1), 250)
         for routes in (5, 100):
-            beside = control_state.snapshot_bytes(routes, 1) - len(control_play.body_of(routes))
+            beside = control_state.snapshot_bytes(routes, 1) - len(control_run.body_of(routes))
             self.assertTrue(0 < beside < 200, f"{beside} beside {routes} routes")
 
     def test_a_machine_that_is_lost_falls_to_the_others_alike(self) -> None:
         for lost in (0, 1):
-            fit = fitted(points(lambda size: told_play.fullest(lost)(size, 1), 500, 1000, 1500, 2000, 2500))
-            mean = 2 / (told_play.MACHINES - lost)
+            fit = fitted(points(lambda size: configuration_run.fullest(lost)(size, 1), 500, 1000, 1500, 2000, 2500))
+            mean = 2 / (configuration_run.MACHINES - lost)
             self.assertTrue(mean < fit.slope < 1.15 * mean, fit)
 
     def test_descriptors_are_read_once_they_stand(self) -> None:
         """One that was just asked for its figures has the connection of who asked for a moment more."""
         told = iter([15.0, *[14.0] * 3, 15.0, *[14.0] * 40])
         spent = itertools.count()
-        self.assertEqual(14.0, asyncio.run(control_play.standing(lambda: next(told), lambda: next(spent))))
-        self.assertEqual(40 - control_play.ALIKE, len(list(told)))
+        self.assertEqual(14.0, asyncio.run(control_run.standing(lambda: next(told), lambda: next(spent))))
+        self.assertEqual(40 - control_run.ALIKE, len(list(told)))
 
     def test_descriptors_of_a_machine_that_does_not_run_do_not_stand(self) -> None:
         """Without the processor it closes nothing: what it had open stayed, and was counted."""
-        looks = 2 * control_play.ALIKE
+        looks = 2 * control_run.ALIKE
         told = iter([15.0] * looks + [14.0] * 40)
-        spent = iter([5.0] * (looks - control_play.ALIKE + 2) + [6.0 + look for look in range(60)])
-        self.assertEqual(14.0, asyncio.run(control_play.standing(lambda: next(told), lambda: next(spent))))
+        spent = iter([5.0] * (looks - control_run.ALIKE + 2) + [6.0 + look for look in range(60)])
+        self.assertEqual(14.0, asyncio.run(control_run.standing(lambda: next(told), lambda: next(spent))))
 
     def test_real_machines_send_each_proxy_as_much_whatever_their_number(self) -> None:
         """Two processes with four and with twelve proxies, over sockets. What each one more is sent beside
         beats: as it starts the body of one and, where it has not told that it has it, the offer of the other;
         at rest nothing; for a change the same as at the start; as it comes back nothing.
         """
-        few, many = (control_play.played(size, 2, 5, 1, beats=1) for size in (4, 12))
+        few, many = (control_run.played(size, 2, 5, 1, beats=1) for size in (4, 12))
 
         def each(name: str) -> float:
             return (many.of(name) - few.of(name)) / 8
@@ -668,9 +677,9 @@
 
 class Stages(unittest.TestCase):
     def test_made_up_lists_have_what_the_target_says(self) -> None:
-        self.assertEqual(len(stage.ZONES), 13)
-        self.assertEqual(len({one["id"] for one in stage.listing(5000)["servers"]}), 5000)
-        self.assertEqual(len({one["addr"] for one in stage.listing(5000)["servers"]}), 5000)
+        self.assertEqual(len(fixtures.ZONES), 13)
+        self.assertEqual(len({one["id"] for one in fixtures.listing(5000)["servers"]}), 5000)
+        self.assertEqual(len({one["addr"] for one in fixtures.listing(5000)["servers"]}), 5000)
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -10,16 +10,16 @@
 from unittest import mock
 
 from pepperusher.policy import Balancer
-from pepperusher.rehearsal import coldsum, director, records, script
-from pepperusher.rehearsal.books import Records
+from pepperusher.rehearsal import cold_backend_sum, run_controller, records, script
+from pepperusher.rehearsal.rule_checker import Records
 
 PROXIES = 30
 
 
-def reading(deployment: str, case: str, seeds: int = 2) -> coldsum.Reading:
-    where = next(one for one in coldsum.DEPLOYMENTS if one.name == deployment)
-    what = next(one for one in coldsum.CASES if one.name == case)
-    return coldsum.joined([coldsum.Model(where, what, PROXIES, seed).play() for seed in range(seeds)])
+def reading(deployment: str, case: str, seeds: int = 2) -> cold_backend_sum.Reading:
+    where = next(one for one in cold_backend_sum.DEPLOYMENTS if one.name == deployment)
+    what = next(one for one in cold_backend_sum.CASES if one.name == case)
+    return cold_backend_sum.joined([cold_backend_sum.Model(where, what, PROXIES, seed).play() for seed in range(seeds)])
 
 
 class Sum(unittest.TestCase):
@@ -93,14 +93,14 @@
         ],
     }
 
-    def run_with(self, build: Path | None) -> tuple[coldsum.Reading, Records]:
+    def run_with(self, build: Path | None) -> tuple[cold_backend_sum.Reading, Records]:
         """Ends by itself: the director waits for nothing longer than the span and a start's limit."""
         made = script.made(self.SCENARIO)
         with tempfile.TemporaryDirectory() as spare:
-            director.rehearse(made, build, Path(spare))
+            run_controller.rehearse(made, build, Path(spare))
             paths = sorted(Path(spare).glob("*.records"))
             kept = Records(one for path in paths for one in records.read(path))
-        return coldsum.joined(coldsum.of_run(made, kept)), kept
+        return cold_backend_sum.joined(cold_backend_sum.of_run(made, kept)), kept
 
     def test_the_sum_of_thirty_processes_is_within_the_budget(self) -> None:
         read, kept = self.run_with(None)
@@ -114,7 +114,9 @@
         with tempfile.TemporaryDirectory() as spare:
             build = Path(spare)
             shutil.copytree(
-                Path(coldsum.__file__).parents[1], build / "pepperusher", ignore=shutil.ignore_patterns("__pycache__")
+                Path(cold_backend_sum.__file__).parents[1],
+                build / "pepperusher",
+                ignore=shutil.ignore_patterns("__pycache__"),
             )
             with (build / "pepperusher" / "policy.py").open("a") as module:
                 module.write("\n\nBalancer._may_warm = lambda self, backend, now: True\n")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 
 from pepperusher.net.discovery import START_SPREAD
 from pepperusher.net.endpoint_update import endpoint_update_of
-from pepperusher.rehearsal.askers import Asker
+from pepperusher.rehearsal.discovery_clients import Asker
 from tests.scene import SETTINGS, ProxyTestCase
 
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -30,9 +30,9 @@
     Broadcast,
     MemberRecord,
 )
-from pepperusher.rehearsal import hollow_group_books
-from pepperusher.rehearsal.groupfigures import introduced
-from pepperusher.rehearsal.groupmodel import SECOND, Manner, Model
+from pepperusher.rehearsal import hollow_group_statistics
+from pepperusher.rehearsal.group_figures import introduced
+from pepperusher.rehearsal.group_model import SECOND, Manner, Model
 
 NOW = 1_700_000_000 * SECOND
 
@@ -498,7 +498,7 @@
 
 class CutOff(unittest.TestCase):
     """How soon those inside a cut know that they reach no majority: within the periods that
-    `hollow_group_books` allows, by which docs/scale.md judges plays of processes.
+    `hollow_group_statistics` allows, by which docs/scale.md judges plays of processes.
     """
 
     PERIOD, WITHIN = 500_000, 150_000
@@ -519,7 +519,7 @@
         """Cuts of so many each, at once: nothing passes between them, so each is one of a play of its own.
         Whoever is in none is outside of all, and as good as gone.
         """
-        allowed = hollow_group_books.silence(size, self.PERIOD) * SECOND / self.PERIOD
+        allowed = hollow_group_statistics.silence(size, self.PERIOD) * SECOND / self.PERIOD
         late = []
         for seed in seeds:
             model = self.met(size, seed, periods)
@@ -574,7 +574,7 @@
 
     def test_outside_all_reach_a_majority_throughout_and_lose_nobody_else(self) -> None:
         """And healed all do, in as many periods."""
-        allowed = round(hollow_group_books.silence(20, self.PERIOD) * SECOND)
+        allowed = round(hollow_group_statistics.silence(20, self.PERIOD) * SECOND)
         for seed in range(20):
             with self.subTest(seed):
                 model = self.met(20, seed)
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -16,7 +16,7 @@
 from pepperusher.group.wire import DATAGRAM, Wire
 from pepperusher.group.messages import PING, SERVING, Suspicion, MemberRecord
 from pepperusher.net import clock
-from pepperusher.rehearsal.grouping import KEY
+from pepperusher.rehearsal.group_run import KEY
 from pepperusher.rehearsal.links import Manner
 
 from tests.group_scene import Play
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from pepperusher.rehearsal import books, compare, page, records, results, spoken, tally
+from pepperusher.rehearsal import rule_checker, compare, page, records, results, text_report, tally
 from pepperusher.rehearsal.engine import FULL, RUNS, WAITS, Engine, Job, Memory, parts_of
-from pepperusher.rehearsal.manners import Wish
+from pepperusher.rehearsal.client_behavior import Wish
 from pepperusher.rehearsal.records import Held, Ran, Sent, Stall, Stood, Told, Try
 from pepperusher.rehearsal.script import Kind, Overload
 from pepperusher.rehearsal.stalls import Heart, Margin, Spans
@@ -422,7 +422,7 @@
     def test_what_is_held_against_a_proxy(self) -> None:
         self.lines = []
         for name, *made in self.CASES:
-            book = books.check(SCRIPT, books.Records(made))
+            book = rule_checker.check(SCRIPT, rule_checker.Records(made))
             self.lines.append(
                 f"{name}: "
                 + (
@@ -434,9 +434,9 @@
 
     def test_work_wasted_and_living_on(self) -> None:
         """The client outside leaves at 50 ms; a call made for it two tiers down goes on till 90 ms."""
-        used = books.use_of(
+        used = rule_checker.use_of(
             SCRIPT,
-            books.Records(
+            rule_checker.Records(
                 [
                     a_try(how="left"),
                     a_sent(answered=False),
@@ -480,7 +480,7 @@
                     ended=1_200_000 + nth * 500_000,
                 )
             )
-        return tally.tally(SCRIPT, ["p1"], books.Records([*made, Stall(0, 2_000_000, 2_030_000)]))
+        return tally.tally(SCRIPT, ["p1"], rule_checker.Records([*made, Stall(0, 2_000_000, 2_030_000)]))
 
     def test_tries_are_folded_into_the_first(self) -> None:
         figures = self.figures()
@@ -506,7 +506,7 @@
             )
             for number in range(400)
         ]
-        figures = tally.tally(SCRIPT, ["p1"], books.Records(made))
+        figures = tally.tally(SCRIPT, ["p1"], rule_checker.Records(made))
         self.assertEqual((figures.worst_window, figures.worst_window_at), (0.0, 2_000_000))
         self.assertAlmostEqual(figures.goodput, 0.75)
 
@@ -521,8 +521,8 @@
             4_000_000,
             "1-0",
             "0-0",
-            {books.TWICE: 1},
-            [books.Entry(books.TWICE, "w1.0", 5, "desk-1", "twice")],
+            {rule_checker.TWICE: 1},
+            [rule_checker.Entry(rule_checker.TWICE, "w1.0", 5, "desk-1", "twice")],
             self.figures(),
             ["desk-1"],
             ["p1"],
@@ -536,7 +536,7 @@
             self.assertEqual(msgspec.json.encode(read), msgspec.json.encode(made))
             whole = tally.histogram_of(read.figures.intended)
             self.assertEqual(whole.get_total_count(), 401)
-            text = spoken.summary(read)
+            text = text_report.summary(read)
             self.assertIn("BROKEN 1 times", text)
             self.assertIn("w1.0 at desk-1", text)
             shown = page.html([read])
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -7,9 +7,9 @@
 import unittest
 from pathlib import Path
 
-from pepperusher.rehearsal import arrivals, experiments, script, traces, troubles, weather
-from pepperusher.rehearsal.fleetplan import FleetPlan
-from pepperusher.rehearsal.roster import Roster
+from pepperusher.rehearsal import arrivals, experiments, script, traces, fault_schedule, active_faults
+from pepperusher.rehearsal.fleet_plan import FleetPlan
+from pepperusher.rehearsal.endpoint_history import Roster
 from pepperusher.rehearsal.script import ScriptError
 from pepperusher.durations import said, span
 
@@ -25,11 +25,11 @@
         found = {}
         for path in sorted(EXAMPLES.glob("*.toml")):
             of = script.read(path)
-            line = troubles.timeline(of, FleetPlan(of, 16))
+            line = fault_schedule.timeline(of, FleetPlan(of, 16))
             again = script.decoded(script.encoded(of))
             self.assertEqual(arrivals.planned(of), arrivals.planned(again))
-            self.assertEqual(line, troubles.timeline(again, FleetPlan(again, 99)))
-            found[path.stem] = f"{arrivals.digest(arrivals.planned(of))} {troubles.digest(line)}"
+            self.assertEqual(line, fault_schedule.timeline(again, FleetPlan(again, 99)))
+            found[path.stem] = f"{arrivals.digest(arrivals.planned(of))} {fault_schedule.digest(line)}"
         kept = Path(__file__).parent / "traces" / "rehearsal_plans.json"
         self.assertEqual(found, json.loads(kept.read_text()))
 
@@ -161,7 +161,7 @@
             ],
             chances=[{"every": "6s", "of": ["errors", "lost"], "part": 0.3}],
         )
-        line = troubles.timeline(of, FleetPlan(of, 16))
+        line = fault_schedule.timeline(of, FleetPlan(of, 16))
         self.lines = [
             f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}" for one in line.strikes
         ]
@@ -172,16 +172,18 @@
 
     def test_weather_is_all_that_acts_together(self) -> None:
         strikes = [
-            troubles.Strike(0, 10, "slow", (1,), 2.0, None),
-            troubles.Strike(5, 10, "slow", (1, 2), 3.0, None),
-            troubles.Strike(0, 10, "errors", (1,), 1.0, "look"),
-            troubles.Strike(0, 10, "reset", (1,), 1.0, None),
-            troubles.Strike(4, 6, "freeze", (2,), 1.0, None),
+            fault_schedule.Strike(0, 10, "slow", (1,), 2.0, None),
+            fault_schedule.Strike(5, 10, "slow", (1, 2), 3.0, None),
+            fault_schedule.Strike(0, 10, "errors", (1,), 1.0, "look"),
+            fault_schedule.Strike(0, 10, "reset", (1,), 1.0, None),
+            fault_schedule.Strike(4, 6, "freeze", (2,), 1.0, None),
         ]
-        self.assertEqual(weather.at(strikes, 1, 6).slower, 6.0)
-        self.assertEqual([one[0] for one in weather.at(strikes, 1, 0).spoils], ["errors", "reset"])
-        self.assertEqual((weather.at(strikes, 2, 5).frozen, weather.at(strikes, 2, 6).frozen), (True, False))
-        self.assertEqual(weather.edges(strikes, 2), [4, 5, 6, 10])
+        self.assertEqual(active_faults.at(strikes, 1, 6).slower, 6.0)
+        self.assertEqual([one[0] for one in active_faults.at(strikes, 1, 0).spoils], ["errors", "reset"])
+        self.assertEqual(
+            (active_faults.at(strikes, 2, 5).frozen, active_faults.at(strikes, 2, 6).frozen), (True, False)
+        )
+        self.assertEqual(active_faults.edges(strikes, 2), [4, 5, 6, 10])
 
     def test_the_list_is_told_late_and_in_order_and_goes_back(self) -> None:
         of = small(
@@ -195,7 +197,7 @@
                 {"what": "discovery-back", "at": "10s", "span": "2s"},
             ],
         )
-        line = troubles.timeline(of, FleetPlan(of, 16))
+        line = fault_schedule.timeline(of, FleetPlan(of, 16))
         roster = Roster(of, FleetPlan(of, 16), line)
         self.lines, at = [], -1
         while at is not None:
@@ -211,7 +213,7 @@
 
     def test_watches_that_were_open_fall_silent_for_good(self) -> None:
         of = small(span="20s", faults=[{"what": "watches-silent", "at": "3s"}])
-        line = troubles.timeline(of, FleetPlan(of, 16))
+        line = fault_schedule.timeline(of, FleetPlan(of, 16))
         roster = Roster(of, FleetPlan(of, 16), line)
         self.assertEqual(3_000_000, roster.next_change(-1))
         self.assertFalse(roster.fell_silent(-1, 2_999_999))
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from unittest import mock
 
-from pepperusher.rehearsal import books, director, records
+from pepperusher.rehearsal import rule_checker, run_controller, records
 
 from tests.rehearsal_scene import WRONG, played, small
 
@@ -37,8 +37,10 @@
         the stand-in woke late and worked at what had come, which its own records tell."""
         script = small(**self.PAUSE, load={"phases": [{"span": "10s", "rate": 200, "arrivals": "even"}]})
         with tempfile.TemporaryDirectory() as folder:
-            figures = director.rehearse(script, work=Path(folder)).figures
-            kept = books.Records(record for path in Path(folder).glob("*.records") for record in records.read(path))
+            figures = run_controller.rehearse(script, work=Path(folder)).figures
+            kept = rule_checker.Records(
+                record for path in Path(folder).glob("*.records") for record in records.read(path)
+            )
         self.assertEqual(figures.wishes, 2000)
         worked_at = {sent.name: sent.ended for sent in kept.sent}
         waits = sorted(worked_at[one.name] - one.intended for one in kept.tries)
@@ -98,7 +100,7 @@
         ],
     }
 
-    def broken(self, wrong: str, rule: str, **changes: object) -> list[books.Entry]:
+    def broken(self, wrong: str, rule: str, **changes: object) -> list[rule_checker.Entry]:
         result = played(wrong, **changes)
         self.assertEqual([name for name, count in result.rules.items() if count], [rule], result.entries[:5])
         return result.entries
@@ -109,28 +111,28 @@
         self.assertEqual(result.figures.ends, {"done": 240})
 
     def test_a_connection_ended_without_an_answer(self) -> None:
-        entries = self.broken("loses", books.LOST_TICKET)
+        entries = self.broken("loses", rule_checker.LOST_TICKET)
         self.assertTrue(all("connection ended without" in one.what for one in entries))
         self.assertTrue(entries[0].ticket.startswith("w"))
 
     def test_an_answer_that_no_backend_made(self) -> None:
-        self.assertIn("no backend made", self.broken("invents", books.LOST_TICKET)[0].what)
+        self.assertIn("no backend made", self.broken("invents", rule_checker.LOST_TICKET)[0].what)
 
     def test_two_answers(self) -> None:
-        self.assertIn("more than one answer", self.broken("doubles", books.LOST_TICKET)[0].what)
+        self.assertIn("more than one answer", self.broken("doubles", rule_checker.LOST_TICKET)[0].what)
 
     def test_no_answer(self) -> None:
-        self.assertIn("no answer", self.broken("silent", books.LOST_TICKET)[0].what)
+        self.assertIn("no answer", self.broken("silent", rule_checker.LOST_TICKET)[0].what)
 
     def test_an_effect_twice(self) -> None:
-        entries = self.broken("twice", books.TWICE)
+        entries = self.broken("twice", rule_checker.TWICE)
         self.assertTrue(any("single-use" in one.what for one in entries))
         self.assertTrue(any("whose group alone" in one.what for one in entries))
 
     def test_two_attempts_at_once(self) -> None:
         entries = self.broken(
             "overlaps",
-            books.TWICE,
+            rule_checker.TWICE,
             use_cases=[
                 {
                     "name": "look",
@@ -144,34 +146,34 @@
         self.assertIn("still out", entries[0].what)
 
     def test_a_drain_not_kept(self) -> None:
-        entries = self.broken("drains", books.DRAINS, **self.DRAIN)
+        entries = self.broken("drains", rule_checker.DRAINS, **self.DRAIN)
         self.assertEqual({one.backend for one in entries}, {"desk-1"})
 
     def test_a_drain_not_kept_is_found_however_long_all_takes_to_stand(self) -> None:
         """The proxy's own start was dated from the making of the play, and so into it: by the books it was
         a new process then, to whom nobody had said anything of the drain."""
-        stand = director.Director._stand_proxies
+        stand = run_controller.Director._stand_proxies
 
-        async def slowly(self: director.Director) -> None:
+        async def slowly(self: run_controller.Director) -> None:
             await asyncio.sleep(0.55)
             await stand(self)
 
         with (
-            mock.patch.object(director.Director, "_stand_proxies", slowly),
+            mock.patch.object(run_controller.Director, "_stand_proxies", slowly),
             mock.patch.dict(os.environ, {"WRONG": "drains"}),
             tempfile.TemporaryDirectory() as work,
         ):
-            result = director.rehearse(small(**self.DRAIN), WRONG, Path(work))
+            result = run_controller.rehearse(small(**self.DRAIN), WRONG, Path(work))
             kept = list(records.read(Path(work) / "director.records"))
         [ran] = [one for one in kept if isinstance(one, records.Ran)]
-        self.assertEqual([name for name, count in result.rules.items() if count], [books.DRAINS])
+        self.assertEqual([name for name, count in result.rules.items() if count], [rule_checker.DRAINS])
         self.assertLess(ran.started, ran.ready)
         self.assertLess(ran.ready, 0)
         self.assertGreater(ran.ended, 4_000_000)
 
     def test_a_cold_backend_pushed_over(self) -> None:
         result = played("cold", **self.RETURN)
-        self.assertEqual([one.backend for one in result.entries if one.rule == books.COLD], ["desk-1.1"])
+        self.assertEqual([one.backend for one in result.entries if one.rule == rule_checker.COLD], ["desk-1.1"])
 
 
 class Traces(unittest.TestCase):
@@ -182,7 +184,7 @@
             (Path(folder) / "trace").write_text("\n".join([*lines, json.dumps({"time": 7, "use_case": "look"})]))
             of = small(span="2s", load={"phases": [], "processes": 2, "trace": {"file": "trace", "speed": 2.0}})
             of.folder = folder
-            result = director.rehearse(of)
+            result = run_controller.rehearse(of)
         self.assertTrue(result.kept, result.entries)
         self.assertEqual((result.figures.wishes, result.figures.tries), (201, 201))
         self.assertEqual([one.wishes for one in result.figures.seconds], [200, 1])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal import hollow_scenes
+from pepperusher.rehearsal import hollow_scenarios
 
 WITHIN = 110.0
 # Resources that each proxy subscribes to: configuration for all and of its team, five lists.
@@ -18,7 +18,7 @@
 def play(names: list[str], size: int, controls: int) -> dict[str, dict[str, Any]]:
     async def run(work: Path) -> list[dict[str, Any]]:
         async with asyncio.timeout(WITHIN):
-            return await hollow_scenes.played(names, size, controls, 1, True, work, lambda line: None)
+            return await hollow_scenarios.played(names, size, controls, 1, True, work, lambda line: None)
 
     with tempfile.TemporaryDirectory() as work:
         return {one["scene"]: one for one in asyncio.run(run(Path(work)))}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 import pytest
 
 from pepperusher.rehearsal import soak
-from pepperusher.rehearsal.deemed import deemed
+from pepperusher.rehearsal.effective_changes import deemed
 from pepperusher.rehearsal.records import Ran, Reconfigured
 from pepperusher.rehearsal.script import encoded
 from tests.rehearsal_scene import small
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -6,7 +6,7 @@
 import asyncio
 import unittest
 
-from pepperusher.rehearsal.askers import SCENES, Figures, lags, starts
+from pepperusher.rehearsal.discovery_clients import SCENES, Figures, lags, starts
 from tests.skipping import run
 
 # Seconds from one call to the next; the crowds look every 0.01 s.
