--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -25,7 +25,7 @@
 MOST = 20_000
 
 
-class Came(NamedTuple):
+class ChainResult(NamedTuple):
     """For one call at the top: sends in all, and those that reach the last service. `done` is the part of
     the calls that were, `most` the sends of the worst of them, `cut` how many were not followed to their end.
     """
@@ -111,7 +111,7 @@
                 self.sends = [0] * self.depth
                 self.call(level)
 
-    def play(self, calls: int) -> Came:
+    def play(self, calls: int) -> ChainResult:
         """So many calls at the top, 20 ms apart or as they end."""
         sends = last = done = most = cut = 0
         for _ in range(calls):
@@ -121,12 +121,12 @@
             came = sum(self.sends)
             sends, last, most = sends + came, last + self.sends[-1], max(most, came)
             cut += came >= MOST
-        return Came(sends / calls, last / calls, done / calls, most, cut)
+        return ChainResult(sends / calls, last / calls, done / calls, most, cut)
 
 
 def came(
     depth: int, failing: int, share: float, seed: int, passed: str = "error", calls: int = 100
-) -> tuple[Came, Came]:
+) -> tuple[ChainResult, ChainResult]:
     """The first 20 calls after so many services began to fail, and the `calls` after those."""
     chain = Chain(depth, seed, passed)
     chain.warm()
@@ -135,13 +135,13 @@
     return chain.play(20), chain.play(calls)
 
 
-def cold(depth: int, seed: int, calls: int = 100) -> Came:
+def cold(depth: int, seed: int, calls: int = 100) -> ChainResult:
     """The first calls along a chain none of whose proxies knows yet how long a call takes."""
     return Chain(depth, seed).play(calls)
 
 
 def slowed(depth: int, factor: int, seed: int, most: int = 3, waits: int = WAITS, promised: float = 500.0,
-    calls: int = 100) -> tuple[Came, Came]:  # fmt: skip
+    calls: int = 100) -> tuple[ChainResult, ChainResult]:  # fmt: skip
     """A warmed chain whose services, none failing, take `factor` times as long from now on: the first 20
     calls and the `calls` after those.
     """
@@ -152,7 +152,7 @@
     return chain.play(20), chain.play(calls)
 
 
-def hung(depth: int, levels: Iterable[int], seed: int, calls: int = 200) -> tuple[Came, Came, float]:
+def hung(depth: int, levels: Iterable[int], seed: int, calls: int = 200) -> tuple[ChainResult, ChainResult, float]:
     """A warmed chain at some of whose levels one of the servers that the proxy there speaks to (of 24 listed)
     answers none from now on: the first 20 calls, the `calls` after those, and how many times what it was the
     usual time then is at the first level.
--- a/pepperusher/capacity/configuration_run.py
+++ b/pepperusher/capacity/configuration_run.py
@@ -13,7 +13,7 @@
 
 from pepperusher.capacity.control_run import KEY, NAME, WITHIN, Fleet, body_of
 from pepperusher.capacity.control_state import name_of
-from pepperusher.capacity.processes import Proxied, ProcessError, proxy, standins
+from pepperusher.capacity.processes import ProxyUnderTest, ProcessError, proxy, standins
 from pepperusher.distribution import operator_client
 from pepperusher.distribution.subscriber import UPSTREAMS, rank
 from pepperusher.distribution.messages import CONFIG, Version
@@ -63,7 +63,7 @@
             fleet.end()
 
 
-async def _over(one: Proxied, lasts: float) -> float:
+async def _over(one: ProxyUnderTest, lasts: float) -> float:
     """Processor time a second over a span that is measured, not waited in."""
     before, began = one.spent_by_all(), time.monotonic()
     await asyncio.sleep(lasts)
--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -118,7 +118,7 @@
         self.process.wait()
 
 
-class Beating(Client):
+class HeartbeatClient(Client):
     """Says how many of its messages are beats: what an occasion takes is told without them."""
 
     def _came(self, upstream: str, link: Link, message: Message) -> None:
@@ -200,7 +200,7 @@
         self.machines: list[Machine] = []
         for number in range(machines):
             self.machines.append(Machine(number, folder, ports))
-        self.clients: list[Beating] = []
+        self.clients: list[HeartbeatClient] = []
         self._gone: Counter[str] = Counter()  # counts of clients that ended
 
     @property
@@ -222,7 +222,7 @@
         """Clients of as many proxies, at once; with `keep` from what stands there."""
         for number in range(self.proxies):
             name = NAME if number < self.some else OTHER
-            one = Beating(
+            one = HeartbeatClient(
                 self.upstreams, [(CONFIG, name)], lambda _: None, key=KEY.encode(),
                 name=f"proxy-{number:05d}", region="r0", zone=fixtures.ZONES[number % len(fixtures.ZONES)],
                 seed=self._seed * 1_000_003 + number, keep=keep, local=LOCAL,
--- a/pepperusher/capacity/latency.py
+++ b/pepperusher/capacity/latency.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import NamedTuple
 
-from pepperusher.capacity.processes import HOST, ProcessError, Proxied, proxy, standins
+from pepperusher.capacity.processes import HOST, ProcessError, ProxyUnderTest, proxy, standins
 
 # Calls a second of one proxy at the target: 360,000 over 5,000.
 RATE = 72.0
@@ -29,7 +29,7 @@
 BARE = "127.0.0.1"  # where stand-in services listen
 
 
-class Told(NamedTuple):
+class LatencyResult(NamedTuple):
     """Latencies in us: the middle and the 99th of 100; calls, and those that were not answered 200."""
 
     p50: float
@@ -55,7 +55,7 @@
         return told[9:12] == b"200", b"connection: close" not in told
 
 
-async def _load(host: str, port: int, rate: float, lasts: float, seed: int, first: int) -> Told:
+async def _load(host: str, port: int, rate: float, lasts: float, seed: int, first: int) -> LatencyResult:
     loop = asyncio.get_running_loop()
     chance = Random(seed)
     idle: list[_Line] = []  # emptied by use
@@ -89,7 +89,7 @@
     for line in idle:
         line.writer.close()
     took.sort()
-    return Told(took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))], len(took), failed)
+    return LatencyResult(took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))], len(took), failed)
 
 
 async def _warmed(host: str, port: int, first: int) -> None:
@@ -111,37 +111,37 @@
     raise ProcessError(f"no {IN_A_ROW} calls in a row were answered")
 
 
-def load(host: str, port: int, seed: int, rate: float = RATE, lasts: float = LASTS) -> Told:
+def load(host: str, port: int, seed: int, rate: float = RATE, lasts: float = LASTS) -> LatencyResult:
     return asyncio.run(_load(host, port, rate, lasts, seed, 1 + seed * 1_000_000))
 
 
 class Failing(ProcessError):
     """Too many calls failed in each round; `share` of all."""
 
-    def __init__(self, rounds: list[Told]) -> None:
+    def __init__(self, rounds: list[LatencyResult]) -> None:
         super().__init__("; ".join(f"{one.failed} of {one.calls} calls failed" for one in rounds))
         self.share = sum(one.failed for one in rounds) / sum(one.calls for one in rounds)
 
 
-class Added(NamedTuple):
+class AddedLatency(NamedTuple):
     """us that the proxies add: at the middle and at the 99th of 100, medians over the rounds, with what the
     calls took beside them; calls are of all rounds. `cpu` is what one of the proxies spent for a call, in us.
     """
 
     p50: float
     p99: float
-    bare: Told
-    through: Told
+    bare: LatencyResult
+    through: LatencyResult
     cpu: float
 
 
 def _rounds(
-    without: Callable[[int], Told],
-    through: Callable[[int], Told],
+    without: Callable[[int], LatencyResult],
+    through: Callable[[int], LatencyResult],
     cpu: Callable[[], float],
     seed: int,
     rounds: int,
-) -> Added:
+) -> AddedLatency:
     """Medians over several rounds; the processor time is of all. A round in which more than 1 in 100 failed
     does not count. Raises ProcessError where none does.
     """
@@ -151,7 +151,7 @@
     sound = [one for one in made if all(100 * told.failed <= told.calls for told in one)]
     if not sound:
         raise Failing([two for _, two in made])
-    return Added(
+    return AddedLatency(
         median(two.p50 - one.p50 for one, two in sound),
         median(two.p99 - one.p99 for one, two in sound),
         _over([one for one, _ in sound]),
@@ -160,9 +160,9 @@
     )
 
 
-def _over(rounds: list[Told]) -> Told:
+def _over(rounds: list[LatencyResult]) -> LatencyResult:
     """The medians of several rounds, and all their calls."""
-    return Told(
+    return LatencyResult(
         median(one.p50 for one in rounds),
         median(one.p99 for one in rounds),
         sum(one.calls for one in rounds),
@@ -172,7 +172,7 @@
 
 def through_one(
     listed: int, group: int, seed: int, changes: float = 0.0, lasts: float = LASTS, rounds: int = ROUNDS
-) -> Added:
+) -> AddedLatency:
     """One proxy before one service that stands for all on its list."""
     with standins() as others:
         service = others.do(do="open", services=1)["ports"][0]
@@ -192,7 +192,7 @@
 @contextmanager
 def chain(
     depth: int, listed: int, group: int, changes: float = 0.0, most: int = 3
-) -> Iterator[tuple[int, list[Proxied]]]:
+) -> Iterator[tuple[int, list[ProxyUnderTest]]]:
     """`depth` services twice: each calling the next, from the port that is given; and each calling the next
     through a proxy of its own, from the first of these proxies. They are warmed from the chain's end, since
     none of them knows yet how long a call takes.
@@ -201,7 +201,7 @@
         others = held.enter_context(standins())
         bare = others.do(do="open", services=depth)["ports"]
         ports = others.do(do="open", services=depth)["ports"]
-        proxies: list[Proxied] = []
+        proxies: list[ProxyUnderTest] = []
         for port in ports:
             address = f"{BARE}:{port}"
             discovery = others.do(do="discovery", entries=listed, address=address, changes=changes)["port"]
@@ -223,7 +223,7 @@
     rounds: int = ROUNDS,
     rate: float = CHAIN_RATE,
     most: int = 3,
-) -> Added:
+) -> AddedLatency:
     """A chain of services with proxies against the same with none; each proxy makes `most` attempts."""
     with chain(depth, listed, group, changes, most) as (bare, proxies):
         return _rounds(
@@ -235,7 +235,7 @@
         )
 
 
-async def _one_by_one(host: str, port: int, one: Proxied, seed: int, calls: int) -> list[float]:
+async def _one_by_one(host: str, port: int, one: ProxyUnderTest, seed: int, calls: int) -> list[float]:
     """Processor time of one proxy for each of so many calls, in us, each alone in it and without what passing
     time costs.
     """
@@ -287,7 +287,7 @@
 # one play gives two figures; as many as sizes are measured
 _ALONE: dict[tuple[int, int], list[float]] = {}
 # one play gives several figures; as many as sizes are measured
-_ADDED: dict[tuple[int, int, float, int], Added] = {}
+_ADDED: dict[tuple[int, int, float, int], AddedLatency] = {}
 
 
 def added(group: int, which: str = "p99", changes: float = 0.0) -> Callable[[int, int], float]:
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -48,7 +48,7 @@
         return port
 
 
-class Proxied:
+class ProxyUnderTest:
     """A running proxy."""
 
     def __init__(self, process: subprocess.Popen[bytes], port: int, folder: Path) -> None:
@@ -107,7 +107,7 @@
     own: str | None = None,
     zones: list[str] | None = None,
     most: int = 3,
-) -> Iterator[Proxied]:
+) -> Iterator[ProxyUnderTest]:
     """A proxy that knows so many backends at its start and makes `most` attempts; ready, and ended behind
     it.
     """
@@ -137,7 +137,7 @@
                 env=environment(),
                 preexec_fn=with_parent,
             )
-        made = Proxied(process, port, folder)
+        made = ProxyUnderTest(process, port, folder)
         try:
             until(made.ready)
             yield made
--- a/pepperusher/capacity/watch_costs.py
+++ b/pepperusher/capacity/watch_costs.py
@@ -121,7 +121,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Played(NamedTuple):
+class WatchCosts(NamedTuple):
     """Calls and bytes out of discovery: as all proxies start, at one change, as it returns; and how long
     until all were told.
     """
@@ -141,7 +141,7 @@
             await asyncio.sleep(LOOK)
 
 
-async def _play(watchers: int, seed: int) -> Played:
+async def _play(watchers: int, seed: int) -> WatchCosts:
     discovery = StandIn(LISTED)
     await discovery.open()
     watches: list[Discovery] = []
@@ -165,7 +165,7 @@
         began = loop.time()
         await discovery.open()
         await _until(lambda: discovery.watching == watchers)
-        return Played(
+        return WatchCosts(
             start_calls,
             start_bytes,
             change_bytes,
@@ -181,7 +181,7 @@
         await asyncio.sleep(0)
 
 
-_PLAYED: dict[tuple[int, int], Played] = {}  # one play gives several figures; as many as sizes are measured
+_PLAYED: dict[tuple[int, int], WatchCosts] = {}  # one play gives several figures; as many as sizes are measured
 
 
 def played(name: str) -> Callable[[int, int], float]:
--- a/pepperusher/rehearsal/active_faults.py
+++ b/pepperusher/rehearsal/active_faults.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.fault_schedule import Strike
+from pepperusher.rehearsal.fault_schedule import FaultInterval
 
 GOOD, ERROR, RESET, GARBLE, LOST, HALF = "good", "error", "reset", "garble", "lost", "half-answer"
 # Which of several at once an answer comes to, worst last.
@@ -13,7 +13,7 @@
 FATES = {"errors": ERROR, "lost": LOST, "half-answer": HALF, "garble": GARBLE, "reset": RESET}
 
 
-class Weather(NamedTuple):
+class ActiveFaults(NamedTuple):
     """`idle_most` is for how long a kept connection lives (us, 0 for ever); `spoils` are (what, share, use
     case)."""
 
@@ -25,7 +25,7 @@
     spoils: tuple[tuple[str, float, str | None], ...] = ()
 
 
-def at(strikes: list[Strike], place: int, now: int) -> Weather:
+def at(strikes: list[FaultInterval], place: int, now: int) -> ActiveFaults:
     """All that acts at a place at `now` (us after the start), together."""
     frozen = silent = refuses = False
     slower, idle_most = 1.0, 0
@@ -47,15 +47,15 @@
         elif one.what in FATES:
             spoils.append((one.what, one.by, one.use_case))
     spoils.sort(key=lambda spoil: SPOILS.index(spoil[0]))
-    return Weather(frozen, silent, refuses, slower, idle_most, tuple(spoils))
+    return ActiveFaults(frozen, silent, refuses, slower, idle_most, tuple(spoils))
 
 
-def edges(strikes: list[Strike], place: int) -> list[int]:
+def edges(strikes: list[FaultInterval], place: int) -> list[int]:
     """When its weather changes."""
     return sorted({edge for one in strikes if place in one.targets for edge in (one.at, one.until) if edge >= 0})
 
 
-def fate(weather: Weather, use_case: str, chance: Random) -> str:
+def fate(weather: ActiveFaults, use_case: str, chance: Random) -> str:
     """What becomes of one answer. One number is drawn for each trouble, so that others do not move."""
     made = GOOD
     for what, share, only in weather.spoils:
--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -14,10 +14,10 @@
 from pepperusher.rehearsal.caller import Asked, Client, Reply
 from pepperusher.rehearsal.engine import FULL, RUNS, Engine, Job, Memory, parts_of
 from pepperusher.rehearsal.fleet_plan import Place
-from pepperusher.rehearsal.records import DONE, LEFT, Sent, Stood, Try, Writer
+from pepperusher.rehearsal.records import DONE, LEFT, BackendAttempt, BackendLifetimeRecord, ClientAttempt, Writer
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.active_faults import Weather
-from pepperusher.rehearsal.wire import READ, Broken, Message, Peer, Start, answer_body, clock, since
+from pepperusher.rehearsal.active_faults import ActiveFaults
+from pepperusher.rehearsal.wire import READ, BrokenConnection, Message, Peer, Start, answer_body, clock, since
 
 BACKLOG = 512
 # A repeat that is known costs this part of the work.
@@ -44,7 +44,9 @@
         "waited_for",
     )
 
-    def __init__(self, at: Backend, peer: Peer, record: Sent, job: Job, calls: int, info: int, limit: int) -> None:
+    def __init__(
+        self, at: Backend, peer: Peer, record: BackendAttempt, job: Job, calls: int, info: int, limit: int
+    ) -> None:
         self.at = at
         self.peer = peer
         self.record = record
@@ -81,7 +83,7 @@
         from_when = start.at + born if born >= 0 else (now if kind.started == "cold" else now - kind.warm_for)
         rules = script.rules
         self._engine = Engine(kind, from_when, now, rules.tip_multiple, rules.tip_for)
-        self._weather = Weather()
+        self._weather = ActiveFaults()
         self._thawed = asyncio.Event()
         self._thawed.set()
         self._peers: dict[Peer, Task | None] = {}  # emptied as connections end
@@ -133,18 +135,18 @@
             _reset(peer)
         if self._client is not None:
             self._client.close()
-        self._writer.add(Stood(self.place.number, self.id, self.born, at, self.fell))
+        self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
 
     def renamed(self, id: str, at: int) -> None:
         """Discovery knows it under another id from now on; it goes on as it was."""
-        self._writer.add(Stood(self.place.number, self.id, self.born, at, self.fell))
+        self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
         self.id, self.born = id, at
 
     @property
     def fell(self) -> int:
         return since(self._engine.fell, self._start.at)
 
-    async def weather(self, now: Weather) -> None:
+    async def weather(self, now: ActiveFaults) -> None:
         """The timeline has it that its weather changes."""
         before, self._weather = self._weather, now
         self._turn()
@@ -176,7 +178,7 @@
                     break
                 if not await self._take(peer, message):
                     break
-        except Broken as broken:
+        except BrokenConnection as broken:
             if broken.begun and self._peers.get(peer) is None and not self._ended and not writer.transport.is_closing():
                 writer.write(b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
         except asyncio.CancelledError:
@@ -210,7 +212,7 @@
             self._plain(peer, 404, b"no such use case, or no Request-Id\n")
             return peer.again()
         mark = message.headers.get(b"idempotency-key", b"").decode("latin-1")
-        record = Sent(
+        record = BackendAttempt(
             name,
             mark,
             use,
@@ -272,7 +274,7 @@
 
     # --- one ticket -------------------------------------------------------------------------------
 
-    def _began(self, peer: Peer, message: Message, record: Sent) -> Task | None:
+    def _began(self, peer: Peer, message: Message, record: BackendAttempt) -> Task | None:
         """Offers it to the engine; None where it was turned away at once."""
         use = self._script.use_cases[record.use]
         info = _figure(message.headers.get(b"request-info", b""), b"work")
@@ -408,7 +410,7 @@
         """A call's own record, as a client's try has."""
         assert self.place.proxy is not None
         self._writer.add(
-            Try(
+            ClientAttempt(
                 asked.name,
                 asked.name,
                 0,
@@ -514,7 +516,7 @@
                 self._settle(task, stopped=True)
             self._turn()
 
-    def _away(self, peer: Peer, record: Sent, status: int) -> None:
+    def _away(self, peer: Peer, record: BackendAttempt, status: int) -> None:
         record.away, record.ended = True, self._now()
         self._writer.add(record)
         self._plain(peer, status, b"not started\n", (b"not-started", b"1"))
--- a/pepperusher/rehearsal/caller.py
+++ b/pepperusher/rehearsal/caller.py
@@ -10,7 +10,7 @@
 
 from pepperusher.rehearsal.records import BOUNCED, DONE, LEFT, LOST, SCRAPPED, UNREACHED, WRONG
 from pepperusher.rehearsal.script import Use
-from pepperusher.rehearsal.wire import Broken, Message, Peer, clock, is_answer, reach
+from pepperusher.rehearsal.wire import BrokenConnection, Message, Peer, clock, is_answer, reach
 
 # A connection that does not come up in this is none; a proxy accepts at once or is away.
 CONNECT_WITHIN = 1.0
@@ -172,9 +172,9 @@
                 await peer.writer.drain()
             asked.written = clock()
             message = await peer.receive()
-        except (Broken, OSError) as broken:
+        except (BrokenConnection, OSError) as broken:
             peer.abort()
-            return self._broke(asked, began, isinstance(broken, Broken) and broken.begun)
+            return self._broke(asked, began, isinstance(broken, BrokenConnection) and broken.begun)
         if message is None:
             peer.abort()
             return self._broke(asked, began, False)
--- a/pepperusher/rehearsal/client_behavior.py
+++ b/pepperusher/rehearsal/client_behavior.py
@@ -13,7 +13,7 @@
 LOOK_AGAIN = 50_000
 
 
-class Wish:
+class RequestBehavior:
     """What one client wants once, over all its tries. All chance is its own, from the script's seed and its
     place in the plan, so that what one client does never changes another's draws."""
 
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -11,7 +11,7 @@
 import click
 
 from pepperusher.rehearsal import results, script as scripts, text_report
-from pepperusher.rehearsal.run_controller import PlayError, rehearse as play
+from pepperusher.rehearsal.run_controller import RehearsalError, rehearse as play
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import ScriptError
 from pepperusher.durations import span as span_of
@@ -29,7 +29,7 @@
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     try:
         yield
-    except (ScriptError, PlayError, ResultError) as error:
+    except (ScriptError, RehearsalError, ResultError) as error:
         raise click.ClickException(str(error)) from None
     except KeyboardInterrupt:
         raise click.ClickException("stopped") from None
--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -2,7 +2,7 @@
 that takes, and how soon new processes are ready.
 
 Hollow askers are the proxy's own Discovery, Facade and Backends with no tickets, all in one process; the
-discovery that they ask is `queued_discovery.Turns`. Times are those of `steady_loop`, and real where there are whole
+discovery that they ask is `queued_discovery.QueuedDiscovery`. Times are those of `steady_loop`, and real where there are whole
 processes. What an asker has is in force once the decisions were told of it."""
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.log import Log
 from pepperusher.rehearsal.steady_loop import SteadyLoop
-from pepperusher.rehearsal.queued_discovery import KEEPING, REFUSING, SILENT, Turns
+from pepperusher.rehearsal.queued_discovery import KEEPING, REFUSING, SILENT, QueuedDiscovery
 
 Made = TypeVar("Made")
 BACKENDS = 20
@@ -97,7 +97,7 @@
 )
 
 
-class Asker:
+class DiscoveryClient:
     """One hollow proxy: a list, and nobody who sends it a ticket."""
 
     def __init__(self, number: int, of: int, address: tuple[str, int], seed: int, ask_within: float) -> None:
@@ -131,42 +131,42 @@
     return True
 
 
-def _down(turns: Turns) -> None:
+def _down(turns: QueuedDiscovery) -> None:
     turns.down()
 
 
-def _refusing(turns: Turns) -> None:
+def _refusing(turns: QueuedDiscovery) -> None:
     turns.manner = REFUSING
     turns.end_watches()
 
 
-def _silent(turns: Turns) -> None:
+def _silent(turns: QueuedDiscovery) -> None:
     """It takes calls and never answers those, while open watches say nothing."""
     turns.manner = SILENT
     turns.hush()
 
 
-def _keeping(turns: Turns) -> None:
+def _keeping(turns: QueuedDiscovery) -> None:
     """Its process is up, takes calls into its queue and works none through: each is refused when its patience
     is over."""
     turns.manner = KEEPING
     turns.end_watches()
 
 
-def _ended(turns: Turns) -> None:
+def _ended(turns: QueuedDiscovery) -> None:
     turns.end_watches()
 
 
-def _hushed(turns: Turns) -> None:
+def _hushed(turns: QueuedDiscovery) -> None:
     turns.hush()
 
 
 # What befalls discovery, and whether it lasts; otherwise discovery is well at once.
-SCENES: dict[str, tuple[Callable[[Turns], None], bool]] = {
+SCENES: dict[str, tuple[Callable[[QueuedDiscovery], None], bool]] = {
     "down": (_down, True),
     "refusing": (_refusing, True),
     "silent": (_silent, True),
-    "unreachable": (Turns.unreachable, True),
+    "unreachable": (QueuedDiscovery.unreachable, True),
     "watches-end": (_ended, False),
     "watches-silent": (_hushed, False),
 }
@@ -176,9 +176,11 @@
 
 
 @asynccontextmanager
-async def _crowd(askers: int, turns: Turns, seed: int, ask_within: float = 10.0) -> AsyncIterator[list[Asker]]:
+async def _crowd(
+    askers: int, turns: QueuedDiscovery, seed: int, ask_within: float = 10.0
+) -> AsyncIterator[list[DiscoveryClient]]:
     await turns.open()
-    those = [Asker(number, askers, turns.address, seed, ask_within) for number in range(askers)]
+    those = [DiscoveryClient(number, askers, turns.address, seed, ask_within) for number in range(askers)]
     try:
         yield those
     finally:
@@ -189,7 +191,7 @@
         await asyncio.sleep(0.1)
 
 
-def _figures(scene: str, turns: Turns, lags: list[float], unheard: int) -> Figures:
+def _figures(scene: str, turns: QueuedDiscovery, lags: list[float], unheard: int) -> Figures:
     first = min(turns.calls, default=0.0)
     seconds = Counter(int(at - first) for at in turns.calls)
     return Figures(
@@ -215,7 +217,7 @@
     befalls, lasts = TROUBLES[scene]
     patience = PATIENCE if scene == "keeping" and patience is None else patience
     chance = Random(seed)
-    turns = Turns(BACKENDS, each, queue)
+    turns = QueuedDiscovery(BACKENDS, each, queue)
     late: list[float] = []
     unheard = 0
     loop = asyncio.get_running_loop()
@@ -243,7 +245,7 @@
         return _figures(scene, turns, late, unheard)
 
 
-class Whole:
+class ServeProcess:
     """A process as an operator starts it, with no list of its own, asked whether it is ready."""
 
     def __init__(self, folder: Path, number: int, of: int, discovery: tuple[str, int], python: str) -> None:
@@ -313,7 +315,7 @@
     processes and so many hollow ones that they are `askers` together. Discovery is slow (`each` seconds a
     call), full (503 beyond `queue`), or down and back after 5 s. Of processes where there are any, otherwise
     of the hollow ones."""
-    turns = Turns(BACKENDS, each, queue if scene == "start-full" else 1_000_000)
+    turns = QueuedDiscovery(BACKENDS, each, queue if scene == "start-full" else 1_000_000)
     loop = asyncio.get_running_loop()
     took: list[float] = []
 
@@ -326,7 +328,9 @@
         if scene == "start-back":
             turns.down()
         with tempfile.TemporaryDirectory() as folder:
-            started = [Whole(Path(folder), number, askers, turns.address, sys.executable) for number in range(whole)]
+            started = [
+                ServeProcess(Path(folder), number, askers, turns.address, sys.executable) for number in range(whole)
+            ]
             for one in those:
                 one.discovery.start()
             tasks = [loop.create_task(timed(one.ready())) for one in started]
--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
-from pepperusher.rehearsal.records import Told, Writer
-from pepperusher.rehearsal.endpoint_history import Roster
-from pepperusher.rehearsal.fault_schedule import Timeline
-from pepperusher.rehearsal.wire import Broken, Peer, Start, clock
+from pepperusher.rehearsal.records import StateNotification, Writer
+from pepperusher.rehearsal.endpoint_history import EndpointHistory
+from pepperusher.rehearsal.fault_schedule import FaultSchedule
+from pepperusher.rehearsal.wire import BrokenConnection, Peer, Start, clock
 
 EMPTY_EVERY = 2_000_000
 # A discovery that has moved closes what is open at its old address after this.
@@ -25,11 +25,13 @@
 QUEUE_LOOK = 0.02
 
 
-class Listing:
+class DiscoveryServer:
     """Discovery for all gates. Its `moves` are the times at which it goes to another port, one after
     another."""
 
-    def __init__(self, plan: FleetPlan, line: Timeline, roster: Roster, writer: Writer, start: Start) -> None:
+    def __init__(
+        self, plan: FleetPlan, line: FaultSchedule, roster: EndpointHistory, writer: Writer, start: Start
+    ) -> None:
         self._plan = plan
         self._roster = roster
         self._writer = writer
@@ -111,7 +113,7 @@
                     peer.send(h11.Response(status_code=200, headers=[(b"content-length", b"%d" % len(body))]), body)
                 if not peer.again():
                     break
-        except (Broken, OSError, asyncio.CancelledError):
+        except (BrokenConnection, OSError, asyncio.CancelledError):
             pass  # the other side's end, or the rehearsal's
         finally:
             self._serving.discard(task)
@@ -130,7 +132,7 @@
         told = self._roster.line(gate.tier, version, after, self._began_ms())
         now = self._now()
         for one in told["servers"]:
-            self._writer.add(Told(gate.number, one["id"], one["state"], now))
+            self._writer.add(StateNotification(gate.number, one["id"], one["state"], now))
         return msgspec.json.encode(told) + b"\n"
 
     async def _watch(self, peer: Peer, gate: Gate, turn: int, after: int | None) -> None:
--- a/pepperusher/rehearsal/endpoint_history.py
+++ b/pepperusher/rehearsal/endpoint_history.py
@@ -11,7 +11,7 @@
 
 from pepperusher.rehearsal.fleet_plan import FleetPlan
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.fault_schedule import Strike, Timeline
+from pepperusher.rehearsal.fault_schedule import FaultInterval, FaultSchedule
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # How far a list goes back in version where it is made to, in changes.
@@ -32,7 +32,7 @@
     born: int
 
 
-def _late(at: int, strikes: list[Strike], notice: int) -> int:
+def _late(at: int, strikes: list[FaultInterval], notice: int) -> int:
     told = at + notice
     for strike in strikes:
         if strike.what == "discovery-late" and strike.at <= told < strike.until:
@@ -40,7 +40,7 @@
     return told
 
 
-def changes(script: Script, line: Timeline) -> list[Change]:
+def changes(script: Script, line: FaultSchedule) -> list[Change]:
     """All changes of the list in the order in which they are told; a backend's own stay in their order."""
     notice = script.discovery.notice
     silent = script.discovery.silent or notice
@@ -60,10 +60,10 @@
     return sorted(made, key=lambda one: one.told)
 
 
-class Roster:
+class EndpointHistory:
     """The list at any time. `version` counts changes told so far, and goes back where a strike makes it."""
 
-    def __init__(self, script: Script, plan: FleetPlan, line: Timeline) -> None:
+    def __init__(self, script: Script, plan: FleetPlan, line: FaultSchedule) -> None:
         self._changes = changes(script, line)
         self._places = plan.places
         self._tiers = [place.tier for place in plan.places]
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -44,7 +44,7 @@
     folder: str = "."
 
 
-class Play(NamedTuple):
+class PlannedRun(NamedTuple):
     """One rehearsal to play; those of the same `pair` differ in their arm alone."""
 
     arm: Arm
@@ -106,11 +106,11 @@
         raise ScriptError(f"{said}: the script has no {last} in {key}")
 
 
-def planned(experiment: Experiment) -> list[Play]:
+def planned(experiment: Experiment) -> list[PlannedRun]:
     """Every play, interleaved: pairs in an order drawn from the seed, the arms of each one after another, and
     which comes first drawn too, so that a machine that slows over time strikes all arms alike. Raises
     ScriptError."""
-    plays: list[list[Play]] = []
+    plays: list[list[PlannedRun]] = []
     keys = list(experiment.vary)
     for name in experiment.rehearsals:
         path = Path(experiment.folder) / name
@@ -131,7 +131,7 @@
                         raise ScriptError(f"{name}, arm {arm.name}: {error}") from None
                     script.folder = str(path.resolve().parent)
                     parameters = {"rehearsal": name, "seed": seed, **dict(zip(keys, values))}
-                    pair.append(Play(arm, json.dumps(parameters, sort_keys=True), script, parameters))
+                    pair.append(PlannedRun(arm, json.dumps(parameters, sort_keys=True), script, parameters))
                 plays.append(pair)
     if sum(map(len, plays)) > MOST:
         raise ScriptError(f"seeds: {sum(map(len, plays))} rehearsals are over {MOST}")
@@ -142,15 +142,15 @@
     return [play for pair in plays for play in pair]
 
 
-def _file(play: Play) -> str:
+def _file(play: PlannedRun) -> str:
     """A name that changes with anything that is asked."""
     asked = scripts.encoded(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
     return f"{play.arm.name}-{hashlib.sha256(asked).hexdigest()[:12]}{results.SUFFIX}"
 
 
-def play(experiment: Experiment, out: Path, say: Callable[[str], None]) -> list[tuple[Play, Result]]:
+def play(experiment: Experiment, out: Path, say: Callable[[str], None]) -> list[tuple[PlannedRun, Result]]:
     """Plays what `out` does not hold yet, so one that was stopped goes on. Raises ScriptError and
-    PlayError."""
+    RehearsalError."""
     plays = planned(experiment)
     out.mkdir(parents=True, exist_ok=True)
     played = []
@@ -178,7 +178,7 @@
         return None
 
 
-class Compared(NamedTuple):
+class ArmComparison(NamedTuple):
     """`other` against `base` where `where` was varied so; all seeds of it are its pairs."""
 
     base: str
@@ -187,7 +187,7 @@
     differences: list[Difference]
 
 
-def compared(experiment: Experiment, played: list[tuple[Play, Result]]) -> list[Compared]:
+def compared(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
     """Each arm after the first, for each rehearsal and each set of varied values on its own: a difference at
     one rate is no difference at another."""
     base = experiment.arms[0].name
@@ -205,7 +205,7 @@
             ]
             if pairs:
                 made.append(
-                    Compared(
+                    ArmComparison(
                         base,
                         arm.name,
                         where,
@@ -215,7 +215,7 @@
     return made
 
 
-def spoken(experiment: Experiment, played: list[tuple[Play, Result]]) -> str:
+def spoken(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
     lines = [experiment.title]
     for made in compared(experiment, played):
         pairs = made.differences[0].pairs if made.differences else 0
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -18,10 +18,10 @@
 from pepperusher.rehearsal import traces
 from pepperusher.rehearsal.arrivals import Arrival, Mix, work_of
 from pepperusher.rehearsal.caller import Asked, Client, Reply
-from pepperusher.rehearsal.client_behavior import Wish
-from pepperusher.rehearsal.records import NOBODY, Stall, Try, Writer
+from pepperusher.rehearsal.client_behavior import RequestBehavior
+from pepperusher.rehearsal.records import NOBODY, Stall, ClientAttempt, Writer
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.stalls import Heart, Margin
+from pepperusher.rehearsal.stalls import StallDetector, SleepMargin
 from pepperusher.rehearsal.wire import Start, clock, since
 from pepperusher.rehearsal.worker import Orders
 
@@ -87,7 +87,7 @@
         self._writer = writer
         self._start = Start()
         self._open: set[asyncio.Task[None]] = set()  # emptied as wishes end
-        self._margin = Margin(COARSE, COARSEST)
+        self._margin = SleepMargin(COARSE, COARSEST)
         self.sent = 0
 
     def plan(self) -> list[Arrival]:
@@ -131,7 +131,7 @@
 
     async def _wish(self, arrival: Arrival, due: int) -> None:
         use = self._script.use_cases[arrival.use]
-        wish = Wish(use, self._script.load, self._script.seed, arrival.order, due)
+        wish = RequestBehavior(use, self._script.load, self._script.seed, arrival.order, due)
         intended: int | None = due
         zone = self._zones[arrival.order % len(self._zones)]
         while intended is not None:
@@ -139,7 +139,7 @@
                 await asyncio.sleep(left / 1e6)
             intended = await self._try(arrival, wish, intended, zone)
 
-    async def _try(self, arrival: Arrival, wish: Wish, intended: int, zone: str) -> int | None:
+    async def _try(self, arrival: Arrival, wish: RequestBehavior, intended: int, zone: str) -> int | None:
         """One try; when the next is to be."""
         use, nth = wish.use, wish.nth
         customers = self._script.customers
@@ -162,7 +162,7 @@
         ended = clock()
         start = self._start.at
         self._writer.add(
-            Try(
+            ClientAttempt(
                 name,
                 f"w{arrival.order}",
                 nth,
@@ -214,7 +214,7 @@
         )
 
     async def beat(self) -> None:
-        heart = Heart(BEAT, self._script.load.stall)
+        heart = StallDetector(BEAT, self._script.load.stall)
         flushed = 0.0
         while True:
             stall = heart.beat(clock())
--- a/pepperusher/rehearsal/group_figures.py
+++ b/pepperusher/rehearsal/group_figures.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from pepperusher.group.messages import LOST, Broadcast
-from pepperusher.rehearsal.group_model import SECOND, Manner, Model
+from pepperusher.rehearsal.group_model import SECOND, LinkProperties, Model
 
 # A member's figures are taken over so long.
 SPAN = 10 * SECOND
@@ -48,7 +48,7 @@
 
 
 def play(
-    what: str, size: int, seed: int, manner: Manner, starved: int = 0, duty: float = 1.0, span: int = SPAN
+    what: str, size: int, seed: int, manner: LinkProperties, starved: int = 0, duty: float = 1.0, span: int = SPAN
 ) -> tuple[float, float, float, float, int, int, float, float]:
     """One group that meets, runs for a while, is told something, and loses a member."""
     model = Model(seed, manner=manner)
@@ -114,7 +114,7 @@
     what: str,
     size: int,
     plays: int,
-    manner: Manner = Manner(),
+    manner: LinkProperties = LinkProperties(),
     starved: int = 0,
     duty: float = 1.0,
     span: int = SPAN,
@@ -144,11 +144,11 @@
         yield row(f"{size}", size, plays if size <= 100 else 1, span=SPAN if size <= 200 else 3 * SECOND)
         say(f"{size} members are played")
     for lost in (0.05, 0.1, 0.2, 0.3):
-        yield row(f"40, {lost:.0%} lost", 40, plays, Manner(lost=lost), span=60 * SECOND)
+        yield row(f"40, {lost:.0%} lost", 40, plays, LinkProperties(lost=lost), span=60 * SECOND)
     say("losses are played")
     for starved in (1, 4, 10):
         yield row(f"40, {starved} with 5% of a processor", 40, plays, starved=starved, duty=0.05, span=60 * SECOND)
-    yield row("40, 4 with 5% and 10% lost", 40, plays, Manner(lost=0.1), starved=4, duty=0.05, span=60 * SECOND)
+    yield row("40, 4 with 5% and 10% lost", 40, plays, LinkProperties(lost=0.1), starved=4, duty=0.05, span=60 * SECOND)
 
 
 def table(made: list[Row]) -> str:
--- a/pepperusher/rehearsal/group_model.py
+++ b/pepperusher/rehearsal/group_model.py
@@ -21,7 +21,7 @@
 SECOND = 1_000_000
 
 
-class Manner(NamedTuple):
+class LinkProperties(NamedTuple):
     """What befalls a datagram between two: a share that is lost or comes twice, and its time under way."""
 
     lost: float = 0.0
@@ -30,7 +30,7 @@
     jitter: int = 400
 
 
-class Told(NamedTuple):
+class ObservedChange(NamedTuple):
     """A line of the book: when, who says, what of whom."""
 
     at: int
@@ -38,7 +38,7 @@
     change: Change
 
 
-class One:
+class ModelMember:
     """A member and the process around it."""
 
     def __init__(self, swim: Swim) -> None:
@@ -57,17 +57,19 @@
 
 
 class Model:
-    def __init__(self, seed: int, period: int = 200_000, within: int = 60_000, manner: Manner = Manner()) -> None:
+    def __init__(
+        self, seed: int, period: int = 200_000, within: int = 60_000, manner: LinkProperties = LinkProperties()
+    ) -> None:
         self.chance = Random(seed)
         self.now = 1_700_000_000 * SECOND
         self.manner = manner
         self.period, self.within = period, within
-        self.ones: dict[str, One] = {}
-        self.book: list[Told] = []
+        self.ones: dict[str, ModelMember] = {}
+        self.book: list[ObservedChange] = []
         self.wire = Wire("the model's")
         # Whether nothing passes from one to the other.
         self.cut: Callable[[str, str], bool] = lambda _, __: False
-        self.manners: dict[tuple[str, str], Manner] = {}
+        self.manners: dict[tuple[str, str], LinkProperties] = {}
         self.turn = TURN
         self._heap: list[tuple[int, int, str, Any]] = []
         self._order = count()
@@ -86,7 +88,7 @@
         place: int | None = None,
         behind: int = 0,
         address: tuple[str, int] | None = None,
-    ) -> One:
+    ) -> ModelMember:
         """A member that starts now; again under a name that was there, it has lost all that it knew. `behind`
         is how far its clock is set back.
         """
@@ -109,7 +111,7 @@
             len(self.ones) if place is None else place,
         )
         terms = SwimSettings(self.period, self.within, tuple(others[:seeds]), told, 60 * SECOND)
-        one = One(Swim(me, terms, self.wire, Random(self.chance.getrandbits(32)), self.now))
+        one = ModelMember(Swim(me, terms, self.wire, Random(self.chance.getrandbits(32)), self.now))
         self.ones[name] = one
         self._at[address] = name
         self._push(self.now, "wake", (name, one))
@@ -130,7 +132,7 @@
     def _push(self, at: int, what: str, of: Any) -> None:
         heappush(self._heap, (at, next(self._order), what, of))
 
-    def _turn(self, one: One) -> int:
+    def _turn(self, one: ModelMember) -> int:
         """When it next has its processor."""
         if one.stopped_until is not None and self.now < one.stopped_until:
             return one.stopped_until
@@ -178,12 +180,12 @@
         self.now = max(self.now, end)
         return until is not None and until()
 
-    def _read(self, one: One) -> None:
+    def _read(self, one: ModelMember) -> None:
         came, one.waiting = one.waiting, []
         for data in came:
             one.swim.receive(data, self.now)
 
-    def _send(self, name: str, one: One) -> None:
+    def _send(self, name: str, one: ModelMember) -> None:
         swim = one.swim
         out, swim.out = swim.out, []
         for address, data in out:
@@ -191,7 +193,7 @@
             one.sent_bytes += len(data)
             self.datagram(name, address, data)
         for change in swim.changes:
-            self.book.append(Told(self.now, name, change))
+            self.book.append(ObservedChange(self.now, name, change))
         swim.changes.clear()
         if swim.wants_roll is not None:
             self._stream(name, one, swim.wants_roll)
@@ -210,7 +212,7 @@
                     (to, self.ones[to], data),
                 )
 
-    def _stream(self, name: str, one: One, address: tuple[str, int]) -> None:
+    def _stream(self, name: str, one: ModelMember, address: tuple[str, int]) -> None:
         to = self._at.get(address)
         if to is None or self.cut(name, to) or self.cut(to, name) or not self.ones[to].up:
             return
--- a/pepperusher/rehearsal/group_run.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from pepperusher.rehearsal.fleet_plan import Gate
-from pepperusher.rehearsal.links import Links, Manner
-from pepperusher.rehearsal.records import Believed
+from pepperusher.rehearsal.links import Links, LinkProperties
+from pepperusher.rehearsal.records import MembershipBelief
 from pepperusher.rehearsal.script import Grouped, Link, Script
-from pepperusher.rehearsal.fault_schedule import Strike
+from pepperusher.rehearsal.fault_schedule import FaultInterval
 from pepperusher.rehearsal.wire import clock
 
 KEY = "of this rehearsal alone"
@@ -23,8 +23,10 @@
 IN, SAYS = "in the group", "group: "
 
 
-def manner_of(link: Link) -> Manner:
-    return Manner(link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate)
+def manner_of(link: Link) -> LinkProperties:
+    return LinkProperties(
+        link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate
+    )
 
 
 def twin_of(gate: Gate, net: int) -> Gate:
@@ -43,7 +45,7 @@
     )
 
 
-class Grouping:
+class GroupRun:
     """`base` is the text of the own file that the members have beside this."""
 
     def __init__(self, script: Script, gates: list[Gate], net: int, work: Path, base: str = "") -> None:
@@ -55,7 +57,7 @@
         self._base = base
         self._net = net
         self.links = Links(f"127.{net}.0.2", Random(f"{script.seed}:links"))
-        self._on: dict[int, Strike] = {}  # faults of links that are on, by their number; emptied as they end
+        self._on: dict[int, FaultInterval] = {}  # faults of links that are on, by their number; emptied as they end
 
     async def open(self) -> None:
         """Before any process is started: each is told of the others by addresses that stand here."""
@@ -90,7 +92,7 @@
         path.write_text(text)
         return path
 
-    def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> Believed | None:
+    def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> MembershipBelief | None:
         """A line of its log: where it listens now, or what it finds, with the time of its saying."""
         event = str(line.get("event", ""))
         if event == IN:
@@ -101,7 +103,7 @@
             return None
         said = float(line.get("time", time.time()))
         ago = max(0, round((time.time() - said) * SECOND))
-        return Believed(
+        return MembershipBelief(
             gate.number,
             clock() - ago - start,
             event.removeprefix(SAYS),
@@ -111,7 +113,7 @@
 
     # --- links --------------------------------------------------------------------------------------
 
-    def struck(self, strike: Strike, on: bool) -> None:
+    def struck(self, strike: FaultInterval, on: bool) -> None:
         """A fault of links begins or ends; those that are still on stay so."""
         number = strike.targets[0]
         if on:
--- a/pepperusher/rehearsal/hollow_discovery.py
+++ b/pepperusher/rehearsal/hollow_discovery.py
@@ -60,7 +60,7 @@
 class Watch(asyncio.Protocol):
     """One connection of a proxy."""
 
-    def __init__(self, view: View, listing: Listing) -> None:
+    def __init__(self, view: View, listing: HollowDiscovery) -> None:
         self._view, self._listing = view, listing
         self._asked = b""
         self.due = 0.0
@@ -98,7 +98,7 @@
         self._listing.count(lines=1, out=len(sent))
 
 
-class Listing:
+class HollowDiscovery:
     def __init__(self, spec: dict[str, Any]) -> None:
         self.away = False
         self._seconds: dict[int, Counter[str]] = {}  # of the clock; emptied as they are asked for
@@ -205,7 +205,7 @@
 
 
 def main(arguments: Sequence[str]) -> None:
-    asyncio.run(Listing(json.loads(Path(arguments[0]).read_text())).run())
+    asyncio.run(HollowDiscovery(json.loads(Path(arguments[0]).read_text())).run())
 
 
 if __name__ == "__main__":
--- a/pepperusher/rehearsal/hollow_fidelity.py
+++ b/pepperusher/rehearsal/hollow_fidelity.py
@@ -17,7 +17,7 @@
 
 from pepperusher.control import client
 from pepperusher.rehearsal.hollow_plan import SETTINGS, Place, Plan, row
-from pepperusher.rehearsal.hollow_run import BOTH, OWN, Play
+from pepperusher.rehearsal.hollow_run import BOTH, OWN, HollowRun
 from pepperusher.rehearsal.worker import environment, with_parent
 
 BACKENDS = 60
@@ -38,7 +38,7 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")
 
 
-class Compared(NamedTuple):
+class FidelityComparison(NamedTuple):
     kind: str
     whole: float
     hollow: float
@@ -48,7 +48,7 @@
         return abs(self.whole - self.hollow) <= WITHIN * max(self.whole, self.hollow)
 
 
-class Whole:
+class ServeProcess:
     """One `serve` process; of a group of `group` where there is one, and with a console if asked for."""
 
     def __init__(self, work: Path, index: int, group: int = 0, console: str = "", listen: str = "") -> None:
@@ -161,8 +161,8 @@
 
 async def compare(size: int, seed: int, work: Path, say: Callable[[str], None]) -> dict[str, Any]:
     """Raises WorkerError where a process of the play's own failed, RuntimeError where a whole proxy did."""
-    play = Play(layout(size), seed, work, say)
-    whole = [Whole(work, index) for index in range(size)]
+    play = HollowRun(layout(size), seed, work, say)
+    whole = [ServeProcess(work, index) for index in range(size)]
     try:
         await play.stand()
         await asyncio.gather(*(one.start(play.front(0, 0)) for one in whole))
@@ -204,8 +204,8 @@
     finally:
         await asyncio.gather(*(one.end() for one in whole))
         await play.end()
-    rows_ = [Compared(kind, counts[0].get(kind, 0), counts[1].get(kind, 0)) for kind in (*MESSAGES, *BYTES)]
-    rows_ += [Compared(kind, states[kind], hollow.get(kind, 0)) for kind in STATE]
+    rows_ = [FidelityComparison(kind, counts[0].get(kind, 0), counts[1].get(kind, 0)) for kind in (*MESSAGES, *BYTES)]
+    rows_ += [FidelityComparison(kind, states[kind], hollow.get(kind, 0)) for kind in STATE]
     return {
         "size": size,
         "seed": seed,
@@ -224,13 +224,13 @@
     }
 
 
-async def _both_watch(play: Play, size: int, empty: int = 0) -> None:
+async def _both_watch(play: HollowRun, size: int, empty: int = 0) -> None:
     for view in (0, 1):
         if not await play.settled(view, size, SETTLE_WITHIN, empty):
             raise RuntimeError("not all watch discovery")
 
 
-async def _until_ready(whole: list[Whole]) -> None:
+async def _until_ready(whole: list[ServeProcess]) -> None:
     """Until each of them has the list."""
     until = time.monotonic() + READY_WITHIN
     for one in whole:
@@ -260,7 +260,7 @@
         folder.mkdir()
         counted[kind] = await _counted(kind, size, seed, folder, say)
     kinds = (*CONTROL_MESSAGES, *CONTROL_BYTES)
-    rows = [Compared(kind, counted["whole"][kind], counted["hollow"][kind]) for kind in kinds]
+    rows = [FidelityComparison(kind, counted["whole"][kind], counted["hollow"][kind]) for kind in kinds]
     return {
         "size": size,
         "seed": seed,
@@ -272,8 +272,8 @@
 
 
 async def _counted(kind: str, size: int, seed: int, work: Path, say: Callable[[str], None]) -> Counter[str]:
-    play = Play(layout(size), seed, work, say, controls=2, names=[["config", "common"]])
-    whole = [Whole(work, index) for index in range(size if kind == "whole" else 0)]
+    play = HollowRun(layout(size), seed, work, say, controls=2, names=[["config", "common"]])
+    whole = [ServeProcess(work, index) for index in range(size if kind == "whole" else 0)]
     try:
         await play.stand()
         controls = play.controls
@@ -308,7 +308,7 @@
         await play.end()
 
 
-async def _in_force(play: Play, whole: list[Whole], version: int) -> None:
+async def _in_force(play: HollowRun, whole: list[ServeProcess], version: int) -> None:
     """Until this is in force at all, as they say: control machines are not asked, since that counts."""
     until = time.monotonic() + READY_WITHIN
     wanted = f"{version >> 53}.{version & (1 << 53) - 1}"
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -17,9 +17,9 @@
 from typing import Any
 
 from pepperusher.rehearsal.group_run import IN
-from pepperusher.rehearsal.hollow_fidelity import BACKENDS, WITHIN, Compared, Whole
+from pepperusher.rehearsal.hollow_fidelity import BACKENDS, WITHIN, FidelityComparison, ServeProcess
 from pepperusher.rehearsal.hollow_group import kinds_of
-from pepperusher.rehearsal.hollow_group_run import KEY, PERIOD, PORT, GroupPlay, host_of
+from pepperusher.rehearsal.hollow_group_run import KEY, PERIOD, PORT, HollowGroupRun, host_of
 from pepperusher.rehearsal.hollow_group_run import WITHIN as ANSWER
 from pepperusher.rehearsal.hollow_plan import Place, Plan, row
 from pepperusher.rehearsal.hollow_run import DISCOVERY, OWN
@@ -64,7 +64,7 @@
     return Plan([rows], [[0], [0]], places, [0] * (PROCESSES + 1))
 
 
-class Beside(GroupPlay):
+class Beside(HollowGroupRun):
     """The hollow ones' stand, and links for as many whole ones."""
 
     whole_ways: Worker
@@ -113,7 +113,7 @@
     def __init__(self, play: Beside, work: Path, size: int) -> None:
         self._play, self._work, self._size = play, work, size
         self.ones = [
-            Whole(work, index, size, play.console(index) if index == TELLS else "", play.listen(index))
+            ServeProcess(work, index, size, play.console(index) if index == TELLS else "", play.listen(index))
             for index in range(size)
         ]
         self.away: set[int] = set()
@@ -287,7 +287,7 @@
         finds.update(kinds_of(view))
     (whole_joined, whole_quiet), (hollow_joined, hollow_quiet) = spans
     kinds = [
-        Compared(label + name, of_whole[key], of_hollow[key])
+        FidelityComparison(label + name, of_whole[key], of_hollow[key])
         for label, of_whole, of_hollow in (
             ("join: ", whole_joined, hollow_joined),
             ("quiet: ", whole_quiet, hollow_quiet),
@@ -295,7 +295,7 @@
         )
         for key, name in TRAFFIC.items()
     ]
-    kinds += [Compared(f"finds: {kind}", finds[kind], hollow[kind]) for kind in FINDS]
+    kinds += [FidelityComparison(f"finds: {kind}", finds[kind], hollow[kind]) for kind in FINDS]
     return {
         "size": size,
         "seed": seed,
--- a/pepperusher/rehearsal/hollow_group_links.py
+++ b/pepperusher/rehearsal/hollow_group_links.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any
 
-from pepperusher.rehearsal.links import Links, Manner
+from pepperusher.rehearsal.links import Links, LinkProperties
 from pepperusher.rehearsal.worker import Orders
 
 
@@ -38,7 +38,9 @@
 
     async def shape(self, order: dict[str, Any]) -> dict[str, Any]:
         """From these sides to those."""
-        manner = Manner(lost=order.get("lost", 0.0), delay=order.get("delay", 0.0), jitter=order.get("jitter", 0.0))
+        manner = LinkProperties(
+            lost=order.get("lost", 0.0), delay=order.get("delay", 0.0), jitter=order.get("jitter", 0.0)
+        )
         self._links.shape(manner, order["senders"], order["receivers"])
         return {}
 
--- a/pepperusher/rehearsal/hollow_group_run.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from pepperusher.rehearsal.hollow_plan import BETWEEN, WITHIN_REGION, Place, Plan, region_of
-from pepperusher.rehearsal.hollow_run import DISCOVERY, Play
+from pepperusher.rehearsal.hollow_run import DISCOVERY, HollowRun
 from pepperusher.rehearsal.worker import Worker
 
 KEY = "of this play alone"
@@ -36,8 +36,8 @@
     return f"z{zone}"
 
 
-class GroupPlay(Play):
-    """`net` is the second number of the loopback addresses that are this play's alone (`nets.own_net`)."""
+class HollowGroupRun(HollowRun):
+    """`net` is the second number of the loopback addresses that are this play's alone (`loopback_networks.own_net`)."""
 
     def __init__(
         self,
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -14,10 +14,10 @@
 from pepperusher.group.wire import DATAGRAM
 from pepperusher.net.proxy import STILL_COMING
 from pepperusher.rehearsal import hollow_group_statistics
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_group import ALL_THERE
 from pepperusher.rehearsal.hollow_group_statistics import QUIET_MOST
-from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, GroupPlay
+from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, HollowGroupRun
 from pepperusher.rehearsal.hollow_plan import ZONES, plan
 from pepperusher.rehearsal.loopback_networks import own_net
 from pepperusher.rehearsal.wire import clock
@@ -40,10 +40,12 @@
 FEW = 2
 
 
-class GroupGround:
+class GroupScenarioEnvironment:
     """One stand, and the checks of a scene on it."""
 
-    def __init__(self, play: GroupPlay, period: int, quick: bool, say: Callable[[str], None], slack: float) -> None:
+    def __init__(
+        self, play: HollowGroupRun, period: int, quick: bool, say: Callable[[str], None], slack: float
+    ) -> None:
         self.play, self.quick, self.say = play, quick, say
         self.size = play.size
         self.period = period
@@ -69,7 +71,7 @@
         self.rows = await self.play.books()
         return self.rows
 
-    def within(self, label: str, told: Reached, bound: float) -> dict[str, Any]:
+    def within(self, label: str, told: Propagation, bound: float) -> dict[str, Any]:
         self.check(
             f"{label}: at all {told.of} within {bound:.1f} s",
             told.all is not None and told.all <= bound,
@@ -77,7 +79,7 @@
         )
         return told.row()
 
-    def had(self, what: str, at: int, meant: set[int], version: int = 1) -> Reached:
+    def had(self, what: str, at: int, meant: set[int], version: int = 1) -> Propagation:
         return self.play.reached_resource(self.rows, what, version, at, meant)
 
     def lost_only(self, label: str, those: Iterable[int]) -> None:
@@ -130,7 +132,7 @@
         return None
 
 
-async def join(ground: GroupGround) -> dict[str, Any]:
+async def join(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """All at once, until each knows all."""
     at = clock()
     await ground.play.begin_all()
@@ -148,7 +150,7 @@
     return {"started_s": begun, "each_knows_all": made.row(), **costs}
 
 
-async def quiet(ground: GroupGround) -> dict[str, Any]:
+async def quiet(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Nothing happens, once the news of the joining are with all."""
     settled = await ground.settled()
     ground.check("quiet: news of the joining end", settled is not None, settled)
@@ -169,7 +171,7 @@
     }
 
 
-async def killed(ground: GroupGround) -> dict[str, Any]:
+async def killed(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """One is killed: silent, and its part stays its own. It comes back under its name."""
     victim = ground.size - 1
     others = ground.everyone({victim})
@@ -194,7 +196,7 @@
     return {"lost": made, "found_again": back, **costs}
 
 
-async def left(ground: GroupGround) -> dict[str, Any]:
+async def left(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """One leaves and says so: its part is free. It comes back, and takes it again."""
     leaver = ground.size - 2
     others = ground.everyone({leaver})
@@ -213,7 +215,7 @@
     return {"gone": made, **await ground.costs()}
 
 
-async def ban(ground: GroupGround) -> dict[str, Any]:
+async def ban(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Told to one, held by all, and lifted by another."""
     made: dict[str, Any] = {}
     for number, on in ((0, True), (ground.size // 2, False)):
@@ -229,7 +231,7 @@
     return {**made, **await ground.costs()}
 
 
-async def stopped(ground: GroupGround) -> dict[str, Any]:
+async def stopped(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """A tenth stands still until all others find it lost, and goes on."""
     play = ground.play
     frozen: set[int] = set()
@@ -273,7 +275,7 @@
     }
 
 
-async def zone(ground: GroupGround) -> dict[str, Any]:
+async def zone(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """A zone is cut off and healed; a ban is called outside."""
     play = ground.play
     cut = len(play.ways) - 1
@@ -341,7 +343,7 @@
     }
 
 
-async def losing(ground: GroupGround) -> dict[str, Any]:
+async def losing(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Every link loses three datagrams in ten for a while."""
     await ground.read()
     await ground.costs()
@@ -374,7 +376,7 @@
 STEPS = (join, quiet, killed, left, ban, stopped, zone, losing)
 # For sizes at which news of the joining go round for many minutes.
 SHORT = (join, killed, ban)
-Step = Callable[[GroupGround], Awaitable[dict[str, Any]]]
+Step = Callable[[GroupScenarioEnvironment], Awaitable[dict[str, Any]]]
 
 
 async def played(
@@ -412,8 +414,8 @@
         each(made[-1])
 
     with own_net() as net:
-        play = GroupPlay(laid, seed, work, say, net, period, within)
-        ground = GroupGround(play, period, quick, say, slack)
+        play = HollowGroupRun(laid, seed, work, say, net, period, within)
+        ground = GroupScenarioEnvironment(play, period, quick, say, slack)
         before: dict[str, int] = {}
         try:
             await ground.begin()
@@ -455,7 +457,7 @@
     return made
 
 
-async def _state(ground: GroupGround) -> dict[str, int]:
+async def _state(ground: GroupScenarioEnvironment) -> dict[str, int]:
     """What all members hold, and the processes beside."""
     _, kept = await ground.play.kinds()
     state = await ground.play.state()
--- a/pepperusher/rehearsal/hollow_group_statistics.py
+++ b/pepperusher/rehearsal/hollow_group_statistics.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from math import log10
 
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 
 # As docs/group.md has them for a small group: periods until silence is found by all, and until news of a
 # member's own are with all. The first grows with the logarithm of the size, as suspicion does
@@ -26,7 +26,7 @@
     return NEWS_PERIODS * period / 1e6
 
 
-def last(rows: Iterable[Row], what: str, at: int, meant: set[int]) -> Reached:
+def last(rows: Iterable[Row], what: str, at: int, meant: set[int]) -> Propagation:
     """Seconds after `at` (us of the machine's clock) until it was so for the last time, at half, at 99 of 100
     and at all that are meant. Whose books do not name it at all had it so throughout.
     """
@@ -41,7 +41,7 @@
         place = max(0, -(-len(meant) * round(share * 100) // 100) - 1)
         return round(times[place], 3) if place < len(times) else None
 
-    return Reached(part(0.5), part(0.99), part(1.0), len(times), len(meant))
+    return Propagation(part(0.5), part(0.99), part(1.0), len(times), len(meant))
 
 
 def told(rows: Iterable[Row], what: str) -> Counter[str]:
--- a/pepperusher/rehearsal/hollow_links.py
+++ b/pepperusher/rehearsal/hollow_links.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from pepperusher.rehearsal.links import Links, Manner
+from pepperusher.rehearsal.links import Links, LinkProperties
 from pepperusher.rehearsal.worker import Orders
 
 # Whoever connects from the zone: it has no front of its own here.
@@ -33,7 +33,7 @@
 
     async def shape(self, order: dict[str, Any]) -> dict[str, Any]:
         """Both ways, to those named."""
-        manner = Manner(
+        manner = LinkProperties(
             delay=order.get("delay", 0.0),
             lost=order.get("lost", 0.0),
             jitter=order.get("jitter", 0.0),
--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pepperusher.rehearsal import hollow_statistics
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_control import KEY, Controls
 from pepperusher.rehearsal.hollow_plan import (
     BETWEEN,
@@ -65,7 +65,7 @@
     return json.dumps({"version": 0, "full": True, "servers": rows}).encode()
 
 
-class Play:
+class HollowRun:
     """`progress` is told what happens, a line at a time."""
 
     def __init__(
@@ -313,7 +313,7 @@
             "oldest_s": round(oldest / 1e6, 1),
         }
 
-    def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Reached:
+    def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Propagation:
         return hollow_statistics.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
@@ -395,7 +395,7 @@
         return [f"{host}:{port}" for host, port in fronts]
 
     @staticmethod
-    def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Reached:
+    def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Propagation:
         return hollow_statistics.reached(rows, "list", versions, at, meant)
 
     # --- what is done to it -------------------------------------------------------------------------
--- a/pepperusher/rehearsal/hollow_scenarios.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -11,10 +11,10 @@
 
 from pepperusher.distribution import operator_client
 from pepperusher.rehearsal import hollow_statistics
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_control import ORIGIN, Controls
 from pepperusher.rehearsal.hollow_plan import TEAMS, ZONES, list_of, names_of, plan, row
-from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, Play, body_of
+from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, HollowRun, body_of
 from pepperusher.rehearsal.wire import clock
 
 # In force everywhere that can be reached within this, and so long after a healing.
@@ -36,7 +36,7 @@
 LOOK_EVERY = 0.1
 
 
-class Ground:
+class ScenarioEnvironment:
     """One stand of everything, for scenes in turn. `quick` shortens spans and eases no check."""
 
     def __init__(
@@ -46,7 +46,7 @@
         # A small stand has fewer zones, each two processes, but every region.
         zones = ZONES if size > SMALL or controls > SMALL_ZONES else SMALL_ZONES
         self.size, self.seed, self.quick, self.say = size, seed, quick, say
-        self.play = Play(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
+        self.play = HollowRun(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
         self.play.lacking = {place.number for place in self.play.plan.places if place.number % LACKS_EVERY == 0}
         self.chance = Random(seed)
         self.text = OWN
@@ -177,7 +177,7 @@
 # --- the scenes --------------------------------------------------------------------------------------
 
 
-async def change(ground: Ground) -> dict[str, Any]:
+async def change(ground: ScenarioEnvironment) -> dict[str, Any]:
     """One change of configuration reaches all."""
     made = await ground.publish()
     told = await ground.taken(made, "one change")
@@ -190,7 +190,7 @@
     return {"change": told, **costs}
 
 
-async def day(ground: Ground) -> dict[str, Any]:
+async def day(ground: ScenarioEnvironment) -> dict[str, Any]:
     """An ordinary day's changes and restarts, pressed."""
     factor = 72.0
     span = 10.0 if ground.quick else 60.0
@@ -252,7 +252,7 @@
     }
 
 
-async def control_lost(ground: Ground) -> dict[str, Any]:
+async def control_lost(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A control machine is killed, a change goes out, it is back; then all are restarted at once."""
     made: dict[str, Any] = {}
     victim = ground.controls.count - 1
@@ -289,17 +289,17 @@
     return made
 
 
-async def region(ground: Ground) -> dict[str, Any]:
+async def region(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A region without a way out for a while, a change on both sides, healed."""
     return await _apart(ground, 8.0 if ground.quick else 60.0, 1)
 
 
-async def apart(ground: Ground) -> dict[str, Any]:
+async def apart(ground: ScenarioEnvironment) -> dict[str, Any]:
     """The same for five minutes, with changes on both sides all the while."""
     return await _apart(ground, 30.0 if ground.quick else 300.0, 3 if ground.quick else 15)
 
 
-async def _apart(ground: Ground, span: float, rounds: int) -> dict[str, Any]:
+async def _apart(ground: ScenarioEnvironment, span: float, rounds: int) -> dict[str, Any]:
     cut = ground.play.parts - 1
     inside = {place.number for place in ground.play.plan.places if place.region == cut}
     owned = next(service for service in range(len(ground.play.plan.services)) if service % ground.play.parts == cut)
@@ -307,7 +307,7 @@
     rows_ = list(ground.play.plan.services[owned])
     await ground.play.cut({cut}, True)
     began = time.monotonic()
-    both: list[tuple[Reached, Reached]] = []
+    both: list[tuple[Propagation, Propagation]] = []
     leaked = 0
     for number in range(rounds):
         outer = await ground.publish()
@@ -371,7 +371,7 @@
     return list(known.values())
 
 
-async def release(ground: Ground) -> dict[str, Any]:
+async def release(ground: ScenarioEnvironment) -> dict[str, Any]:
     """The largest service is replaced whole, a part of it at a time, through its list."""
     service, name = 0, list_of(0, ground.play.parts)
     rows_ = {one["id"]: one for one in ground.play.plan.services[service]}
@@ -405,7 +405,7 @@
     }
 
 
-async def slow(ground: Ground) -> dict[str, Any]:
+async def slow(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A control machine stands still and goes on; then a tenth of the proxies does, and a tenth is slow."""
     made: dict[str, Any] = {}
     span = 8.0 if ground.quick else 30.0
@@ -436,7 +436,7 @@
     return made
 
 
-async def troubled(ground: Ground) -> dict[str, Any]:
+async def troubled(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A control machine that hears nobody and is heard; one whose disk is full; a tenth of the proxies slow."""
     made: dict[str, Any] = {}
     victim = ground.controls.count - 1
@@ -453,7 +453,7 @@
     return made
 
 
-async def origin(ground: Ground) -> dict[str, Any]:
+async def origin(ground: ScenarioEnvironment) -> dict[str, Any]:
     """The origin's disk is full and free again; then it is killed and comes back with one from before a change."""
     made: dict[str, Any] = {}
     controls = ground.controls
@@ -481,7 +481,7 @@
     return made
 
 
-async def _written(ground: Ground) -> tuple[str, int, int]:
+async def _written(ground: ScenarioEnvironment) -> tuple[str, int, int]:
     """A change, once the origin has compared with the others and fetched what it lacks. Raises operate.NoAnswer."""
     until = time.monotonic() + PATIENCE
     while True:
@@ -493,7 +493,7 @@
         await asyncio.sleep(LOOK_EVERY)
 
 
-async def refused(ground: Ground) -> dict[str, Any]:
+async def refused(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A change that a fifth of the proxies refuse stops, and the next one goes on from what stands."""
     what, version, at = await ground.publish(more=REFUSED)
     until = time.monotonic() + PATIENCE
@@ -526,7 +526,7 @@
     }
 
 
-async def zone(ground: Ground) -> dict[str, Any]:
+async def zone(ground: ScenarioEnvironment) -> dict[str, Any]:
     """A rack, then a zone with its control machine and its proxies, lost and back."""
     made: dict[str, Any] = {}
     places = ground.play.plan.places
@@ -556,7 +556,7 @@
     return made
 
 
-Scene = Callable[[Ground], Awaitable[dict[str, Any]]]
+Scene = Callable[[ScenarioEnvironment], Awaitable[dict[str, Any]]]
 SCENES: dict[str, Scene] = {
     "change": change,
     "day": day,
@@ -572,7 +572,7 @@
 }
 
 
-def _verdict(name: str, ground: Ground, figures: dict[str, Any], seconds: float) -> dict[str, Any]:
+def _verdict(name: str, ground: ScenarioEnvironment, figures: dict[str, Any], seconds: float) -> dict[str, Any]:
     holds = all(one["holds"] for one in ground.checks)
     return {
         "scene": name,
@@ -595,7 +595,7 @@
 ) -> list[dict[str, Any]]:
     """The start of all, and then these scenes in turn on the same stand; `each` has every one as it ends."""
     made: list[dict[str, Any]] = []
-    ground = Ground(size, controls, seed, quick, work, say)
+    ground = ScenarioEnvironment(size, controls, seed, quick, work, say)
     try:
         began = time.monotonic()
         await ground.begin()
@@ -625,7 +625,7 @@
     service replaced. Without checks: these are the figures that control machines are held against.
     """
     workers = 2 if size > 1000 else 1
-    play = Play(plan(size, seed, workers), seed, work, say)
+    play = HollowRun(plan(size, seed, workers), seed, work, say)
     made: list[dict[str, Any]] = []
 
     async def costs(seconds: float) -> dict[str, Any]:
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -10,7 +10,7 @@
 Row = tuple[int, int, list[tuple[str, int, int]]]  # index, view, what it had in force when
 
 
-class Reached(NamedTuple):
+class Propagation(NamedTuple):
     """Seconds after the change until it was in force at half, at 99 of 100 and at all that are meant; None
     where it never was at so many. `of` are those meant, `had` those that have it."""
 
@@ -26,7 +26,7 @@
 
 def reached(
     rows: Iterable[Row], what: str, versions: Mapping[int, int], at: int, meant: set[int] | None = None
-) -> Reached:
+) -> Propagation:
     """`versions` is what each view has to have at least; `at` the time of the change on the machine's clock
     (us). One that has it several times counts from the first after `at`."""
     times: list[float] = []
@@ -45,7 +45,7 @@
         place = max(0, -(-of * round(share * 100) // 100) - 1)
         return round(times[place], 3) if place < len(times) else None
 
-    return Reached(part(0.5), part(0.99), part(1.0), len(times), of)
+    return Propagation(part(0.5), part(0.99), part(1.0), len(times), of)
 
 
 def backwards(rows: Iterable[Row]) -> int:
@@ -59,7 +59,7 @@
     return count
 
 
-class Use(NamedTuple):
+class ResourceUsage(NamedTuple):
     """Of one role over a span: cores in the mean and in the worst second, of so many processes; memory in
     MB."""
 
@@ -77,7 +77,7 @@
         }
 
 
-def used(samples: Sequence[tuple[float, Mapping[str, tuple[float, float]]]]) -> dict[str, Use]:
+def used(samples: Sequence[tuple[float, Mapping[str, tuple[float, float]]]]) -> dict[str, ResourceUsage]:
     """By role, from samples (time, {process: (processor seconds, memory MB)}), roles being processes' names
     without their numbers. Between two samples only processes in both count."""
     rates: dict[str, list[float]] = defaultdict(list)
@@ -97,6 +97,8 @@
         for role, megabytes in held.items():
             memory[role] = max(memory[role], megabytes)
     return {
-        role: Use(round(sum(all_) / len(all_), 4), round(max(all_), 4), len(named[role]), round(memory[role], 1))
+        role: ResourceUsage(
+            round(sum(all_) / len(all_), 4), round(max(all_), 4), len(named[role]), round(memory[role], 1)
+        )
         for role, all_ in rates.items()
     }
--- a/pepperusher/rehearsal/links.py
+++ b/pepperusher/rehearsal/links.py
@@ -23,7 +23,7 @@
 BACKLOG = 1024
 
 
-class Manner(NamedTuple):
+class LinkProperties(NamedTuple):
     """What befalls what one sends another. Shares from 0 to 1, times in seconds, `rate` in bytes a second (0:
     no bound); `size` is what a datagram is cut to (0: none is). With a jitter over the time between two they
     change order.
@@ -38,7 +38,7 @@
     rate: float = 0.0
 
 
-PLAIN = Manner()
+PLAIN = LinkProperties()
 
 
 class Front:
@@ -65,7 +65,7 @@
         self._of_host: dict[str, str] = {}  # by a proxy's own host, its side
         self._sides: set[str] = set()  # those of several, within which links are shaped as well
         self._cut: set[tuple[str, str]] = set()
-        self._manners: dict[tuple[str, str], Manner] = {}
+        self._manners: dict[tuple[str, str], LinkProperties] = {}
         self._free: dict[tuple[str, str], float] = {}  # when a slow link has sent what it holds back
         self._tasks: set[asyncio.Task[None]] = set()  # of streams; emptied as they end
         self._late: set[asyncio.TimerHandle] = set()
@@ -147,7 +147,7 @@
         receivers = list(receivers)
         self._cut |= {(a, b) for a in senders for b in receivers if a != b}
 
-    def shape(self, manner: Manner, senders: Iterable[str], receivers: Iterable[str]) -> None:
+    def shape(self, manner: LinkProperties, senders: Iterable[str], receivers: Iterable[str]) -> None:
         receivers = list(receivers)
         for a in senders:
             for b in receivers:
@@ -192,7 +192,7 @@
         for _ in range(copies):
             self._send(way, manner, front, data)
 
-    def _send(self, way: tuple[str, str], manner: Manner, front: Front, data: bytes) -> None:
+    def _send(self, way: tuple[str, str], manner: LinkProperties, front: Front, data: bytes) -> None:
         loop = asyncio.get_running_loop()
         wait = manner.delay + (self._chance.random() * manner.jitter if manner.jitter else 0.0)
         if manner.rate:
--- a/pepperusher/rehearsal/loopback_networks.py
+++ b/pepperusher/rehearsal/loopback_networks.py
@@ -11,7 +11,7 @@
 NETS = range(16, 240)
 
 
-class PlayError(RuntimeError):
+class RehearsalError(RuntimeError):
     """A rehearsal that could not be played to its end; its text is one line."""
 
 
@@ -34,4 +34,4 @@
         finally:
             lock.close()
         return
-    raise PlayError("no loopback addresses are left: over 200 rehearsals run on this machine")
+    raise RehearsalError("no loopback addresses are left: over 200 rehearsals run on this machine")
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from pepperusher.rehearsal import plots, text_report
-from pepperusher.rehearsal.experiments import Compared
+from pepperusher.rehearsal.experiments import ArmComparison
 from pepperusher.rehearsal.results import Result
 from pepperusher.durations import said
 from pepperusher.rehearsal.tally import Group
@@ -96,7 +96,7 @@
     return "\n".join(parts)
 
 
-def _compared(made: list[Compared]) -> str:
+def _compared(made: list[ArmComparison]) -> str:
     parts = []
     for each in made:
         rows = (
@@ -118,7 +118,7 @@
     return "\n".join(parts)
 
 
-def html(results: list[Result], compared: list[Compared] | None = None) -> str:
+def html(results: list[Result], compared: list[ArmComparison] | None = None) -> str:
     title = results[0].title if len(results) == 1 else f"{len(results)} rehearsals"
     body = [f"<h1>{escape(title)}</h1>"]
     if compared:
@@ -133,5 +133,5 @@
     )
 
 
-def write(path: Path, results: list[Result], compared: list[Compared] | None = None) -> None:
+def write(path: Path, results: list[Result], compared: list[ArmComparison] | None = None) -> None:
     path.write_text(html(results, compared), encoding="utf-8")
--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -18,10 +18,18 @@
 
 from pepperusher.control import client
 from pepperusher.rehearsal.fleet_plan import Gate
-from pepperusher.rehearsal.group_run import Grouping, parsed
-from pepperusher.rehearsal.records import Believed, Held, Ran, Reconfigured, Sample, Turn, Writer
+from pepperusher.rehearsal.group_run import GroupRun, parsed
+from pepperusher.rehearsal.records import (
+    MembershipBelief,
+    ProxyPause,
+    ProxyRun,
+    Reconfiguration,
+    Sample,
+    BreakerChange,
+    Writer,
+)
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.wire import Broken, Start, clock, reach, since
+from pepperusher.rehearsal.wire import BrokenConnection, Start, clock, reach, since
 from pepperusher.rehearsal.worker import environment, with_parent
 
 CONSOLE_PORT = 7072
@@ -112,13 +120,13 @@
         start: Start,
         known: Callable[[Gate], dict[str, object]],
         found: Callable[[Gate, int], tuple[str, int]],
-        grouping: Grouping | None = None,
+        grouping: GroupRun | None = None,
         twin: bool = False,
     ) -> None:
         self.gate = gate
         self._grouping = grouping
         self.seat = grouping.seat(gate, twin) if grouping is not None else gate.name
-        self.believed: list[Believed] = []  # what it said that it finds, the oldest first
+        self.believed: list[MembershipBelief] = []  # what it said that it finds, the oldest first
         self._script = script
         self._work = work
         self._build = build
@@ -217,7 +225,7 @@
             peer.send(h11.Request(method="GET", target="/ready", headers=[("host", "proxy"), ("connection", "close")]))
             answer = await peer.receive()
             return answer is not None and isinstance(answer.head, h11.Response) and answer.head.status_code == 200
-        except (Broken, OSError):
+        except (BrokenConnection, OSError):
             return False
         finally:
             peer.abort()
@@ -235,7 +243,7 @@
         if self._process is process:
             self._process, self.ready = None, False
         self._writer.add(
-            Ran(
+            ProxyRun(
                 self.gate.number,
                 process.pid,
                 *(since(times.get(what, -1), self._start.at) for what in ("started", "ready", "told", "killed")),
@@ -247,12 +255,12 @@
     def _heard(self, line: bytes) -> None:
         turn = BREAKER.match(line.decode("utf-8", "replace"))
         if turn:
-            self._writer.add(Turn(self.gate.number, self._now(), turn[1], turn[2]))
+            self._writer.add(BreakerChange(self.gate.number, self._now(), turn[1], turn[2]))
             return
         if self._grouping is None or not (told := parsed(line)):
             return
         if told.get("event") == "breaker":
-            self._writer.add(Turn(self.gate.number, self._now(), str(told.get("id")), str(told.get("state"))))
+            self._writer.add(BreakerChange(self.gate.number, self._now(), str(told.get("id")), str(told.get("state"))))
         elif (found := self._grouping.heard(self.gate, self.seat, told, self._start.at)) is not None:
             self.believed.append(found)
             self._writer.add(found)
@@ -290,7 +298,7 @@
             await until()
         finally:
             self._signal(signal.SIGCONT)
-            self._writer.add(Held(self.gate.number, at, self._now()))
+            self._writer.add(ProxyPause(self.gate.number, at, self._now()))
 
     async def starved(self, part: float, until: int) -> None:
         """Has its processor for a part of the time, in short turns."""
@@ -339,7 +347,7 @@
         if "ready" not in self._times:
             return
         self.write_configuration()
-        self._writer.add(Reconfigured(self.gate.number, self._now()))
+        self._writer.add(Reconfiguration(self.gate.number, self._now()))
         self._signal(signal.SIGHUP)
 
     def _signal(self, number: int) -> None:
--- a/pepperusher/rehearsal/queued_discovery.py
+++ b/pepperusher/rehearsal/queued_discovery.py
@@ -18,7 +18,7 @@
 WELL, REFUSING, SILENT, KEEPING = "well", "refusing", "silent", "keeping"
 
 
-class Turns:
+class QueuedDiscovery:
     """`each` seconds for a call, and 503 for those beyond `queue` that wait, as for those that have waited
     `patience` seconds: at once, while the work for them is still done in its turn."""
 
--- a/pepperusher/rehearsal/raft_model.py
+++ b/pepperusher/rehearsal/raft_model.py
@@ -33,19 +33,19 @@
     asks_first: bool = False
 
 
-class Wrong(NamedTuple):
+class Violation(NamedTuple):
     """Something that may never be, and the steps that lead to it."""
 
     what: str
     steps: tuple[str, ...]
 
 
-class Found(NamedTuple):
+class SearchResult(NamedTuple):
     """How many states were looked at, whether that was all, and what was wrong, if anything."""
 
     states: int
     whole: bool
-    wrong: Wrong | None
+    wrong: Violation | None
 
 
 class Disk(NamedTuple):
@@ -214,7 +214,7 @@
     return None
 
 
-def explore(make: type[RaftVoter] = RaftVoter, limits: Limits = Limits()) -> Found:
+def explore(make: type[RaftVoter] = RaftVoter, limits: Limits = Limits()) -> SearchResult:
     """Breadth first, so that the steps to what is wrong are the fewest."""
     first = World(make)
     seen = {hash(first.frozen())}
@@ -230,21 +230,21 @@
                 except AssertionError as error:
                     wrong, made = str(error) or "what must hold does not", None
                 if wrong is not None:
-                    return Found(len(seen), False, Wrong(wrong, spoken((words, way))))
+                    return SearchResult(len(seen), False, Violation(wrong, spoken((words, way))))
                 assert made is not None
                 key = hash(made.frozen())
                 if key in seen:
                     continue
                 if len(seen) >= limits.states:
-                    return Found(len(seen), False, None)
+                    return SearchResult(len(seen), False, None)
                 seen.add(key)
                 waiting.append((made, (words, way)))
-    return Found(len(seen), True, None)
+    return SearchResult(len(seen), True, None)
 
 
 def wander(
     make: type[RaftVoter] = RaftVoter, limits: Limits = Limits(), seed: int = 1, walks: int = 200, length: int = 120
-) -> Found:
+) -> SearchResult:
     """Long histories by chance beside it, for what lies deeper than all states can be looked at."""
     chance = Random(seed)
     count = 0
@@ -264,8 +264,8 @@
             except AssertionError as error:
                 wrong = str(error) or "what must hold does not"
             if wrong is not None:
-                return Found(count, False, Wrong(wrong, spoken(way)))
-    return Found(count, False, None)
+                return SearchResult(count, False, Violation(wrong, spoken(way)))
+    return SearchResult(count, False, None)
 
 
 def drawn(world: World, limits: Limits, heard: set[str], chance: Random) -> Any:
--- a/pepperusher/rehearsal/records.py
+++ b/pepperusher/rehearsal/records.py
@@ -21,7 +21,7 @@
 LOST, WRONG, UNREACHED, NOBODY = "lost", "wrong", "unreached", "nobody"
 
 
-class Try(msgspec.Struct, array_like=True, gc=False):
+class ClientAttempt(msgspec.Struct, array_like=True, gc=False):
     """One ticket as a proxy sees it. Tries of one client's wish share `wish`; `nth` counts from 0.
 
     `parent` is the ticket whose work made this call, "" from outside. `intended` is when it should have been
@@ -52,7 +52,7 @@
     crossed: int
 
 
-class Sent(msgspec.Struct, array_like=True, gc=False):
+class BackendAttempt(msgspec.Struct, array_like=True, gc=False):
     """One attempt as its backend saw it; -1 stands for never.
 
     `first` and `last` are when its first and its last byte came, `begun` when its work began, `ended` when it
@@ -81,7 +81,7 @@
     worked: int
 
 
-class Told(msgspec.Struct, array_like=True, gc=False):
+class StateNotification(msgspec.Struct, array_like=True, gc=False):
     """Discovery wrote to a proxy that `id` is in `state`."""
 
     proxy: int
@@ -90,7 +90,7 @@
     at: int
 
 
-class Stood(msgspec.Struct, array_like=True, gc=False):
+class BackendLifetimeRecord(msgspec.Struct, array_like=True, gc=False):
     """A backend's stay as it was: `fell` is when it was pushed over, -1 for never."""
 
     place: int
@@ -100,7 +100,7 @@
     fell: int
 
 
-class Ran(msgspec.Struct, array_like=True, gc=False):
+class ProxyRun(msgspec.Struct, array_like=True, gc=False):
     """A proxy's process: when it was started, ready, told to stop (SIGTERM) and killed or ended; -1 for
     never."""
 
@@ -132,7 +132,7 @@
     descriptors: int
 
 
-class Turn(msgspec.Struct, array_like=True, gc=False):
+class BreakerChange(msgspec.Struct, array_like=True, gc=False):
     """A proxy's breaker for a backend changed, as its log says."""
 
     proxy: int
@@ -141,7 +141,7 @@
     state: str
 
 
-class Held(msgspec.Struct, array_like=True, gc=False):
+class ProxyPause(msgspec.Struct, array_like=True, gc=False):
     """The rehearsal kept a proxy's process from running from one time to another."""
 
     proxy: int
@@ -149,7 +149,7 @@
     until: int
 
 
-class Believed(msgspec.Struct, array_like=True, gc=False):
+class MembershipBelief(msgspec.Struct, array_like=True, gc=False):
     """What a proxy says that it finds of a member of its group: `what` befell `of`, told by `by` where somebody did."""
 
     proxy: int
@@ -159,7 +159,7 @@
     by: str
 
 
-class Reconfigured(msgspec.Struct, array_like=True, gc=False):
+class Reconfiguration(msgspec.Struct, array_like=True, gc=False):
     """A proxy's process got SIGHUP, with a configuration that was written anew."""
 
     proxy: int
@@ -167,7 +167,7 @@
 
 
 KINDS: tuple[type[msgspec.Struct], ...] = (
-    Try, Sent, Told, Stood, Ran, Stall, Sample, Turn, Held, Believed, Reconfigured,
+    ClientAttempt, BackendAttempt, StateNotification, BackendLifetimeRecord, ProxyRun, Stall, Sample, BreakerChange, ProxyPause, MembershipBelief, Reconfiguration,
 )  # fmt: skip
 DECODERS = [msgspec.msgpack.Decoder(kind) for kind in KINDS]
 NUMBER = {kind: number for number, kind in enumerate(KINDS)}
--- a/pepperusher/rehearsal/rule_checker.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -21,17 +21,17 @@
     LEFT,
     LOST,
     WRONG,
-    Believed,
-    Held,
-    Ran,
-    Reconfigured,
+    MembershipBelief,
+    ProxyPause,
+    ProxyRun,
+    Reconfiguration,
     Sample,
-    Sent,
+    BackendAttempt,
     Stall,
-    Stood,
-    Told,
-    Try,
-    Turn,
+    BackendLifetimeRecord,
+    StateNotification,
+    ClientAttempt,
+    BreakerChange,
 )
 from pepperusher.rehearsal.endpoint_history import READY
 from pepperusher.rehearsal.script import Script
@@ -65,29 +65,29 @@
     """All records of a rehearsal, sorted by kind; `add` takes them in any order."""
 
     def __init__(self, records: Iterable[msgspec.Struct] = ()) -> None:
-        self.tries: list[Try] = []
-        self.sent: list[Sent] = []
-        self.told: list[Told] = []
-        self.stood: list[Stood] = []
-        self.ran: list[Ran] = []
+        self.tries: list[ClientAttempt] = []
+        self.sent: list[BackendAttempt] = []
+        self.told: list[StateNotification] = []
+        self.stood: list[BackendLifetimeRecord] = []
+        self.ran: list[ProxyRun] = []
         self.stalls: list[Stall] = []
         self.samples: list[Sample] = []
-        self.turns: list[Turn] = []
-        self.held: list[Held] = []
-        self.believed: list[Believed] = []
-        self.reconfigured: list[Reconfigured] = []
+        self.turns: list[BreakerChange] = []
+        self.held: list[ProxyPause] = []
+        self.believed: list[MembershipBelief] = []
+        self.reconfigured: list[Reconfiguration] = []
         self._lists = {
-            Try: self.tries,
-            Sent: self.sent,
-            Told: self.told,
-            Stood: self.stood,
-            Ran: self.ran,
+            ClientAttempt: self.tries,
+            BackendAttempt: self.sent,
+            StateNotification: self.told,
+            BackendLifetimeRecord: self.stood,
+            ProxyRun: self.ran,
             Stall: self.stalls,
             Sample: self.samples,
-            Turn: self.turns,
-            Held: self.held,
-            Believed: self.believed,
-            Reconfigured: self.reconfigured,
+            BreakerChange: self.turns,
+            ProxyPause: self.held,
+            MembershipBelief: self.believed,
+            Reconfiguration: self.reconfigured,
         }
         for record in records:
             self.add(record)
@@ -96,7 +96,7 @@
         self._lists[type(record)].append(record)  # type: ignore[attr-defined]
 
 
-class RuleBook:
+class RuleChecker:
     """What stands against each rule: `counts` by rule, and `entries`, MOST_KEPT of each at the most."""
 
     def __init__(self) -> None:
@@ -113,9 +113,9 @@
         return not any(self.counts.values())
 
 
-def check(script: Script, records: Records) -> RuleBook:
-    book = RuleBook()
-    sent_of: dict[str, list[Sent]] = defaultdict(list)
+def check(script: Script, records: Records) -> RuleChecker:
+    book = RuleChecker()
+    sent_of: dict[str, list[BackendAttempt]] = defaultdict(list)
     for sent in records.sent:
         sent_of[sent.name].append(sent)
     for those in sent_of.values():
@@ -131,9 +131,9 @@
 # --- no ticket lost --------------------------------------------------------------------------------
 
 
-def _check_lost(script: Script, records: Records, sent_of: dict[str, list[Sent]], book: RuleBook) -> None:
+def _check_lost(script: Script, records: Records, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
     """A ticket written whole to a proxy that stood gets one whole answer by the time its client gives up."""
-    stays: dict[int, list[Ran]] = defaultdict(list)
+    stays: dict[int, list[ProxyRun]] = defaultdict(list)
     for ran in records.ran:
         stays[ran.proxy].append(ran)
     stills = _stills(records)
@@ -180,7 +180,7 @@
     return defaultdict(lambda: none, {proxy: Spans(silent + those) for proxy, those in kept.items()})
 
 
-def _waited(one: Try, still: Spans) -> int:
+def _waited(one: ClientAttempt, still: Spans) -> int:
     """How long after its answer was due the client looked for it and its proxy could run.
 
     Due at the end of the time that the client told; where somebody stood still as the ticket was sent, that
@@ -193,7 +193,7 @@
     return one.ended - due - still.covered(due, one.ended) if due < one.ended else -1
 
 
-def _end_seen_late(one: Try, sent_on: bool, still: Spans) -> bool:
+def _end_seen_late(one: ClientAttempt, sent_on: bool, still: Spans) -> bool:
     """Whether a process pause explains that its connection ended without an answer. Nobody's clock ends one that
     a proxy works at. A proxy ends a kept connection that rests, and one on which the rest of a ticket does
     not come; its client is to see that at once and to ask once more, and can't while it or the proxy stands
@@ -204,7 +204,7 @@
     return not one.fresh or still.touch(one.sent, one.written)
 
 
-def _wrong(one: Try, sent_of: dict[str, list[Sent]], book: RuleBook) -> None:
+def _wrong(one: ClientAttempt, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
     book.against(
         LOST_TICKET,
         one.name,
@@ -214,7 +214,7 @@
     )
 
 
-def _killed(stays: list[Ran], one: Try) -> bool:
+def _killed(stays: list[ProxyRun], one: ClientAttempt) -> bool:
     """Whether its proxy was killed while it had it."""
     return any(0 <= ran.killed and one.sent - CROSSING <= ran.killed <= one.ended + CROSSING for ran in stays)
 
@@ -222,7 +222,7 @@
 # --- no effect twice -------------------------------------------------------------------------------
 
 
-def _check_twice(script: Script, records: Records, sent_of: dict[str, list[Sent]], book: RuleBook) -> None:
+def _check_twice(script: Script, records: Records, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
     """Never two attempts at once, never more than allowed, and none that may repeat an effect where the
     use case does not let it. What never began, and what was turned away, has not run."""
     most = script.rules.most_attempts
@@ -251,14 +251,14 @@
             _referenced(script, places, those, book)
 
 
-def _asked(those: list[Sent], crossed: int) -> list[list[Sent]]:
+def _asked(those: list[BackendAttempt], crossed: int) -> list[list[BackendAttempt]]:
     """Attempts by each time that the client asked: one that sent a ticket once more on a new connection
     asked for what comes after that itself."""
     parts = [[one for one in those if one.first < crossed], [one for one in those if one.first >= crossed]]
     return [part for part in parts if part]
 
 
-def _single(those: list[Sent], bounced: Try | None, book: RuleBook) -> None:
+def _single(those: list[BackendAttempt], bounced: ClientAttempt | None, book: RuleChecker) -> None:
     ran = [one for one in those if one.begun >= 0]
     for one in ran[1:]:
         book.against(TWICE, one.name, one.begun, one.id, f"single-use, and had begun at {ran[0].id}")
@@ -266,10 +266,10 @@
         book.against(TWICE, bounced.name, bounced.ended, ran[0].id, "bounced as harmless, and had begun")
 
 
-def _referenced(script: Script, places: list[Place], those: list[Sent], book: RuleBook) -> None:
+def _referenced(script: Script, places: list[Place], those: list[BackendAttempt], book: RuleChecker) -> None:
     use = script.use_cases[those[0].use]
 
-    def group(one: Sent) -> object:
+    def group(one: BackendAttempt) -> object:
         """Those among which a repeat is known."""
         return one.tier if use.scope == "all" else places[one.place].zone if use.scope == "zone" else one.cell
 
@@ -295,10 +295,10 @@
 # --- drains kept -----------------------------------------------------------------------------------
 
 
-def _check_drains(script: Script, records: Records, book: RuleBook) -> None:
+def _check_drains(script: Script, records: Records, book: RuleChecker) -> None:
     """Nothing's first byte comes to a backend later than the grace after its sender was told that it
     drains, or that counts as told."""
-    told: dict[tuple[int, str], list[Told]] = defaultdict(list)
+    told: dict[tuple[int, str], list[StateNotification]] = defaultdict(list)
     for one in [*records.told, *deemed(script, records.reconfigured, records.ran)]:
         told[one.proxy, one.id].append(one)
     # What discovery wrote to a process that could not run it has read once it runs again.
@@ -306,7 +306,9 @@
         for (proxy, _), those in told.items():
             if proxy == held.proxy:
                 those[:] = [
-                    Told(one.proxy, one.id, one.state, held.until) if held.at <= one.at < held.until else one
+                    StateNotification(one.proxy, one.id, one.state, held.until)
+                    if held.at <= one.at < held.until
+                    else one
                     for one in those
                 ]
     for those in told.values():
@@ -345,7 +347,7 @@
             )
 
 
-def _check_cold(records: Records, book: RuleBook) -> None:
+def _check_cold(records: Records, book: RuleChecker) -> None:
     for stood in records.stood:
         if stood.fell >= 0:
             book.against(COLD, "", stood.fell, stood.id, "pushed over while it was cold")
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -15,15 +15,15 @@
 from pepperusher import __version__
 from pepperusher.rehearsal import arrivals, rule_checker, records, script as scripts, tally, traces, fault_schedule
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
-from pepperusher.rehearsal.group_run import Grouping, twin_of
-from pepperusher.rehearsal.discovery_server import Listing
-from pepperusher.rehearsal.loopback_networks import PlayError, own_net
+from pepperusher.rehearsal.group_run import GroupRun, twin_of
+from pepperusher.rehearsal.discovery_server import DiscoveryServer
+from pepperusher.rehearsal.loopback_networks import RehearsalError, own_net
 from pepperusher.rehearsal.proxies import SAMPLE_EVERY, Runner
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.results import VERSION, Result
-from pepperusher.rehearsal.endpoint_history import Roster
+from pepperusher.rehearsal.endpoint_history import EndpointHistory
 from pepperusher.rehearsal.script import OF_LINKS, Script
-from pepperusher.rehearsal.fault_schedule import Strike
+from pepperusher.rehearsal.fault_schedule import FaultInterval
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
@@ -51,7 +51,7 @@
 SETTLE = 0.3
 
 
-class Director:
+class RunController:
     """`progress` is told the time played (us) now and then; `build` is another checkout whose `serve` is
     played."""
 
@@ -70,14 +70,16 @@
         self._line = fault_schedule.timeline(script, self.plan)
         self._start = Start()
         self._writer = Writer(work / "director.records")
-        self.listing = Listing(self.plan, self._line, Roster(script, self.plan, self._line), self._writer, self._start)
+        self.listing = DiscoveryServer(
+            self.plan, self._line, EndpointHistory(script, self.plan, self._line), self._writer, self._start
+        )
         self._script_file = work / "script.json"
         self._script_file.write_bytes(scripts.encoded(script))
-        self.grouping: Grouping | None = None
+        self.grouping: GroupRun | None = None
         if script.proxies.group is not None:
             own = script.proxies.own
             base = (Path(script.folder) / own).read_text() if own else ""
-            self.grouping = Grouping(script, self.plan.gates, net, work, base)
+            self.grouping = GroupRun(script, self.plan.gates, net, work, base)
         self._build = build
         self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
         # Second processes under a name that is taken; what they wrote is no record of the fleet's.
@@ -174,7 +176,7 @@
 
         for turn, done in enumerate(await asyncio.gather(*map(one, self._runners), return_exceptions=True)):
             if isinstance(done, BaseException):
-                raise PlayError(str(done)) from None
+                raise RehearsalError(str(done)) from None
             gate = self.plan.gates[turn]
             if gate.tier == 0:
                 self._admitted.add(gate.number)
@@ -206,12 +208,12 @@
         self._tasks.append(loop.create_task(self._watch()))
 
     async def play(self) -> None:
-        """To the end of the load. Raises PlayError where a process of the rehearsal's own failed."""
+        """To the end of the load. Raises RehearsalError where a process of the rehearsal's own failed."""
         self.begin()
         await self.over()
 
     async def over(self) -> None:
-        """The end of a play that has begun. Raises PlayError likewise."""
+        """The end of a play that has begun. Raises RehearsalError likewise."""
         longest = max(use.outer for use in self._script.use_cases)
         within = (self._script.span + longest) / 1e6 + START_WITHIN
         sent = 0
@@ -223,13 +225,13 @@
             worker.tell(end=True)
             await worker.said("ended", START_WITHIN)
         if self._troubles:
-            raise PlayError(self._troubles[0])
+            raise RehearsalError(self._troubles[0])
 
     async def _until(self, at: int) -> None:
         while (left := self._start.at + at - clock()) > 0:
             await asyncio.sleep(left / 1e6)
 
-    async def _strike(self, strike: Strike) -> None:
+    async def _strike(self, strike: FaultInterval) -> None:
         await self._until(strike.at)
         if strike.what == "pause-generator":
             for worker in self._load:
@@ -273,7 +275,7 @@
             else:
                 await self._away(strike, number)
 
-    async def _away(self, strike: Strike, number: int) -> None:
+    async def _away(self, strike: FaultInterval, number: int) -> None:
         """One proxy goes, and its place is taken again where the script has it."""
         runner = self._runners[number]
         if strike.what == "proxy-term":
@@ -409,7 +411,7 @@
         return max((one.ended for one in kept.tries), default=self._script.span)
 
     @property
-    def line(self) -> fault_schedule.Timeline:
+    def line(self) -> fault_schedule.FaultSchedule:
         return self._line
 
 
@@ -420,8 +422,8 @@
 
 async def _play(
     script: Script, net: int, work: Path, build: Path | None, progress: Callable[[int], None] | None
-) -> tuple[rule_checker.Records, Director]:
-    director = Director(script, net, work, build, progress)
+) -> tuple[rule_checker.Records, RunController]:
+    director = RunController(script, net, work, build, progress)
     try:
         await director.stand()
         await director.play()
@@ -439,7 +441,7 @@
     """Plays a script and returns its result. `work` keeps logs and records; without one they go when it is
     over.
 
-    Raises PlayError (one line), and ScriptError where a trace can't be read.
+    Raises RehearsalError (one line), and ScriptError where a trace can't be read.
     """
     digest = plan_digest(script)
     with own_net() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
@@ -451,7 +453,7 @@
         try:
             kept, director = asyncio.run(_play(script, net, folder, build, progress))
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
+            raise RehearsalError(str(error)) from None
         book = rule_checker.check(script, kept)
         names = [gate.name for gate in director.plan.gates]
         return Result(
--- a/pepperusher/rehearsal/stalls.py
+++ b/pepperusher/rehearsal/stalls.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 
-class Heart:
+class StallDetector:
     """Beats each `every` us; a beat more than `most` us late is a stall."""
 
     def __init__(self, every: int, most: int) -> None:
@@ -27,7 +27,7 @@
         return None
 
 
-class Margin:
+class SleepMargin:
     """How short of a time to sleep: a timer wakes late by what the machine makes of it, and the rest is gone
     round without sleeping. Grows at once with a late waking, and shrinks by a two-hundredth with each that is
     not."""
--- a/pepperusher/rehearsal/standalone.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -12,7 +12,7 @@
 
 from pepperusher import __version__
 from pepperusher.rehearsal import rule_checker, records, script as scripts, tally
-from pepperusher.rehearsal.run_controller import LEAD, Director, PlayError, own_net, plan_digest
+from pepperusher.rehearsal.run_controller import LEAD, RunController, RehearsalError, own_net, plan_digest
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.script import Script, ScriptError
 from pepperusher.rehearsal.wire import address_of, clock
@@ -76,7 +76,7 @@
 
 
 def load(script: Script, targets: list[tuple[str, int]], progress: Callable[[int], None] | None = None) -> Result:
-    """Raises PlayError."""
+    """Raises RehearsalError."""
     digest = plan_digest(script)
     with tempfile.TemporaryDirectory(prefix="load-") as spare:
         work = Path(spare)
@@ -84,7 +84,7 @@
         try:
             asyncio.run(_load(script, targets, work, progress))
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
+            raise RehearsalError(str(error)) from None
         kept = rule_checker.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
     names = [f"{host}:{port}" for host, port in targets]
     return Result(
@@ -106,7 +106,7 @@
 
 
 async def _emulate(script: Script, net: int, work: Path, say: Callable[[str], None]) -> None:
-    director = Director(script, net, work)
+    director = RunController(script, net, work)
     try:
         await director.stand(load=False)
         for place in director.plan.places:
@@ -124,7 +124,7 @@
 
 
 def emulate(script: Script, proxies: bool, say: Callable[[str], None]) -> None:
-    """Until it is interrupted. Raises PlayError."""
+    """Until it is interrupted. Raises RehearsalError."""
     if not proxies:
         for tier in script.tiers[:1]:
             tier.proxies = 0
@@ -134,4 +134,4 @@
         except KeyboardInterrupt:
             say("ended")
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
+            raise RehearsalError(str(error)) from None
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -15,7 +15,7 @@
 
 from pepperusher.rehearsal import rule_checker
 from pepperusher.rehearsal.rule_checker import Records
-from pepperusher.rehearsal.records import DONE, Sample, Try
+from pepperusher.rehearsal.records import DONE, Sample, ClientAttempt
 from pepperusher.rehearsal.script import Script
 from pepperusher.durations import Span
 from pepperusher.rehearsal.stalls import Spans
@@ -134,12 +134,12 @@
     return ordered[min(len(ordered) - 1, int(part / 100 * len(ordered)))] if ordered else 0
 
 
-class Wish:
+class ClientRequest:
     """A client's tries, folded into the first. `took` is -1 where none was done."""
 
     __slots__ = ("first", "last", "tries", "took", "in_time", "earned", "asked")
 
-    def __init__(self, tries: list[Try], script: Script) -> None:
+    def __init__(self, tries: list[ClientAttempt], script: Script) -> None:
         tries.sort(key=lambda one: one.nth)
         self.first, self.last, self.tries = tries[0], tries[-1], len(tries)
         use = script.use_cases[self.first.use]
@@ -154,17 +154,17 @@
         self.earned = self.asked * (1.0 if self.in_time else use.late_share if self.took >= 0 else 0.0)
 
 
-def wishes_of(script: Script, tries: list[Try]) -> list[Wish]:
+def wishes_of(script: Script, tries: list[ClientAttempt]) -> list[ClientRequest]:
     """Those of clients, by the intended time of their first try, the warm-up left out."""
-    together: dict[str, list[Try]] = defaultdict(list)
+    together: dict[str, list[ClientAttempt]] = defaultdict(list)
     for one in tries:
         if not one.parent:
             together[one.wish].append(one)
-    made = [Wish(those, script) for those in together.values()]
+    made = [ClientRequest(those, script) for those in together.values()]
     return sorted((one for one in made if one.first.intended >= script.warm_up), key=lambda one: one.first.intended)
 
 
-def _group(name: str, wishes: list[Wish]) -> Group:
+def _group(name: str, wishes: list[ClientRequest]) -> Group:
     took = [one.took for one in wishes if one.took >= 0]
     asked = sum(one.asked for one in wishes)
     return Group(
@@ -178,7 +178,7 @@
     )
 
 
-def _worst(wishes: list[Wish], window: Span) -> tuple[float, int]:
+def _worst(wishes: list[ClientRequest], window: Span) -> tuple[float, int]:
     """The least goodput of any stretch of `window`, and when it began; windows with little in them do not
     count."""
     step = max(1, window // WINDOW_STEPS)
@@ -202,8 +202,8 @@
     return worst, at
 
 
-def _seconds(wishes: list[Wish], untrusted: set[int]) -> list[Second]:
-    by: dict[int, list[Wish]] = defaultdict(list)
+def _seconds(wishes: list[ClientRequest], untrusted: set[int]) -> list[Second]:
+    by: dict[int, list[ClientRequest]] = defaultdict(list)
     for one in wishes:
         by[one.first.intended // 1_000_000].append(one)
     made = []
@@ -269,8 +269,8 @@
     asked = sum(one.asked for one in wishes)
     worst, worst_at = _worst(wishes, script.window)
     used = rule_checker.use_of(script, records)
-    by_use: dict[int, list[Wish]] = defaultdict(list)
-    by_customer: dict[int, list[Wish]] = defaultdict(list)
+    by_use: dict[int, list[ClientRequest]] = defaultdict(list)
+    by_customer: dict[int, list[ClientRequest]] = defaultdict(list)
     for one in wishes:
         by_use[one.first.use].append(one)
         by_customer[one.first.customer].append(one)
--- a/pepperusher/rehearsal/wire.py
+++ b/pepperusher/rehearsal/wire.py
@@ -51,7 +51,7 @@
     last: int
 
 
-class Broken(Exception):
+class BrokenConnection(Exception):
     """The other side ended, or sent what is no HTTP; `begun` where a part of a message had come."""
 
     def __init__(self, text: str, begun: bool = False) -> None:
@@ -73,7 +73,7 @@
         self.first = -1  # when a message's first byte came, -1 between messages
 
     async def receive(self) -> Message | None:
-        """The next whole message, None where the other side ended between two. Raises Broken."""
+        """The next whole message, None where the other side ended between two. Raises BrokenConnection."""
         head: h11.Request | h11.Response | None = None
         body: list[bytes] = []
         size = 0
@@ -95,7 +95,7 @@
                 elif isinstance(event, h11.Data):
                     size += len(event.data)
                     if size > MOST:
-                        raise Broken("a body without end", True)
+                        raise BrokenConnection("a body without end", True)
                     body.append(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     assert head is not None
@@ -103,7 +103,7 @@
                 elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                     return None
         except (OSError, h11.RemoteProtocolError) as error:
-            raise Broken(f"{type(error).__name__}: {error}", self.first >= 0) from None
+            raise BrokenConnection(f"{type(error).__name__}: {error}", self.first >= 0) from None
 
     def send(self, head: h11.Request | h11.Response, body: bytes = b"") -> None:
         parts = [self.parser.send(head)]
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pepperusher.rehearsal import rule_checker
-from pepperusher.rehearsal.run_controller import Director
+from pepperusher.rehearsal.run_controller import RunController
 from pepperusher.rehearsal.links import Links
 from pepperusher.rehearsal.loopback_networks import own_net
 from pepperusher.rehearsal.proxies import Runner
@@ -42,7 +42,7 @@
         net = keeping.enter_context(own_net())
         self.work = Path(keeping.enter_context(tempfile.TemporaryDirectory(prefix="group-")))
         self.script = script
-        self.director = Director(script, net, self.work)
+        self.director = RunController(script, net, self.work)
         stack.push_async_callback(self.director.end)
         await self.director.stand()
         self.names = [gate.name for gate in self.director.plan.gates]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -481,7 +481,7 @@
     def test_it_is_open_loop(self) -> None:
         """Nothing is answered before five have come: a closed loop would wait for the first for ever."""
 
-        async def scene() -> latency.Told:
+        async def scene() -> latency.LatencyResult:
             come = asyncio.Event()
             seen = 0
 
@@ -530,19 +530,23 @@
         """By round what the proxies add at the 99th: 5, 50, 7, 6 and, with 2 of 100 calls failed, 1."""
         rounds = [(5, 0), (50, 0), (7, 0), (6, 0), (1, 2)]
 
-        def through(place: int) -> latency.Told:
+        def through(place: int) -> latency.LatencyResult:
             more, failed = rounds[(place - 2) // 2]
-            return latency.Told(20 + more, 100 + more, 100, failed)
+            return latency.LatencyResult(20 + more, 100 + more, 100, failed)
 
         spent = iter((0.0, 5_000.0))
-        made = latency._rounds(lambda _: latency.Told(20, 100, 90, 0), through, lambda: next(spent), 1, 5)
+        made = latency._rounds(lambda _: latency.LatencyResult(20, 100, 90, 0), through, lambda: next(spent), 1, 5)
         self.assertEqual((made.p99, made.p50), (6.5, 6.5))
         self.assertEqual((made.through.p99, made.through.calls, made.through.failed), (106.5, 400, 0))
         self.assertEqual((made.bare.p99, made.bare.calls), (100, 360))
         self.assertEqual(made.cpu, 10.0)  # of all rounds
         with self.assertRaises(latency.Failing) as caught:
             latency._rounds(
-                lambda _: latency.Told(1, 1, 100, 0), lambda _: latency.Told(1, 1, 100, 3), lambda: 0.0, 1, 2
+                lambda _: latency.LatencyResult(1, 1, 100, 0),
+                lambda _: latency.LatencyResult(1, 1, 100, 3),
+                lambda: 0.0,
+                1,
+                2,
             )
         self.assertEqual(caught.exception.share, 0.03)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 
 from pepperusher.net.discovery import START_SPREAD
 from pepperusher.net.endpoint_update import endpoint_update_of
-from pepperusher.rehearsal.discovery_clients import Asker
+from pepperusher.rehearsal.discovery_clients import DiscoveryClient
 from tests.scene import SETTINGS, ProxyTestCase
 
 
@@ -35,7 +35,7 @@
                 ("with a list, told to", True, True),
                 ("without", False, False),
             ):
-                discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
+                discovery = DiscoveryClient(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
                 if lists:
                     discovery.take(update)
                 discovery.start(at_once=at_once)
@@ -53,7 +53,7 @@
             {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
         )
         for number in range(10):
-            discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
+            discovery = DiscoveryClient(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
             discovery.take_over(None)
             discovery.go_on(("127.0.0.1", 1), update, told_there=True)
             discovery.start(at_once=False)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -32,7 +32,7 @@
 )
 from pepperusher.rehearsal import hollow_group_statistics
 from pepperusher.rehearsal.group_figures import introduced
-from pepperusher.rehearsal.group_model import SECOND, Manner, Model
+from pepperusher.rehearsal.group_model import SECOND, LinkProperties, Model
 
 NOW = 1_700_000_000 * SECOND
 
@@ -224,7 +224,7 @@
 class Found(unittest.TestCase):
     """Members by name m0, m1, ..., started within a moment of each other."""
 
-    def group(self, size: int, seed: int = 1, manner: Manner = Manner(), met: bool = True) -> Model:
+    def group(self, size: int, seed: int = 1, manner: LinkProperties = LinkProperties(), met: bool = True) -> Model:
         model = Model(seed, manner=manner)
         for number in range(size):
             model.add(f"m{number}", told=size)
@@ -363,7 +363,7 @@
                 self.assertEqual({5}, {one.swim.size() for one in model.ones.values()})
 
     def test_a_third_of_all_lost_doubled_and_out_of_order_loses_nobody(self) -> None:
-        model = self.group(8, manner=Manner(lost=0.3, twice=0.1, jitter=40_000))
+        model = self.group(8, manner=LinkProperties(lost=0.3, twice=0.1, jitter=40_000))
         model.run(120 * SECOND)
         self.assertEqual([], self.lost(model))
         model.kill("m5")
@@ -394,7 +394,7 @@
                 self.assertEqual([], [one for one in self.lost(model, on) if one[1] != "m2"])
 
     def charged(self, duty: float) -> int:
-        model = self.group(8, manner=Manner(lost=0.3))
+        model = self.group(8, manner=LinkProperties(lost=0.3))
         model.turn = SECOND
         model.starve("m2", duty)
         model.run(120 * SECOND)
@@ -505,7 +505,7 @@
 
     def met(self, size: int, seed: int, periods: int = 12) -> Model:
         """All have met, and have probed each other for so long."""
-        model = Model(seed, self.PERIOD, self.WITHIN, Manner(delay=1_000, jitter=30_000))
+        model = Model(seed, self.PERIOD, self.WITHIN, LinkProperties(delay=1_000, jitter=30_000))
         for number in range(size):
             model.add(f"m{number}", told=size)
         introduced(model)
@@ -628,7 +628,7 @@
         """
         chance = Random(seed)
         size = chance.randrange(3, 9)
-        model = Model(seed, manner=Manner(lost=chance.choice((0.0, 0.1, 0.3))))
+        model = Model(seed, manner=LinkProperties(lost=chance.choice((0.0, 0.1, 0.3))))
         for number in range(size):
             model.add(f"m{number}", told=size)
         model.run(3 * SECOND)
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -17,7 +17,7 @@
 from pepperusher.group.messages import PING, SERVING, Suspicion, MemberRecord
 from pepperusher.net import clock
 from pepperusher.rehearsal.group_run import KEY
-from pepperusher.rehearsal.links import Manner
+from pepperusher.rehearsal.links import LinkProperties
 
 from tests.group_scene import Play
 
@@ -91,7 +91,9 @@
         await self.until(lambda views: views["p1"]["counts"].get("probes without an answer", 0) > 2)
         await self.found(self.names[1:], self.names[1:], "alive")
         self.links.heal()
-        self.links.shape(Manner(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names)
+        self.links.shape(
+            LinkProperties(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names
+        )
         await self.until(
             lambda views: (
                 sum(view["counts"].get("probes without an answer", 0) for view in views.values()) > 20
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 from pepperusher.rehearsal import hollow_statistics, hollow_fidelity, hollow_group_fidelity, hollow_report
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
-from pepperusher.rehearsal.hollow_fidelity import Compared
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
+from pepperusher.rehearsal.hollow_fidelity import FidelityComparison
 from pepperusher.rehearsal.hollow_plan import CALLS, VIEWS, ZONES, plan, sizes
 
 SECOND = 1_000_000
@@ -64,18 +64,18 @@
             self.assertLessEqual(abs(counted - seen), 0.02 * seen, kind)
 
     def test_a_tenth_is_the_bound(self) -> None:
-        self.assertTrue(Compared("lines", 100, 90).agrees)
-        self.assertTrue(Compared("lines", 90, 100).agrees)
-        self.assertFalse(Compared("lines", 100, 89).agrees)
-        self.assertFalse(Compared("lines", 0, 1).agrees)
-        self.assertTrue(Compared("lines", 0, 0).agrees)
+        self.assertTrue(FidelityComparison("lines", 100, 90).agrees)
+        self.assertTrue(FidelityComparison("lines", 90, 100).agrees)
+        self.assertFalse(FidelityComparison("lines", 100, 89).agrees)
+        self.assertFalse(FidelityComparison("lines", 0, 1).agrees)
+        self.assertTrue(FidelityComparison("lines", 0, 0).agrees)
 
 
 class Books(unittest.TestCase):
     def test_in_force_at_half_at_nearly_all_and_at_all(self) -> None:
         rows: list[Row] = [(index, 0, [("list", 4, 0), ("list", 5, (index + 1) * SECOND)]) for index in range(200)]
         told = hollow_statistics.reached(rows, "list", {0: 5}, 0)
-        self.assertEqual(told, Reached(100.0, 198.0, 200.0, 200, 200))
+        self.assertEqual(told, Propagation(100.0, 198.0, 200.0, 200, 200))
 
     def test_one_without_it_leaves_all_open(self) -> None:
         rows: list[Row] = [
--- a/tests/test_hollow_group.py
+++ b/tests/test_hollow_group.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from pepperusher.rehearsal import hollow_group_statistics, hollow_group_scenarios
-from pepperusher.rehearsal.hollow_statistics import Reached, Row
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 
 SECOND = 1_000_000
 WITHIN = 110.0
@@ -58,7 +58,7 @@
             (3, 0, [("there", 1, 9 * SECOND)]),
         ]
         told = hollow_group_statistics.last(rows, "there", SECOND, {0, 1, 2})
-        self.assertEqual(told, Reached(1.0, 4.0, 4.0, 3, 3))
+        self.assertEqual(told, Propagation(1.0, 4.0, 4.0, 3, 3))
 
     def test_whom_nobody_has_books_of_leaves_all_open(self) -> None:
         told = hollow_group_statistics.last([(0, 0, [])], "there", 0, {0, 1})
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -13,10 +13,18 @@
 
 from pepperusher.rehearsal import rule_checker, compare, page, records, results, text_report, tally
 from pepperusher.rehearsal.engine import FULL, RUNS, WAITS, Engine, Job, Memory, parts_of
-from pepperusher.rehearsal.client_behavior import Wish
-from pepperusher.rehearsal.records import Held, Ran, Sent, Stall, Stood, Told, Try
+from pepperusher.rehearsal.client_behavior import RequestBehavior
+from pepperusher.rehearsal.records import (
+    ProxyPause,
+    ProxyRun,
+    BackendAttempt,
+    Stall,
+    BackendLifetimeRecord,
+    StateNotification,
+    ClientAttempt,
+)
 from pepperusher.rehearsal.script import Kind, Overload
-from pepperusher.rehearsal.stalls import Heart, Margin, Spans
+from pepperusher.rehearsal.stalls import StallDetector, SleepMargin, Spans
 
 from tests.rehearsal_scene import small
 from tests.scene import TraceTestCase
@@ -137,9 +145,9 @@
 
 
 class Clients(unittest.TestCase):
-    def wish(self, use: int = 0, **load: object) -> Wish:
+    def wish(self, use: int = 0, **load: object) -> RequestBehavior:
         of = small(load=load)
-        return Wish(of.use_cases[use], of.load, of.seed, 3, 1_000_000)
+        return RequestBehavior(of.use_cases[use], of.load, of.seed, 3, 1_000_000)
 
     def test_tries_end_with_their_number_and_their_time(self) -> None:
         wish = self.wish(retries=2, patience=0.5, backoff="100ms")
@@ -174,7 +182,7 @@
 
 class Trust(unittest.TestCase):
     def test_a_heart_notes_what_came_late(self) -> None:
-        heart = Heart(5, 20)
+        heart = StallDetector(5, 20)
         self.assertEqual([heart.beat(now) for now in (0, 5, 12, 1000, 1005)], [None, None, None, (17, 1000), None])
 
     def test_spans_join_and_touch(self) -> None:
@@ -187,7 +195,7 @@
         self.assertEqual(spans.seconds(), [0, 2, 3])
 
     def test_a_margin_follows_the_machine(self) -> None:
-        margin = Margin(1000, 8000)
+        margin = SleepMargin(1000, 8000)
         margin.woke(4000)
         self.assertEqual(margin.now, 5000)
         margin.woke(90_000)
@@ -197,7 +205,7 @@
         self.assertEqual(margin.now, 1000)
 
 
-def a_try(**changes: object) -> Try:
+def a_try(**changes: object) -> ClientAttempt:
     given = {
         "name": "w1.0",
         "wish": "w1",
@@ -219,10 +227,10 @@
         "limit": 2_000_000,
         "crossed": -1,
     }
-    return Try(**{**given, **changes})  # type: ignore[arg-type]
+    return ClientAttempt(**{**given, **changes})  # type: ignore[arg-type]
 
 
-def a_sent(**changes: object) -> Sent:
+def a_sent(**changes: object) -> BackendAttempt:
     given = {
         "name": "w1.0",
         "mark": "",
@@ -243,7 +251,7 @@
         "fate": "good",
         "worked": 5000,
     }
-    return Sent(**{**given, **changes})  # type: ignore[arg-type]
+    return BackendAttempt(**{**given, **changes})  # type: ignore[arg-type]
 
 
 SCRIPT = small()
@@ -258,7 +266,7 @@
 }
 FAR = {**NEXT, "place": 2, "id": "desk-3", "cell": 1}
 REFERENCED = {"use": 1, "mark": "m1"}
-DRAIN = Told(0, "desk-1", "draining", 0)
+DRAIN = StateNotification(0, "desk-1", "draining", 0)
 
 
 class Books(TraceTestCase):
@@ -274,12 +282,12 @@
         (
             "connection ended, its proxy killed then",
             a_try(how="lost", status=0),
-            Ran(0, 9, -100, 0, -1, 49_000, 49_500, -9),
+            ProxyRun(0, 9, -100, 0, -1, 49_000, 49_500, -9),
         ),
         (
             "connection ended, its proxy killed long after",
             a_try(how="lost", status=0),
-            Ran(0, 9, -100, 0, -1, 900_000, 900_500, -9),
+            ProxyRun(0, 9, -100, 0, -1, 900_000, 900_500, -9),
         ),
         ("kept connection ended unread", a_try(crossed=50), a_sent()),
         ("kept connection ended after it was sent on", a_try(crossed=200), a_sent()),
@@ -293,22 +301,22 @@
             "no answer in time, a short process pause long before",
             a_try(how="left", ended=2_050_020),
             Stall(0, 300_000, 360_000),
-            Held(0, 1_000_000, 1_200_000),
+            ProxyPause(0, 1_000_000, 1_200_000),
         ),
         (
             "no answer in time, its proxy kept from running then",
             a_try(how="left", ended=2_050_020),
-            Held(0, 1_000_000, 2_030_000),
+            ProxyPause(0, 1_000_000, 2_030_000),
         ),
         (
             "no answer in time, another proxy kept from running then",
             a_try(how="left", ended=2_050_020),
-            Held(1, 1_000_000, 2_030_000),
+            ProxyPause(1, 1_000_000, 2_030_000),
         ),
         (
             "no answer in time, its proxy kept from running as it was sent",
             a_try(how="left", ended=2_050_020),
-            Held(0, 0, 600_000),
+            ProxyPause(0, 0, 600_000),
         ),
         (
             "no answer in time, nobody looked for a part of what was left, and then long enough",
@@ -320,7 +328,7 @@
             a_try(how="lost", status=0, ended=500_000, fresh=False),
             a_sent(answered=False),
             Stall(0, 300_000, 360_000),
-            Held(0, 300_000, 360_000),
+            ProxyPause(0, 300_000, 360_000),
         ),
         (
             "connection ended beside a process pause, a new one that had been read",
@@ -398,14 +406,14 @@
             a_try(),
             a_sent(first=560_000),
             DRAIN,
-            Told(0, "desk-1", "ready", 300_000),
+            StateNotification(0, "desk-1", "ready", 300_000),
         ),
         (
             "told again at the end, and told first long ago",
             a_try(),
             a_sent(first=560_000),
             DRAIN,
-            Told(0, "desk-1", "gone", 559_000),
+            StateNotification(0, "desk-1", "gone", 559_000),
         ),
         ("told to another proxy", a_try(proxy=1), a_sent(first=560_000), DRAIN),
         (
@@ -413,10 +421,10 @@
             a_try(),
             a_sent(first=560_000),
             DRAIN,
-            Ran(0, 9, 100_000, 200_000, -1, -1, 9_000_000, 0),
+            ProxyRun(0, 9, 100_000, 200_000, -1, -1, 9_000_000, 0),
         ),
-        ("pushed over", Stood(0, "desk-1.1", 100, -1, 700_000)),
-        ("stood", Stood(0, "desk-1.1", 100, -1, -1)),
+        ("pushed over", BackendLifetimeRecord(0, "desk-1.1", 100, -1, 700_000)),
+        ("stood", BackendLifetimeRecord(0, "desk-1.1", 100, -1, -1)),
     )
 
     def test_what_is_held_against_a_proxy(self) -> None:
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -9,7 +9,7 @@
 
 from pepperusher.rehearsal import arrivals, experiments, script, traces, fault_schedule, active_faults
 from pepperusher.rehearsal.fleet_plan import FleetPlan
-from pepperusher.rehearsal.endpoint_history import Roster
+from pepperusher.rehearsal.endpoint_history import EndpointHistory
 from pepperusher.rehearsal.script import ScriptError
 from pepperusher.durations import said, span
 
@@ -172,11 +172,11 @@
 
     def test_weather_is_all_that_acts_together(self) -> None:
         strikes = [
-            fault_schedule.Strike(0, 10, "slow", (1,), 2.0, None),
-            fault_schedule.Strike(5, 10, "slow", (1, 2), 3.0, None),
-            fault_schedule.Strike(0, 10, "errors", (1,), 1.0, "look"),
-            fault_schedule.Strike(0, 10, "reset", (1,), 1.0, None),
-            fault_schedule.Strike(4, 6, "freeze", (2,), 1.0, None),
+            fault_schedule.FaultInterval(0, 10, "slow", (1,), 2.0, None),
+            fault_schedule.FaultInterval(5, 10, "slow", (1, 2), 3.0, None),
+            fault_schedule.FaultInterval(0, 10, "errors", (1,), 1.0, "look"),
+            fault_schedule.FaultInterval(0, 10, "reset", (1,), 1.0, None),
+            fault_schedule.FaultInterval(4, 6, "freeze", (2,), 1.0, None),
         ]
         self.assertEqual(active_faults.at(strikes, 1, 6).slower, 6.0)
         self.assertEqual([one[0] for one in active_faults.at(strikes, 1, 0).spoils], ["errors", "reset"])
@@ -198,7 +198,7 @@
             ],
         )
         line = fault_schedule.timeline(of, FleetPlan(of, 16))
-        roster = Roster(of, FleetPlan(of, 16), line)
+        roster = EndpointHistory(of, FleetPlan(of, 16), line)
         self.lines, at = [], -1
         while at is not None:
             version = roster.version(at)
@@ -214,7 +214,7 @@
     def test_watches_that_were_open_fall_silent_for_good(self) -> None:
         of = small(span="20s", faults=[{"what": "watches-silent", "at": "3s"}])
         line = fault_schedule.timeline(of, FleetPlan(of, 16))
-        roster = Roster(of, FleetPlan(of, 16), line)
+        roster = EndpointHistory(of, FleetPlan(of, 16), line)
         self.assertEqual(3_000_000, roster.next_change(-1))
         self.assertFalse(roster.fell_silent(-1, 2_999_999))
         self.assertTrue(roster.fell_silent(-1, 3_000_000))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,7 +8,7 @@
 
 from pepperusher.rehearsal import soak
 from pepperusher.rehearsal.effective_changes import deemed
-from pepperusher.rehearsal.records import Ran, Reconfigured
+from pepperusher.rehearsal.records import ProxyRun, Reconfiguration
 from pepperusher.rehearsal.script import encoded
 from tests.rehearsal_scene import small
 
@@ -40,8 +40,8 @@
 
     def due(self, signals: list[int], *faults: dict[str, object], started: int = -1) -> list[int]:
         script = small(span="20s", faults=[self.DRAIN, *faults])
-        reconfigured = [Reconfigured(0, at) for at in signals]
-        return sorted(one.at for one in deemed(script, reconfigured, [Ran(0, 1, started, started, -1, -1, -1, 0)]))
+        reconfigured = [Reconfiguration(0, at) for at in signals]
+        return sorted(one.at for one in deemed(script, reconfigured, [ProxyRun(0, 1, started, started, -1, -1, -1, 0)]))
 
     def test_a_change_counts_six_seconds_after_discovery_has_it(self) -> None:
         self.assertEqual([7_100_000], self.due([]))
