--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from pepperusher.capacity import fixtures
-from pepperusher.capacity.decisions import NOW, quiet
+from pepperusher.capacity.decisions import NOW, discard_line
 from pepperusher.capacity.fixtures import SECOND
 from pepperusher.facade import SEND, Facade
 from pepperusher.settings import read_settings
@@ -59,8 +59,8 @@
             told = fixtures.settings(BACKENDS * 4, promised=promised, most=most)
             told["tiers"] = [f"tier-{number}" for number in range(depth)]
             told["stage"] = level
-            facade = Facade(read_settings(told, seed + level), NOW, quiet)
-            facade.update_endpoints(endpoint_update_of(fixtures.listing(BACKENDS)).entries, True, NOW)
+            facade = Facade(read_settings(told, seed + level), NOW, discard_line)
+            facade.update_endpoints(endpoint_update_of(fixtures.endpoint_list(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
     def call(self, level: int = 0, until: int | None = None) -> bool:
--- a/pepperusher/capacity/call_storms.py
+++ b/pepperusher/capacity/call_storms.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from pepperusher.capacity import fixtures
-from pepperusher.capacity.decisions import NOW, quiet
+from pepperusher.capacity.decisions import NOW, discard_line
 from pepperusher.capacity.fixtures import SECOND
 from pepperusher.facade import Facade
 
@@ -34,7 +34,9 @@
     once.
     """
     chance = Random(seed)
-    facades = [Facade(fixtures.ground_of(1_000, seed * 10_007 + number), NOW, quiet) for number in range(proxies)]
+    facades = [
+        Facade(fixtures.policy_settings(1_000, seed * 10_007 + number), NOW, discard_line) for number in range(proxies)
+    ]
     opens = NOW + AWAY if back else NOW
     due: list[tuple[int, int]] = []  # when, and whose turn to ask it is
     for number, facade in enumerate(facades):
--- a/pepperusher/capacity/configuration_run.py
+++ b/pepperusher/capacity/configuration_run.py
@@ -85,7 +85,7 @@
     return at
 
 
-def fullest(lost: int = 0) -> Callable[[int, int], float]:
+def most_connections(lost: int = 0) -> Callable[[int, int], float]:
     """Connections of the control machine that has most, of MACHINES of which so many are lost."""
 
     def at(proxies: int, seed: int) -> float:
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
-from pepperusher.capacity.target import Assumed, Budget, Row, Target, plus, times
+from pepperusher.capacity.target import Assumed, Budget, Row, Target, total, product
 
 MACHINE, BESIDE = "control machine", "proxy beside a backend"
 SECOND, MB = 1_000_000.0, 1_000_000.0
@@ -46,7 +46,7 @@
     note: str
 
 
-def loads(at: At, t: Target, harsh: bool) -> tuple[float, float]:
+def proxies_per_machine(at: At, t: Target, harsh: bool) -> tuple[float, float]:
     """Of one machine, and with one machine lost; the fullest of them in the harsh case."""
     mean, lost = t.proxies / t.control_machines, t.proxies / (t.control_machines - 1)
     if not harsh:
@@ -57,7 +57,7 @@
 
 def occasions(at: At, t: Target, of: Assumed, harsh: bool) -> Iterator[Occasion]:
     """Mild: all that come hold what is newest. Harsh: they hold nothing, or what is too old for a delta."""
-    load, lost = loads(at, t, harsh)
+    load, lost = proxies_per_machine(at, t, harsh)
     machines = t.control_machines
     uneven = load / (t.proxies / machines)
     yield Occasion(
@@ -111,7 +111,7 @@
 
 
 def _whole(at: At, of: Assumed, proxies: float) -> float | None:
-    return times(proxies, at("control.snapshot_bytes", of.routes)) if proxies else 0.0
+    return product(proxies, at("control.snapshot_bytes", of.routes)) if proxies else 0.0
 
 
 def machine(at: At, t: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
@@ -131,10 +131,10 @@
     known = at("control.fullest", t.proxies) is not None
 
     def connections(_: Assumed, hard: bool) -> float | None:
-        return 2 * loads(at, t, hard)[0] if known else None
+        return 2 * proxies_per_machine(at, t, hard)[0] if known else None
 
     def when_lost(_: Assumed, hard: bool) -> float | None:
-        return 2 * loads(at, t, hard)[1] if known else None
+        return 2 * proxies_per_machine(at, t, hard)[1] if known else None
 
     def of_connections(name: str, held: float | None) -> float | None:
         return None if held is None else at(name, held)
@@ -158,7 +158,7 @@
             when,
             "descriptors of its process",
             "descriptors",
-            lambda of, hard, held=held: plus(  # type: ignore[misc]
+            lambda of, hard, held=held: total(  # type: ignore[misc]
                 of_connections("control.descriptors", held(of, hard)), peers
             ),
             Budget(4_096, "own choice: a usual hard limit, to which it raises its own"),
@@ -194,7 +194,7 @@
         "always",
         "state: subscriptions beyond the first",
         "bytes",
-        lambda of, hard: times(connections(of, hard), further, 6.0 if hard else 0.0),
+        lambda of, hard: product(connections(of, hard), further, 6.0 if hard else 0.0),
         Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
         "`publisher.py` Subscriber, Proxy",
         "control.state.subscription",
@@ -202,7 +202,7 @@
     )
     yield row(
         "always", "state: a configuration for each of 210 services, with the versions before", "bytes",
-        lambda of, hard: times(
+        lambda of, hard: product(
             at("control.state.resource", t.services), of.routes / 20
         ),
         Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Held",
@@ -214,20 +214,20 @@
         """A second: at rest, the day's changes, and the day's restarts."""
 
         def at_day(of: Assumed, hard: bool) -> float | None:
-            load = loads(at, t, hard)[0]
+            load = proxies_per_machine(at, t, hard)[0]
             changes = t.changes_a_day / DAY
             came = t.restarts_a_day / DAY / t.control_machines
             parts = [
                 at(f"control.rest.{what}", load),
-                times(changes, at(f"control.change.{what}", load * of.concerned)),
-                times(came, _slope(at, f"control.{'start' if hard else 'resume'}.{what}")),
+                product(changes, at(f"control.change.{what}", load * of.concerned)),
+                product(came, _slope(at, f"control.{'start' if hard else 'resume'}.{what}")),
             ]
             if relay:
                 parts += [
                     at("control.relay.rest", t.control_machines),
-                    times(changes, at("control.relay.change", t.control_machines)),
+                    product(changes, at("control.relay.change", t.control_machines)),
                 ]
-            return plus(*parts)
+            return total(*parts)
 
         return at_day
 
@@ -262,8 +262,8 @@
             "ordinary day",
             said,
             unit,
-            lambda of, hard, what=what: plus(  # type: ignore[misc]
-                at(f"control.change.{what}", loads(at, t, hard)[0] * of.concerned),
+            lambda of, hard, what=what: total(  # type: ignore[misc]
+                at(f"control.change.{what}", proxies_per_machine(at, t, hard)[0] * of.concerned),
                 at("control.relay.change", t.control_machines) if what == "out_bytes" else 0.0,
             ),
             one,
@@ -316,8 +316,8 @@
                 come = one.comes
                 # What is sent whole is reckoned by its size; what that takes of the processor was measured.
                 name = f"control.{'start' if one.whole and what == 'cpu' else 'resume'}.{what}"
-                value = plus(
-                    times(span, at(f"control.rest.{what}", one.stays)), at(name, come),
+                value = total(
+                    product(span, at(f"control.rest.{what}", one.stays)), at(name, come),
                     _whole(at, of, one.whole) if what == "out_bytes" else 0.0,
                     one.whole if what == "out_messages" else 0.0,
                 )  # fmt: skip
@@ -333,7 +333,7 @@
             )  # fmt: skip
 
 
-def beside(at: At, t: Target, mild: Assumed, harsh: Assumed, role: str = BESIDE,
+def proxy_rows(at: At, t: Target, mild: Assumed, harsh: Assumed, role: str = BESIDE,
     also: str = "") -> Iterator[Row]:  # fmt: skip
     """What being told by control machines takes of a proxy; `also` is said with each row."""
     wire = Budget(t.proxy_wire, "target: 21 KB a second for control")
@@ -346,7 +346,7 @@
         """Of one proxy, which is what one more adds; both ways of messages or bytes."""
         if way == "cpu":
             return _slope(at, f"client.{occasion}.cpu")
-        return plus(_slope(at, f"client.{occasion}.out_{way}"), _slope(at, f"client.{occasion}.in_{way}"))
+        return total(_slope(at, f"client.{occasion}.out_{way}"), _slope(at, f"client.{occasion}.in_{way}"))
 
     def names(occasion: str, way: str) -> tuple[str, ...]:
         if way == "cpu":
@@ -404,10 +404,10 @@
         made = []
         for of in (mild, harsh):
             rate = of.concerned * t.changes_a_day / DAY
-            parts = [mean("rest", way), times(rate, mean("change", way))]
+            parts = [mean("rest", way), product(rate, mean("change", way))]
             if way == "cpu":
-                parts.append(times(rate, applying(of)))
-            made.append(plus(*parts))
+                parts.append(product(rate, applying(of)))
+            made.append(total(*parts))
         yield Row(
             role,
             "ordinary day",
@@ -429,9 +429,9 @@
         ("cpu", "processor time for one change, of 12 s", "us", cpu_12),
     ):
         made = [
-            plus(
+            total(
                 mean("change", way),
-                times(t.in_force_s, mean("rest", way)),
+                product(t.in_force_s, mean("rest", way)),
                 applying(of) if way == "cpu" else 0.0,
             )
             for of in (mild, harsh)
@@ -473,7 +473,7 @@
                         "cpu": applying(of)}[way]  # fmt: skip
                 elif way == "cpu" and when == "every proxy started":
                     more = applying(of)  # what it kept is read and checked as well
-                made.append(plus(times(part, mean("resume", way)), times(t.in_force_s, mean("rest", way)), more))
+                made.append(total(product(part, mean("resume", way)), product(t.in_force_s, mean("rest", way)), more))
             yield Row(
                 role,
                 when,
@@ -498,7 +498,7 @@
     """`publish` in us of one change, whatever the number of proxies."""
     made: list[float | None] = []
     for of, hard in ((mild, False), (harsh, True)):
-        spent = plus(publish, at("control.change.cpu", loads(at, t, hard)[0] * of.concerned))
+        spent = total(publish, at("control.change.cpu", proxies_per_machine(at, t, hard)[0] * of.concerned))
         made.append(None if spent is None else spent / SECOND + WAVE_S * WAVES_BEFORE * hard)
     yield Row(
         "operator",
--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -161,7 +161,7 @@
         return self.figures[name]
 
 
-async def until(true: Callable[[], bool], what: str, within: float = WITHIN) -> None:
+async def wait_until(true: Callable[[], bool], what: str, within: float = WITHIN) -> None:
     """Raises ProcessError."""
     end = time.monotonic() + within
     while not true():
@@ -243,9 +243,9 @@
         """
         links = min(2, len(self.machines))
         takes = [one for place, one in enumerate(self.clients) if place < self.some]
-        await until(lambda: all(one.in_force.get(key) == version for one in takes), f"{version} in force")
-        await until(lambda: all(one.in_force for one in self.clients), "something in force at the others")
-        await until(lambda: all(len(one.upstreams) == links for one in self.clients), "all connected")
+        await wait_until(lambda: all(one.in_force.get(key) == version for one in takes), f"{version} in force")
+        await wait_until(lambda: all(one.in_force for one in self.clients), "something in force at the others")
+        await wait_until(lambda: all(len(one.upstreams) == links for one in self.clients), "all connected")
         await self.settled()
 
     async def settled(self) -> None:
@@ -355,7 +355,7 @@
     before, began = await fleet.read(), fleet.client_messages()
     links = fleet.proxies * min(2, len(fleet.machines))
     if links:
-        await until(lambda: fleet.client_messages() - began >= beats * links, "beats")
+        await wait_until(lambda: fleet.client_messages() - began >= beats * links, "beats")
     else:
         await asyncio.sleep(2.0 * beats)  # a span that is measured, not waited in
     after = await fleet.read()
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -9,7 +9,7 @@
 
 from pepperusher.capacity import fixtures
 from pepperusher.capacity.control_run import NAME, ROUTES, body_of, framed
-from pepperusher.capacity.decisions import NOW, held_by
+from pepperusher.capacity.decisions import NOW, allocated_bytes
 from pepperusher.distribution import wire
 from pepperusher.distribution.link import Link
 from pepperusher.distribution.publisher import BEFORE, Publisher
@@ -86,12 +86,12 @@
     """Bytes of a machine with so many connected, one resource each; without asyncio's and the kernel's
     part of a connection.
     """
-    return held_by(lambda: subscribers(size))
+    return allocated_bytes(lambda: subscribers(size))
 
 
 def by_subscription(size: int, _: int) -> float:
     """The same for 100 connected, by the resources that each takes."""
-    return held_by(lambda: subscribers(100, size))
+    return allocated_bytes(lambda: subscribers(100, size))
 
 
 def by_resource(size: int, _: int) -> float:
@@ -108,7 +108,7 @@
             now = _settled(publisher, now)
         return publisher
 
-    return held_by(makes)
+    return allocated_bytes(makes)
 
 
 def _update(routes: int, known: bool) -> bytes:
@@ -154,4 +154,4 @@
         assert one.held[CONFIG, NAME] is made and mark_of(made).version > NEVER
         return one, made, dict(one.held)
 
-    return held_by(makes)
+    return allocated_bytes(makes)
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -36,7 +36,7 @@
 GROUP = 1_000
 
 
-def quiet(_: str) -> None:
+def discard_line(_: str) -> None:
     """Whatever is said while it is measured."""
 
 
@@ -56,7 +56,7 @@
             return spent / turns
 
 
-def held_by(makes: Callable[[], object]) -> float:
+def allocated_bytes(makes: Callable[[], object]) -> float:
     """Bytes that stay allocated with what `makes` gives."""
     collect()
     tracemalloc.start()
@@ -72,14 +72,14 @@
 
 
 def facade_with(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
-    facade = Facade(fixtures.ground_of(group, seed, ordinal, zones=zones), NOW, quiet)
-    facade.update_endpoints(endpoint_update_of(fixtures.listing(size, zones)).entries, True, NOW)
+    facade = Facade(fixtures.policy_settings(group, seed, ordinal, zones=zones), NOW, discard_line)
+    facade.update_endpoints(endpoint_update_of(fixtures.endpoint_list(size, zones)).entries, True, NOW)
     return facade
 
 
 def watch_of(group: int, seed: int, zones: list[str] | None = None) -> Discovery:
     """The watch on the list with all behind it but the sockets."""
-    facade = Facade(fixtures.ground_of(group, seed, zones=zones), NOW, quiet)
+    facade = Facade(fixtures.policy_settings(group, seed, zones=zones), NOW, discard_line)
     backends = Backends(Budget(1024), Pool(16, 1 << 20), SECOND, 60 * SECOND)
     return Discovery(("127.0.0.1", 1), facade, backends, QuietLog("measured"))
 
@@ -114,17 +114,17 @@
 
 
 def list_bytes(size: int, _: int) -> float:
-    return float(len(fixtures.text_of(fixtures.listing(size, fixtures.ZONES))))
+    return float(len(fixtures.json_line(fixtures.endpoint_list(size, fixtures.ZONES))))
 
 
 def list_parse(size: int, _: int) -> float:
-    text = fixtures.text_of(fixtures.listing(size, fixtures.ZONES))
+    text = fixtures.json_line(fixtures.endpoint_list(size, fixtures.ZONES))
     return cost(lambda: endpoint_update_of(json.loads(text.decode())) and None)
 
 
 def list_take(size: int, seed: int, enough: int = ENOUGH) -> float:
     """By a watch that has none yet: the same list once more takes under half of that."""
-    update = endpoint_update_of(fixtures.listing(size))
+    update = endpoint_update_of(fixtures.endpoint_list(size))
     turns, spent = 0, 0.0
     while spent < enough:
         watch = watch_of(GROUP, seed)  # not timed, nor is the end of the one before
@@ -140,8 +140,8 @@
     in.
     """
     watch = watch_of(GROUP, seed)
-    watch.take(endpoint_update_of(fixtures.listing(size)))
-    texts = [fixtures.text_of(fixtures.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
+    watch.take(endpoint_update_of(fixtures.endpoint_list(size)))
+    texts = [fixtures.json_line(fixtures.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
 
     def both() -> None:
         for text in texts:
@@ -153,10 +153,10 @@
 def list_memory(size: int, seed: int) -> float:
     def makes() -> object:
         watch = watch_of(GROUP, seed)
-        watch.take(endpoint_update_of(json.loads(fixtures.text_of(fixtures.listing(size)))))
+        watch.take(endpoint_update_of(json.loads(fixtures.json_line(fixtures.endpoint_list(size)))))
         return watch
 
-    return held_by(makes)
+    return allocated_bytes(makes)
 
 
 # --- arcs: who connects to whom -------------------------------------------------------------------
@@ -164,8 +164,8 @@
 
 def near_of(backends: int, callers: int, ordinal: int, zones: list[str] | None) -> list[str]:
     """The backends that the proxy at that place sends to as a rule."""
-    balancer = Balancer(fixtures.ground_of(callers, 0, ordinal, zones=zones), NOW, quiet)
-    told = endpoint_update_of(fixtures.listing(backends, zones))
+    balancer = Balancer(fixtures.policy_settings(callers, 0, ordinal, zones=zones), NOW, discard_line)
+    told = endpoint_update_of(fixtures.endpoint_list(backends, zones))
     balancer.update_endpoints(
         [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
     )
@@ -212,13 +212,13 @@
 
 
 def config_check(routes: int, seed: int) -> float:
-    text, told = fixtures.own_file(routes), fixtures.ground_of(GROUP, seed)
+    text, told = fixtures.own_file(routes), fixtures.policy_settings(GROUP, seed)
     return cost(lambda: loader.parse(text, policy_settings=told) and None)
 
 
 def config_take(routes: int, seed: int) -> float:
     """From a file that was checked to the version in force, one way and back."""
-    told = fixtures.ground_of(GROUP, seed)
+    told = fixtures.policy_settings(GROUP, seed)
     first, other = (loader.parse(fixtures.own_file(routes, least), policy_settings=told) for least in (30, 31))
     standing = ActiveConfiguration(first, NOW, lambda _: None, lambda *_, **__: None)
     reads = [other, first]
--- a/pepperusher/capacity/fixtures.py
+++ b/pepperusher/capacity/fixtures.py
@@ -64,7 +64,7 @@
     }
 
 
-def ground_of(
+def policy_settings(
     group: int, seed: int = 0, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None
 ) -> PolicySettings:
     return read_settings(settings(group, ordinal, use_cases, zones), seed)
@@ -83,7 +83,7 @@
     }
 
 
-def listing(size: int, zones: list[str] | None = None, address: str = "") -> dict[str, Any]:
+def endpoint_list(size: int, zones: list[str] | None = None, address: str = "") -> dict[str, Any]:
     """A whole list; everybody at one `address`, or each at its own."""
     zones = zones or ONE_ZONE
     return {
@@ -98,11 +98,11 @@
 
 def change(size: int, number: int, state: str, version: int, zones: list[str] | None = None) -> dict[str, Any]:
     """One line of a watch about one backend."""
-    one = listing(size, zones)["servers"][number]
+    one = endpoint_list(size, zones)["servers"][number]
     return {"version": version, "full": False, "servers": [{**one, "state": state}]}
 
 
-def text_of(told: dict[str, Any]) -> bytes:
+def json_line(told: dict[str, Any]) -> bytes:
     return json.dumps(told).encode() + b"\n"
 
 
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -10,7 +10,7 @@
 
 from pepperusher.capacity import control_rows
 from pepperusher.capacity.control_rows import SECOND, At
-from pepperusher.capacity.target import Assumed, Budget, Row, Target, plus, times
+from pepperusher.capacity.target import Assumed, Budget, Row, Target, total, product
 
 FRONT = "front proxy"
 CLIENTS = 2_000
@@ -43,9 +43,9 @@
     yield Row(
         FRONT, "always", f"memory with {CLIENTS:,} connections of clients", "bytes",
         *(
-            plus(
+            total(
                 at("connection.memory", CLIENTS),
-                times(_slope(at, "process.memory"), float(of.front_listed - 24)),
+                product(_slope(at, "process.memory"), float(of.front_listed - 24)),
             )
             for of in both
         ),
@@ -53,7 +53,7 @@
     )  # fmt: skip
     yield Row(
         FRONT, "always", f"descriptors with {CLIENTS:,} connections of clients", "descriptors",
-        *(plus(at("connection.descriptors", CLIENTS), one) for one in kept), sockets,
+        *(total(at("connection.descriptors", CLIENTS), one) for one in kept), sockets,
         "`net/callers.py`: the idle one of longest is closed at the limit",
         ("connection.descriptors", *arc), "its configuration must name more sockets",
     )  # fmt: skip
@@ -76,8 +76,8 @@
         "ordinary day",
         "processor time a second for its calls",
         "us/s",
-        times(calls[0], each[0]),
-        times(calls[1], each[1]),
+        product(calls[0], each[0]),
+        product(calls[1], each[1]),
         core,
         "the whole proxy, on one core",
         ("added.calm.cpu",),
@@ -85,7 +85,7 @@
     )
     yield Row(
         FRONT, "ordinary day", "processor time a second: process and membership at rest", "us/s",
-        *(plus(at("process.idle", of.front_listed), at("group.cpu", of.members)) for of in both), cpu,
+        *(total(at("process.idle", of.front_listed), at("group.cpu", of.members)) for of in both), cpu,
         "`group/swim.py`, `net/discovery.py`", ("process.idle", "group.cpu"), "its list is longer",
     )  # fmt: skip
     change = at("discovery.change_bytes", 1)
@@ -95,15 +95,15 @@
     ):
         yield Row(
             FRONT, when, "bytes a second in for changes of its list", "bytes/s",
-            *(times(rate * of.front_listed / t.proxies, change) for rate, of in zip(rates, both)), wire,
+            *(product(rate * of.front_listed / t.proxies, change) for rate, of in zip(rates, both)), wire,
             "`net/discovery.py`", ("discovery.change_bytes",), "harsh: as a proxy that lists all",
         )  # fmt: skip
     yield Row(
         FRONT, "release", "processor time a second with the list's changes", "us/s",
         *(
-            plus(
+            total(
                 at("process.idle", of.front_listed),
-                times(3 * of.released / of.release_s, at("list.change", of.front_listed)),
+                product(3 * of.released / of.release_s, at("list.change", of.front_listed)),
             )
             for of in both
         ),
@@ -115,12 +115,12 @@
     ):  # fmt: skip
         yield Row(
             FRONT, when, f"bytes in for {lost:,} changes of the list, of 12 s", "bytes",
-            *(times(lost * of.front_listed / t.proxies, change) for of in both), wire_12,
+            *(product(lost * of.front_listed / t.proxies, change) for of in both), wire_12,
             "`net/discovery.py`", ("discovery.change_bytes",),
         )  # fmt: skip
         yield Row(
             FRONT, when, "connections to backends that are lost and opened elsewhere", "connections",
-            *(times(one, lost / t.proxies) for one in kept), sockets, "arcs; `net/backends.py`", arc,
+            *(product(one, lost / t.proxies) for one in kept), sockets, "arcs; `net/backends.py`", arc,
             "as many as of its list are lost",
         )  # fmt: skip
     yield Row(
@@ -130,10 +130,10 @@
     )  # fmt: skip
     yield Row(
         FRONT, "every proxy started", "how long a whole list holds the loop", "us",
-        *(plus(at("list.parse", of.front_listed), at("list.take", of.front_listed)) for of in both), None,
+        *(total(at("list.parse", of.front_listed), at("list.take", of.front_listed)) for of in both), None,
         "`net/discovery.py`, at once on the loop", ("list.parse", "list.take"),
     )  # fmt: skip
-    yield from control_rows.beside(at, t, mild, harsh, FRONT, SAME)
+    yield from control_rows.proxy_rows(at, t, mild, harsh, FRONT, SAME)
 
 
 def _slope(at: At, name: str) -> float | None:
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -8,7 +8,7 @@
 from random import Random
 from time import process_time
 
-from pepperusher.capacity.decisions import held_by
+from pepperusher.capacity.decisions import allocated_bytes
 from pepperusher.group import broadcasts as group_broadcasts, membership as group_membership
 from pepperusher.group.broadcasts import Broadcasts
 from pepperusher.group.membership import Membership
@@ -88,7 +88,7 @@
             roll.take(said(number), START)
         return roll
 
-    return held_by(makes)
+    return allocated_bytes(makes)
 
 
 def sync(size: int, seed: int) -> float:
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -89,7 +89,7 @@
     return (log.read_text(errors="replace").strip().splitlines() or ["it said nothing"])[-1]
 
 
-def until(true: Callable[[], bool], within: float = READY_WITHIN) -> None:
+def wait_until(true: Callable[[], bool], within: float = READY_WITHIN) -> None:
     """Raises ProcessError."""
     end = time.monotonic() + within
     while not true():
@@ -120,7 +120,7 @@
             "discovery": f"127.0.0.1:{discovery}",
             "seed": "5eed",
             "limits": {"sockets": SOCKETS, "memory_mb": 512},
-            "known": fixtures.listing(listed, zones, address),
+            "known": fixtures.endpoint_list(listed, zones, address),
             "settings": fixtures.settings(group, zones=zones, promised=PROMISED, most=most),
         }
         (folder / "proxy.json").write_text(json.dumps(told))
@@ -139,7 +139,7 @@
             )
         made = ProxyUnderTest(process, port, folder)
         try:
-            until(made.ready)
+            wait_until(made.ready)
             yield made
         finally:
             process.send_signal(signal.SIGKILL)
@@ -240,7 +240,7 @@
     """
     with ExitStack() as held:
         ones = [held.enter_context(proxy(24, own=CONTROLLED)) for _ in range(proxies)]
-        until(lambda: all(one.control.exists() for one in ones))
+        wait_until(lambda: all(one.control.exists() for one in ones))
         for one in ones:
             text = CONTROLLED.replace("HERE", str(one.folder)) + fixtures.routes(20)
             (one.folder / "change.toml").write_text(text)
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -9,7 +9,7 @@
 from pepperusher.capacity import control_rows, front_rows
 from pepperusher.capacity.control_rows import Before
 from pepperusher.capacity.measures import Book, Measured
-from pepperusher.capacity.target import HARSH, MB, MILD, MISSING, Assumed, Budget, Row, Target, plus, times
+from pepperusher.capacity.target import HARSH, MB, MILD, MISSING, Assumed, Budget, Row, Target, total, product
 
 SECOND = 1_000_000.0
 SWITCH_US = 5_000.0  # sys.getswitchinterval, which nothing here changes
@@ -44,7 +44,7 @@
             [
                 *self._beside(), *front_rows.rows(self._at, self.target, self.mild, self.harsh),
                 *control_rows.machine(self._at, self.target, self.mild, self.harsh),
-                *control_rows.beside(self._at, self.target, self.mild, self.harsh),
+                *control_rows.proxy_rows(self._at, self.target, self.mild, self.harsh),
                 *self._discovery(), *self._backend(), *self._operator(), *self._chain(),
             ],
             key=lambda one: -one.worst,
@@ -98,8 +98,8 @@
             "ordinary day",
             "processor time a second: process and membership at rest",
             "us/s",
-            plus(self._at("process.idle", mild.listed), self._at("group.cpu", mild.members)),
-            plus(self._at("process.idle", harsh.listed), self._at("group.cpu", harsh.members)),
+            total(self._at("process.idle", mild.listed), self._at("group.cpu", mild.members)),
+            total(self._at("process.idle", harsh.listed), self._at("group.cpu", harsh.members)),
             cpu,
             "`group/swim.py`, `net/discovery.py`",
             ("process.idle", "group.cpu"),
@@ -160,8 +160,8 @@
                 when,
                 "bytes a second in for changes of its list",
                 "bytes/s",
-                times(changes[0] * mild.listed / t.proxies, each),
-                times(changes[1], each),
+                product(changes[0] * mild.listed / t.proxies, each),
+                product(changes[1], each),
                 wire,
                 "`net/discovery.py`",
                 ("discovery.change_bytes",),
@@ -176,8 +176,8 @@
                 when,
                 f"bytes in for {lost:,} changes of the list, of 12 s",
                 "bytes",
-                times(lost * mild.listed / t.proxies, each),
-                times(lost, each),
+                product(lost * mild.listed / t.proxies, each),
+                product(lost, each),
                 Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s"),
                 "`net/discovery.py`",
                 ("discovery.change_bytes",),
@@ -215,12 +215,13 @@
             "release",
             "bytes a second out for membership",
             "bytes/s",
-            plus(
-                self._at("group.bytes", mild.members), times(words(mild), self._at("group.change_bytes", mild.members))
+            total(
+                self._at("group.bytes", mild.members),
+                product(words(mild), self._at("group.change_bytes", mild.members)),
             ),
-            plus(
+            total(
                 self._at("group.bytes", harsh.members),
-                times(words(harsh), self._at("group.change_bytes", harsh.members)),
+                product(words(harsh), self._at("group.change_bytes", harsh.members)),
             ),
             wire,
             "`group/gossip_queue.py`: each word told 4 log n times, by each",
@@ -258,9 +259,12 @@
             "release",
             "processor time a second with the list's changes",
             "us/s",
-            plus(self._at("process.idle", mild.listed), times(change_rate(mild), self._at("list.change", mild.listed))),
-            plus(
-                self._at("process.idle", harsh.listed), times(change_rate(harsh), self._at("list.change", harsh.listed))
+            total(
+                self._at("process.idle", mild.listed), product(change_rate(mild), self._at("list.change", mild.listed))
+            ),
+            total(
+                self._at("process.idle", harsh.listed),
+                product(change_rate(harsh), self._at("list.change", harsh.listed)),
             ),
             cpu,
             "`facade.listed`, which lays every ring anew for each change",
@@ -291,8 +295,8 @@
             "every proxy started",
             "how long a whole list holds the loop",
             "us",
-            plus(self._at("list.parse", mild.listed), self._at("list.take", mild.listed)),
-            plus(self._at("list.parse", harsh.listed), self._at("list.take", harsh.listed)),
+            total(self._at("list.parse", mild.listed), self._at("list.take", mild.listed)),
+            total(self._at("list.parse", harsh.listed), self._at("list.take", harsh.listed)),
             None,
             "`net/discovery.py`, at once on the loop",
             ("list.parse", "list.take"),
@@ -326,8 +330,8 @@
             "ordinary day",
             "processor time a second for checking changes of configuration",
             "us/s",
-            times(checks(mild), self._at("config.check", mild.routes)),
-            times(checks(harsh), self._at("config.check", harsh.routes)),
+            product(checks(mild), self._at("config.check", mild.routes)),
+            product(checks(harsh), self._at("config.check", harsh.routes)),
             cpu,
             "`configuration/loader.py`, `changes/`",
             ("config.check",),
@@ -363,8 +367,8 @@
             "always",
             f"processor time of a call along {t.depth} proxies in a row: the least that they add",
             "us",
-            times(self._level("alone.p50", mild.listed), float(t.depth)),
-            times(self._level("alone.p50", harsh.listed), float(t.depth)),
+            product(self._level("alone.p50", mild.listed), float(t.depth)),
+            product(self._level("alone.p50", harsh.listed), float(t.depth)),
             Budget(t.added_us * t.depth, "target: 1.3 ms, read as for each level"),
             "the whole proxy",
             ("alone.p50",),
@@ -416,8 +420,8 @@
             "every proxy started",
             "bytes out",
             "bytes",
-            times(t.proxies, self._at("list.bytes", mild.listed)),
-            times(t.proxies, self._at("list.bytes", harsh.listed)),
+            product(t.proxies, self._at("list.bytes", mild.listed)),
+            product(t.proxies, self._at("list.bytes", harsh.listed)),
             line,
             missing,
             ("list.bytes",),
@@ -433,8 +437,8 @@
                 when,
                 f"bytes out for {lost:,} changes, told to every proxy",
                 "bytes",
-                times(lost * mild.listed / t.proxies, each),
-                times(lost, each),
+                product(lost * mild.listed / t.proxies, each),
+                product(lost, each),
                 line,
                 missing,
                 ("discovery.change_bytes",),
@@ -445,8 +449,8 @@
             "release",
             "bytes a second out for changes",
             "bytes/s",
-            times(3 * mild.released / mild.release_s * mild.listed / t.proxies, each),
-            times(3 * harsh.released / harsh.release_s, each),
+            product(3 * mild.released / mild.release_s * mild.listed / t.proxies, each),
+            product(3 * harsh.released / harsh.release_s, each),
             Budget(125 * MB, "own choice: one line of 1 Gbit/s"),
             missing,
             ("discovery.change_bytes",),
--- a/pepperusher/capacity/scenes.py
+++ b/pepperusher/capacity/scenes.py
@@ -110,13 +110,13 @@
         if "before" in names:
             made += await hollow_scenarios.before(size, seed, work, _say, each)
         if "group" in names:
-            made += await hollow_group_scenarios.played(size, seed, quick, work, _say, each)
+            made += await hollow_group_scenarios.run_scenario(size, seed, quick, work, _say, each)
         if "group-join" in names:
             short = hollow_group_scenarios.SHORT
-            made += await hollow_group_scenarios.played(size, seed, quick, work, _say, each, steps=short)
+            made += await hollow_group_scenarios.run_scenario(size, seed, quick, work, _say, each, steps=short)
         if not names or set(names) - set(apart):
             mine = [name for name in names if name not in apart] or list(hollow_scenarios.SCENES)
-            made += await hollow_scenarios.played(mine, size, controls, seed, quick, work, _say, each)
+            made += await hollow_scenarios.run_scenarios(mine, size, controls, seed, quick, work, _say, each)
         return {"verdict": "passed" if all(one["verdict"] == "passed" for one in made) else "failed"}
 
     try:
--- a/pepperusher/capacity/slopes.py
+++ b/pepperusher/capacity/slopes.py
@@ -376,7 +376,7 @@
             COUNTED,
             (500, 1000, 1500, 2000, 2500),
             5000,
-            configuration_run.fullest(lost),
+            configuration_run.most_connections(lost),
         )
 
 
--- a/pepperusher/capacity/target.py
+++ b/pepperusher/capacity/target.py
@@ -136,7 +136,7 @@
         return self.mechanism.startswith(MISSING)
 
 
-def times(*parts: float | None) -> float | None:
+def product(*parts: float | None) -> float | None:
     made = 1.0
     for one in parts:
         if one is None:
@@ -145,6 +145,6 @@
     return made
 
 
-def plus(*parts: float | None) -> float | None:
+def total(*parts: float | None) -> float | None:
     known = [one for one in parts if one is not None]
     return sum(known) if len(known) == len(parts) else None
--- a/pepperusher/capacity/watch_costs.py
+++ b/pepperusher/capacity/watch_costs.py
@@ -32,7 +32,7 @@
         """Everybody on its list at one `address`, or each at its own."""
         self.calls = self.refused = self.bytes = 0
         self.port = 0
-        self._servers = fixtures.listing(entries, address=address)["servers"]
+        self._servers = fixtures.endpoint_list(entries, address=address)["servers"]
         self._states = ["ready"] * entries
         self._version = 1
         self._watching: set[asyncio.StreamWriter] = set()  # emptied as it goes away
@@ -92,7 +92,7 @@
         finally:
             self._waiting -= 1
         servers = [{**one, "state": state} for one, state in zip(self._servers, self._states)]
-        whole = fixtures.text_of({"version": self._version, "full": True, "servers": servers})
+        whole = fixtures.json_line({"version": self._version, "full": True, "servers": servers})
         self._send(writer, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + _chunk(whole))
         self._watching.add(writer)
         await reader.read()
@@ -106,7 +106,7 @@
         self._version += 1
         self._states[number] = "ready" if self._states[number] == "draining" else "draining"
         one = {**self._servers[number], "state": self._states[number]}
-        text = fixtures.text_of({"version": self._version, "full": False, "servers": [one]})
+        text = fixtures.json_line({"version": self._version, "full": False, "servers": [one]})
         for writer in self._watching:
             self._send(writer, _chunk(text))
 
--- a/pepperusher/rehearsal/active_faults.py
+++ b/pepperusher/rehearsal/active_faults.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.fault_schedule import FaultInterval
+from pepperusher.rehearsal.fault_schedule import Strike
 
 GOOD, ERROR, RESET, GARBLE, LOST, HALF = "good", "error", "reset", "garble", "lost", "half-answer"
 # Which of several at once an answer comes to, worst last.
@@ -25,7 +25,7 @@
     spoils: tuple[tuple[str, float, str | None], ...] = ()
 
 
-def at(strikes: list[FaultInterval], place: int, now: int) -> ActiveFaults:
+def faults_at(strikes: list[Strike], place: int, now: int) -> ActiveFaults:
     """All that acts at a place at `now` (us after the start), together."""
     frozen = silent = refuses = False
     slower, idle_most = 1.0, 0
@@ -50,12 +50,12 @@
     return ActiveFaults(frozen, silent, refuses, slower, idle_most, tuple(spoils))
 
 
-def edges(strikes: list[FaultInterval], place: int) -> list[int]:
+def transition_times(strikes: list[Strike], place: int) -> list[int]:
     """When its weather changes."""
     return sorted({edge for one in strikes if place in one.targets for edge in (one.at, one.until) if edge >= 0})
 
 
-def fate(weather: ActiveFaults, use_case: str, chance: Random) -> str:
+def response_outcome(weather: ActiveFaults, use_case: str, chance: Random) -> str:
     """What becomes of one answer. One number is drawn for each trouble, so that others do not move."""
     made = GOOD
     for what, share, only in weather.spoils:
--- a/pepperusher/rehearsal/arrivals.py
+++ b/pepperusher/rehearsal/arrivals.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.script import Phase, Script, Surge, Use
+from pepperusher.rehearsal.script import Phase, Script, Surge, UseCase
 from pepperusher.durations import Span
 
 
@@ -106,7 +106,7 @@
         return self._pairs[min(at, len(self._pairs) - 1)]
 
 
-def work_of(use: Use, chance: Random) -> int:
+def work_of(use: UseCase, chance: Random) -> int:
     """A ticket's work in us, at least 1 where there is any."""
     mean = use.work.mean
     if not mean or use.work.spread == "fixed":
@@ -138,7 +138,7 @@
     yield -1, owed - (whole - passed)
 
 
-def planned(script: Script) -> list[Arrival]:
+def plan_arrivals(script: Script) -> list[Arrival]:
     """Every first try of an open-loop script, in order. A trace is planned by `traces.planned` instead."""
     chance = Random(f"{script.seed}:arrivals")
     plan: list[Arrival] = []
--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -17,7 +17,7 @@
 from pepperusher.rehearsal.records import DONE, LEFT, BackendAttempt, BackendLifetimeRecord, ClientAttempt, Writer
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.active_faults import ActiveFaults
-from pepperusher.rehearsal.wire import READ, BrokenConnection, Message, Peer, Start, answer_body, clock, since
+from pepperusher.rehearsal.wire import READ, BrokenConnection, Message, Peer, Start, answer_body, clock, relative_time
 
 BACKLOG = 512
 # A repeat that is known costs this part of the work.
@@ -144,7 +144,7 @@
 
     @property
     def fell(self) -> int:
-        return since(self._engine.fell, self._start.at)
+        return relative_time(self._engine.fell, self._start.at)
 
     async def weather(self, now: ActiveFaults) -> None:
         """The timeline has it that its weather changes."""
@@ -220,8 +220,8 @@
             self.id,
             self.place.tier,
             self.place.cell,
-            since(message.first, self._start.at),
-            since(message.last, self._start.at),
+            relative_time(message.first, self._start.at),
+            relative_time(message.last, self._start.at),
             -1,
             -1,
             -1,
@@ -280,7 +280,7 @@
         info = _figure(message.headers.get(b"request-info", b""), b"work")
         if info is None:
             info = int(use.work.mean)
-        fate = weathers.fate(self._weather, use.name, self._chance)
+        fate = weathers.response_outcome(self._weather, use.name, self._chance)
         record.fate = fate
         calls = int(self._mean_calls + self._chance.random()) if self._mean_calls else 0
         work = round(info * self._portion)
@@ -421,15 +421,15 @@
                 task.record.name,
                 asked.work,
                 intended,
-                since(asked.sent, self._start.at),
-                since(asked.written, self._start.at),
+                relative_time(asked.sent, self._start.at),
+                relative_time(asked.written, self._start.at),
                 self._now(),
                 reply.how,
                 reply.status,
                 reply.advice,
                 asked.fresh,
                 asked.left,
-                since(asked.crossed, self._start.at),
+                relative_time(asked.crossed, self._start.at),
             )
         )
 
--- a/pepperusher/rehearsal/caller.py
+++ b/pepperusher/rehearsal/caller.py
@@ -9,8 +9,8 @@
 import h11
 
 from pepperusher.rehearsal.records import BOUNCED, DONE, LEFT, LOST, SCRAPPED, UNREACHED, WRONG
-from pepperusher.rehearsal.script import Use
-from pepperusher.rehearsal.wire import BrokenConnection, Message, Peer, clock, is_answer, reach
+from pepperusher.rehearsal.script import UseCase
+from pepperusher.rehearsal.wire import BrokenConnection, Message, Peer, clock, is_answer, open_peer
 
 # A connection that does not come up in this is none; a proxy accepts at once or is away.
 CONNECT_WITHIN = 1.0
@@ -45,7 +45,7 @@
     def __init__(
         self,
         name: str,
-        use: Use,
+        use: UseCase,
         customer: str,
         work: int,
         left: int,
@@ -144,7 +144,7 @@
                     if peer is None:
                         try:
                             async with asyncio.timeout(CONNECT_WITHIN):
-                                peer = await reach(self._address)
+                                peer = await open_peer(self._address)
                         except TimeoutError:
                             return Reply(UNREACHED)
                         except OSError:
--- a/pepperusher/rehearsal/client_behavior.py
+++ b/pepperusher/rehearsal/client_behavior.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from pepperusher.rehearsal.records import BOUNCED, DONE, NOBODY, UNREACHED
-from pepperusher.rehearsal.script import Load, Use
+from pepperusher.rehearsal.script import Load, UseCase
 
 # Tries that certainly came to nothing: a single-use ticket may be asked again after these alone.
 NEVER_RAN = (BOUNCED, UNREACHED, NOBODY)
@@ -19,7 +19,7 @@
 
     __slots__ = ("use", "_load", "_chance", "_intended", "nth", "told", "_leaves")
 
-    def __init__(self, use: Use, load: Load, seed: int, order: int, intended: int) -> None:
+    def __init__(self, use: UseCase, load: Load, seed: int, order: int, intended: int) -> None:
         self.use = use
         self._load = load
         self._chance = Random(seed * 1_000_003 + order)
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -170,7 +170,7 @@
         if report is not None:
             from pepperusher.rehearsal import page
 
-            page.write(report, [result for _, result in played], experiments.compared(wanted, played))
+            page.write(report, [result for _, result in played], experiments.compare_arms(wanted, played))
             click.echo(f"report: {report}")
     if not all(result.kept for _, result in played):
         sys.exit(RULE_BROKEN)
@@ -250,7 +250,7 @@
     with one_line():
         if not as_json:
             click.echo(crowds.HEAD)
-        for made in crowds.played(wanted, crowd, whole, each / 1000, queue, trials, seed, ask_within):
+        for made in crowds.run_scenes(wanted, crowd, whole, each / 1000, queue, trials, seed, ask_within):
             click.echo(json.dumps(made._asdict()) if as_json else made.row())
 
 
--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -121,7 +121,7 @@
         return entries
 
 
-async def until(true: Callable[[], bool], most: float = MOST) -> bool:
+async def wait_until(true: Callable[[], bool], most: float = MOST) -> bool:
     loop = asyncio.get_running_loop()
     end = loop.time() + most
     while not true():
@@ -199,7 +199,7 @@
     )
 
 
-async def lags(
+async def notification_delays(
     scene: str,
     askers: int,
     each: float,
@@ -225,7 +225,7 @@
         for one in those:
             one.discovery.start()
         for _ in range(trials):
-            if not await until(lambda: all(turns.version in one.heard_at for one in those)):
+            if not await wait_until(lambda: all(turns.version in one.heard_at for one in those)):
                 raise TimeoutError("the crowd was not told of the list as it is")
             await asyncio.sleep(3.0)  # calls beside the one that spoke are over
             turns.patience = patience  # not at the start, where all are to be told
@@ -239,7 +239,7 @@
                 await asyncio.sleep(chance.uniform(*spans))
                 await turns.back()
             at = loop.time()
-            await until(lambda: all(version in one.heard_at for one in those), most)
+            await wait_until(lambda: all(version in one.heard_at for one in those), most)
             late += [one.heard_at[version] - at for one in those if version in one.heard_at]
             unheard += sum(version not in one.heard_at for one in those)
         return _figures(scene, turns, late, unheard)
@@ -310,7 +310,7 @@
     return port
 
 
-async def starts(scene: str, askers: int, whole: int, each: float, queue: int, seed: int) -> Figures:
+async def startup_times(scene: str, askers: int, whole: int, each: float, queue: int, seed: int) -> Figures:
     """How long until ready, each from its own start, of all that start at once without a list: `whole`
     processes and so many hollow ones that they are `askers` together. Discovery is slow (`each` seconds a
     call), full (503 beyond `queue`), or down and back after 5 s. Of processes where there are any, otherwise
@@ -335,7 +335,7 @@
                 one.discovery.start()
             tasks = [loop.create_task(timed(one.ready())) for one in started]
             if not whole:
-                tasks = [loop.create_task(timed(until(partial(bool, one.heard_at)))) for one in those]
+                tasks = [loop.create_task(timed(wait_until(partial(bool, one.heard_at)))) for one in those]
             if scene == "start-back":
                 await asyncio.sleep(5.0)
                 await turns.back()
@@ -346,19 +346,19 @@
             return _figures(scene, turns, took, len(missing))
 
 
-def played(
+def run_scenes(
     scenes: list[str], askers: int, whole: int, each: float, queue: int, trials: int, seed: int, ask_within: float
 ) -> Iterator[Figures]:
     for scene in scenes:
         if scene in TROUBLES:
-            yield steadily(lags(scene, askers, each, queue, trials, seed, ask_within))
+            yield run_on_steady_loop(notification_delays(scene, askers, each, queue, trials, seed, ask_within))
         elif whole:
-            yield asyncio.run(starts(scene, askers, min(whole, askers), each, queue, seed))
+            yield asyncio.run(startup_times(scene, askers, min(whole, askers), each, queue, seed))
         else:
-            yield steadily(starts(scene, askers, 0, each, queue, seed))
+            yield run_on_steady_loop(startup_times(scene, askers, 0, each, queue, seed))
 
 
-def steadily(what: Coroutine[Any, Any, Made]) -> Made:
+def run_on_steady_loop(what: Coroutine[Any, Any, Made]) -> Made:
     """By a clock that does not count what this machine is busy with."""
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
         return runner.run(what)
--- a/pepperusher/rehearsal/effective_changes.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -13,7 +13,7 @@
 from pepperusher.rehearsal.records import ProxyRun, Reconfiguration, StateNotification
 from pepperusher.rehearsal.endpoint_history import READY, WATCHES_SILENT, Change, changes
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.fault_schedule import FaultInterval, timeline
+from pepperusher.rehearsal.fault_schedule import Strike, timeline
 
 RECONFIGURED_TERM = 4_000_000
 REACHED_TERM = 6_000_000
@@ -26,7 +26,9 @@
 UNREACHED = ("discovery-down", "discovery-full", "discovery-silent", "discovery-late")
 
 
-def deemed(script: Script, reconfigured: list[Reconfiguration], ran: list[ProxyRun]) -> list[StateNotification]:
+def effective_notifications(
+    script: Script, reconfigured: list[Reconfiguration], ran: list[ProxyRun]
+) -> list[StateNotification]:
     """One record for each proxy and change to another state than ready."""
     plan = FleetPlan(script, 0)
     line = timeline(script, plan)
@@ -50,12 +52,12 @@
     return made
 
 
-def _all_watched(at: int, unreached: list[FaultInterval]) -> bool:
+def _all_watched(at: int, unreached: list[Strike]) -> bool:
     return not any(strike.at <= at and strike.until > at - WATCHED_AFTER for strike in unreached)
 
 
 def _terms(
-    change: Change, signals: list[int], silences: list[int], unreached: list[FaultInterval]
+    change: Change, signals: list[int], silences: list[int], unreached: list[Strike]
 ) -> Iterator[tuple[int, int]]:
     """When each term that ends with this change began, and its end."""
     for signal, following in zip(signals, [*signals[1:], None]):
@@ -69,7 +71,7 @@
     yield reached, reached + REACHED_TERM
 
 
-def _reached_from(at: int, unreached: list[FaultInterval]) -> int:
+def _reached_from(at: int, unreached: list[Strike]) -> int:
     """The first moment from which discovery could be reached for a whole term."""
     for strike in sorted(unreached, key=lambda one: one.at):
         if strike.at < at + REACHED_TERM and strike.until > at:
--- a/pepperusher/rehearsal/endpoint_history.py
+++ b/pepperusher/rehearsal/endpoint_history.py
@@ -11,7 +11,7 @@
 
 from pepperusher.rehearsal.fleet_plan import FleetPlan
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.fault_schedule import FaultInterval, FaultSchedule
+from pepperusher.rehearsal.fault_schedule import Strike, FaultSchedule
 
 READY, DRAINING, GONE = "ready", "draining", "gone"
 # How far a list goes back in version where it is made to, in changes.
@@ -32,7 +32,7 @@
     born: int
 
 
-def _late(at: int, strikes: list[FaultInterval], notice: int) -> int:
+def _late(at: int, strikes: list[Strike], notice: int) -> int:
     told = at + notice
     for strike in strikes:
         if strike.what == "discovery-late" and strike.at <= told < strike.until:
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -55,9 +55,9 @@
 
 def read(path: Path) -> Experiment:
     """Raises ScriptError in one line."""
-    raw = scripts.loaded(path)
+    raw = scripts.load_toml(path)
     try:
-        experiment: Experiment = scripts.converted(raw, Experiment)
+        experiment: Experiment = scripts.convert(raw, Experiment)
         experiment.folder = str(path.resolve().parent)
         _check(experiment)
     except ScriptError as error:
@@ -114,7 +114,7 @@
     keys = list(experiment.vary)
     for name in experiment.rehearsals:
         path = Path(experiment.folder) / name
-        raw = scripts.whole(path)
+        raw = scripts.load_with_bases(path)
         for values in product(*(experiment.vary[key] for key in keys)):
             for seed in experiment.seeds:
                 pair = []
@@ -126,7 +126,7 @@
                         _put(of, key, value, f"arms[{number}].set")
                     of["seed"] = seed
                     try:
-                        script = scripts.made(of)
+                        script = scripts.build_script(of)
                     except ScriptError as error:
                         raise ScriptError(f"{name}, arm {arm.name}: {error}") from None
                     script.folder = str(path.resolve().parent)
@@ -144,7 +144,7 @@
 
 def _file(play: PlannedRun) -> str:
     """A name that changes with anything that is asked."""
-    asked = scripts.encoded(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
+    asked = scripts.encode(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
     return f"{play.arm.name}-{hashlib.sha256(asked).hexdigest()[:12]}{results.SUFFIX}"
 
 
@@ -187,7 +187,7 @@
     differences: list[Difference]
 
 
-def compared(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
+def compare_arms(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
     """Each arm after the first, for each rehearsal and each set of varied values on its own: a difference at
     one rate is no difference at another."""
     base = experiment.arms[0].name
@@ -217,7 +217,7 @@
 
 def spoken(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
     lines = [experiment.title]
-    for made in compared(experiment, played):
+    for made in compare_arms(experiment, played):
         pairs = made.differences[0].pairs if made.differences else 0
         lines.append(f"  {made.other} against {made.base}, {pairs} pairs, {made.where}:")
         for one in made.differences:
--- a/pepperusher/rehearsal/fault_schedule.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -22,7 +22,8 @@
 BY = {"slow": 3.0}
 
 
-class FaultInterval(NamedTuple):
+# `digest` hashes the reprs of Strike and Life, so the names of both classes and of their fields are part of stored digests.
+class Strike(NamedTuple):
     """One trouble at one time: `at` until `until` (us after the start; the same where it is an instant).
 
     `targets` are numbers of places or of gates, as `what` has it, for a link the number of the fault in the script; `by` its
@@ -37,7 +38,7 @@
     use_case: str | None
 
 
-class BackendLifetime(NamedTuple):
+class Life(NamedTuple):
     """One stay of a backend at a place: from `born` (-1: since long before the start) until `ends` (-1: to
     the end), under `id`. `drains` is when it began to drain and `again` when it was ready again, -1 for
     never; `planned` where its end was."""
@@ -53,8 +54,8 @@
 
 
 class FaultSchedule(NamedTuple):
-    strikes: list[FaultInterval]
-    lives: list[BackendLifetime]
+    strikes: list[Strike]
+    lives: list[Life]
 
 
 def _of(script: Script, plan: FleetPlan, fault: Fault, chance: Random) -> tuple[int, ...]:
@@ -126,7 +127,7 @@
 
 def timeline(script: Script, plan: FleetPlan) -> FaultSchedule:
     """All strikes by time, and the lives that kills, restarts and new ids leave."""
-    strikes: list[FaultInterval] = []
+    strikes: list[Strike] = []
     for number, fault in enumerate(script.faults):
         # Drawn once for all turns of a flap or repeat: a server that flaps is one server.
         targets = _of(script, plan, fault, Random(f"{script.seed}:fault:{number}"))
@@ -142,36 +143,36 @@
     return FaultSchedule(strikes, _lives(strikes, plan))
 
 
-def _struck(fault: Fault, targets: tuple[int, ...]) -> Iterator[FaultInterval]:
+def _struck(fault: Fault, targets: tuple[int, ...]) -> Iterator[Strike]:
     by = fault.by if fault.by is not None else BY.get(fault.what, 1.0)
     if fault.what == "restart":
         # One after another, as a release goes through a fleet.
         for turn, target in enumerate(targets):
             at = fault.at + turn * fault.apart
             goes = at + (fault.span or DRAINED_FOR)
-            yield FaultInterval(at, goes, "drain", (target,), 1.0, None)
-            yield FaultInterval(goes, goes + (fault.back or AWAY_FOR), "stop", (target,), by, None)
+            yield Strike(at, goes, "drain", (target,), 1.0, None)
+            yield Strike(goes, goes + (fault.back or AWAY_FOR), "stop", (target,), by, None)
     elif fault.what in ("proxy-stop", "proxy-starve", "proxy-twin", "proxy-hand", "disk-full", "disk-gone"):
         # One after another where the script has them apart.
         for turn, target in enumerate(targets):
             at = fault.at + turn * fault.apart
-            yield FaultInterval(at, at + fault.span, fault.what, (target,), by, None)
+            yield Strike(at, at + fault.span, fault.what, (target,), by, None)
     elif fault.what == "disk-old":
-        yield FaultInterval(fault.at, fault.at, fault.what, targets, by, None)
+        yield Strike(fault.at, fault.at, fault.what, targets, by, None)
     elif fault.what in ("kill", "proxy-kill", "proxy-term"):
         for turn, target in enumerate(targets):
             at = fault.at + turn * fault.apart
-            yield FaultInterval(at, at + fault.back if fault.back else -1, fault.what, (target,), by, None)
+            yield Strike(at, at + fault.back if fault.back else -1, fault.what, (target,), by, None)
     elif fault.what == "drain":
-        yield FaultInterval(fault.at, fault.at + fault.span if fault.span else -1, "drain", targets, by, None)
+        yield Strike(fault.at, fault.at + fault.span if fault.span else -1, "drain", targets, by, None)
     else:
-        yield FaultInterval(fault.at, fault.at + fault.span, fault.what, targets, by, fault.use_case)
+        yield Strike(fault.at, fault.at + fault.span, fault.what, targets, by, fault.use_case)
 
 
-def _lives(strikes: list[FaultInterval], plan: FleetPlan) -> list[BackendLifetime]:
+def _lives(strikes: list[Strike], plan: FleetPlan) -> list[Life]:
     """Who stands at each place from when to when. What strikes a place where nobody stands changes
     nothing."""
-    lives: list[BackendLifetime] = []
+    lives: list[Life] = []
     for place in plan.places:
         generation, born, drains, again, away = 0, -1, -1, -1, -1
         for strike in strikes:
@@ -184,7 +185,7 @@
                     drains, again = strike.at, strike.until
                 continue
             lives.append(
-                BackendLifetime(
+                Life(
                     place.number,
                     place.id_at(generation),
                     generation,
@@ -200,9 +201,7 @@
             if strike.what != "new-ids" and strike.until < 0:
                 away = -2
         if away != -2:
-            lives.append(
-                BackendLifetime(place.number, place.id_at(generation), generation, born, drains, again, -1, False)
-            )
+            lives.append(Life(place.number, place.id_at(generation), generation, born, drains, again, -1, False))
     return sorted(lives, key=lambda one: (one.born, one.place))
 
 
--- a/pepperusher/rehearsal/fleet.py
+++ b/pepperusher/rehearsal/fleet.py
@@ -16,7 +16,7 @@
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Place
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.fault_schedule import BackendLifetime, timeline
+from pepperusher.rehearsal.fault_schedule import Life, timeline
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import Orders
 
@@ -52,7 +52,7 @@
             if life.born < 0 and (place := self._plan.places[life.place]) in self._mine:
                 await self._arrive(life, place)
 
-    async def _arrive(self, life: BackendLifetime, place: Place) -> None:
+    async def _arrive(self, life: Life, place: Place) -> None:
         backend = Backend(self._script, place, life.id, life.born, self._memory(place), self._writer, self._start)
         self._standing[place.number] = backend
         await backend.listen()
@@ -70,8 +70,8 @@
 
     async def _live(self, place: Place) -> None:
         """All that happens at one place, in its order."""
-        edges = [(at, 1, None) for at in active_faults.edges(self._line.strikes, place.number)]
-        stays: list[tuple[int, int, BackendLifetime | None]] = []
+        edges = [(at, 1, None) for at in active_faults.transition_times(self._line.strikes, place.number)]
+        stays: list[tuple[int, int, Life | None]] = []
         for life in self._line.lives:
             if life.place != place.number:
                 continue
@@ -97,7 +97,7 @@
                 else:
                     await self._arrive(life, place)
             if (backend_now := self._standing.get(place.number)) is not None:
-                await backend_now.weather(active_faults.at(self._line.strikes, place.number, at))
+                await backend_now.weather(active_faults.faults_at(self._line.strikes, place.number, at))
 
     async def flush(self) -> None:
         while True:
@@ -133,7 +133,7 @@
 
 def main() -> None:
     path, net, process, work = sys.argv[1:]
-    script = scripts.decoded(Path(path).read_bytes())
+    script = scripts.decode(Path(path).read_bytes())
     asyncio.run(play(script, int(net), int(process), Path(work)))
 
 
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -22,7 +22,7 @@
 from pepperusher.rehearsal.records import NOBODY, Stall, ClientAttempt, Writer
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.stalls import StallDetector, SleepMargin
-from pepperusher.rehearsal.wire import Start, clock, since
+from pepperusher.rehearsal.wire import Start, clock, relative_time
 from pepperusher.rehearsal.worker import Orders
 
 BEAT = 5_000
@@ -173,15 +173,15 @@
                 "",
                 arrival.work,
                 intended - start,
-                since(asked.sent, start),
-                since(asked.written, start),
+                relative_time(asked.sent, start),
+                relative_time(asked.written, start),
                 ended - start,
                 reply.how,
                 reply.status,
                 reply.advice,
                 asked.fresh,
                 wish.told,
-                since(asked.crossed, start),
+                relative_time(asked.crossed, start),
             )
         )
         return wish.after(reply.how, reply.advice, ended)
@@ -270,7 +270,7 @@
 
 def main() -> None:
     path, process, work, targets = sys.argv[1:]
-    script = scripts.decoded(Path(path).read_bytes())
+    script = scripts.decode(Path(path).read_bytes())
     asyncio.run(run(script, int(process), Path(work), json.loads(targets)))
 
 
--- a/pepperusher/rehearsal/group_run.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -14,7 +14,7 @@
 from pepperusher.rehearsal.links import Links, LinkProperties
 from pepperusher.rehearsal.records import MembershipBelief
 from pepperusher.rehearsal.script import Grouped, Link, Script
-from pepperusher.rehearsal.fault_schedule import FaultInterval
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import clock
 
 KEY = "of this rehearsal alone"
@@ -23,13 +23,13 @@
 IN, SAYS = "in the group", "group: "
 
 
-def manner_of(link: Link) -> LinkProperties:
+def link_properties(link: Link) -> LinkProperties:
     return LinkProperties(
         link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate
     )
 
 
-def twin_of(gate: Gate, net: int) -> Gate:
+def duplicate_gate(gate: Gate, net: int) -> Gate:
     """Another place for a second process under the same name."""
     number = TWINS + gate.number
     return Gate(
@@ -57,7 +57,7 @@
         self._base = base
         self._net = net
         self.links = Links(f"127.{net}.0.2", Random(f"{script.seed}:links"))
-        self._on: dict[int, FaultInterval] = {}  # faults of links that are on, by their number; emptied as they end
+        self._on: dict[int, Strike] = {}  # faults of links that are on, by their number; emptied as they end
 
     async def open(self) -> None:
         """Before any process is started: each is told of the others by addresses that stand here."""
@@ -113,7 +113,7 @@
 
     # --- links --------------------------------------------------------------------------------------
 
-    def struck(self, strike: FaultInterval, on: bool) -> None:
+    def struck(self, strike: Strike, on: bool) -> None:
         """A fault of links begins or ends; those that are still on stay so."""
         number = strike.targets[0]
         if on:
@@ -128,7 +128,7 @@
             elif fault.what == "link-cut":
                 self.links.cut(*fault.sides)
             elif fault.link is not None:
-                self.links.shape(manner_of(fault.link), *fault.sides)
+                self.links.shape(link_properties(fault.link), *fault.sides)
 
 
 def parsed(line: bytes) -> dict[str, Any]:
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -312,7 +312,7 @@
     return epoch << 53 | number
 
 
-def told_of(
+def bootstrap_configuration(
     settings: dict[str, Any],
     name: str,
     number: int,
@@ -352,7 +352,9 @@
         group = place.get("group")
         if group is not None:
             settings = {**settings, "group-size": group["size"]}
-        told = told_of(settings, place["name"], place["index"], place["zone"], tuple(place["discovery"]))
+        told = bootstrap_configuration(
+            settings, place["name"], place["index"], place["zone"], tuple(place["discovery"])
+        )
         hollow = Hollow(told, spec.get("own"), group)
         if place.get("upstreams"):
             hollow.joins(place, spec["key"].encode())
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -31,7 +31,7 @@
 NOTED = (*SILENT, "heard of again", "left", "clients sent away", "a new life")
 
 
-def said_of(place: Mapping[str, Any]) -> Group:
+def group_table(place: Mapping[str, Any]) -> Group:
     """The group's table as a whole proxy reads it from its own file."""
     return Group(
         listen=place["listen"],
@@ -73,7 +73,7 @@
         self._silent: set[str] = set()  # emptied by their words
         self._all_there = False
         self.traffic: Counter[str] = Counter()
-        super().__init__(said_of(place), policy_settings, name, self._noted)
+        super().__init__(group_table(place), policy_settings, name, self._noted)
 
     def _bound(self) -> socket.socket:
         counted = CountedSocket(fileno=super()._bound().detach())
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -23,7 +23,7 @@
 from pepperusher.rehearsal.hollow_group_run import WITHIN as ANSWER
 from pepperusher.rehearsal.hollow_plan import Place, Plan, row
 from pepperusher.rehearsal.hollow_run import DISCOVERY, OWN
-from pepperusher.rehearsal.loopback_networks import own_net
+from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.worker import Worker
 
 SEEDS = 3
@@ -188,7 +188,7 @@
     """
     if size < LEAST:
         raise RuntimeError(f"a group's churn needs {LEAST} members or more")
-    with own_net() as net:
+    with reserve_network() as net:
         play = Beside(layout(size), seed, work, say, net, period, within)
         whole = WholeGroup(play, work, size)
         try:
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -19,7 +19,7 @@
 from pepperusher.rehearsal.hollow_group_statistics import QUIET_MOST
 from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, HollowGroupRun
 from pepperusher.rehearsal.hollow_plan import ZONES, plan
-from pepperusher.rehearsal.loopback_networks import own_net
+from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.wire import clock
 
 # The roll takes so many names beside a member's own (group/membership.py).
@@ -50,8 +50,8 @@
         self.size = play.size
         self.period = period
         self.slack = slack
-        self.silence = slack * hollow_group_statistics.silence(self.size, period)
-        self.news = slack * hollow_group_statistics.news(period)
+        self.silence = slack * hollow_group_statistics.detection_time_limit(self.size, period)
+        self.news = slack * hollow_group_statistics.propagation_time_limit(period)
         self.checks: list[dict[str, Any]] = []
         self.rows: list[Row] = []
 
@@ -85,7 +85,11 @@
     def lost_only(self, label: str, those: Iterable[int]) -> None:
         """Nobody is found lost but them."""
         meant = {self.name(one) for one in those}
-        wrong = {of: by for of, by in hollow_group_statistics.told(self.rows, "lost").items() if of not in meant}
+        wrong = {
+            of: by
+            for of, by in hollow_group_statistics.count_observations(self.rows, "lost").items()
+            if of not in meant
+        }
         self.check(f"{label}: nobody else is lost", not wrong, dict(list(wrong.items())[:5]))
 
     async def shares(self, label: str, of: int, by: Iterable[int] | None = None) -> Counter[str]:
@@ -166,7 +170,7 @@
         "news_end_after_s": settled,
         "until_then": after,
         "datagrams_a_period": round(each, 2),
-        "suspicions": hollow_group_statistics.told(rows, "suspected").total(),
+        "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
         **costs,
     }
 
@@ -260,10 +264,10 @@
     rows = await ground.read()
     back = ground.within(
         "a tenth goes on: each finds all",
-        hollow_group_statistics.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
-    own = hollow_group_statistics.told([row for row in rows if row[0] in away], "lost")
+    own = hollow_group_statistics.count_observations([row for row in rows if row[0] in away], "lost")
     ground.check("a tenth goes on: those that stood still lose nobody", not own, dict(list(own.items())[:5]))
     await ground.shares("a tenth goes on", ground.size)
     return {
@@ -320,7 +324,7 @@
     rows = await ground.read()
     back = ground.within(
         "a zone healed: each finds all",
-        hollow_group_statistics.last(rows, ALL_THERE, healed, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, healed, ground.everyone()),
         ground.silence,
     )
     taken = ground.within(
@@ -361,12 +365,12 @@
     rows = await ground.read()
     back = ground.within(
         "links healed: each finds all",
-        hollow_group_statistics.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
     return {
-        "suspicions": hollow_group_statistics.told(rows, "suspected").total(),
-        "losses": hollow_group_statistics.told(rows, "lost").total(),
+        "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
+        "losses": hollow_group_statistics.count_observations(rows, "lost").total(),
         "lost_at_its_end": during["lost"],
         "found_again": back,
         **costs,
@@ -379,7 +383,7 @@
 Step = Callable[[GroupScenarioEnvironment], Awaitable[dict[str, Any]]]
 
 
-async def played(
+async def run_scenario(
     size: int,
     seed: int,
     quick: bool,
@@ -413,7 +417,7 @@
         )
         each(made[-1])
 
-    with own_net() as net:
+    with reserve_network() as net:
         play = HollowGroupRun(laid, seed, work, say, net, period, within)
         ground = GroupScenarioEnvironment(play, period, quick, say, slack)
         before: dict[str, int] = {}
--- a/pepperusher/rehearsal/hollow_group_statistics.py
+++ b/pepperusher/rehearsal/hollow_group_statistics.py
@@ -16,17 +16,17 @@
 QUIET_MOST = 3.0
 
 
-def silence(size: int, period: int) -> float:
+def detection_time_limit(size: int, period: int) -> float:
     """Seconds until all find a silent member, at the most."""
     return LOST_PERIODS * max(1.0, log10(size + 1)) * period / 1e6
 
 
-def news(period: int) -> float:
+def propagation_time_limit(period: int) -> float:
     """Seconds until all have heard what a member says of itself, or orders, at the most."""
     return NEWS_PERIODS * period / 1e6
 
 
-def last(rows: Iterable[Row], what: str, at: int, meant: set[int]) -> Propagation:
+def last_occurrence_times(rows: Iterable[Row], what: str, at: int, meant: set[int]) -> Propagation:
     """Seconds after `at` (us of the machine's clock) until it was so for the last time, at half, at 99 of 100
     and at all that are meant. Whose books do not name it at all had it so throughout.
     """
@@ -44,7 +44,7 @@
     return Propagation(part(0.5), part(0.99), part(1.0), len(times), len(meant))
 
 
-def told(rows: Iterable[Row], what: str) -> Counter[str]:
+def count_observations(rows: Iterable[Row], what: str) -> Counter[str]:
     """How many members' books have it of whom ("lost" and "suspected", say), by name."""
     made: Counter[str] = Counter()
     for _, _, books in rows:
--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -60,7 +60,7 @@
 """
 
 
-def body_of(rows: list[dict[str, Any]]) -> bytes:
+def endpoint_list_body(rows: list[dict[str, Any]]) -> bytes:
     """A list as a resource."""
     return json.dumps({"version": 0, "full": True, "servers": rows}).encode()
 
@@ -167,7 +167,9 @@
         await controls.can_write()
         rows = [("config", "common", (self._own or "").encode())]
         rows += [("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))]
-        rows += [("endpoints", name, body_of(those)) for name, those in lists_of(self.plan, self.parts).items()]
+        rows += [
+            ("endpoints", name, endpoint_list_body(those)) for name, those in lists_of(self.plan, self.parts).items()
+        ]
         for start in range(0, len(rows), PUBLISHED_AT_ONCE):
             await asyncio.gather(*(controls.publish(*one) for one in rows[start : start + PUBLISHED_AT_ONCE]))
         self._say(f"{len(rows)} resources are written")
@@ -314,7 +316,9 @@
         }
 
     def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Propagation:
-        return hollow_statistics.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
+        return hollow_statistics.propagation_times(
+            rows, what, {place.view: version for place in self.plan.places}, at, meant
+        )
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
         """At discovery; when, and what version each view has of it."""
@@ -396,7 +400,7 @@
 
     @staticmethod
     def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Propagation:
-        return hollow_statistics.reached(rows, "list", versions, at, meant)
+        return hollow_statistics.propagation_times(rows, "list", versions, at, meant)
 
     # --- what is done to it -------------------------------------------------------------------------
 
@@ -456,7 +460,7 @@
     def use(self) -> dict[str, dict[str, Any]]:
         """By role, since it was last asked for."""
         samples, self._samples = self._samples, self._samples[-1:]
-        return {role: use.row() for role, use in hollow_statistics.used(samples).items()}
+        return {role: use.row() for role, use in hollow_statistics.resource_usage(samples).items()}
 
     def memory(self) -> float:
         """MB of all processes together, what they share counted once for each part of it."""
--- a/pepperusher/rehearsal/hollow_scenarios.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -14,7 +14,7 @@
 from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_control import ORIGIN, Controls
 from pepperusher.rehearsal.hollow_plan import TEAMS, ZONES, list_of, names_of, plan, row
-from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, HollowRun, body_of
+from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, HollowRun, endpoint_list_body
 from pepperusher.rehearsal.wire import clock
 
 # In force everywhere that can be reached within this, and so long after a healing.
@@ -106,7 +106,11 @@
             told.all is not None and told.all <= within,
             told.row(),
         )
-        self.check(f"{label}: nothing older after something newer", hollow_statistics.backwards(rows) == 0, len(rows))
+        self.check(
+            f"{label}: nothing older after something newer",
+            hollow_statistics.count_version_regressions(rows) == 0,
+            len(rows),
+        )
         return told.row()
 
     async def rested(self) -> dict[str, int]:
@@ -313,7 +317,7 @@
         outer = await ground.publish()
         rows_ = [row(owned, 7000 + number, cut), *rows_]
         at = clock()
-        inner = f"endpoints/{name}", await ground.controls.publish("endpoints", name, body_of(rows_)), at
+        inner = f"endpoints/{name}", await ground.controls.publish("endpoints", name, endpoint_list_body(rows_)), at
         until = time.monotonic() + PATIENCE
         rows: list[Row] = []
         while True:
@@ -385,7 +389,7 @@
             fresh = row(service, number, int(gone["zone"][1:]), "ready", 1)
             rows_[fresh["id"]] = fresh
         at = clock()
-        version = await ground.controls.publish("endpoints", name, body_of(list(rows_.values())))
+        version = await ground.controls.publish("endpoints", name, endpoint_list_body(list(rows_.values())))
         changes.append((f"endpoints/{name}", version, at))
         await asyncio.sleep(LOOK_EVERY * 5)
     told = await ground.taken(changes[-1], "release: the last step")
@@ -583,7 +587,7 @@
     }
 
 
-async def played(
+async def run_scenarios(
     names: list[str],
     size: int,
     controls: int,
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -24,7 +24,7 @@
         return {"50%_s": self.half, "99%_s": self.most, "all_s": self.all, "had": self.had, "of": self.of}
 
 
-def reached(
+def propagation_times(
     rows: Iterable[Row], what: str, versions: Mapping[int, int], at: int, meant: set[int] | None = None
 ) -> Propagation:
     """`versions` is what each view has to have at least; `at` the time of the change on the machine's clock
@@ -48,7 +48,7 @@
     return Propagation(part(0.5), part(0.99), part(1.0), len(times), of)
 
 
-def backwards(rows: Iterable[Row]) -> int:
+def count_version_regressions(rows: Iterable[Row]) -> int:
     """How often one had something older in force after something newer: none, while it runs on."""
     count = 0
     for _, _, books in rows:
@@ -77,7 +77,7 @@
         }
 
 
-def used(samples: Sequence[tuple[float, Mapping[str, tuple[float, float]]]]) -> dict[str, ResourceUsage]:
+def resource_usage(samples: Sequence[tuple[float, Mapping[str, tuple[float, float]]]]) -> dict[str, ResourceUsage]:
     """By role, from samples (time, {process: (processor seconds, memory MB)}), roles being processes' names
     without their numbers. Between two samples only processes in both count."""
     rates: dict[str, list[float]] = defaultdict(list)
--- a/pepperusher/rehearsal/loopback_networks.py
+++ b/pepperusher/rehearsal/loopback_networks.py
@@ -16,7 +16,7 @@
 
 
 @contextmanager
-def own_net() -> Iterator[int]:
+def reserve_network() -> Iterator[int]:
     """A second number for this rehearsal's addresses, 127.N.x.y, that no other one on the machine uses
     now."""
     first = os.getpid() % len(NETS)
--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -29,7 +29,7 @@
     Writer,
 )
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.wire import BrokenConnection, Start, clock, reach, since
+from pepperusher.rehearsal.wire import BrokenConnection, Start, clock, open_peer, relative_time
 from pepperusher.rehearsal.worker import environment, with_parent
 
 CONSOLE_PORT = 7072
@@ -218,7 +218,7 @@
 
     async def _is_ready(self) -> bool:
         try:
-            peer = await reach(self.gate.address)
+            peer = await open_peer(self.gate.address)
         except OSError:
             return False
         try:
@@ -246,7 +246,10 @@
             ProxyRun(
                 self.gate.number,
                 process.pid,
-                *(since(times.get(what, -1), self._start.at) for what in ("started", "ready", "told", "killed")),
+                *(
+                    relative_time(times.get(what, -1), self._start.at)
+                    for what in ("started", "ready", "told", "killed")
+                ),
                 self._now(),
                 status,
             )
--- a/pepperusher/rehearsal/rule_checker.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from pepperusher.rehearsal.effective_changes import deemed
+from pepperusher.rehearsal.effective_changes import effective_notifications
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Place
 from pepperusher.rehearsal.records import (
     BOUNCED,
@@ -299,7 +299,7 @@
     """Nothing's first byte comes to a backend later than the grace after its sender was told that it
     drains, or that counts as told."""
     told: dict[tuple[int, str], list[StateNotification]] = defaultdict(list)
-    for one in [*records.told, *deemed(script, records.reconfigured, records.ran)]:
+    for one in [*records.told, *effective_notifications(script, records.reconfigured, records.ran)]:
         told[one.proxy, one.id].append(one)
     # What discovery wrote to a process that could not run it has read once it runs again.
     for held in sorted(records.held, key=lambda one: one.at):
@@ -356,7 +356,7 @@
 # --- beyond the rules ------------------------------------------------------------------------------
 
 
-class Use(NamedTuple):
+class WorkUsage(NamedTuple):
     """How the fleet's work was used: attempts and what became of their work (us on a core of speed 1).
 
     `wasted` is work that no client had anything of: it was stopped, or its answer did not count. `lived_on`
@@ -374,7 +374,7 @@
     doubled: int
 
 
-def use_of(script: Script, records: Records) -> Use:
+def work_usage(script: Script, records: Records) -> WorkUsage:
     done = {one.name for one in records.tries if one.how == DONE}
     ended = _ends_outside(records)
     effects: dict[tuple[int, str], int] = defaultdict(int)
@@ -392,7 +392,7 @@
     # Counted to the end of each client's wish; below the first tier as well.
     doubled = sum(count - 1 for count in effects.values() if count > 1)
     tickets = len({sent.name for sent in records.sent})
-    return Use(tickets, len(records.sent), away, worked, wasted, sorted(lived_on), doubled)
+    return WorkUsage(tickets, len(records.sent), away, worked, wasted, sorted(lived_on), doubled)
 
 
 def _ends_outside(records: Records) -> dict[str, int]:
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -15,15 +15,15 @@
 from pepperusher import __version__
 from pepperusher.rehearsal import arrivals, rule_checker, records, script as scripts, tally, traces, fault_schedule
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
-from pepperusher.rehearsal.group_run import GroupRun, twin_of
+from pepperusher.rehearsal.group_run import GroupRun, duplicate_gate
 from pepperusher.rehearsal.discovery_server import DiscoveryServer
-from pepperusher.rehearsal.loopback_networks import RehearsalError, own_net
+from pepperusher.rehearsal.loopback_networks import RehearsalError, reserve_network
 from pepperusher.rehearsal.proxies import SAMPLE_EVERY, Runner
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.endpoint_history import EndpointHistory
 from pepperusher.rehearsal.script import OF_LINKS, Script
-from pepperusher.rehearsal.fault_schedule import FaultInterval
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
@@ -74,7 +74,7 @@
             self.plan, self._line, EndpointHistory(script, self.plan, self._line), self._writer, self._start
         )
         self._script_file = work / "script.json"
-        self._script_file.write_bytes(scripts.encoded(script))
+        self._script_file.write_bytes(scripts.encode(script))
         self.grouping: GroupRun | None = None
         if script.proxies.group is not None:
             own = script.proxies.own
@@ -231,7 +231,7 @@
         while (left := self._start.at + at - clock()) > 0:
             await asyncio.sleep(left / 1e6)
 
-    async def _strike(self, strike: FaultInterval) -> None:
+    async def _strike(self, strike: Strike) -> None:
         await self._until(strike.at)
         if strike.what == "pause-generator":
             for worker in self._load:
@@ -275,7 +275,7 @@
             else:
                 await self._away(strike, number)
 
-    async def _away(self, strike: FaultInterval, number: int) -> None:
+    async def _away(self, strike: Strike, number: int) -> None:
         """One proxy goes, and its place is taken again where the script has it."""
         runner = self._runners[number]
         if strike.what == "proxy-term":
@@ -332,7 +332,7 @@
         """A second process under the name of a proxy, at another address, for a while."""
         assert self.grouping is not None
         await self.grouping.open_twin(self.plan.gates[number])
-        made = self._runner(twin_of(self.plan.gates[number], self.plan.net), True, self._aside)
+        made = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._aside)
         self._twins.append(made)
         await self._again(made)
         await self._until(until)
@@ -444,7 +444,7 @@
     Raises RehearsalError (one line), and ScriptError where a trace can't be read.
     """
     digest = plan_digest(script)
-    with own_net() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
+    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
         folder = work or Path(spare)
         folder.mkdir(parents=True, exist_ok=True)
         for old in folder.glob("*.records"):
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -38,7 +38,7 @@
     cv: float = 1.0
 
 
-class Use(Table, kw_only=True):
+class UseCase(Table, kw_only=True):
     """One use case: its part of the load, its work and its terms."""
 
     name: str
@@ -341,7 +341,7 @@
     warm_up: Span = Span(0)
     window: Span = Span(10_000_000)
     processes: int = 1
-    use_cases: list[Use]
+    use_cases: list[UseCase]
     customers: list[Customer] = []
     tiers: list[Tier]
     discovery: Discovery = msgspec.field(default_factory=Discovery)
@@ -353,16 +353,16 @@
     folder: str = "."
 
 
-def encoded(value: Any) -> bytes:
-    """A table as JSON that `decoded` reads; the same value gives the same bytes."""
+def encode(value: Any) -> bytes:
+    """A table as JSON that `decode` reads; the same value gives the same bytes."""
     return msgspec.json.encode(value, enc_hook=table_conversion.hook, order="deterministic")
 
 
-def decoded(data: bytes, kind: type = Script) -> Any:
+def decode(data: bytes, kind: type = Script) -> Any:
     return msgspec.json.decode(data, type=kind, dec_hook=table_conversion.unhook)
 
 
-def converted(raw: Any, kind: type) -> Any:
+def convert(raw: Any, kind: type) -> Any:
     """A table from what a TOML file holds. Raises ScriptError naming the first key that is wrong."""
     made, wrong = table_conversion.converted(table_conversion.renamed(raw, kind), kind)
     if wrong:
@@ -370,7 +370,7 @@
     return made
 
 
-def loaded(path: str | Path) -> dict[str, Any]:
+def load_toml(path: str | Path) -> dict[str, Any]:
     """A TOML file as it stands. Raises ScriptError."""
     try:
         with open(path, "rb") as file:
@@ -381,10 +381,10 @@
         raise ScriptError(f"{path}: is not TOML: {error}") from None
 
 
-def whole(path: Path) -> dict[str, Any]:
+def load_with_bases(path: Path) -> dict[str, Any]:
     """A script's file with those that it is `like` beneath it: a table takes what it does not say itself from
     there, a list stands as a whole. Raises ScriptError."""
-    raw = loaded(path)
+    raw = load_toml(path)
     seen = {path.resolve()}
     at = path
     while (like := raw.pop("like", None)) is not None:
@@ -394,7 +394,7 @@
         if at.resolve() in seen:
             raise ScriptError(f"{path}: like: comes back to {like}")
         seen.add(at.resolve())
-        raw = _over(loaded(at), raw)
+        raw = _over(load_toml(at), raw)
     return raw
 
 
@@ -408,17 +408,17 @@
 
 def read(path: str | Path) -> Script:
     """The script in a file. Raises ScriptError with a line that names the file and the key."""
-    raw = whole(Path(path))
+    raw = load_with_bases(Path(path))
     try:
-        script = made(raw)
+        script = build_script(raw)
     except ScriptError as error:
         raise ScriptError(f"{path}: {error}") from None
     script.folder = str(Path(path).resolve().parent)
     return script
 
 
-def made(raw: dict[str, Any]) -> Script:
-    script: Script = converted(raw, Script)
+def build_script(raw: dict[str, Any]) -> Script:
+    script: Script = convert(raw, Script)
     check(script)
     return script
 
--- a/pepperusher/rehearsal/soak.py
+++ b/pepperusher/rehearsal/soak.py
@@ -16,7 +16,7 @@
 
 from pepperusher.rehearsal.run_controller import rehearse
 from pepperusher.rehearsal.results import Result
-from pepperusher.rehearsal.script import Script, made
+from pepperusher.rehearsal.script import Script, build_script
 
 Fault = dict[str, Any]
 
@@ -216,7 +216,7 @@
             {"at": _seconds(begins), "span": _seconds(draw.between(1.0, 4.0)), "times": draw.between(2.0, 5.0)}
         ]
         proxies["sockets"] = draw.chance.choice((64, 96, 1024))
-    return made({
+    return build_script({
         "title": f"soak {seed}", "seed": seed, "span": _seconds(seconds), "window": "5s",
         "use_cases": _use_cases(quick), "customers": [{"name": "north"}, {"name": "south"}],
         "tiers": _tiers(draw, two), "discovery": {"notice": "100ms", "silent": "2s"},
--- a/pepperusher/rehearsal/standalone.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -12,7 +12,7 @@
 
 from pepperusher import __version__
 from pepperusher.rehearsal import rule_checker, records, script as scripts, tally
-from pepperusher.rehearsal.run_controller import LEAD, RunController, RehearsalError, own_net, plan_digest
+from pepperusher.rehearsal.run_controller import LEAD, RunController, RehearsalError, reserve_network, plan_digest
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.script import Script, ScriptError
 from pepperusher.rehearsal.wire import address_of, clock
@@ -36,7 +36,7 @@
     script: Script, targets: list[tuple[str, int]], work: Path, progress: Callable[[int], None] | None
 ) -> None:
     file = work / "script.json"
-    file.write_bytes(scripts.encoded(script))
+    file.write_bytes(scripts.encode(script))
     told = [{"number": number, "zone": "", "host": host, "port": port} for number, (host, port) in enumerate(targets)]
     workers = [
         await Worker.start(
@@ -128,7 +128,7 @@
     if not proxies:
         for tier in script.tiers[:1]:
             tier.proxies = 0
-    with own_net() as net, tempfile.TemporaryDirectory(prefix="emulate-") as spare:
+    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="emulate-") as spare:
         try:
             asyncio.run(_emulate(script, net, Path(spare), say))
         except KeyboardInterrupt:
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -154,7 +154,7 @@
         self.earned = self.asked * (1.0 if self.in_time else use.late_share if self.took >= 0 else 0.0)
 
 
-def wishes_of(script: Script, tries: list[ClientAttempt]) -> list[ClientRequest]:
+def client_requests(script: Script, tries: list[ClientAttempt]) -> list[ClientRequest]:
     """Those of clients, by the intended time of their first try, the warm-up left out."""
     together: dict[str, list[ClientAttempt]] = defaultdict(list)
     for one in tries:
@@ -255,7 +255,7 @@
 
 def tally(script: Script, names: list[str], records: Records) -> Figures:
     """`names` are the proxies' by number."""
-    wishes = wishes_of(script, records.tries)
+    wishes = client_requests(script, records.tries)
     stalls = Spans((one.at, one.until) for one in records.stalls)
     untrusted = set(stalls.seconds())
     trusted = [one for one in wishes if not stalls.touch(one.first.intended, one.last.ended)]
@@ -268,7 +268,7 @@
     late = [one.first.sent - one.first.intended for one in wishes if one.first.sent >= 0]
     asked = sum(one.asked for one in wishes)
     worst, worst_at = _worst(wishes, script.window)
-    used = rule_checker.use_of(script, records)
+    used = rule_checker.work_usage(script, records)
     by_use: dict[int, list[ClientRequest]] = defaultdict(list)
     by_customer: dict[int, list[ClientRequest]] = defaultdict(list)
     for one in wishes:
--- a/pepperusher/rehearsal/traces.py
+++ b/pepperusher/rehearsal/traces.py
@@ -172,5 +172,5 @@
     """The plan of any open-loop script. Raises ScriptError."""
     trace = script.load.trace
     if trace is None:
-        return arrivals.planned(script)
+        return arrivals.plan_arrivals(script)
     return planned(script, read(Path(script.folder) / trace.file, trace.form, trace.columns))
--- a/pepperusher/rehearsal/wire.py
+++ b/pepperusher/rehearsal/wire.py
@@ -36,7 +36,7 @@
         self.at = clock() + NOT_YET
 
 
-def since(at: int, start: int) -> int:
+def relative_time(at: int, start: int) -> int:
     """A time of the clock as records have it, us after the start; -1 stays never."""
     return at - start if at >= 0 else -1
 
@@ -132,7 +132,7 @@
         return self.reader.at_eof() or self.reader.exception() is not None or self.writer.transport.is_closing()
 
 
-async def reach(address: tuple[str, int]) -> Peer:
+async def open_peer(address: tuple[str, int]) -> Peer:
     return Peer(*await asyncio.open_connection(*address, limit=READ), h11.CLIENT)
 
 
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -13,7 +13,7 @@
 from pepperusher.rehearsal import rule_checker
 from pepperusher.rehearsal.run_controller import RunController
 from pepperusher.rehearsal.links import Links
-from pepperusher.rehearsal.loopback_networks import own_net
+from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.proxies import Runner
 
 from tests.rehearsal_scene import small
@@ -39,7 +39,7 @@
         stack, keeping = AsyncExitStack(), ExitStack()
         self.addCleanup(keeping.close)
         self.addAsyncCleanup(stack.aclose)
-        net = keeping.enter_context(own_net())
+        net = keeping.enter_context(reserve_network())
         self.work = Path(keeping.enter_context(tempfile.TemporaryDirectory(prefix="group-")))
         self.script = script
         self.director = RunController(script, net, self.work)
--- a/tests/rehearsal_scene.py
+++ b/tests/rehearsal_scene.py
@@ -59,7 +59,7 @@
 
 
 def small(**changes: Any) -> Script:
-    return script.made(raw(**changes))
+    return script.build_script(raw(**changes))
 
 
 def played(wrong: str | None = None, **changes: Any) -> Result:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -232,7 +232,7 @@
         self.assertEqual(projection.SWITCH_US, sys.getswitchinterval() * 1e6)
 
     def test_a_machine_has_two_connections_in_nine_of_each_proxy(self) -> None:
-        load, lost = control_rows.loads(lambda *_: None, Target(), False)
+        load, lost = control_rows.proxies_per_machine(lambda *_: None, Target(), False)
         self.assertAlmostEqual(2 * load, 10_000 / 9)
         self.assertAlmostEqual(2 * lost, 10_000 / 8)
 
@@ -411,7 +411,9 @@
 
     def test_a_machine_that_is_lost_falls_to_the_others_alike(self) -> None:
         for lost in (0, 1):
-            fit = fitted(points(lambda size: configuration_run.fullest(lost)(size, 1), 500, 1000, 1500, 2000, 2500))
+            fit = fitted(
+                points(lambda size: configuration_run.most_connections(lost)(size, 1), 500, 1000, 1500, 2000, 2500)
+            )
             mean = 2 / (configuration_run.MACHINES - lost)
             self.assertTrue(mean < fit.slope < 1.15 * mean, fit)
 
@@ -682,8 +684,8 @@
 class Stages(unittest.TestCase):
     def test_made_up_lists_have_what_the_target_says(self) -> None:
         self.assertEqual(len(fixtures.ZONES), 13)
-        self.assertEqual(len({one["id"] for one in fixtures.listing(5000)["servers"]}), 5000)
-        self.assertEqual(len({one["addr"] for one in fixtures.listing(5000)["servers"]}), 5000)
+        self.assertEqual(len({one["id"] for one in fixtures.endpoint_list(5000)["servers"]}), 5000)
+        self.assertEqual(len({one["addr"] for one in fixtures.endpoint_list(5000)["servers"]}), 5000)
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -95,7 +95,7 @@
 
     def run_with(self, build: Path | None) -> tuple[cold_backend_sum.Reading, Records]:
         """Ends by itself: the director waits for nothing longer than the span and a start's limit."""
-        made = script.made(self.SCENARIO)
+        made = script.build_script(self.SCENARIO)
         with tempfile.TemporaryDirectory() as spare:
             run_controller.rehearse(made, build, Path(spare))
             paths = sorted(Path(spare).glob("*.records"))
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -519,7 +519,7 @@
         """Cuts of so many each, at once: nothing passes between them, so each is one of a play of its own.
         Whoever is in none is outside of all, and as good as gone.
         """
-        allowed = hollow_group_statistics.silence(size, self.PERIOD) * SECOND / self.PERIOD
+        allowed = hollow_group_statistics.detection_time_limit(size, self.PERIOD) * SECOND / self.PERIOD
         late = []
         for seed in seeds:
             model = self.met(size, seed, periods)
@@ -574,7 +574,7 @@
 
     def test_outside_all_reach_a_majority_throughout_and_lose_nobody_else(self) -> None:
         """And healed all do, in as many periods."""
-        allowed = round(hollow_group_statistics.silence(20, self.PERIOD) * SECOND)
+        allowed = round(hollow_group_statistics.detection_time_limit(20, self.PERIOD) * SECOND)
         for seed in range(20):
             with self.subTest(seed):
                 model = self.met(20, seed)
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -74,7 +74,7 @@
 class Books(unittest.TestCase):
     def test_in_force_at_half_at_nearly_all_and_at_all(self) -> None:
         rows: list[Row] = [(index, 0, [("list", 4, 0), ("list", 5, (index + 1) * SECOND)]) for index in range(200)]
-        told = hollow_statistics.reached(rows, "list", {0: 5}, 0)
+        told = hollow_statistics.propagation_times(rows, "list", {0: 5}, 0)
         self.assertEqual(told, Propagation(100.0, 198.0, 200.0, 200, 200))
 
     def test_one_without_it_leaves_all_open(self) -> None:
@@ -83,12 +83,16 @@
             (1, 0, [("list", 4, SECOND)]),
             (2, 1, [("list", 9, SECOND)]),
         ]
-        told = hollow_statistics.reached(rows, "list", {0: 5}, 0)
+        told = hollow_statistics.propagation_times(rows, "list", {0: 5}, 0)
         self.assertEqual((told.half, told.all, told.had, told.of), (1.0, None, 1, 2))
 
     def test_older_after_newer_is_counted(self) -> None:
-        self.assertEqual(hollow_statistics.backwards([(0, 0, [("list", 2, 1), ("own", 1, 2), ("list", 1, 3)])]), 1)
-        self.assertEqual(hollow_statistics.backwards([(0, 0, [("list", 2, 1), ("own", 1, 2), ("list", 2, 3)])]), 0)
+        self.assertEqual(
+            hollow_statistics.count_version_regressions([(0, 0, [("list", 2, 1), ("own", 1, 2), ("list", 1, 3)])]), 1
+        )
+        self.assertEqual(
+            hollow_statistics.count_version_regressions([(0, 0, [("list", 2, 1), ("own", 1, 2), ("list", 2, 3)])]), 0
+        )
 
     def test_processor_time_by_role_and_second(self) -> None:
         samples = [
@@ -96,7 +100,7 @@
             (1.0, {"proxies 0": (1.5, 12.0), "proxies 1": (1.25, 10.0)}),
             (2.0, {"proxies 0": (1.6, 12.0)}),
         ]
-        use = hollow_statistics.used(samples)["proxies"]
+        use = hollow_statistics.resource_usage(samples)["proxies"]
         self.assertEqual((use.worst, use.mean, use.processes, use.memory), (0.75, 0.425, 2, 22.0))
 
 
--- a/tests/test_hollow_group.py
+++ b/tests/test_hollow_group.py
@@ -27,7 +27,7 @@
     def test_all_join_and_nobody_is_lost_for_good(self) -> None:
         async def run(work: Path) -> list[dict[str, Any]]:
             async with asyncio.timeout(WITHIN):
-                return await hollow_group_scenarios.played(
+                return await hollow_group_scenarios.run_scenario(
                     SIZE, 1, True, work, lambda line: None, period=PERIOD, within=ANSWER, slack=SLACK
                 )
 
@@ -57,11 +57,11 @@
             (2, 0, []),
             (3, 0, [("there", 1, 9 * SECOND)]),
         ]
-        told = hollow_group_statistics.last(rows, "there", SECOND, {0, 1, 2})
+        told = hollow_group_statistics.last_occurrence_times(rows, "there", SECOND, {0, 1, 2})
         self.assertEqual(told, Propagation(1.0, 4.0, 4.0, 3, 3))
 
     def test_whom_nobody_has_books_of_leaves_all_open(self) -> None:
-        told = hollow_group_statistics.last([(0, 0, [])], "there", 0, {0, 1})
+        told = hollow_group_statistics.last_occurrence_times([(0, 0, [])], "there", 0, {0, 1})
         self.assertEqual((told.all, told.had, told.of), (None, 1, 2))
 
     def test_by_how_many_each_was_lost(self) -> None:
@@ -69,12 +69,12 @@
             (0, 0, [("lost p2", 1, 1), ("suspected p1", 1, 1)]),
             (1, 0, [("lost p2", 1, 1), ("order s0-0", 9, 1)]),
         ]
-        self.assertEqual(hollow_group_statistics.told(rows, "lost"), {"p2": 2})
-        self.assertEqual(hollow_group_statistics.told(rows, "suspected"), {"p1": 1})
+        self.assertEqual(hollow_group_statistics.count_observations(rows, "lost"), {"p2": 2})
+        self.assertEqual(hollow_group_statistics.count_observations(rows, "suspected"), {"p1": 1})
 
     def test_silence_is_found_in_fifteen_periods_and_in_more_where_there_are_many(self) -> None:
-        self.assertEqual(hollow_group_statistics.silence(8, 500_000), 7.5)
-        self.assertAlmostEqual(hollow_group_statistics.silence(999, 500_000), 22.5)
+        self.assertEqual(hollow_group_statistics.detection_time_limit(8, 500_000), 7.5)
+        self.assertAlmostEqual(hollow_group_statistics.detection_time_limit(999, 500_000), 22.5)
 
 
 if __name__ == "__main__":
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -442,7 +442,7 @@
 
     def test_work_wasted_and_living_on(self) -> None:
         """The client outside leaves at 50 ms; a call made for it two tiers down goes on till 90 ms."""
-        used = rule_checker.use_of(
+        used = rule_checker.work_usage(
             SCRIPT,
             rule_checker.Records(
                 [
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -26,28 +26,30 @@
         for path in sorted(EXAMPLES.glob("*.toml")):
             of = script.read(path)
             line = fault_schedule.timeline(of, FleetPlan(of, 16))
-            again = script.decoded(script.encoded(of))
-            self.assertEqual(arrivals.planned(of), arrivals.planned(again))
+            again = script.decode(script.encode(of))
+            self.assertEqual(arrivals.plan_arrivals(of), arrivals.plan_arrivals(again))
             self.assertEqual(line, fault_schedule.timeline(again, FleetPlan(again, 99)))
-            found[path.stem] = f"{arrivals.digest(arrivals.planned(of))} {fault_schedule.digest(line)}"
+            found[path.stem] = f"{arrivals.digest(arrivals.plan_arrivals(of))} {fault_schedule.digest(line)}"
         kept = Path(__file__).parent / "traces" / "rehearsal_plans.json"
         self.assertEqual(found, json.loads(kept.read_text()))
 
     def test_another_seed_gives_another(self) -> None:
         self.assertNotEqual(
-            arrivals.planned(small(load={"phases": [{"span": "4s", "rate": 60}]})),
-            arrivals.planned(small(seed=6, load={"phases": [{"span": "4s", "rate": 60}]})),
+            arrivals.plan_arrivals(small(load={"phases": [{"span": "4s", "rate": 60}]})),
+            arrivals.plan_arrivals(small(seed=6, load={"phases": [{"span": "4s", "rate": 60}]})),
         )
 
     def test_even_arrivals_lie_where_the_integral_of_the_rate_has_them(self) -> None:
         """0 to 100 a second over 4 s: the n-th, from half, is due at sqrt(2 n / 25) s."""
-        plan = arrivals.planned(small(load={"phases": [{"span": "4s", "rate": 0, "to": 100, "arrivals": "even"}]}))
+        plan = arrivals.plan_arrivals(
+            small(load={"phases": [{"span": "4s", "rate": 0, "to": 100, "arrivals": "even"}]})
+        )
         self.assertEqual(len(plan), 200)
         for number in (0, 1, 50, 199):
             self.assertAlmostEqual(plan[number].at / 1e6, (2 * (number + 0.5) / 25) ** 0.5, places=5)
 
     def test_poisson_arrivals_come_as_often_as_told_and_unevenly(self) -> None:
-        plan = arrivals.planned(small(span="100s", load={"phases": [{"span": "100s", "rate": 100}]}))
+        plan = arrivals.plan_arrivals(small(span="100s", load={"phases": [{"span": "100s", "rate": 100}]}))
         self.assertAlmostEqual(len(plan), 10_000, delta=400)
         apart = [b.at - a.at for a, b in zip(plan, plan[1:])]
         mean = sum(apart) / len(apart)
@@ -56,13 +58,13 @@
 
     def test_bursts_share_an_instant(self) -> None:
         phases = [{"span": "4s", "rate": 100, "arrivals": "bursts", "burst": 20}]
-        plan = arrivals.planned(small(load={"phases": phases}))
+        plan = arrivals.plan_arrivals(small(load={"phases": phases}))
         self.assertEqual(len(plan) % 20, 0)
         self.assertEqual(len({one.at for one in plan}), len(plan) // 20)
 
     def test_a_surge_adds_its_customer_and_takes_from_nobody(self) -> None:
-        calm = arrivals.planned(small(span="60s", load={"phases": [{"span": "60s", "rate": 100}]}))
-        plan = arrivals.planned(
+        calm = arrivals.plan_arrivals(small(span="60s", load={"phases": [{"span": "60s", "rate": 100}]}))
+        plan = arrivals.plan_arrivals(
             small(
                 span="60s",
                 load={
@@ -76,7 +78,7 @@
         self.assertAlmostEqual(north, sum(1 for one in calm if one.customer == 0 and 20e6 <= one.at < 40e6), delta=120)
 
     def test_a_days_curve_is_straight_between_its_figures(self) -> None:
-        plan = arrivals.planned(small(span="40s", load={"phases": [], "day": [0, 200, 0]}))
+        plan = arrivals.plan_arrivals(small(span="40s", load={"phases": [], "day": [0, 200, 0]}))
         self.assertAlmostEqual(len(plan), 4000, delta=200)
         self.assertAlmostEqual(sum(1 for one in plan if one.at < 10e6), 500, delta=80)
 
@@ -172,18 +174,19 @@
 
     def test_weather_is_all_that_acts_together(self) -> None:
         strikes = [
-            fault_schedule.FaultInterval(0, 10, "slow", (1,), 2.0, None),
-            fault_schedule.FaultInterval(5, 10, "slow", (1, 2), 3.0, None),
-            fault_schedule.FaultInterval(0, 10, "errors", (1,), 1.0, "look"),
-            fault_schedule.FaultInterval(0, 10, "reset", (1,), 1.0, None),
-            fault_schedule.FaultInterval(4, 6, "freeze", (2,), 1.0, None),
+            fault_schedule.Strike(0, 10, "slow", (1,), 2.0, None),
+            fault_schedule.Strike(5, 10, "slow", (1, 2), 3.0, None),
+            fault_schedule.Strike(0, 10, "errors", (1,), 1.0, "look"),
+            fault_schedule.Strike(0, 10, "reset", (1,), 1.0, None),
+            fault_schedule.Strike(4, 6, "freeze", (2,), 1.0, None),
         ]
-        self.assertEqual(active_faults.at(strikes, 1, 6).slower, 6.0)
-        self.assertEqual([one[0] for one in active_faults.at(strikes, 1, 0).spoils], ["errors", "reset"])
+        self.assertEqual(active_faults.faults_at(strikes, 1, 6).slower, 6.0)
+        self.assertEqual([one[0] for one in active_faults.faults_at(strikes, 1, 0).spoils], ["errors", "reset"])
         self.assertEqual(
-            (active_faults.at(strikes, 2, 5).frozen, active_faults.at(strikes, 2, 6).frozen), (True, False)
+            (active_faults.faults_at(strikes, 2, 5).frozen, active_faults.faults_at(strikes, 2, 6).frozen),
+            (True, False),
         )
-        self.assertEqual(active_faults.edges(strikes, 2), [4, 5, 6, 10])
+        self.assertEqual(active_faults.transition_times(strikes, 2), [4, 5, 6, 10])
 
     def test_the_list_is_told_late_and_in_order_and_goes_back(self) -> None:
         of = small(
@@ -331,13 +334,13 @@
     def test_broken_scripts(self) -> None:
         for change, words in self.BROKEN:
             with self.subTest(change=change), self.assertRaisesRegex(ScriptError, words) as caught:
-                script.made(raw(**change))
+                script.build_script(raw(**change))
             self.assertNotIn("\n", str(caught.exception))
 
     def test_a_key_under_its_former_name_is_read(self) -> None:
-        self.assertEqual(2, script.made(raw(rules={"most_transmissions": 2})).rules.most_attempts)
+        self.assertEqual(2, script.build_script(raw(rules={"most_transmissions": 2})).rules.most_attempts)
         with self.assertRaisesRegex(ScriptError, "rules.most_transmissions: not known here"):
-            script.made(raw(rules={"most_transmissions": 2, "most_attempts": 2}))
+            script.build_script(raw(rules={"most_transmissions": 2, "most_attempts": 2}))
 
     def test_broken_files(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
@@ -365,7 +368,7 @@
             path = Path(folder) / "x.toml"
 
             def of(**changes: object) -> experiments.Experiment:
-                made = script.converted({**base, **changes}, experiments.Experiment)
+                made = script.convert({**base, **changes}, experiments.Experiment)
                 made.folder = folder
                 experiments._check(made)
                 return made
@@ -377,7 +380,7 @@
             for one, other in zip(plays[::2], plays[1::2]):
                 self.assertEqual(one.pair, other.pair)
                 self.assertEqual({one.arm.name, other.arm.name}, {"a", "b"})
-                self.assertEqual(arrivals.planned(one.script), arrivals.planned(other.script))
+                self.assertEqual(arrivals.plan_arrivals(one.script), arrivals.plan_arrivals(other.script))
             self.assertEqual({play.script.load.retries for play in plays if play.arm.name == "b"}, {0})
             for change, words in (
                 ({"arms": [{"name": "a"}, {"name": "a"}]}, "a stands twice"),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 def play(names: list[str], size: int, controls: int) -> dict[str, dict[str, Any]]:
     async def run(work: Path) -> list[dict[str, Any]]:
         async with asyncio.timeout(WITHIN):
-            return await hollow_scenarios.played(names, size, controls, 1, True, work, lambda line: None)
+            return await hollow_scenarios.run_scenarios(names, size, controls, 1, True, work, lambda line: None)
 
     with tempfile.TemporaryDirectory() as work:
         return {one["scene"]: one for one in asyncio.run(run(Path(work)))}
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,9 +7,9 @@
 import pytest
 
 from pepperusher.rehearsal import soak
-from pepperusher.rehearsal.effective_changes import deemed
+from pepperusher.rehearsal.effective_changes import effective_notifications
 from pepperusher.rehearsal.records import ProxyRun, Reconfiguration
-from pepperusher.rehearsal.script import encoded
+from pepperusher.rehearsal.script import encode
 from tests.rehearsal_scene import small
 
 SPAN = 20_000_000
@@ -20,7 +20,7 @@
     def test_a_seed_gives_the_same_run_and_all_kinds_of_trouble_are_drawn(self) -> None:
         scripts = [soak.script_of(seed, SPAN) for seed in range(1, 201)]
         again = [soak.script_of(seed, SPAN) for seed in range(1, 201)]
-        self.assertEqual([encoded(one) for one in scripts], [encoded(one) for one in again])
+        self.assertEqual([encode(one) for one in scripts], [encode(one) for one in again])
         drawn = {fault.what for one in scripts for fault in one.faults}
         wanted = {"drain", "restart", "discovery-full", "discovery-down", "discovery-silent", "discovery-late", "discovery-moved", "watches-silent",
                   "proxy-hup", "proxy-term", "proxy-kill", "proxy-stop", "proxy-starve", "freeze"}  # fmt: skip
@@ -41,7 +41,10 @@
     def due(self, signals: list[int], *faults: dict[str, object], started: int = -1) -> list[int]:
         script = small(span="20s", faults=[self.DRAIN, *faults])
         reconfigured = [Reconfiguration(0, at) for at in signals]
-        return sorted(one.at for one in deemed(script, reconfigured, [ProxyRun(0, 1, started, started, -1, -1, -1, 0)]))
+        return sorted(
+            one.at
+            for one in effective_notifications(script, reconfigured, [ProxyRun(0, 1, started, started, -1, -1, -1, 0)])
+        )
 
     def test_a_change_counts_six_seconds_after_discovery_has_it(self) -> None:
         self.assertEqual([7_100_000], self.due([]))
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -6,7 +6,7 @@
 import asyncio
 import unittest
 
-from pepperusher.rehearsal.discovery_clients import SCENES, Figures, lags, starts
+from pepperusher.rehearsal.discovery_clients import SCENES, Figures, notification_delays, startup_times
 from tests.skipping import run
 
 # Seconds from one call to the next; the crowds look every 0.01 s.
@@ -20,7 +20,7 @@
 
         async def play() -> list[Figures]:
             return await asyncio.gather(
-                *(lags(scene, 8, 0.001, 1000, 1, 3, 40.0, (7.0, 7.1), 20.0) for scene in SCENES)
+                *(notification_delays(scene, 8, 0.001, 1000, 1, 3, 40.0, (7.0, 7.1), 20.0) for scene in SCENES)
             )
 
         played = run(play())
@@ -32,7 +32,7 @@
     def test_a_crowd_hears_in_time_of_a_discovery_that_turns_most_of_it_away(self) -> None:
         """A hundred proxies, 10 ms a call and room for twenty: each is told in under 6 s, and none asks more
         than once in 1.25 s after its first three."""
-        made = run(lags("refusing", 100, 0.01, 20, 1, 3, 40.0, (6.0, 6.0), 20.0))
+        made = run(notification_delays("refusing", 100, 0.01, 20, 1, 3, 40.0, (6.0, 6.0), 20.0))
         self.assertEqual(0, made.unheard)
         self.assertLess(max(made.lags), 6.0)
         self.assertLess(made.calls / 100, 3 + (6.0 + max(made.lags)) / 1.25 + 1)
@@ -40,7 +40,7 @@
     def test_a_slow_queue_is_waited_out(self) -> None:
         """Eight seconds of it for forty that start at once: those left after 3.5 s had begun anew at its end,
         behind calls that were worked through for nobody."""
-        made = run(starts("start-slow", 40, 0, 0.2, 1000, 3))
+        made = run(startup_times("start-slow", 40, 0, 0.2, 1000, 3))
         self.assertEqual((0, 40), (made.unheard, len(made.lags)))
         self.assertLess(max(made.lags), 11.0)
 
@@ -49,7 +49,7 @@
         worked through all the same. Those that came again together, 1.25 to 2.5 s later, kept it full of calls
         refused before: one in ten was told over 10 s late. Now nine in ten are told within the 6 s of the term, and
         whoever is refused once more comes soon after."""
-        made = run(lags("keeping", 60, 0.095, 1000, 1, 3, 10.0, (8.0, 8.1), 25.0))
+        made = run(notification_delays("keeping", 60, 0.095, 1000, 1, 3, 10.0, (8.0, 8.1), 25.0))
         self.assertEqual((0, 60), (made.unheard, len(made.lags)))
         self.assertLess(sorted(made.lags)[53], 6.0)
         self.assertLess(made.in_vain, 10)
