--- a/pepperusher/rehearsal/cold_backend_sum.py
+++ b/pepperusher/rehearsal/cold_backend_sum.py
@@ -359,20 +359,20 @@
         script.use_cases[0].work.mean / SECOND,
         kind.count,
     )
-    proxy = {one.name: one.proxy for one in records.tries}
+    proxy = {one.name: one.proxy for one in records.client_attempts}
     readings = []
-    for stood in records.stood:
+    for stood in records.backend_lifetimes:
         if stood.born < 0:
             continue
         told: dict[int, int] = {}
-        for word in records.told:
+        for word in records.state_notifications:
             if word.id == stood.id and word.state == "ready" and word.at >= stood.born:
                 told[word.proxy] = min(word.at, told.get(word.proxy, word.at))
         ends = stood.ends if stood.ends >= 0 else script.span + SECOND
         never = script.span * 2
         sent = sorted(
             (one.first, one.first >= told.get(proxy.get(one.name, -1), never), deployment.work)
-            for one in records.sent
+            for one in records.backend_attempts
             if one.id == stood.id and one.place == stood.place and stood.born <= one.first < ends
         )
         readings.append(read(deployment, sent, stood.born, speed))
--- a/pepperusher/rehearsal/effective_changes.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -32,7 +32,7 @@
     """One record for each proxy and change to another state than ready."""
     plan = FleetPlan(script, 0)
     line = timeline(script, plan)
-    stops = [one for one in changes(script, line) if one.told >= 0 and one.state != READY]
+    stops = [one for one in changes(script, line) if one.notified_at >= 0 and one.state != READY]
     unreached = [one for one in line.strikes if one.what in UNREACHED]
     silences = [one.at for one in line.strikes if one.what == WATCHES_SILENT and _all_watched(one.at, unreached)]
     signals: dict[int, list[int]] = defaultdict(list)
@@ -62,12 +62,12 @@
     """When each term that ends with this change began, and its end."""
     for signal, following in zip(signals, [*signals[1:], None]):
         # Of a row the last counts.
-        if change.told <= signal and (following is None or following - signal >= RECONFIGURED_TERM):
+        if change.notified_at <= signal and (following is None or following - signal >= RECONFIGURED_TERM):
             yield signal, signal + RECONFIGURED_TERM
     for silence in silences:
-        if silence <= change.told < silence + MISSED_WITHIN:
+        if silence <= change.notified_at < silence + MISSED_WITHIN:
             yield silence, silence + SILENT_TERM
-    reached = _reached_from(change.told, unreached)
+    reached = _reached_from(change.notified_at, unreached)
     yield reached, reached + REACHED_TERM
 
 
--- a/pepperusher/rehearsal/endpoint_history.py
+++ b/pepperusher/rehearsal/endpoint_history.py
@@ -25,7 +25,7 @@
     """From `told` on (us after the start, under 0 before it) the list has `id` at `place` in `state`; `born`
     as in Life."""
 
-    told: int
+    notified_at: int
     place: int
     id: str
     state: str
@@ -57,7 +57,7 @@
             last = max(last, _late(life.ends, line.strikes, notice if life.planned else silent))
             made.append(Change(last, life.place, life.id, GONE, life.born))
     # By time alone, and stable: what is told at one instant stays in the order of lives.
-    return sorted(made, key=lambda one: one.told)
+    return sorted(made, key=lambda one: one.notified_at)
 
 
 class EndpointHistory:
@@ -71,10 +71,10 @@
 
     def version(self, now: int) -> int:
         """Version 1 is the list at the start."""
-        told = sum(1 for one in self._changes if one.told <= now)
+        told = sum(1 for one in self._changes if one.notified_at <= now)
         for strike in self._strikes:
             if strike.what == "discovery-back" and strike.at <= now < strike.until:
-                told = max(1, sum(1 for one in self._changes if one.told <= strike.at) - BACK_BY)
+                told = max(1, sum(1 for one in self._changes if one.notified_at <= strike.at) - BACK_BY)
         return told
 
     def _struck(self, what: str, now: int) -> bool:
@@ -97,7 +97,7 @@
 
     def next_change(self, now: int) -> int | None:
         """When the list, or whether it can be had, next changes; None if never."""
-        edges = [one.told for one in self._changes if one.told > now]
+        edges = [one.notified_at for one in self._changes if one.notified_at > now]
         edges += [edge for one in self._strikes for edge in (one.at, one.until) if edge > now]
         return min(edges, default=None)
 
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -151,14 +151,14 @@
             use,
             customers[arrival.customer].name if arrival.customer >= 0 else "",
             arrival.work,
-            wish.told,
+            wish.timeout,
             mark,
             b"x" * use.body,
             hint,
             nth > 0,
         )
         client = self._front.next(zone)
-        reply = Reply(NOBODY) if client is None else await client.ask(asked, wish.stays(self._script.rules.slack))
+        reply = Reply(NOBODY) if client is None else await client.ask(asked, wish.wait_time(self._script.rules.slack))
         ended = clock()
         start = self._start.at
         self._writer.add(
@@ -180,11 +180,11 @@
                 reply.status,
                 reply.advice,
                 asked.fresh,
-                wish.told,
+                wish.timeout,
                 relative_time(asked.crossed, start),
             )
         )
-        return wish.after(reply.how, reply.advice, ended)
+        return wish.next_attempt_time(reply.how, reply.advice, ended)
 
     async def _users(self) -> None:
         """Closed loop: so many users, each asking again when it has its answer. For comparison, since it
--- a/pepperusher/rehearsal/rule_checker.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -65,29 +65,29 @@
     """All records of a rehearsal, sorted by kind; `add` takes them in any order."""
 
     def __init__(self, records: Iterable[msgspec.Struct] = ()) -> None:
-        self.tries: list[ClientAttempt] = []
-        self.sent: list[BackendAttempt] = []
-        self.told: list[StateNotification] = []
-        self.stood: list[BackendLifetimeRecord] = []
-        self.ran: list[ProxyRun] = []
+        self.client_attempts: list[ClientAttempt] = []
+        self.backend_attempts: list[BackendAttempt] = []
+        self.state_notifications: list[StateNotification] = []
+        self.backend_lifetimes: list[BackendLifetimeRecord] = []
+        self.proxy_runs: list[ProxyRun] = []
         self.stalls: list[Stall] = []
         self.samples: list[Sample] = []
-        self.turns: list[BreakerChange] = []
-        self.held: list[ProxyPause] = []
-        self.believed: list[MembershipBelief] = []
-        self.reconfigured: list[Reconfiguration] = []
+        self.breaker_changes: list[BreakerChange] = []
+        self.proxy_pauses: list[ProxyPause] = []
+        self.membership_beliefs: list[MembershipBelief] = []
+        self.reconfigurations: list[Reconfiguration] = []
         self._lists = {
-            ClientAttempt: self.tries,
-            BackendAttempt: self.sent,
-            StateNotification: self.told,
-            BackendLifetimeRecord: self.stood,
-            ProxyRun: self.ran,
+            ClientAttempt: self.client_attempts,
+            BackendAttempt: self.backend_attempts,
+            StateNotification: self.state_notifications,
+            BackendLifetimeRecord: self.backend_lifetimes,
+            ProxyRun: self.proxy_runs,
             Stall: self.stalls,
             Sample: self.samples,
-            BreakerChange: self.turns,
-            ProxyPause: self.held,
-            MembershipBelief: self.believed,
-            Reconfiguration: self.reconfigured,
+            BreakerChange: self.breaker_changes,
+            ProxyPause: self.proxy_pauses,
+            MembershipBelief: self.membership_beliefs,
+            Reconfiguration: self.reconfigurations,
         }
         for record in records:
             self.add(record)
@@ -116,7 +116,7 @@
 def check(script: Script, records: Records) -> RuleChecker:
     book = RuleChecker()
     sent_of: dict[str, list[BackendAttempt]] = defaultdict(list)
-    for sent in records.sent:
+    for sent in records.backend_attempts:
         sent_of[sent.name].append(sent)
     for those in sent_of.values():
         those.sort(key=lambda one: one.first)
@@ -134,11 +134,11 @@
 def _check_lost(script: Script, records: Records, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
     """A ticket written whole to a proxy that stood gets one whole answer by the time its client gives up."""
     stays: dict[int, list[ProxyRun]] = defaultdict(list)
-    for ran in records.ran:
+    for ran in records.proxy_runs:
         stays[ran.proxy].append(ran)
     stills = _stills(records)
     slack = script.rules.slack
-    for one in records.tries:
+    for one in records.client_attempts:
         if one.how == WRONG:
             _wrong(one, sent_of, book)
             continue
@@ -174,7 +174,7 @@
     """
     silent = [(stall.at, stall.until) for stall in records.stalls]
     kept: dict[int, list[tuple[int, int]]] = defaultdict(list)
-    for held in records.held:
+    for held in records.proxy_pauses:
         kept[held.proxy].append((held.at, held.until + CROSSING))
     none = Spans(silent)
     return defaultdict(lambda: none, {proxy: Spans(silent + those) for proxy, those in kept.items()})
@@ -227,8 +227,8 @@
     use case does not let it. What never began, and what was turned away, has not run."""
     most = script.rules.most_attempts
     places = FleetPlan(script, 0).places
-    bounced = {one.name: one for one in records.tries if one.how == BOUNCED}
-    crossed = {one.name: one.crossed for one in records.tries if one.crossed >= 0}
+    bounced = {one.name: one for one in records.client_attempts if one.how == BOUNCED}
+    crossed = {one.name: one.crossed for one in records.client_attempts if one.crossed >= 0}
     for name, those in (
         (name, part) for name, those in sent_of.items() for part in _asked(those, crossed.get(name, -1))
     ):
@@ -299,10 +299,13 @@
     """Nothing's first byte comes to a backend later than the grace after its sender was told that it
     drains, or that counts as told."""
     told: dict[tuple[int, str], list[StateNotification]] = defaultdict(list)
-    for one in [*records.told, *effective_notifications(script, records.reconfigured, records.ran)]:
+    for one in [
+        *records.state_notifications,
+        *effective_notifications(script, records.reconfigurations, records.proxy_runs),
+    ]:
         told[one.proxy, one.id].append(one)
     # What discovery wrote to a process that could not run it has read once it runs again.
-    for held in sorted(records.held, key=lambda one: one.at):
+    for held in sorted(records.proxy_pauses, key=lambda one: one.at):
         for (proxy, _), those in told.items():
             if proxy == held.proxy:
                 those[:] = [
@@ -313,12 +316,12 @@
                 ]
     for those in told.values():
         those.sort(key=lambda one: one.at)
-    proxy_of = {one.name: one.proxy for one in records.tries}
+    proxy_of = {one.name: one.proxy for one in records.client_attempts}
     started: dict[int, list[int]] = defaultdict(list)
-    for ran in records.ran:
+    for ran in records.proxy_runs:
         started[ran.proxy].append(ran.started)
     grace = script.rules.drain_grace + script.rules.slack
-    for sent in records.sent:
+    for sent in records.backend_attempts:
         proxy = proxy_of.get(sent.name)
         if proxy is None:
             continue
@@ -348,7 +351,7 @@
 
 
 def _check_cold(records: Records, book: RuleChecker) -> None:
-    for stood in records.stood:
+    for stood in records.backend_lifetimes:
         if stood.fell >= 0:
             book.against(COLD, "", stood.fell, stood.id, "pushed over while it was cold")
 
@@ -375,12 +378,12 @@
 
 
 def work_usage(script: Script, records: Records) -> WorkUsage:
-    done = {one.name for one in records.tries if one.how == DONE}
+    done = {one.name for one in records.client_attempts if one.how == DONE}
     ended = _ends_outside(records)
     effects: dict[tuple[int, str], int] = defaultdict(int)
     worked = wasted = away = 0
     lived_on = []
-    for sent in records.sent:
+    for sent in records.backend_attempts:
         worked += sent.worked
         away += sent.away
         if sent.name not in done:
@@ -391,15 +394,15 @@
             effects[sent.tier, sent.mark] += 1
     # Counted to the end of each client's wish; below the first tier as well.
     doubled = sum(count - 1 for count in effects.values() if count > 1)
-    tickets = len({sent.name for sent in records.sent})
-    return WorkUsage(tickets, len(records.sent), away, worked, wasted, sorted(lived_on), doubled)
+    tickets = len({sent.name for sent in records.backend_attempts})
+    return WorkUsage(tickets, len(records.backend_attempts), away, worked, wasted, sorted(lived_on), doubled)
 
 
 def _ends_outside(records: Records) -> dict[str, int]:
     """By ticket of any tier, when the try of the client outside that it is made for was over."""
-    sender = {one.name: one for one in records.tries}
+    sender = {one.name: one for one in records.client_attempts}
     ends: dict[str, int] = {}
-    for one in records.tries:
+    for one in records.client_attempts:
         # A call's parent is a ticket of the tier above; as many steps as there are tiers, and no loops.
         at, steps = one, 0
         while at.parent and at.parent in sender and steps < MOST_TIERS:
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -402,13 +402,13 @@
             for record in records.read(path):
                 kept.add(record)
         # What ended a process at the end of the play is not what killed it within.
-        for ran in kept.ran:
+        for ran in kept.proxy_runs:
             if ran.killed >= self._end_of(kept):
                 ran.killed = -1
         return kept
 
     def _end_of(self, kept: rule_checker.Records) -> int:
-        return max((one.ended for one in kept.tries), default=self._script.span)
+        return max((one.ended for one in kept.client_attempts), default=self._script.span)
 
     @property
     def line(self) -> fault_schedule.FaultSchedule:
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -234,7 +234,7 @@
         if sample.at >= warm_up:
             samples[sample.proxy].append(sample)
     tickets: dict[int, int] = defaultdict(int)
-    for one in records.tries:
+    for one in records.client_attempts:
         if one.proxy >= 0 and one.written >= warm_up:
             tickets[one.proxy] += 1
     made = []
@@ -255,13 +255,13 @@
 
 def tally(script: Script, names: list[str], records: Records) -> Figures:
     """`names` are the proxies' by number."""
-    wishes = client_requests(script, records.tries)
+    wishes = client_requests(script, records.client_attempts)
     stalls = Spans((one.at, one.until) for one in records.stalls)
     untrusted = set(stalls.seconds())
     trusted = [one for one in wishes if not stalls.touch(one.first.intended, one.last.ended)]
     took = [one.took for one in wishes if one.took >= 0]
     in_time = sum(one.in_time for one in wishes)
-    outside = [one for one in records.tries if not one.parent and one.intended >= script.warm_up]
+    outside = [one for one in records.client_attempts if not one.parent and one.intended >= script.warm_up]
     ends: dict[str, int] = defaultdict(int)
     for one in outside:
         ends[one.how] += 1
@@ -302,7 +302,7 @@
         lived_on=times_of(_times(used.lived_on)),
         doubled=used.doubled,
         costs=costs_of(names, records, script.warm_up),
-        turns=sorted((one.at, one.proxy, one.id, one.state) for one in records.turns),
-        believed=sorted((one.at, one.proxy, one.what, one.of) for one in records.believed),
-        held=sorted((one.proxy, one.at, one.until) for one in records.held),
+        turns=sorted((one.at, one.proxy, one.id, one.state) for one in records.breaker_changes),
+        believed=sorted((one.at, one.proxy, one.what, one.of) for one in records.membership_beliefs),
+        held=sorted((one.proxy, one.at, one.until) for one in records.proxy_pauses),
     )
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -122,6 +122,6 @@
         book = rule_checker.check(self.script, kept)
         self.assertEqual([], book.entries)
         for gate in self.director.plan.gates:
-            done = sum(one.how == "done" for one in kept.tries if one.proxy == gate.number)
+            done = sum(one.how == "done" for one in kept.client_attempts if one.proxy == gate.number)
             self.assertGreater(done, 5, f"through {gate.name}")
         return kept
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -104,7 +104,7 @@
 
     def test_the_sum_of_thirty_processes_is_within_the_budget(self) -> None:
         read, kept = self.run_with(None)
-        sent = [sum(one.proxy == number for one in kept.tries) for number in range(PROXIES)]
+        sent = [sum(one.proxy == number for one in kept.client_attempts) for number in range(PROXIES)]
         self.assertGreater(sorted(sent)[-2], 6 * sum(sent) / PROXIES, "the traffic was to be uneven")
         self.assertGreater(read.windows, 10, "too few windows to tell")
         self.assertEqual(read.over, 0, read)
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -48,9 +48,9 @@
         kept = await self.over()
         # Whoever holds it sends no ticket there: told or not by discovery, which lists the backend as ready
         # all along.
-        late = [one for one in kept.sent if one.id == backend and one.first > held_at + 500_000]
+        late = [one for one in kept.backend_attempts if one.id == backend and one.first > held_at + 500_000]
         self.assertEqual([], late)
-        self.assertTrue([one for one in kept.sent if one.id == backend])
+        self.assertTrue([one for one in kept.backend_attempts if one.id == backend])
 
     async def test_in_thirds_one_alone_and_a_chain(self) -> None:
         await self.stand(8, 12)
@@ -258,8 +258,8 @@
         self.director._admitted.add(0)
         self.director._admit()
         kept = await self.over()
-        through = {one.name for one in kept.tries if one.proxy == 0 and one.sent > began}
-        sent = [one for one in kept.sent if one.name in through]
+        through = {one.name for one in kept.client_attempts if one.proxy == 0 and one.sent > began}
+        sent = [one for one in kept.backend_attempts if one.name in through]
         self.assertGreater(len(sent), 10)
         self.assertEqual([], [one for one in sent if one.id == backend])
 
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -151,18 +151,18 @@
 
     def test_tries_end_with_their_number_and_their_time(self) -> None:
         wish = self.wish(retries=2, patience=0.5, backoff="100ms")
-        self.assertEqual((wish.told, wish.stays(50)), (1_000_000, 1_000_050))
-        self.assertEqual(wish.after("left", 0, 2_000_000), 2_100_000)
+        self.assertEqual((wish.timeout, wish.wait_time(50)), (1_000_000, 1_000_050))
+        self.assertEqual(wish.next_attempt_time("left", 0, 2_000_000), 2_100_000)
         # What is left of the time in which it is wanted at all.
-        self.assertEqual((wish.nth, wish.told), (1, 900_000))
-        self.assertIsNone(wish.after("scrapped", 0, 2_950_000))
-        self.assertEqual(wish.after("scrapped", 0, 2_500_000), 2_600_000)
-        self.assertIsNone(wish.after("scrapped", 0, 2_650_000))
-        self.assertIsNone(self.wish(retries=2).after("done", 0, 1_100_000))
+        self.assertEqual((wish.nth, wish.timeout), (1, 900_000))
+        self.assertIsNone(wish.next_attempt_time("scrapped", 0, 2_950_000))
+        self.assertEqual(wish.next_attempt_time("scrapped", 0, 2_500_000), 2_600_000)
+        self.assertIsNone(wish.next_attempt_time("scrapped", 0, 2_650_000))
+        self.assertIsNone(self.wish(retries=2).next_attempt_time("done", 0, 1_100_000))
 
     def test_advice_is_honoured_by_some(self) -> None:
-        self.assertEqual(self.wish(retries=1, honours=1.0).after("bounced", 300_000, 1_100_000), 1_400_000)
-        self.assertEqual(self.wish(retries=1, honours=0.0).after("bounced", 300_000, 1_100_000), 1_100_000)
+        self.assertEqual(self.wish(retries=1, honours=1.0).next_attempt_time("bounced", 300_000, 1_100_000), 1_400_000)
+        self.assertEqual(self.wish(retries=1, honours=0.0).next_attempt_time("bounced", 300_000, 1_100_000), 1_100_000)
 
     def test_single_use_is_asked_again_where_it_never_ran_alone(self) -> None:
         for how, again in (
@@ -172,12 +172,12 @@
             ("left", False),
             ("lost", False),
         ):
-            self.assertEqual(self.wish(2, retries=1).after(how, 0, 1_100_000) is not None, again, how)
+            self.assertEqual(self.wish(2, retries=1).next_attempt_time(how, 0, 1_100_000) is not None, again, how)
 
     def test_some_leave_early_and_have_not_said_so(self) -> None:
         wish = self.wish(leave=1.0)
-        self.assertLess(wish.stays(50), wish.told)
-        self.assertEqual(wish.told, 2_000_000)
+        self.assertLess(wish.wait_time(50), wish.timeout)
+        self.assertEqual(wish.timeout, 2_000_000)
 
 
 class Trust(unittest.TestCase):
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -42,8 +42,8 @@
                 record for path in Path(folder).glob("*.records") for record in records.read(path)
             )
         self.assertEqual(figures.wishes, 2000)
-        worked_at = {sent.name: sent.ended for sent in kept.sent}
-        waits = sorted(worked_at[one.name] - one.intended for one in kept.tries)
+        worked_at = {sent.name: sent.ended for sent in kept.backend_attempts}
+        waits = sorted(worked_at[one.name] - one.intended for one in kept.client_attempts)
         for part, least, delta in (("99", 900, 45), ("100", 1000, 50)):
             true = waits[-1 - round(len(waits) * (1 - int(part) / 100))] / 1000
             self.assertGreater(true, least - 10)
