--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_run.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.capacity.processes import HOST, PAGE, ProcessError, free_port
 from pepperusher.distribution import resource_cache, operator_client, wire
 from pepperusher.distribution.client import Client
@@ -50,7 +50,7 @@
 
 def body_of(routes: int, most: int = 20) -> bytes:
     """A configuration to be shared; another `most` makes it another, by one route."""
-    text = stage.routes(routes)
+    text = fixtures.routes(routes)
     head, _, last = text.rpartition("most = ")
     return f"{head}most = {most + 100}{last[last.index(',') :]}".encode()
 
@@ -118,7 +118,7 @@
         self.process.wait()
 
 
-class Beating(Client):
+class HeartbeatClient(Client):
     """Says how many of its messages are beats: what an occasion takes is told without them."""
 
     def _came(self, upstream: str, link: Link, message: Message) -> None:
@@ -161,7 +161,7 @@
         return self.figures[name]
 
 
-async def until(true: Callable[[], bool], what: str, within: float = WITHIN) -> None:
+async def wait_until(true: Callable[[], bool], what: str, within: float = WITHIN) -> None:
     """Raises ProcessError."""
     end = time.monotonic() + within
     while not true():
@@ -200,7 +200,7 @@
         self.machines: list[Machine] = []
         for number in range(machines):
             self.machines.append(Machine(number, folder, ports))
-        self.clients: list[Beating] = []
+        self.clients: list[HeartbeatClient] = []
         self._gone: Counter[str] = Counter()  # counts of clients that ended
 
     @property
@@ -222,9 +222,9 @@
         """Clients of as many proxies, at once; with `keep` from what stands there."""
         for number in range(self.proxies):
             name = NAME if number < self.some else OTHER
-            one = Beating(
+            one = HeartbeatClient(
                 self.upstreams, [(CONFIG, name)], lambda _: None, key=KEY.encode(),
-                name=f"proxy-{number:05d}", region="r0", zone=stage.ZONES[number % len(stage.ZONES)],
+                name=f"proxy-{number:05d}", region="r0", zone=fixtures.ZONES[number % len(fixtures.ZONES)],
                 seed=self._seed * 1_000_003 + number, keep=keep, local=LOCAL,
             )  # fmt: skip
             self.clients.append(one)
@@ -243,9 +243,9 @@
         """
         links = min(2, len(self.machines))
         takes = [one for place, one in enumerate(self.clients) if place < self.some]
-        await until(lambda: all(one.in_force.get(key) == version for one in takes), f"{version} in force")
-        await until(lambda: all(one.in_force for one in self.clients), "something in force at the others")
-        await until(lambda: all(len(one.upstreams) == links for one in self.clients), "all connected")
+        await wait_until(lambda: all(one.in_force.get(key) == version for one in takes), f"{version} in force")
+        await wait_until(lambda: all(one.in_force for one in self.clients), "something in force at the others")
+        await wait_until(lambda: all(len(one.upstreams) == links for one in self.clients), "all connected")
         await self.settled()
 
     async def settled(self) -> None:
@@ -355,7 +355,7 @@
     before, began = await fleet.read(), fleet.client_messages()
     links = fleet.proxies * min(2, len(fleet.machines))
     if links:
-        await until(lambda: fleet.client_messages() - began >= beats * links, "beats")
+        await wait_until(lambda: fleet.client_messages() - began >= beats * links, "beats")
     else:
         await asyncio.sleep(2.0 * beats)  # a span that is measured, not waited in
     after = await fleet.read()
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -8,15 +8,15 @@
 from random import Random
 from time import process_time
 
-from pepperusher.capacity.decisions import held_by
+from pepperusher.capacity.decisions import allocated_bytes
 from pepperusher.group import broadcasts as group_broadcasts, membership as group_membership
 from pepperusher.group.broadcasts import Broadcasts
 from pepperusher.group.membership import Membership
 from pepperusher.group.swim import Swim, SwimSettings
 from pepperusher.group.wire import Wire
 from pepperusher.group.messages import SENT_AWAY, SERVING, Broadcast, MemberRecord
-from pepperusher.rehearsal.groupfigures import introduced
-from pepperusher.rehearsal.groupmodel import SECOND, Model
+from pepperusher.rehearsal.group_figures import introduced
+from pepperusher.rehearsal.group_model import SECOND, Model
 
 # As the own file has them where it says nothing.
 PERIOD, WITHIN = 500_000, 150_000
@@ -88,7 +88,7 @@
             roll.take(said(number), START)
         return roll
 
-    return held_by(makes)
+    return allocated_bytes(makes)
 
 
 def sync(size: int, seed: int) -> float:
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.capacity import stage
+from pepperusher.capacity import fixtures
 from pepperusher.rehearsal.worker import environment, with_parent
 
 READY_WITHIN = 30.0
@@ -48,7 +48,7 @@
         return port
 
 
-class Proxied:
+class ProxyUnderTest:
     """A running proxy."""
 
     def __init__(self, process: subprocess.Popen[bytes], port: int, folder: Path) -> None:
@@ -89,7 +89,7 @@
     return (log.read_text(errors="replace").strip().splitlines() or ["it said nothing"])[-1]
 
 
-def until(true: Callable[[], bool], within: float = READY_WITHIN) -> None:
+def wait_until(true: Callable[[], bool], within: float = READY_WITHIN) -> None:
     """Raises ProcessError."""
     end = time.monotonic() + within
     while not true():
@@ -107,7 +107,7 @@
     own: str | None = None,
     zones: list[str] | None = None,
     most: int = 3,
-) -> Iterator[Proxied]:
+) -> Iterator[ProxyUnderTest]:
     """A proxy that knows so many backends at its start and makes `most` attempts; ready, and ended behind
     it.
     """
@@ -120,8 +120,8 @@
             "discovery": f"127.0.0.1:{discovery}",
             "seed": "5eed",
             "limits": {"sockets": SOCKETS, "memory_mb": 512},
-            "known": stage.listing(listed, zones, address),
-            "settings": stage.settings(group, zones=zones, promised=PROMISED, most=most),
+            "known": fixtures.endpoint_list(listed, zones, address),
+            "settings": fixtures.settings(group, zones=zones, promised=PROMISED, most=most),
         }
         (folder / "proxy.json").write_text(json.dumps(told))
         words = ["--config", str(folder / "proxy.json")]
@@ -137,9 +137,9 @@
                 env=environment(),
                 preexec_fn=with_parent,
             )
-        made = Proxied(process, port, folder)
+        made = ProxyUnderTest(process, port, folder)
         try:
-            until(made.ready)
+            wait_until(made.ready)
             yield made
         finally:
             process.send_signal(signal.SIGKILL)
@@ -240,9 +240,9 @@
     """
     with ExitStack() as held:
         ones = [held.enter_context(proxy(24, own=CONTROLLED)) for _ in range(proxies)]
-        until(lambda: all(one.control.exists() for one in ones))
+        wait_until(lambda: all(one.control.exists() for one in ones))
         for one in ones:
-            text = CONTROLLED.replace("HERE", str(one.folder)) + stage.routes(20)
+            text = CONTROLLED.replace("HERE", str(one.folder)) + fixtures.routes(20)
             (one.folder / "change.toml").write_text(text)
         before = resource.getrusage(resource.RUSAGE_CHILDREN)  # of those that ended: the proxies have not
         for one in ones:
--- a/pepperusher/rehearsal/deemed.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -9,11 +9,11 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
-from pepperusher.rehearsal.fleetplan import FleetPlan
-from pepperusher.rehearsal.records import Ran, Reconfigured, Told
-from pepperusher.rehearsal.roster import READY, WATCHES_SILENT, Change, changes
+from pepperusher.rehearsal.fleet_plan import FleetPlan
+from pepperusher.rehearsal.records import ProxyRun, Reconfiguration, StateNotification
+from pepperusher.rehearsal.endpoint_history import READY, WATCHES_SILENT, Change, changes
 from pepperusher.rehearsal.script import Script
-from pepperusher.rehearsal.troubles import Strike, timeline
+from pepperusher.rehearsal.fault_schedule import Strike, timeline
 
 RECONFIGURED_TERM = 4_000_000
 REACHED_TERM = 6_000_000
@@ -26,11 +26,13 @@
 UNREACHED = ("discovery-down", "discovery-full", "discovery-silent", "discovery-late")
 
 
-def deemed(script: Script, reconfigured: list[Reconfigured], ran: list[Ran]) -> list[Told]:
+def effective_notifications(
+    script: Script, reconfigured: list[Reconfiguration], ran: list[ProxyRun]
+) -> list[StateNotification]:
     """One record for each proxy and change to another state than ready."""
     plan = FleetPlan(script, 0)
     line = timeline(script, plan)
-    stops = [one for one in changes(script, line) if one.told >= 0 and one.state != READY]
+    stops = [one for one in changes(script, line) if one.notified_at >= 0 and one.state != READY]
     unreached = [one for one in line.strikes if one.what in UNREACHED]
     silences = [one.at for one in line.strikes if one.what == WATCHES_SILENT and _all_watched(one.at, unreached)]
     signals: dict[int, list[int]] = defaultdict(list)
@@ -43,7 +45,7 @@
             if plan.places[change.place].tier != gate.tier:
                 continue
             made += [
-                Told(gate.number, change.id, change.state, due)
+                StateNotification(gate.number, change.id, change.state, due)
                 for since, due in _terms(change, signals[gate.number], silences, unreached)
                 if not any(since < started <= due for started in starts)
             ]
@@ -60,12 +62,12 @@
     """When each term that ends with this change began, and its end."""
     for signal, following in zip(signals, [*signals[1:], None]):
         # Of a row the last counts.
-        if change.told <= signal and (following is None or following - signal >= RECONFIGURED_TERM):
+        if change.notified_at <= signal and (following is None or following - signal >= RECONFIGURED_TERM):
             yield signal, signal + RECONFIGURED_TERM
     for silence in silences:
-        if silence <= change.told < silence + MISSED_WITHIN:
+        if silence <= change.notified_at < silence + MISSED_WITHIN:
             yield silence, silence + SILENT_TERM
-    reached = _reached_from(change.told, unreached)
+    reached = _reached_from(change.notified_at, unreached)
     yield reached, reached + REACHED_TERM
 
 
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from pepperusher.rehearsal import compare, director, results, script as scripts
+from pepperusher.rehearsal import compare, run_controller, results, script as scripts
 from pepperusher.rehearsal.compare import MEASURES, Difference
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import Script, ScriptError, Table
@@ -44,7 +44,7 @@
     folder: str = "."
 
 
-class Play(NamedTuple):
+class PlannedRun(NamedTuple):
     """One rehearsal to play; those of the same `pair` differ in their arm alone."""
 
     arm: Arm
@@ -55,9 +55,9 @@
 
 def read(path: Path) -> Experiment:
     """Raises ScriptError in one line."""
-    raw = scripts.loaded(path)
+    raw = scripts.load_toml(path)
     try:
-        experiment: Experiment = scripts.converted(raw, Experiment)
+        experiment: Experiment = scripts.convert(raw, Experiment)
         experiment.folder = str(path.resolve().parent)
         _check(experiment)
     except ScriptError as error:
@@ -106,15 +106,15 @@
         raise ScriptError(f"{said}: the script has no {last} in {key}")
 
 
-def planned(experiment: Experiment) -> list[Play]:
+def planned(experiment: Experiment) -> list[PlannedRun]:
     """Every play, interleaved: pairs in an order drawn from the seed, the arms of each one after another, and
     which comes first drawn too, so that a machine that slows over time strikes all arms alike. Raises
     ScriptError."""
-    plays: list[list[Play]] = []
+    plays: list[list[PlannedRun]] = []
     keys = list(experiment.vary)
     for name in experiment.rehearsals:
         path = Path(experiment.folder) / name
-        raw = scripts.whole(path)
+        raw = scripts.load_with_bases(path)
         for values in product(*(experiment.vary[key] for key in keys)):
             for seed in experiment.seeds:
                 pair = []
@@ -126,12 +126,12 @@
                         _put(of, key, value, f"arms[{number}].set")
                     of["seed"] = seed
                     try:
-                        script = scripts.made(of)
+                        script = scripts.build_script(of)
                     except ScriptError as error:
                         raise ScriptError(f"{name}, arm {arm.name}: {error}") from None
                     script.folder = str(path.resolve().parent)
                     parameters = {"rehearsal": name, "seed": seed, **dict(zip(keys, values))}
-                    pair.append(Play(arm, json.dumps(parameters, sort_keys=True), script, parameters))
+                    pair.append(PlannedRun(arm, json.dumps(parameters, sort_keys=True), script, parameters))
                 plays.append(pair)
     if sum(map(len, plays)) > MOST:
         raise ScriptError(f"seeds: {sum(map(len, plays))} rehearsals are over {MOST}")
@@ -142,15 +142,15 @@
     return [play for pair in plays for play in pair]
 
 
-def _file(play: Play) -> str:
+def _file(play: PlannedRun) -> str:
     """A name that changes with anything that is asked."""
-    asked = scripts.encoded(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
+    asked = scripts.encode(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
     return f"{play.arm.name}-{hashlib.sha256(asked).hexdigest()[:12]}{results.SUFFIX}"
 
 
-def play(experiment: Experiment, out: Path, say: Callable[[str], None]) -> list[tuple[Play, Result]]:
+def play(experiment: Experiment, out: Path, say: Callable[[str], None]) -> list[tuple[PlannedRun, Result]]:
     """Plays what `out` does not hold yet, so one that was stopped goes on. Raises ScriptError and
-    PlayError."""
+    RehearsalError."""
     plays = planned(experiment)
     out.mkdir(parents=True, exist_ok=True)
     played = []
@@ -160,7 +160,7 @@
         word = "kept"
         if result is None:
             build = (Path(experiment.folder) / one.arm.build).resolve() if one.arm.build else None
-            result = director.rehearse(one.script, build)
+            result = run_controller.rehearse(one.script, build)
             result.parameters = {**one.parameters, "arm": one.arm.name}
             result.build = one.arm.name
             results.write(path, result)
@@ -178,7 +178,7 @@
         return None
 
 
-class Compared(NamedTuple):
+class ArmComparison(NamedTuple):
     """`other` against `base` where `where` was varied so; all seeds of it are its pairs."""
 
     base: str
@@ -187,7 +187,7 @@
     differences: list[Difference]
 
 
-def compared(experiment: Experiment, played: list[tuple[Play, Result]]) -> list[Compared]:
+def compare_arms(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
     """Each arm after the first, for each rehearsal and each set of varied values on its own: a difference at
     one rate is no difference at another."""
     base = experiment.arms[0].name
@@ -205,7 +205,7 @@
             ]
             if pairs:
                 made.append(
-                    Compared(
+                    ArmComparison(
                         base,
                         arm.name,
                         where,
@@ -215,9 +215,9 @@
     return made
 
 
-def spoken(experiment: Experiment, played: list[tuple[Play, Result]]) -> str:
+def spoken(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
     lines = [experiment.title]
-    for made in compared(experiment, played):
+    for made in compare_arms(experiment, played):
         pairs = made.differences[0].pairs if made.differences else 0
         lines.append(f"  {made.other} against {made.base}, {pairs} pairs, {made.where}:")
         for one in made.differences:
--- a/pepperusher/rehearsal/troubles.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from pepperusher.rehearsal.fleetplan import FleetPlan, Gate, Place
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate, Place
 from pepperusher.rehearsal.script import OF_BACKENDS, OF_LINKS, OF_PROXIES, Chance, Fault, Script
 from pepperusher.durations import Span
 
@@ -22,6 +22,7 @@
 BY = {"slow": 3.0}
 
 
+# `digest` hashes the reprs of Strike and Life, so the names of both classes and of their fields are part of stored digests.
 class Strike(NamedTuple):
     """One trouble at one time: `at` until `until` (us after the start; the same where it is an instant).
 
@@ -52,7 +53,7 @@
     planned: bool
 
 
-class Timeline(NamedTuple):
+class FaultSchedule(NamedTuple):
     strikes: list[Strike]
     lives: list[Life]
 
@@ -124,7 +125,7 @@
     return {name: getattr(fault, name) for name in fault.__struct_fields__}
 
 
-def timeline(script: Script, plan: FleetPlan) -> Timeline:
+def timeline(script: Script, plan: FleetPlan) -> FaultSchedule:
     """All strikes by time, and the lives that kills, restarts and new ids leave."""
     strikes: list[Strike] = []
     for number, fault in enumerate(script.faults):
@@ -139,7 +140,7 @@
             strikes.extend(_struck(fault, _of(script, plan, fault, Random(f"{script.seed}:whom:{number}:{place}"))))
     strikes.sort(key=lambda one: (one.at, one.until, one.what, one.targets))
     strikes = [one for one in strikes if one.at < script.span]
-    return Timeline(strikes, _lives(strikes, plan))
+    return FaultSchedule(strikes, _lives(strikes, plan))
 
 
 def _struck(fault: Fault, targets: tuple[int, ...]) -> Iterator[Strike]:
@@ -204,7 +205,7 @@
     return sorted(lives, key=lambda one: (one.born, one.place))
 
 
-def digest(line: Timeline) -> str:
+def digest(line: FaultSchedule) -> str:
     """The same for the same troubles alone."""
     text = "\n".join(map(repr, [*line.strikes, *line.lives])).encode()
     return f"{len(line.strikes)}-{zlib.crc32(text):08x}"
--- a/pepperusher/rehearsal/grouping.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -10,11 +10,11 @@
 from random import Random
 from typing import Any
 
-from pepperusher.rehearsal.fleetplan import Gate
-from pepperusher.rehearsal.links import Links, Manner
-from pepperusher.rehearsal.records import Believed
+from pepperusher.rehearsal.fleet_plan import Gate
+from pepperusher.rehearsal.links import Links, LinkProperties
+from pepperusher.rehearsal.records import MembershipBelief
 from pepperusher.rehearsal.script import Grouped, Link, Script
-from pepperusher.rehearsal.troubles import Strike
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import clock
 
 KEY = "of this rehearsal alone"
@@ -23,11 +23,13 @@
 IN, SAYS = "in the group", "group: "
 
 
-def manner_of(link: Link) -> Manner:
-    return Manner(link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate)
+def link_properties(link: Link) -> LinkProperties:
+    return LinkProperties(
+        link.lost, link.twice, link.damaged, link.delay / SECOND, link.jitter / SECOND, link.size, link.rate
+    )
 
 
-def twin_of(gate: Gate, net: int) -> Gate:
+def duplicate_gate(gate: Gate, net: int) -> Gate:
     """Another place for a second process under the same name."""
     number = TWINS + gate.number
     return Gate(
@@ -43,7 +45,7 @@
     )
 
 
-class Grouping:
+class GroupRun:
     """`base` is the text of the own file that the members have beside this."""
 
     def __init__(self, script: Script, gates: list[Gate], net: int, work: Path, base: str = "") -> None:
@@ -90,7 +92,7 @@
         path.write_text(text)
         return path
 
-    def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> Believed | None:
+    def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> MembershipBelief | None:
         """A line of its log: where it listens now, or what it finds, with the time of its saying."""
         event = str(line.get("event", ""))
         if event == IN:
@@ -101,7 +103,7 @@
             return None
         said = float(line.get("time", time.time()))
         ago = max(0, round((time.time() - said) * SECOND))
-        return Believed(
+        return MembershipBelief(
             gate.number,
             clock() - ago - start,
             event.removeprefix(SAYS),
@@ -126,7 +128,7 @@
             elif fault.what == "link-cut":
                 self.links.cut(*fault.sides)
             elif fault.link is not None:
-                self.links.shape(manner_of(fault.link), *fault.sides)
+                self.links.shape(link_properties(fault.link), *fault.sides)
 
 
 def parsed(line: bytes) -> dict[str, Any]:
--- a/pepperusher/rehearsal/hollow_group_scenes.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -13,13 +13,13 @@
 from pepperusher.group.membership import MOST
 from pepperusher.group.wire import DATAGRAM
 from pepperusher.net.proxy import ACCEPT_AFTER_SIGTERM_S
-from pepperusher.rehearsal import hollow_group_books
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal import hollow_group_statistics
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_group import ALL_THERE
-from pepperusher.rehearsal.hollow_group_books import QUIET_MOST
-from pepperusher.rehearsal.hollow_group_play import PERIOD, WITHIN, GroupPlay
+from pepperusher.rehearsal.hollow_group_statistics import QUIET_MOST
+from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, HollowGroupRun
 from pepperusher.rehearsal.hollow_plan import ZONES, plan
-from pepperusher.rehearsal.nets import own_net
+from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.wire import clock
 
 # The roll takes so many names beside a member's own (group/membership.py).
@@ -40,16 +40,18 @@
 FEW = 2
 
 
-class GroupGround:
+class GroupScenarioEnvironment:
     """One stand, and the checks of a scene on it."""
 
-    def __init__(self, play: GroupPlay, period: int, quick: bool, say: Callable[[str], None], slack: float) -> None:
+    def __init__(
+        self, play: HollowGroupRun, period: int, quick: bool, say: Callable[[str], None], slack: float
+    ) -> None:
         self.play, self.quick, self.say = play, quick, say
         self.size = play.size
         self.period = period
         self.slack = slack
-        self.silence = slack * hollow_group_books.silence(self.size, period)
-        self.news = slack * hollow_group_books.news(period)
+        self.silence = slack * hollow_group_statistics.detection_time_limit(self.size, period)
+        self.news = slack * hollow_group_statistics.propagation_time_limit(period)
         self.checks: list[dict[str, Any]] = []
         self.rows: list[Row] = []
 
@@ -69,7 +71,7 @@
         self.rows = await self.play.books()
         return self.rows
 
-    def within(self, label: str, told: Reached, bound: float) -> dict[str, Any]:
+    def within(self, label: str, told: Propagation, bound: float) -> dict[str, Any]:
         self.check(
             f"{label}: at all {told.of} within {bound:.1f} s",
             told.all is not None and told.all <= bound,
@@ -77,13 +79,17 @@
         )
         return told.row()
 
-    def had(self, what: str, at: int, meant: set[int], version: int = 1) -> Reached:
+    def had(self, what: str, at: int, meant: set[int], version: int = 1) -> Propagation:
         return self.play.reached_resource(self.rows, what, version, at, meant)
 
     def lost_only(self, label: str, those: Iterable[int]) -> None:
         """Nobody is found lost but them."""
         meant = {self.name(one) for one in those}
-        wrong = {of: by for of, by in hollow_group_books.told(self.rows, "lost").items() if of not in meant}
+        wrong = {
+            of: by
+            for of, by in hollow_group_statistics.count_observations(self.rows, "lost").items()
+            if of not in meant
+        }
         self.check(f"{label}: nobody else is lost", not wrong, dict(list(wrong.items())[:5]))
 
     async def shares(self, label: str, of: int, by: Iterable[int] | None = None) -> Counter[str]:
@@ -130,7 +136,7 @@
         return None
 
 
-async def join(ground: GroupGround) -> dict[str, Any]:
+async def join(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """All at once, until each knows all."""
     at = clock()
     await ground.play.begin_all()
@@ -148,7 +154,7 @@
     return {"started_s": begun, "each_knows_all": made.row(), **costs}
 
 
-async def quiet(ground: GroupGround) -> dict[str, Any]:
+async def quiet(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Nothing happens, once the news of the joining are with all."""
     settled = await ground.settled()
     ground.check("quiet: news of the joining end", settled is not None, settled)
@@ -164,12 +170,12 @@
         "news_end_after_s": settled,
         "until_then": after,
         "datagrams_a_period": round(each, 2),
-        "suspicions": hollow_group_books.told(rows, "suspected").total(),
+        "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
         **costs,
     }
 
 
-async def killed(ground: GroupGround) -> dict[str, Any]:
+async def killed(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """One is killed: silent, and its part stays its own. It comes back under its name."""
     victim = ground.size - 1
     others = ground.everyone({victim})
@@ -194,7 +200,7 @@
     return {"lost": made, "found_again": back, **costs}
 
 
-async def left(ground: GroupGround) -> dict[str, Any]:
+async def left(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """One leaves and says so: its part is free. It comes back, and takes it again."""
     leaver = ground.size - 2
     others = ground.everyone({leaver})
@@ -213,7 +219,7 @@
     return {"gone": made, **await ground.costs()}
 
 
-async def ban(ground: GroupGround) -> dict[str, Any]:
+async def ban(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Told to one, held by all, and lifted by another."""
     made: dict[str, Any] = {}
     for number, on in ((0, True), (ground.size // 2, False)):
@@ -229,7 +235,7 @@
     return {**made, **await ground.costs()}
 
 
-async def stopped(ground: GroupGround) -> dict[str, Any]:
+async def stopped(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """A tenth stands still until all others find it lost, and goes on."""
     play = ground.play
     frozen: set[int] = set()
@@ -258,10 +264,10 @@
     rows = await ground.read()
     back = ground.within(
         "a tenth goes on: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
-    own = hollow_group_books.told([row for row in rows if row[0] in away], "lost")
+    own = hollow_group_statistics.count_observations([row for row in rows if row[0] in away], "lost")
     ground.check("a tenth goes on: those that stood still lose nobody", not own, dict(list(own.items())[:5]))
     await ground.shares("a tenth goes on", ground.size)
     return {
@@ -273,7 +279,7 @@
     }
 
 
-async def zone(ground: GroupGround) -> dict[str, Any]:
+async def zone(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """A zone is cut off and healed; a ban is called outside."""
     play = ground.play
     cut = len(play.ways) - 1
@@ -318,7 +324,7 @@
     rows = await ground.read()
     back = ground.within(
         "a zone healed: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, healed, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, healed, ground.everyone()),
         ground.silence,
     )
     taken = ground.within(
@@ -341,7 +347,7 @@
     }
 
 
-async def losing(ground: GroupGround) -> dict[str, Any]:
+async def losing(ground: GroupScenarioEnvironment) -> dict[str, Any]:
     """Every link loses three datagrams in ten for a while."""
     await ground.read()
     await ground.costs()
@@ -359,12 +365,12 @@
     rows = await ground.read()
     back = ground.within(
         "links healed: each finds all",
-        hollow_group_books.last(rows, ALL_THERE, at, ground.everyone()),
+        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
         ground.silence,
     )
     return {
-        "suspicions": hollow_group_books.told(rows, "suspected").total(),
-        "losses": hollow_group_books.told(rows, "lost").total(),
+        "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
+        "losses": hollow_group_statistics.count_observations(rows, "lost").total(),
         "lost_at_its_end": during["lost"],
         "found_again": back,
         **costs,
@@ -374,10 +380,10 @@
 STEPS = (join, quiet, killed, left, ban, stopped, zone, losing)
 # For sizes at which news of the joining go round for many minutes.
 SHORT = (join, killed, ban)
-Step = Callable[[GroupGround], Awaitable[dict[str, Any]]]
+Step = Callable[[GroupScenarioEnvironment], Awaitable[dict[str, Any]]]
 
 
-async def played(
+async def run_scenario(
     size: int,
     seed: int,
     quick: bool,
@@ -411,9 +417,9 @@
         )
         each(made[-1])
 
-    with own_net() as net:
-        play = GroupPlay(laid, seed, work, say, net, period, within)
-        ground = GroupGround(play, period, quick, say, slack)
+    with reserve_network() as net:
+        play = HollowGroupRun(laid, seed, work, say, net, period, within)
+        ground = GroupScenarioEnvironment(play, period, quick, say, slack)
         before: dict[str, int] = {}
         try:
             await ground.begin()
@@ -455,7 +461,7 @@
     return made
 
 
-async def _state(ground: GroupGround) -> dict[str, int]:
+async def _state(ground: GroupScenarioEnvironment) -> dict[str, int]:
     """What all members hold, and the processes beside."""
     _, kept = await ground.play.kinds()
     state = await ground.play.state()
--- a/pepperusher/rehearsal/hollow_play.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal import hollow_books
-from pepperusher.rehearsal.hollow_books import Reached, Row
+from pepperusher.rehearsal import hollow_statistics
+from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_control import KEY, Controls
 from pepperusher.rehearsal.hollow_plan import (
     BETWEEN,
@@ -60,12 +60,12 @@
 """
 
 
-def body_of(rows: list[dict[str, Any]]) -> bytes:
+def endpoint_list_body(rows: list[dict[str, Any]]) -> bytes:
     """A list as a resource."""
     return json.dumps({"version": 0, "full": True, "servers": rows}).encode()
 
 
-class Play:
+class HollowRun:
     """`progress` is told what happens, a line at a time."""
 
     def __init__(
@@ -119,7 +119,7 @@
                 }
             )
         )
-        self.discovery = await self._start("hollow_list", "discovery 0", str(spec))
+        self.discovery = await self._start("hollow_discovery", "discovery 0", str(spec))
         listening = (await self.discovery.said("listening", STAND_WITHIN))["listening"]
         count = max(self.plan.workers) + 1
         self.zones = [
@@ -167,7 +167,9 @@
         await controls.can_write()
         rows = [("config", "common", (self._own or "").encode())]
         rows += [("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))]
-        rows += [("endpoints", name, body_of(those)) for name, those in lists_of(self.plan, self.parts).items()]
+        rows += [
+            ("endpoints", name, endpoint_list_body(those)) for name, those in lists_of(self.plan, self.parts).items()
+        ]
         for start in range(0, len(rows), PUBLISHED_AT_ONCE):
             await asyncio.gather(*(controls.publish(*one) for one in rows[start : start + PUBLISHED_AT_ONCE]))
         self._say(f"{len(rows)} resources are written")
@@ -313,8 +315,10 @@
             "oldest_s": round(oldest / 1e6, 1),
         }
 
-    def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Reached:
-        return hollow_books.reached(rows, what, {place.view: version for place in self.plan.places}, at, meant)
+    def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Propagation:
+        return hollow_statistics.propagation_times(
+            rows, what, {place.view: version for place in self.plan.places}, at, meant
+        )
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
         """At discovery; when, and what version each view has of it."""
@@ -395,8 +399,8 @@
         return [f"{host}:{port}" for host, port in fronts]
 
     @staticmethod
-    def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Reached:
-        return hollow_books.reached(rows, "list", versions, at, meant)
+    def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Propagation:
+        return hollow_statistics.propagation_times(rows, "list", versions, at, meant)
 
     # --- what is done to it -------------------------------------------------------------------------
 
@@ -456,7 +460,7 @@
     def use(self) -> dict[str, dict[str, Any]]:
         """By role, since it was last asked for."""
         samples, self._samples = self._samples, self._samples[-1:]
-        return {role: use.row() for role, use in hollow_books.used(samples).items()}
+        return {role: use.row() for role, use in hollow_statistics.resource_usage(samples).items()}
 
     def memory(self) -> float:
         """MB of all processes together, what they share counted once for each part of it."""
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -6,8 +6,8 @@
 from html import escape
 from pathlib import Path
 
-from pepperusher.rehearsal import plots, spoken
-from pepperusher.rehearsal.experiments import Compared
+from pepperusher.rehearsal import plots, text_report
+from pepperusher.rehearsal.experiments import ArmComparison
 from pepperusher.rehearsal.results import Result
 from pepperusher.durations import said
 from pepperusher.rehearsal.tally import Group
@@ -70,7 +70,7 @@
         f"<h2>{escape(result.title)}</h2>",
         f"<p>Seed {result.seed}, {said(result.span)}, build {escape(result.build)}, played {escape(result.played_at)} by"
         f" version {escape(result.program)}; plan {escape(result.plan)}, troubles {escape(result.troubles)}.</p>",
-        f"<pre>{escape(spoken.summary(result))}</pre>",
+        f"<pre>{escape(text_report.summary(result))}</pre>",
         "<h3>Rule book</h3>",
         _rules(result),
         plots.outcomes(result),
@@ -96,7 +96,7 @@
     return "\n".join(parts)
 
 
-def _compared(made: list[Compared]) -> str:
+def _compared(made: list[ArmComparison]) -> str:
     parts = []
     for each in made:
         rows = (
@@ -118,7 +118,7 @@
     return "\n".join(parts)
 
 
-def html(results: list[Result], compared: list[Compared] | None = None) -> str:
+def html(results: list[Result], compared: list[ArmComparison] | None = None) -> str:
     title = results[0].title if len(results) == 1 else f"{len(results)} rehearsals"
     body = [f"<h1>{escape(title)}</h1>"]
     if compared:
@@ -133,5 +133,5 @@
     )
 
 
-def write(path: Path, results: list[Result], compared: list[Compared] | None = None) -> None:
+def write(path: Path, results: list[Result], compared: list[ArmComparison] | None = None) -> None:
     path.write_text(html(results, compared), encoding="utf-8")
--- a/pepperusher/rehearsal/director.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -13,17 +13,17 @@
 from pathlib import Path
 
 from pepperusher import __version__
-from pepperusher.rehearsal import arrivals, books, records, script as scripts, tally, traces, troubles
-from pepperusher.rehearsal.fleetplan import FleetPlan, Gate
-from pepperusher.rehearsal.grouping import Grouping, twin_of
-from pepperusher.rehearsal.listing import Listing
-from pepperusher.rehearsal.nets import PlayError, own_net
+from pepperusher.rehearsal import arrivals, rule_checker, records, script as scripts, tally, traces, fault_schedule
+from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate
+from pepperusher.rehearsal.group_run import GroupRun, duplicate_gate
+from pepperusher.rehearsal.discovery_server import DiscoveryServer
+from pepperusher.rehearsal.loopback_networks import RehearsalError, reserve_network
 from pepperusher.rehearsal.proxies import SAMPLE_EVERY, Runner
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.results import VERSION, Result
-from pepperusher.rehearsal.roster import Roster
+from pepperusher.rehearsal.endpoint_history import EndpointHistory
 from pepperusher.rehearsal.script import OF_LINKS, Script
-from pepperusher.rehearsal.troubles import Strike
+from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
@@ -51,7 +51,7 @@
 SETTLE = 0.3
 
 
-class Director:
+class RunController:
     """`progress` is told the time played (us) now and then; `build` is another checkout whose `serve` is
     played."""
 
@@ -67,17 +67,19 @@
         self._work = work
         self._progress = progress
         self.plan = FleetPlan(script, net)
-        self._line = troubles.timeline(script, self.plan)
+        self._line = fault_schedule.timeline(script, self.plan)
         self._start = Start()
         self._writer = Writer(work / "director.records")
-        self.listing = Listing(self.plan, self._line, Roster(script, self.plan, self._line), self._writer, self._start)
+        self.listing = DiscoveryServer(
+            self.plan, self._line, EndpointHistory(script, self.plan, self._line), self._writer, self._start
+        )
         self._script_file = work / "script.json"
-        self._script_file.write_bytes(scripts.encoded(script))
-        self.grouping: Grouping | None = None
+        self._script_file.write_bytes(scripts.encode(script))
+        self.grouping: GroupRun | None = None
         if script.proxies.group is not None:
             own = script.proxies.own
             base = (Path(script.folder) / own).read_text() if own else ""
-            self.grouping = Grouping(script, self.plan.gates, net, work, base)
+            self.grouping = GroupRun(script, self.plan.gates, net, work, base)
         self._build = build
         self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
         # Second processes under a name that is taken; what they wrote is no record of the fleet's.
@@ -174,7 +176,7 @@
 
         for turn, done in enumerate(await asyncio.gather(*map(one, self._runners), return_exceptions=True)):
             if isinstance(done, BaseException):
-                raise PlayError(str(done)) from None
+                raise RehearsalError(str(done)) from None
             gate = self.plan.gates[turn]
             if gate.tier == 0:
                 self._admitted.add(gate.number)
@@ -206,12 +208,12 @@
         self._tasks.append(loop.create_task(self._watch()))
 
     async def play(self) -> None:
-        """To the end of the load. Raises PlayError where a process of the rehearsal's own failed."""
+        """To the end of the load. Raises RehearsalError where a process of the rehearsal's own failed."""
         self.begin()
         await self.over()
 
     async def over(self) -> None:
-        """The end of a play that has begun. Raises PlayError likewise."""
+        """The end of a play that has begun. Raises RehearsalError likewise."""
         longest = max(use.outer for use in self._script.use_cases)
         within = (self._script.span + longest) / 1e6 + START_WITHIN
         sent = 0
@@ -223,7 +225,7 @@
             worker.tell(end=True)
             await worker.said("ended", START_WITHIN)
         if self._troubles:
-            raise PlayError(self._troubles[0])
+            raise RehearsalError(self._troubles[0])
 
     async def _until(self, at: int) -> None:
         while (left := self._start.at + at - clock()) > 0:
@@ -330,7 +332,7 @@
         """A second process under the name of a proxy, at another address, for a while."""
         assert self.grouping is not None
         await self.grouping.open_twin(self.plan.gates[number])
-        made = self._runner(twin_of(self.plan.gates[number], self.plan.net), True, self._aside)
+        made = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._aside)
         self._twins.append(made)
         await self._again(made)
         await self._until(until)
@@ -394,22 +396,22 @@
         self._aside.close()
         self._writer.close()
 
-    def records(self) -> books.Records:
-        kept = books.Records()
+    def records(self) -> rule_checker.Records:
+        kept = rule_checker.Records()
         for path in sorted(self._work.glob("*.records")):
             for record in records.read(path):
                 kept.add(record)
         # What ended a process at the end of the play is not what killed it within.
-        for ran in kept.ran:
+        for ran in kept.proxy_runs:
             if ran.killed >= self._end_of(kept):
                 ran.killed = -1
         return kept
 
-    def _end_of(self, kept: books.Records) -> int:
-        return max((one.ended for one in kept.tries), default=self._script.span)
+    def _end_of(self, kept: rule_checker.Records) -> int:
+        return max((one.ended for one in kept.client_attempts), default=self._script.span)
 
     @property
-    def line(self) -> troubles.Timeline:
+    def line(self) -> fault_schedule.FaultSchedule:
         return self._line
 
 
@@ -420,8 +422,8 @@
 
 async def _play(
     script: Script, net: int, work: Path, build: Path | None, progress: Callable[[int], None] | None
-) -> tuple[books.Records, Director]:
-    director = Director(script, net, work, build, progress)
+) -> tuple[rule_checker.Records, RunController]:
+    director = RunController(script, net, work, build, progress)
     try:
         await director.stand()
         await director.play()
@@ -439,10 +441,10 @@
     """Plays a script and returns its result. `work` keeps logs and records; without one they go when it is
     over.
 
-    Raises PlayError (one line), and ScriptError where a trace can't be read.
+    Raises RehearsalError (one line), and ScriptError where a trace can't be read.
     """
     digest = plan_digest(script)
-    with own_net() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
+    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
         folder = work or Path(spare)
         folder.mkdir(parents=True, exist_ok=True)
         for old in folder.glob("*.records"):
@@ -451,8 +453,8 @@
         try:
             kept, director = asyncio.run(_play(script, net, folder, build, progress))
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
-        book = books.check(script, kept)
+            raise RehearsalError(str(error)) from None
+        book = rule_checker.check(script, kept)
         names = [gate.name for gate in director.plan.gates]
         return Result(
             VERSION,
@@ -463,7 +465,7 @@
             __version__,
             int(script.span),
             digest,
-            troubles.digest(director.line),
+            fault_schedule.digest(director.line),
             book.counts,
             book.entries,
             tally.tally(script, names, kept),
--- a/pepperusher/rehearsal/solo.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from pepperusher import __version__
-from pepperusher.rehearsal import books, records, script as scripts, tally
-from pepperusher.rehearsal.director import LEAD, Director, PlayError, own_net, plan_digest
+from pepperusher.rehearsal import rule_checker, records, script as scripts, tally
+from pepperusher.rehearsal.run_controller import LEAD, RunController, RehearsalError, reserve_network, plan_digest
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.script import Script, ScriptError
 from pepperusher.rehearsal.wire import address_of, clock
@@ -36,7 +36,7 @@
     script: Script, targets: list[tuple[str, int]], work: Path, progress: Callable[[int], None] | None
 ) -> None:
     file = work / "script.json"
-    file.write_bytes(scripts.encoded(script))
+    file.write_bytes(scripts.encode(script))
     told = [{"number": number, "zone": "", "host": host, "port": port} for number, (host, port) in enumerate(targets)]
     workers = [
         await Worker.start(
@@ -76,7 +76,7 @@
 
 
 def load(script: Script, targets: list[tuple[str, int]], progress: Callable[[int], None] | None = None) -> Result:
-    """Raises PlayError."""
+    """Raises RehearsalError."""
     digest = plan_digest(script)
     with tempfile.TemporaryDirectory(prefix="load-") as spare:
         work = Path(spare)
@@ -84,8 +84,8 @@
         try:
             asyncio.run(_load(script, targets, work, progress))
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
-        kept = books.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
+            raise RehearsalError(str(error)) from None
+        kept = rule_checker.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
     names = [f"{host}:{port}" for host, port in targets]
     return Result(
         VERSION,
@@ -106,7 +106,7 @@
 
 
 async def _emulate(script: Script, net: int, work: Path, say: Callable[[str], None]) -> None:
-    director = Director(script, net, work)
+    director = RunController(script, net, work)
     try:
         await director.stand(load=False)
         for place in director.plan.places:
@@ -124,14 +124,14 @@
 
 
 def emulate(script: Script, proxies: bool, say: Callable[[str], None]) -> None:
-    """Until it is interrupted. Raises PlayError."""
+    """Until it is interrupted. Raises RehearsalError."""
     if not proxies:
         for tier in script.tiers[:1]:
             tier.proxies = 0
-    with own_net() as net, tempfile.TemporaryDirectory(prefix="emulate-") as spare:
+    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="emulate-") as spare:
         try:
             asyncio.run(_emulate(script, net, Path(spare), say))
         except KeyboardInterrupt:
             say("ended")
         except (RuntimeError, OSError) as error:
-            raise PlayError(str(error)) from None
+            raise RehearsalError(str(error)) from None
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.rehearsal import books
-from pepperusher.rehearsal.director import Director
+from pepperusher.rehearsal import rule_checker
+from pepperusher.rehearsal.run_controller import RunController
 from pepperusher.rehearsal.links import Links
-from pepperusher.rehearsal.nets import own_net
+from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.proxies import Runner
 
 from tests.rehearsal_scene import small
@@ -39,10 +39,10 @@
         stack, keeping = AsyncExitStack(), ExitStack()
         self.addCleanup(keeping.close)
         self.addAsyncCleanup(stack.aclose)
-        net = keeping.enter_context(own_net())
+        net = keeping.enter_context(reserve_network())
         self.work = Path(keeping.enter_context(tempfile.TemporaryDirectory(prefix="group-")))
         self.script = script
-        self.director = Director(script, net, self.work)
+        self.director = RunController(script, net, self.work)
         stack.push_async_callback(self.director.end)
         await self.director.stand()
         self.names = [gate.name for gate in self.director.plan.gates]
@@ -114,14 +114,14 @@
             if one.what == what
         ]
 
-    async def over(self) -> books.Records:
+    async def over(self) -> rule_checker.Records:
         """Plays on to the end of the load; tickets flowed through every proxy, and no rule is broken."""
         await self.director.over()
         await self.director.end()
         kept = self.director.records()
-        book = books.check(self.script, kept)
+        book = rule_checker.check(self.script, kept)
         self.assertEqual([], book.entries)
         for gate in self.director.plan.gates:
-            done = sum(one.how == "done" for one in kept.tries if one.proxy == gate.number)
+            done = sum(one.how == "done" for one in kept.client_attempts if one.proxy == gate.number)
             self.assertGreater(done, 5, f"through {gate.name}")
         return kept
--- a/tests/rehearsal_scene.py
+++ b/tests/rehearsal_scene.py
@@ -8,7 +8,7 @@
 from typing import Any
 from unittest import mock
 
-from pepperusher.rehearsal import director, script
+from pepperusher.rehearsal import run_controller, script
 from pepperusher.rehearsal.results import Result
 from pepperusher.rehearsal.script import Script
 
@@ -59,12 +59,12 @@
 
 
 def small(**changes: Any) -> Script:
-    return script.made(raw(**changes))
+    return script.build_script(raw(**changes))
 
 
 def played(wrong: str | None = None, **changes: Any) -> Result:
     """Played with the real proxy, or with one that is wrong on purpose."""
     if wrong is None:
-        return director.rehearse(small(**changes))
+        return run_controller.rehearse(small(**changes))
     with mock.patch.dict(os.environ, {"WRONG": wrong}):
-        return director.rehearse(small(**changes), WRONG)
+        return run_controller.rehearse(small(**changes), WRONG)
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -16,8 +16,8 @@
 from pepperusher.group.wire import DATAGRAM, Wire
 from pepperusher.group.messages import PING, SERVING, Suspicion, MemberRecord
 from pepperusher.net import clock
-from pepperusher.rehearsal.grouping import KEY
-from pepperusher.rehearsal.links import Manner
+from pepperusher.rehearsal.group_run import KEY
+from pepperusher.rehearsal.links import LinkProperties
 
 from tests.group_scene import Play
 
@@ -48,9 +48,9 @@
         kept = await self.over()
         # Whoever holds it sends no ticket there: told or not by discovery, which lists the backend as ready
         # all along.
-        late = [one for one in kept.sent if one.id == backend and one.first > held_at + 500_000]
+        late = [one for one in kept.backend_attempts if one.id == backend and one.first > held_at + 500_000]
         self.assertEqual([], late)
-        self.assertTrue([one for one in kept.sent if one.id == backend])
+        self.assertTrue([one for one in kept.backend_attempts if one.id == backend])
 
     async def test_in_thirds_one_alone_and_a_chain(self) -> None:
         await self.stand(8, 12)
@@ -91,7 +91,9 @@
         await self.until(lambda views: views["p1"]["counts"].get("probes without an answer", 0) > 2)
         await self.found(self.names[1:], self.names[1:], "alive")
         self.links.heal()
-        self.links.shape(Manner(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names)
+        self.links.shape(
+            LinkProperties(lost=0.3, twice=0.1, damaged=0.02, delay=0.005, jitter=0.04), self.names, self.names
+        )
         await self.until(
             lambda views: (
                 sum(view["counts"].get("probes without an answer", 0) for view in views.values()) > 20
@@ -256,8 +258,8 @@
         self.director._admitted.add(0)
         self.director._admit()
         kept = await self.over()
-        through = {one.name for one in kept.tries if one.proxy == 0 and one.sent > began}
-        sent = [one for one in kept.sent if one.name in through]
+        through = {one.name for one in kept.client_attempts if one.proxy == 0 and one.sent > began}
+        sent = [one for one in kept.backend_attempts if one.name in through]
         self.assertGreater(len(sent), 10)
         self.assertEqual([], [one for one in sent if one.id == backend])
 
