--- a/pepperusher/limits/__init__.py
+++ b/pepperusher/limits/__init__.py
@@ -1,2 +1,2 @@
-"""Limits before the breakers: how many tickets at once and how often, and who waits; none chooses a
-server."""
+"""Limits applied before the breakers: concurrency, rates, retries and the admission queue. None of them selects a
+backend."""
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -1,10 +1,10 @@
-"""Who is let in: so many at once, a bounded queue beyond that, shared fairly among customers; free of I/O.
+"""Admission control of a route: a concurrency limit and a bounded queue, shared fairly among customers; free of I/O.
 
-While there is room a ticket goes in. Else it waits, if it can still be in time, and gives way to nobody but
-by share: the next to go in is of the customer who has least in hand for its weight (max-min fairness), the
-first of that customer's by priority and then by coming. A full queue drops the last of whoever has most
-waiting for its weight, be it the newcomer. What can no longer be in time is dropped as soon as that is known,
-not when its time is up.
+A ticket is admitted while there is room. Otherwise it is queued if it can still finish in time. The next ticket to be
+admitted belongs to the customer with the fewest admitted tickets for its weight (max-min fairness); within that
+customer the order is priority, then arrival. A full queue drops the last ticket of the customer with the most queued
+tickets for its weight, even if that is the new one. A ticket that can no longer finish in time is dropped as soon as
+that is known, not when its deadline passes.
 """
 
 from __future__ import annotations
@@ -14,15 +14,17 @@
 
 from pepperusher.limits.gradient import Fixed, Gradient
 
-# Times taken by those let in, for what can be in time: a mean that follows the last some dozen.
-USUAL = 32
-# Customers with nothing in hand and nothing waiting are forgotten at once; others are as many as tickets in
-# hand.
+# The mean service time of admitted tickets follows about this many completions; it tells which tickets can finish in
+# time.
+SERVICE_TIME_SAMPLES = 32
+# Results of admission. Customers without admitted or queued tickets are removed at once, so there are never more of
+# them than tickets.
 ADMITTED, QUEUED, FULL, TOO_LATE = "in", "waits", "full", "late"
 
 
 class Waiting:
-    """A ticket at the gate. `on_decision` is called once with ADMITTED, FULL or TOO_LATE if it had to wait."""
+    """A ticket that requests admission. If it was queued, `on_decision` is called once with ADMITTED, FULL or
+    TOO_LATE."""
 
     __slots__ = ("customer", "priority", "arrived_at", "deadline", "order", "on_decision")
 
@@ -35,28 +37,30 @@
         self.on_decision: Callable[[str], Any] | None = None
 
 
-class _Share:
-    """One customer here."""
+class _CustomerQueue:
+    """The admitted and queued tickets of one customer."""
 
     __slots__ = ("weight", "admitted_count", "queue")
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
         self.admitted_count = 0
-        self.queue: list[Waiting] = []  # by priority, then coming; emptied as they go in or are dropped
+        self.queue: list[Waiting] = []  # by priority, then arrival
 
 
 class Gate:
-    """One route's gate. `weights` by customer, 1 for others. A change of terms keeps who is inside and who
-    waits."""
+    """Admission control of one route. `weights` is by customer, 1 for customers that it does not name.
 
-    def __init__(self, limit: Gradient | Fixed, queue: int, weights: dict[str, float]) -> None:
+    A change of settings keeps the admitted and the queued tickets.
+    """
+
+    def __init__(self, limit: Gradient | Fixed, max_waiting: int, weights: dict[str, float]) -> None:
         self._limit = limit
-        self._most_waiting = queue
+        self._max_waiting = max_waiting
         self._weights = weights
-        self._shares: dict[str, _Share] = {}  # emptied as customers have nothing here
+        self._customers: dict[str, _CustomerQueue] = {}  # only customers with admitted or queued tickets
         self._order = 0
-        self._usual = 0.0
+        self._mean_service_time = 0.0
         self.admitted_count = 0
         self.waiting = 0
 
@@ -66,134 +70,144 @@
 
     @property
     def adaptive(self) -> Gradient | None:
-        """The limit, where it is one that follows."""
+        """The limit, if it is adaptive."""
         return self._limit if isinstance(self._limit, Gradient) else None
 
     @property
     def mean_service_time(self) -> int:
-        """How long one that was let in takes lately (us)."""
-        return int(self._usual)
-
-    def change(self, limit: Gradient | Fixed, queue: int, weights: dict[str, float], now: int) -> None:
-        """Other terms. A limit that became less lets none go, and waits for those inside to leave."""
-        self._limit, self._most_waiting, self._weights = limit, queue, weights
-        for name, share in self._shares.items():
-            share.weight = self._weight(name)
-        while self.waiting > self._most_waiting:
+        """Recent mean time from admission to release (us)."""
+        return int(self._mean_service_time)
+
+    def change(self, limit: Gradient | Fixed, max_waiting: int, weights: dict[str, float], now: int) -> None:
+        """Applies new settings. If the limit is lowered, admitted tickets continue and no new ones are admitted until
+        enough of them have been released."""
+        self._limit, self._max_waiting, self._weights = limit, max_waiting, weights
+        for name, customer in self._customers.items():
+            customer.weight = self._weight(name)
+        while self.waiting > self._max_waiting:
             self._drop_last(FULL)
-        self._let_in(now)
+        self._admit_queued(now)
 
     def _weight(self, customer: str) -> float:
         return max(1e-6, self._weights.get(customer, 1.0))
 
-    def _share(self, customer: str) -> _Share:
-        share = self._shares.get(customer)
-        if share is None:
-            share = self._shares[customer] = _Share(self._weight(customer))
-        return share
+    def _customer_queue(self, customer: str) -> _CustomerQueue:
+        found = self._customers.get(customer)
+        if found is None:
+            found = self._customers[customer] = _CustomerQueue(self._weight(customer))
+        return found
 
-    def _tidy(self, customer: str) -> None:
-        share = self._shares.get(customer)
-        if share is not None and not share.admitted_count and not share.queue:
-            del self._shares[customer]
+    def _remove_if_idle(self, customer: str) -> None:
+        found = self._customers.get(customer)
+        if found is not None and not found.admitted_count and not found.queue:
+            del self._customers[customer]
 
-    def enter(self, customer: str, priority: int, now: int, until: int) -> tuple[str, Waiting]:
-        """ADMITTED, QUEUED (then `on_decision` is told), FULL, or TOO_LATE: it could not be in time."""
+    def enter(self, customer: str, priority: int, now: int, deadline: int) -> tuple[str, Waiting]:
+        """Returns ADMITTED, QUEUED (`on_decision` is called later), FULL, or TOO_LATE if the ticket could not finish
+        in time."""
         self._order += 1
-        one = Waiting(customer, priority, now, until, self._order)
+        ticket = Waiting(customer, priority, now, deadline, self._order)
         if self.admitted_count < self.limit and not self.waiting:
-            self._take(one)
-            return ADMITTED, one
-        if now + self._wait_of(customer) + self._usual >= until:
-            return TOO_LATE, one
-        if self._most_waiting <= 0:
-            return FULL, one
-        share = self._share(customer)
-        share.queue.append(one)
-        share.queue.sort(key=lambda other: (-other.priority, other.order))
+            self._admit(ticket)
+            return ADMITTED, ticket
+        if now + self._expected_wait(customer) + self._mean_service_time >= deadline:
+            return TOO_LATE, ticket
+        if self._max_waiting <= 0:
+            return FULL, ticket
+        found = self._customer_queue(customer)
+        found.queue.append(ticket)
+        found.queue.sort(key=lambda other: (-other.priority, other.order))
         self.waiting += 1
-        if self.waiting > self._most_waiting and self._drop_last(FULL) is one:
-            return FULL, one
-        return QUEUED, one
-
-    def _wait_of(self, customer: str) -> float:
-        """How long one more of this customer's would wait, if all inside took as long as lately: its share of
-        the places comes free in turn."""
-        share = self._shares.get(customer)
-        if share is None or not share.queue:
+        if self.waiting > self._max_waiting and self._drop_last(FULL) is ticket:
+            return FULL, ticket
+        return QUEUED, ticket
+
+    def _expected_wait(self, customer: str) -> float:
+        """Estimates the queueing time of one more ticket of this customer, from its share of the limit and the recent
+        mean service time."""
+        found = self._customers.get(customer)
+        if found is None or not found.queue:
             ahead = 0
         else:
-            ahead = len(share.queue)
-        weights = sum(one.weight for one in self._shares.values()) + (0 if share else self._weight(customer))
-        part = max(1e-6, (share.weight if share else self._weight(customer)) / weights)
-        return self._usual * (ahead + 0.5) / max(1.0, self.limit * part)
+            ahead = len(found.queue)
+        weights = sum(other.weight for other in self._customers.values()) + (0 if found else self._weight(customer))
+        fraction = max(1e-6, (found.weight if found else self._weight(customer)) / weights)
+        return self._mean_service_time * (ahead + 0.5) / max(1.0, self.limit * fraction)
 
-    def _take(self, one: Waiting) -> None:
-        self._share(one.customer).admitted_count += 1
+    def _admit(self, ticket: Waiting) -> None:
+        self._customer_queue(ticket.customer).admitted_count += 1
         self.admitted_count += 1
 
-    def release(self, customer: str, took: int, worked: bool, now: int) -> None:
-        """One that was in is over. `worked` where its time tells of the servers: done, failed or timed
-        out."""
-        share = self._shares[customer]
-        share.admitted_count -= 1
+    def release(self, customer: str, duration: int, worked: bool, now: int) -> None:
+        """Releases an admitted ticket. `worked` is set if its duration reflects the backends: it succeeded, failed or
+        timed out."""
+        found = self._customers[customer]
+        found.admitted_count -= 1
         if worked:
-            self._limit.heard(took, self.admitted_count)
-            self._usual += (took - self._usual) / USUAL if self._usual else took
+            self._limit.record(duration, self.admitted_count)
+            self._mean_service_time += (
+                (duration - self._mean_service_time) / SERVICE_TIME_SAMPLES if self._mean_service_time else duration
+            )
         self.admitted_count -= 1
-        self._tidy(customer)
-        self._let_in(now)
-
-    def withdraw(self, one: Waiting) -> None:
-        """Its client left, or its time is over: it waits no more."""
-        share = self._shares.get(one.customer)
-        if share is not None and one in share.queue:
-            share.queue.remove(one)
+        self._remove_if_idle(customer)
+        self._admit_queued(now)
+
+    def withdraw(self, ticket: Waiting) -> None:
+        """Removes a queued ticket whose client disconnected or whose deadline passed."""
+        found = self._customers.get(ticket.customer)
+        if found is not None and ticket in found.queue:
+            found.queue.remove(ticket)
             self.waiting -= 1
-            self._tidy(one.customer)
+            self._remove_if_idle(ticket.customer)
 
-    def _let_in(self, now: int) -> None:
+    def _admit_queued(self, now: int) -> None:
+        """Admits queued tickets while there is room, and drops those that can no longer finish in time."""
         while self.waiting and self.admitted_count < self.limit:
-            name, share = min(
-                ((name, share) for name, share in self._shares.items() if share.queue),
+            name, customer = min(
+                ((name, customer) for name, customer in self._customers.items() if customer.queue),
                 key=lambda pair: (pair[1].admitted_count / pair[1].weight, pair[1].queue[0].order),
             )
-            one = share.queue.pop(0)
+            ticket = customer.queue.pop(0)
             self.waiting -= 1
-            if now + self._usual >= one.deadline:
-                self._tidy(name)
-                self._told(one, TOO_LATE)
+            if now + self._mean_service_time >= ticket.deadline:
+                self._remove_if_idle(name)
+                self._notify(ticket, TOO_LATE)
                 continue
-            self._take(one)
-            self._told(one, ADMITTED)
+            self._admit(ticket)
+            self._notify(ticket, ADMITTED)
 
-    def _drop_last(self, why: str) -> Waiting:
-        """Of whoever has most waiting for its weight, the last."""
-        name, share = max(
-            ((name, share) for name, share in self._shares.items() if share.queue),
+    def _drop_last(self, decision: str) -> Waiting:
+        """Drops the last queued ticket of the customer with the most queued tickets for its weight."""
+        name, customer = max(
+            ((name, customer) for name, customer in self._customers.items() if customer.queue),
             key=lambda pair: (len(pair[1].queue) / pair[1].weight, pair[1].queue[-1].order),
         )
-        one = share.queue.pop()
+        ticket = customer.queue.pop()
         self.waiting -= 1
-        self._tidy(name)
-        self._told(one, why)
-        return one
+        self._remove_if_idle(name)
+        self._notify(ticket, decision)
+        return ticket
 
     @staticmethod
-    def _told(one: Waiting, how: str) -> None:
-        if one.on_decision is not None:
-            one.on_decision(how)
+    def _notify(ticket: Waiting, decision: str) -> None:
+        if ticket.on_decision is not None:
+            ticket.on_decision(decision)
 
     def limit_deadlines(self, latest: int) -> None:
-        """Who waits is to be in and over by then, or is late."""
-        for share in self._shares.values():
-            for one in share.queue:
-                one.deadline = min(one.deadline, latest)
+        """Limits the deadlines of all queued tickets."""
+        for customer in self._customers.values():
+            for ticket in customer.queue:
+                ticket.deadline = min(ticket.deadline, latest)
 
     def sweep(self, now: int) -> int:
-        """Drops those that can no longer be in time; how many."""
-        late = [one for share in self._shares.values() for one in share.queue if now + self._usual >= one.deadline]
-        for one in late:
-            self.withdraw(one)
-            self._told(one, TOO_LATE)
+        """Drops queued tickets that can no longer finish in time, and returns how many."""
+        late = [
+            ticket
+            for customer in self._customers.values()
+            for ticket in customer.queue
+            if now + self._mean_service_time >= ticket.deadline
+        ]
+        for ticket in late:
+            self.withdraw(ticket)
+            self._notify(ticket, TOO_LATE)
         return len(late)
--- a/pepperusher/limits/gradient.py
+++ b/pepperusher/limits/gradient.py
@@ -1,92 +1,107 @@
-"""How many at once: a limit that follows the times of what it lets through.
-
-The method is the gradient of Netflix's concurrency limits (Gradient, 2018): the time without waiting over the
-time now tells how much of a time is waiting. While times stand as without waiting the limit grows by the
-square root of itself, which probes for room; where they grow by more than `tolerance` it shrinks in
-proportion, by half at the most. Chosen over additive increase with halving on errors (TCP's), which needs
-errors to learn, and over Vegas, whose least time ever seen stays wrong for good after a release made all
-slower.
-
-The later Gradient2 takes a long mean for the time without waiting, and was tried: under steady overload its
-mean follows the waiting that the limit itself lets grow, and the limit went to its end
-(tests/test_limits.py). Here the time without waiting is the least short mean of the last two spells, and each
-spell begins with a dip to half the limit, in which waiting goes and the least is seen again, as the first
-Gradient's probes do.
-
-Departures: what is answered without being worked on (turned away, bounced) is no time; and a limit of which
-less than half is used is no test of it, and does not grow.
+"""An adaptive concurrency limit that follows the latency of the calls it admits.
+
+The method is the gradient of Netflix's concurrency-limits (Gradient, 2018): the ratio of the latency without queueing
+to the current latency shows how much of a call is queueing. While latency stays at its level without queueing, the
+limit grows by its square root to probe for capacity; when latency exceeds that level by more than `tolerance`, the
+limit shrinks in proportion, by half at most. Two alternatives were rejected: additive increase with halving on errors,
+as in TCP, needs errors to learn from, and Vegas keeps the lowest latency ever seen, which stays wrong after a release
+that makes every call slower.
+
+The later Gradient2 takes a long-term mean as the latency without queueing. Under steady overload that mean follows the
+queueing that the limit itself lets grow, and the limit rises to its maximum (tests/test_limits.py). Here the latency
+without queueing is the lower of the mean latencies in the last two dips. Each cycle begins with such a dip to half the
+limit, in which queues drain, like the probes of the first Gradient.
+
+Differences from Gradient: calls that are answered without being worked on (turned away, bounced) are no samples, and
+the limit does not grow while less than half of it is used.
 """
 
 from __future__ import annotations
 
 from math import inf, sqrt
 
-# Times in the mean now, in a spell, and in the dip at its begin.
-SHORT = 50
-SPELL = 600
-DIP = 60
-# Of a dip the first that end began before it.
-DIP_SETTLES = 10
-# The part of each new limit that is taken.
-SMOOTH = 0.2
-USED = 0.5
+# Numbers of samples in the short-term mean, in a cycle, and in the dip at its start.
+SHORT_MEAN_SAMPLES = 50
+CYCLE_SAMPLES = 600
+DIP_SAMPLES = 60
+# Samples at the start of a dip that are ignored, because their calls began before it.
+DIP_IGNORED_SAMPLES = 10
+# Weight of each newly computed limit in the smoothed one.
+SMOOTHING = 0.2
+MIN_USED_SHARE = 0.5
 
 
 class Gradient:
-    """`limit` moves between `least` and `most`."""
-
-    __slots__ = ("_limit", "_least", "_most", "_tolerance", "_short", "_seen", "_before", "_dip", "_in_dip")
-
-    def __init__(self, least: int, most: int, start: int, tolerance: float) -> None:
-        self._limit = float(start)
-        self._short = 0.0
-        self._seen = 0
-        self._before = inf  # the mean of the dip before the last
-        self._dip = inf  # of the last, or of this one so far
-        self._in_dip = 0
-        self.change(least, most, tolerance)
-
-    def change(self, least: int, most: int, tolerance: float) -> None:
-        self._least, self._most, self._tolerance = least, most, tolerance
-        self._limit = min(float(most), max(float(least), self._limit))
+    """An adaptive limit between a minimum and a maximum."""
+
+    __slots__ = (
+        "_limit",
+        "_min_limit",
+        "_max_limit",
+        "_tolerance",
+        "_short_mean",
+        "_sample_count",
+        "_previous_dip_mean",
+        "_dip_mean",
+        "_dip_sample_count",
+    )
+
+    def __init__(self, min_limit: int, max_limit: int, initial_limit: int, tolerance: float) -> None:
+        self._limit = float(initial_limit)
+        self._short_mean = 0.0
+        self._sample_count = 0
+        self._previous_dip_mean = inf  # mean latency in the previous dip
+        self._dip_mean = inf  # mean latency in the latest dip, or so far in the current one
+        self._dip_sample_count = 0
+        self.change(min_limit, max_limit, tolerance)
+
+    def change(self, min_limit: int, max_limit: int, tolerance: float) -> None:
+        self._min_limit, self._max_limit, self._tolerance = min_limit, max_limit, tolerance
+        self._limit = min(float(max_limit), max(float(min_limit), self._limit))
 
     @property
-    def _dips(self) -> bool:
-        return self._seen % SPELL < DIP
+    def _is_dip(self) -> bool:
+        return self._sample_count % CYCLE_SAMPLES < DIP_SAMPLES
 
     @property
     def limit(self) -> float:
-        # Not at the first: nothing waits yet that would have to go.
-        return max(float(self._least), self._limit / 2.0) if self._dips and self._seen >= SPELL else self._limit
-
-    def heard(self, took: int, in_use: int) -> None:
-        """One that was let through took so long (us), while `in_use` were."""
-        dips = self._dips
-        self._seen += 1
-        # The first ones are the mean itself.
-        self._short += (took - self._short) / min(SHORT, self._seen)
-        if dips:
-            if (self._seen - 1) % SPELL == DIP_SETTLES:
-                self._before, self._dip, self._in_dip = self._dip, 0.0, 0
-            if (self._seen - 1) % SPELL >= DIP_SETTLES:
-                self._in_dip += 1
-                self._dip += (took - self._dip) / self._in_dip
+        # The first cycle has no dip, since no queue has formed yet.
+        return (
+            max(float(self._min_limit), self._limit / 2.0)
+            if self._is_dip and self._sample_count >= CYCLE_SAMPLES
+            else self._limit
+        )
+
+    def record(self, duration: int, in_use: int) -> None:
+        """Records the duration (us) of a call that ended while `in_use` calls were admitted."""
+        is_dip = self._is_dip
+        self._sample_count += 1
+        # The first samples are averaged with equal weights.
+        self._short_mean += (duration - self._short_mean) / min(SHORT_MEAN_SAMPLES, self._sample_count)
+        if is_dip:
+            if (self._sample_count - 1) % CYCLE_SAMPLES == DIP_IGNORED_SAMPLES:
+                self._previous_dip_mean, self._dip_mean, self._dip_sample_count = self._dip_mean, 0.0, 0
+            if (self._sample_count - 1) % CYCLE_SAMPLES >= DIP_IGNORED_SAMPLES:
+                self._dip_sample_count += 1
+                self._dip_mean += (duration - self._dip_mean) / self._dip_sample_count
             return
-        if in_use < self._limit * USED:
+        if in_use < self._limit * MIN_USED_SHARE:
             return
-        without = min(self._before, self._dip)
-        gradient = max(0.5, min(1.0, self._tolerance * without / max(1.0, self._short)))
-        wanted = self._limit * gradient + sqrt(self._limit)
-        self._limit = min(float(self._most), max(float(self._least), (1.0 - SMOOTH) * self._limit + SMOOTH * wanted))
+        unqueued = min(self._previous_dip_mean, self._dip_mean)
+        gradient = max(0.5, min(1.0, self._tolerance * unqueued / max(1.0, self._short_mean)))
+        new_limit = self._limit * gradient + sqrt(self._limit)
+        self._limit = min(
+            float(self._max_limit), max(float(self._min_limit), (1.0 - SMOOTHING) * self._limit + SMOOTHING * new_limit)
+        )
 
 
 class Fixed:
-    """A limit that stands."""
+    """A constant limit."""
 
     __slots__ = ("limit",)
 
     def __init__(self, limit: int) -> None:
         self.limit = float(limit)
 
-    def heard(self, took: int, in_use: int) -> None:
+    def record(self, duration: int, in_use: int) -> None:
         pass
--- a/pepperusher/limits/rate.py
+++ b/pepperusher/limits/rate.py
@@ -1,122 +1,127 @@
-"""How often: a token bucket that says when to come back, and retries held to a share of what was done."""
+"""Rate limits: token buckets that return the time until the next token, and a retry budget."""
 
 from __future__ import annotations
 
 
 class Bucket:
-    """`rate` a second in the long run, `burst` at once. Times are us."""
+    """A token bucket: `rate` tokens a second on average, at most `burst` at once. Times are microseconds."""
 
-    __slots__ = ("rate", "burst", "_held", "_at")
+    __slots__ = ("rate", "burst", "_tokens", "_updated_at")
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
         self.rate = rate
         self.burst = burst
-        self._held = burst
-        self._at = now
+        self._tokens = burst
+        self._updated_at = now
 
     def change(self, rate: float, burst: float) -> None:
-        """Other terms from now on; what is held stays, up to the new burst: a change is no new burst."""
+        """Applies new limits. The tokens stay, up to the new burst, so a change grants no extra burst."""
         self.rate, self.burst = rate, burst
-        self._held = min(self._held, burst)
+        self._tokens = min(self._tokens, burst)
 
-    def _fill(self, now: int) -> None:
-        self._held = min(self.burst, self._held + self.rate * max(0, now - self._at) / 1e6)
-        self._at = max(self._at, now)
+    def _refill(self, now: int) -> None:
+        """Adds the tokens that are due since the last call."""
+        self._tokens = min(self.burst, self._tokens + self.rate * max(0, now - self._updated_at) / 1e6)
+        self._updated_at = max(self._updated_at, now)
 
     def take(self, now: int) -> int:
-        """0 and one is taken, or in how long (us) there is one."""
-        self._fill(now)
-        if self._held >= 1.0:
-            self._held -= 1.0
+        """Takes a token and returns 0, or returns the time (us) until one is available; -1 if never."""
+        self._refill(now)
+        if self._tokens >= 1.0:
+            self._tokens -= 1.0
             return 0
-        return max(1, round((1.0 - self._held) / self.rate * 1e6)) if self.rate > 0 else -1
+        return max(1, round((1.0 - self._tokens) / self.rate * 1e6)) if self.rate > 0 else -1
 
-    def full(self, now: int) -> bool:
-        """Whether it has stood unused until it was full, so that it can be forgotten without a loss."""
-        self._fill(now)
-        return self._held >= self.burst
+    def is_full(self, now: int) -> bool:
+        """Returns whether it has refilled completely, so that it can be removed without a loss."""
+        self._refill(now)
+        return self._tokens >= self.burst
 
 
 class Buckets:
-    """One bucket a customer, made as they come. Those that stand full are forgotten, and if `most` stand in
-    use, those who are new share one: customers are outsiders' words, and a flood of names must not be a flood
-    of memory."""
+    """One token bucket per customer, created on first use.
 
-    def __init__(self, rate: float, burst: float, most: int = 1000) -> None:
+    Full buckets are removed. While `max_buckets` of them are in use, new customers share one: customer names come from
+    outside, and a flood of names must not exhaust memory.
+    """
+
+    def __init__(self, rate: float, burst: float, max_buckets: int = 1000) -> None:
         self._rate = rate
         self._burst = burst
-        self._most = most
-        self._held: dict[str, Bucket] = {}  # emptied when full, MOST at the most
-        self._others: Bucket | None = None
+        self._max_buckets = max_buckets
+        self._buckets: dict[str, Bucket] = {}  # removed when full; at most `max_buckets`
+        self._shared_bucket: Bucket | None = None
 
     def change(self, rate: float, burst: float) -> None:
         self._rate, self._burst = rate, burst
-        for bucket in (*self._held.values(), *(() if self._others is None else (self._others,))):
+        for bucket in (*self._buckets.values(), *(() if self._shared_bucket is None else (self._shared_bucket,))):
             bucket.change(rate, burst)
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._buckets)
 
     def take(self, customer: str, now: int) -> int:
-        """0 and one is taken, or in how long (us) there is one; -1 never."""
-        bucket = self._held.get(customer)
+        """Takes a token and returns 0, or returns the time (us) until one is available; -1 if never."""
+        bucket = self._buckets.get(customer)
         if bucket is None:
-            if len(self._held) >= self._most:
+            if len(self._buckets) >= self._max_buckets:
                 self.sweep(now)
-            if len(self._held) >= self._most:
-                if self._others is None:
-                    self._others = Bucket(self._rate, self._burst, now)
-                return self._others.take(now)
-            bucket = self._held[customer] = Bucket(self._rate, self._burst, now)
+            if len(self._buckets) >= self._max_buckets:
+                if self._shared_bucket is None:
+                    self._shared_bucket = Bucket(self._rate, self._burst, now)
+                return self._shared_bucket.take(now)
+            bucket = self._buckets[customer] = Bucket(self._rate, self._burst, now)
         return bucket.take(now)
 
     def sweep(self, now: int) -> None:
-        for customer, bucket in list(self._held.items()):
-            if bucket.full(now):
-                del self._held[customer]
+        """Removes full buckets."""
+        for customer, bucket in list(self._buckets.items()):
+            if bucket.is_full(now):
+                del self._buckets[customer]
 
 
 class RetryBudget:
-    """Further attempts are held to `share` of first ones, and `floor` a second in any case.
+    """Limits retries to `ratio` of the first attempts, plus `min_rate` a second in any case.
 
-    As Finagle's RetryBudget has it: each first attempt puts in `share`, each further one takes out 1,
-    and what is put in is gone after `span`. Kept by tenths of the span, so it holds ten figures.
+    As in Finagle's RetryBudget, each first attempt deposits `ratio`, each retry withdraws 1, and deposits expire after
+    `span`. The counts are kept for ten equal parts of the span.
     """
 
-    __slots__ = ("_share", "_floor", "_tenth", "_firsts", "_furthers", "_at")
+    __slots__ = ("_ratio", "_min_rate", "_part_us", "_first_attempts", "_retries", "_current_part")
 
-    def __init__(self, share: float, floor: float, span: int, now: int) -> None:
-        self._share = share
-        self._floor = floor
-        self._tenth = max(1, span // 10)
-        self._firsts = [0] * 10
-        self._furthers = [0] * 10
-        self._at = now // self._tenth
+    def __init__(self, ratio: float, min_rate: float, span: int, now: int) -> None:
+        self._ratio = ratio
+        self._min_rate = min_rate
+        self._part_us = max(1, span // 10)
+        self._first_attempts = [0] * 10
+        self._retries = [0] * 10
+        self._current_part = now // self._part_us
 
-    def change(self, share: float, floor: float) -> None:
-        self._share, self._floor = share, floor
+    def change(self, ratio: float, min_rate: float) -> None:
+        self._ratio, self._min_rate = ratio, min_rate
 
-    def _turn(self, now: int) -> int:
-        at = now // self._tenth
-        for passed in range(self._at + 1, min(at, self._at + 10) + 1):
-            self._firsts[passed % 10] = self._furthers[passed % 10] = 0
-        self._at = max(self._at, at)
-        return self._at % 10
+    def _advance(self, now: int) -> int:
+        """Clears the parts of the span that have expired; returns the index of the current part."""
+        current = now // self._part_us
+        for expired in range(self._current_part + 1, min(current, self._current_part + 10) + 1):
+            self._first_attempts[expired % 10] = self._retries[expired % 10] = 0
+        self._current_part = max(self._current_part, current)
+        return self._current_part % 10
 
     def record_first_attempt(self, now: int) -> None:
-        self._firsts[self._turn(now)] += 1
+        self._first_attempts[self._advance(now)] += 1
 
     def try_retry(self, now: int) -> bool:
-        """Whether one more may go; if so it is counted."""
-        place = self._turn(now)
-        allowed = self._share * sum(self._firsts) + self._floor * self._tenth * 10 / 1e6
-        if sum(self._furthers) + 1 > allowed:
+        """Returns whether one more retry is allowed, and counts it if so."""
+        index = self._advance(now)
+        allowed = self._ratio * sum(self._first_attempts) + self._min_rate * self._part_us * 10 / 1e6
+        if sum(self._retries) + 1 > allowed:
             return False
-        self._furthers[place] += 1
+        self._retries[index] += 1
         return True
 
     def refund_retry(self, now: int) -> None:
-        """One that was counted did not go."""
-        place = self._turn(now)
-        if self._furthers[place]:
-            self._furthers[place] -= 1
+        """Refunds a counted retry that was not sent."""
+        index = self._advance(now)
+        if self._retries[index]:
+            self._retries[index] -= 1
