--- a/pepperusher/routes/__init__.py
+++ b/pepperusher/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Routes: which one a ticket is of, and how its terms narrow what the decisions may do."""
+"""Routes: matching tickets to them, and the limits that their settings place on the balancer's decisions."""
--- a/pepperusher/routes/match.py
+++ b/pepperusher/routes/match.py
@@ -1,9 +1,9 @@
-"""Which route a ticket is of: method, path template, host and headers, the most exact first; free of I/O.
+"""Matches tickets to routes by method, path template, host and headers; the most specific match wins. Free of I/O.
 
-A route is more exact than another if all that it matches the other matches too. Two that could match the same
-ticket with neither more exact are a conflict, said at load, so at run time at most one answer is right.
-Exactness is counted in points so that a subset always has more of them: sorting by points is an order that
-the subsets agree with.
+A route is more specific than another if the other matches everything that it matches. Two routes that can match the
+same ticket without either being more specific are a conflict, which is reported when the configuration is loaded; so
+the match is unambiguous at run time. Specificity is counted in points, of which the more specific of two such routes
+always has more, so sorting by points respects that order.
 """
 
 from __future__ import annotations
@@ -14,56 +14,56 @@
 
 METHODS = ("GET", "POST", "PUT", "PATCH", "DELETE", "HEAD", "OPTIONS")
 SEGMENT = re.compile(r"[A-Za-z0-9._~!$&'()*+,;=:@%-]+")
-NAMED = re.compile(r"\{([A-Za-z_][A-Za-z0-9_]*)\}")
-REST = re.compile(r"\{([A-Za-z_][A-Za-z0-9_]*)\*\}")
+NAMED_SEGMENT = re.compile(r"\{([A-Za-z_][A-Za-z0-9_]*)\}")
+REMAINING_SEGMENTS = re.compile(r"\{([A-Za-z_][A-Za-z0-9_]*)\*\}")
 HOST = re.compile(r"(\*\.)?[a-z0-9-]+(\.[a-z0-9-]+)*")
 HEADER = re.compile(r"[a-z0-9!#$%&'*+.^_`|~-]+")
-MOST_SEGMENTS = 32
+MAX_SEGMENTS = 32
 
-# A segment of a template: a literal text, or any one (""), and at the end maybe all the rest.
+# A wildcard segment in a template. Other segments are literal text.
 ANY = ""
 
 
 class TemplateError(ValueError):
-    """A pattern that can't be read; its text says which part."""
+    """An invalid pattern; the text names the invalid part."""
 
 
 class Template(NamedTuple):
-    """A path template: its segments, ANY for a named one, and whether any more may follow."""
+    """A path template: its segments, ANY for a named one, and whether further segments may follow."""
 
     segments: tuple[str, ...]
-    rest: bool
+    matches_rest: bool
 
 
 def template(text: str) -> Template:
-    """From "/orders/{id}/lines" or "/files/{path*}". Raises TemplateError."""
+    """Parses a template such as "/orders/{id}/lines" or "/files/{path*}". Raises TemplateError."""
     if not text.startswith("/"):
         raise TemplateError(f"{text!r} does not begin with /")
-    made: list[str] = []
-    names: set[str] = set()
+    segments: list[str] = []
+    parameters: set[str] = set()
     parts = text[1:].split("/") if text != "/" else []
-    if len(parts) > MOST_SEGMENTS:
-        raise TemplateError(f"{text!r} has over {MOST_SEGMENTS} parts")
-    for number, part in enumerate(parts):
-        named = NAMED.fullmatch(part) or REST.fullmatch(part)
-        if named:
-            if named[1] in names:
-                raise TemplateError(f"{text!r} has two of {{{named[1]}}}")
-            names.add(named[1])
+    if len(parts) > MAX_SEGMENTS:
+        raise TemplateError(f"{text!r} has more than {MAX_SEGMENTS} segments")
+    for index, part in enumerate(parts):
+        parameter = NAMED_SEGMENT.fullmatch(part) or REMAINING_SEGMENTS.fullmatch(part)
+        if parameter:
+            if parameter[1] in parameters:
+                raise TemplateError(f"{text!r} names {{{parameter[1]}}} twice")
+            parameters.add(parameter[1])
             if part.endswith("*}"):
-                if number != len(parts) - 1:
-                    raise TemplateError(f"{text!r} goes on after {part}")
-                return Template(tuple(made), True)
-            made.append(ANY)
+                if index != len(parts) - 1:
+                    raise TemplateError(f"{text!r} continues after {part}")
+                return Template(tuple(segments), True)
+            segments.append(ANY)
         elif SEGMENT.fullmatch(part):
-            made.append(part)
+            segments.append(part)
         else:
-            raise TemplateError(f"{text!r} has {part!r}, which is neither a text nor {{name}}")
-    return Template(tuple(made), False)
+            raise TemplateError(f"{text!r} has {part!r}, which is neither a literal segment nor {{name}}")
+    return Template(tuple(segments), False)
 
 
 class Pattern(NamedTuple):
-    """What a route matches; "" and empty where it does not care. `host` may begin with "*."."""
+    """The conditions of a route; an empty value matches anything. `host` may begin with "*."."""
 
     method: str
     path: Template
@@ -72,8 +72,8 @@
 
     @property
     def points(self) -> int:
-        """More for what is more exact: a subset always has more than what holds it."""
-        path = sum(2 if segment else 1 for segment in self.path.segments) + (0 if self.path.rest else 1)
+        """The specificity. If a pattern matches everything that another one matches, the other one has more points."""
+        path = sum(2 if segment else 1 for segment in self.path.segments) + (0 if self.path.matches_rest else 1)
         host = 0 if not self.host else 1 if self.host.startswith("*.") else 2
         if host == 1:
             host = 1 + self.host.count(".")
@@ -83,38 +83,39 @@
 
 
 def pattern(method: str, path: str, host: str, headers: Mapping[str, str]) -> Pattern:
-    """Raises TemplateError."""
+    """Builds a pattern from its settings. Raises TemplateError."""
     if method and method not in METHODS:
-        raise TemplateError(f"{method!r} is none of {', '.join(METHODS)}")
+        raise TemplateError(f"{method!r} is not one of {', '.join(METHODS)}")
     if host and not HOST.fullmatch(host):
-        raise TemplateError(f"{host!r} is no host in small letters, as api.local or *.local")
+        raise TemplateError(f"{host!r} is not a lower-case host such as api.local or *.local")
     for name in headers:
         if not HEADER.fullmatch(name):
-            raise TemplateError(f"{name!r} is no header's name in small letters")
+            raise TemplateError(f"{name!r} is not a lower-case header name")
     if len(headers) > 19:
-        raise TemplateError("over 19 headers")
+        raise TemplateError("more than 19 headers")
     return Pattern(method, template(path), host, tuple(sorted(headers.items())))
 
 
-# --- how two patterns lie to each other ------------------------------------------------------------
+# --- relations between patterns ----------------------------------------------------------------
 
 
-def _paths_meet(a: Template, b: Template) -> bool:
-    for one, other in zip(a.segments, b.segments):
-        if one and other and one != other:
+def _paths_overlap(a: Template, b: Template) -> bool:
+    """Returns whether one path could match both templates."""
+    for left, right in zip(a.segments, b.segments):
+        if left and right and left != right:
             return False
     longer, shorter = (a, b) if len(a.segments) >= len(b.segments) else (b, a)
-    return len(a.segments) == len(b.segments) or shorter.rest
+    return len(a.segments) == len(b.segments) or shorter.matches_rest
 
 
-def _path_within(a: Template, b: Template) -> bool:
-    """Whether all that `a` matches `b` matches."""
-    if len(a.segments) < len(b.segments) or any(other and one != other for one, other in zip(a.segments, b.segments)):
+def _path_contained(a: Template, b: Template) -> bool:
+    """Returns whether `b` matches every path that `a` matches."""
+    if len(a.segments) < len(b.segments) or any(right and left != right for left, right in zip(a.segments, b.segments)):
         return False
-    return b.rest or not a.rest and len(a.segments) == len(b.segments)
+    return b.matches_rest or not a.matches_rest and len(a.segments) == len(b.segments)
 
 
-def _host_fits(host: str, pattern: str) -> bool:
+def _host_matches(host: str, pattern: str) -> bool:
     return (
         not pattern
         or host == pattern
@@ -124,117 +125,121 @@
     )
 
 
-def _hosts_meet(a: str, b: str) -> bool:
-    return _host_fits(a, b) or _host_fits(b, a) or not a or not b
+def _hosts_overlap(a: str, b: str) -> bool:
+    """Returns whether one host could match both patterns."""
+    return _host_matches(a, b) or _host_matches(b, a) or not a or not b
 
 
 def meet(a: Pattern, b: Pattern) -> bool:
-    """Whether one ticket could match both."""
-    if a.method and b.method and a.method != b.method or not _hosts_meet(a.host, b.host):
+    """Returns whether one ticket could match both patterns."""
+    if a.method and b.method and a.method != b.method or not _hosts_overlap(a.host, b.host):
         return False
-    asked = dict(a.headers)
-    if any(asked.get(name, value) != value for name, value in b.headers):
+    required = dict(a.headers)
+    if any(required.get(name, value) != value for name, value in b.headers):
         return False
-    return _paths_meet(a.path, b.path)
+    return _paths_overlap(a.path, b.path)
 
 
 def within(a: Pattern, b: Pattern) -> bool:
-    """Whether all that `a` matches `b` matches."""
+    """Returns whether `b` matches every ticket that `a` matches."""
     return (
         (not b.method or a.method == b.method)
-        and (not b.host or a.host != "" and _host_fits(a.host, b.host))
+        and (not b.host or a.host != "" and _host_matches(a.host, b.host))
         and set(b.headers) <= set(a.headers)
-        and _path_within(a.path, b.path)
+        and _path_contained(a.path, b.path)
     )
 
 
 def conflicts(patterns: list[Pattern]) -> list[tuple[int, int]]:
-    """Pairs (by place, the later first) that could match the same ticket with neither more exact, or both the
-    same.
+    """Returns the conflicts as pairs of indexes, the later first: patterns that can match the same ticket while
+    neither is more specific, or both are equal.
 
-    Only patterns whose first segments may be the same are compared, since a thousand routes are a million
+    Only patterns whose first segments can match the same text are compared, since a thousand routes are a million
     pairs.
     """
-    found = []
+    pairs = []
     groups: dict[str, list[int]] = {}
-    for number, one in enumerate(patterns):
-        first = one.path.segments[0] if one.path.segments else ANY
+    for number, candidate in enumerate(patterns):
+        first = candidate.path.segments[0] if candidate.path.segments else ANY
         groups.setdefault(first, []).append(number)
-    loose = groups.get(ANY, [])
+    wildcards = groups.get(ANY, [])
     for first, members in groups.items():
-        against = members if first == ANY else [*members, *loose]
+        compared = members if first == ANY else [*members, *wildcards]
         for number in members:
-            for other in against:
+            for other in compared:
                 if other == number or first == ANY and other > number or other > number and other in members:
                     continue
                 a, b = patterns[number], patterns[other]
                 if meet(a, b) and within(a, b) == within(b, a):
-                    found.append((max(number, other), min(number, other)))
-    return sorted(set(found))
+                    pairs.append((max(number, other), min(number, other)))
+    return sorted(set(pairs))
 
 
-# --- matching --------------------------------------------------------------------------------------
+# --- matching ----------------------------------------------------------------------------------
 
 
 class _Node:
-    """One step down a path. `ends` match where the path ends here, `rests` whatever follows; both by
-    points."""
+    """A node of the path tree. `exact_patterns` match if the path ends here, `prefix_patterns` whatever follows. Each
+    list holds points, index and pattern."""
 
-    __slots__ = ("literal", "any", "ends", "rests")
+    __slots__ = ("literal", "wildcard", "exact_patterns", "prefix_patterns")
 
     def __init__(self) -> None:
         self.literal: dict[str, _Node] = {}
-        self.any: _Node | None = None
-        self.ends: list[tuple[int, int, Pattern]] = []
-        self.rests: list[tuple[int, int, Pattern]] = []
+        self.wildcard: _Node | None = None
+        self.exact_patterns: list[tuple[int, int, Pattern]] = []
+        self.prefix_patterns: list[tuple[int, int, Pattern]] = []
 
 
 class Routes:
-    """The routes of one version, made once and never changed; as large as the file."""
+    """The routes of one configuration version; immutable."""
 
     def __init__(self, patterns: Iterable[Pattern]) -> None:
         self._root = _Node()
-        for number, one in enumerate(patterns):
-            at = self._root
-            for segment in one.path.segments:
+        for number, route_pattern in enumerate(patterns):
+            node = self._root
+            for segment in route_pattern.path.segments:
                 if segment:
-                    at = at.literal.setdefault(segment, _Node())
+                    node = node.literal.setdefault(segment, _Node())
                 else:
-                    at.any = at.any or _Node()
-                    at = at.any
-            (at.rests if one.path.rest else at.ends).append((one.points, number, one))
+                    node.wildcard = node.wildcard or _Node()
+                    node = node.wildcard
+            (node.prefix_patterns if route_pattern.path.matches_rest else node.exact_patterns).append(
+                (route_pattern.points, number, route_pattern)
+            )
 
     def find(self, method: str, target: str, host: str, headers: Mapping[str, str]) -> int:
-        """The place of the most exact route, -1 for none. `target` is the path with or without its query."""
+        """Returns the index of the most specific matching route, -1 for none. `target` is the path with or without its
+        query."""
         path = target.partition("?")[0]
         parts = path[1:].split("/") if len(path) > 1 else []
-        best, place = -1, -1
-        # Few branches: a part leads to its literal and to any.
-        at = [self._root]
-        for turn in range(len(parts) + 1):
-            for node in at:
-                for those in (node.rests, node.ends if turn == len(parts) else ()):
-                    for points, number, one in those:
-                        if points > best and _fits(one, method, host, headers):
-                            best, place = points, number
-            if turn == len(parts):
+        best, index = -1, -1
+        # There are few branches: each segment leads to its literal child and the wildcard child at most.
+        nodes = [self._root]
+        for depth in range(len(parts) + 1):
+            for node in nodes:
+                for candidates in (node.prefix_patterns, node.exact_patterns if depth == len(parts) else ()):
+                    for points, number, route_pattern in candidates:
+                        if points > best and _matches(route_pattern, method, host, headers):
+                            best, index = points, number
+            if depth == len(parts):
                 break
-            part = parts[turn]
-            after = []
-            for node in at:
+            part = parts[depth]
+            next_nodes = []
+            for node in nodes:
                 if (literal := node.literal.get(part)) is not None:
-                    after.append(literal)
-                if node.any is not None and part:
-                    after.append(node.any)
-            at = after
-            if not at:
+                    next_nodes.append(literal)
+                if node.wildcard is not None and part:
+                    next_nodes.append(node.wildcard)
+            nodes = next_nodes
+            if not nodes:
                 break
-        return place
+        return index
 
 
-def _fits(one: Pattern, method: str, host: str, headers: Mapping[str, str]) -> bool:
+def _matches(pattern: Pattern, method: str, host: str, headers: Mapping[str, str]) -> bool:
     return (
-        (not one.method or one.method == method)
-        and (not one.host or _host_fits(host, one.host))
-        and all(headers.get(name) == value for name, value in one.headers)
+        (not pattern.method or pattern.method == method)
+        and (not pattern.host or _host_matches(host, pattern.host))
+        and all(headers.get(name) == value for name, value in pattern.headers)
     )
--- a/pepperusher/routes/terms.py
+++ b/pepperusher/routes/terms.py
@@ -1,8 +1,8 @@
-"""The terms of a route as a ticket goes by them, and versions of all of them; free of I/O.
+"""The limits that a route's settings place on its tickets, and immutable versions of the configuration; free of I/O.
 
-A ticket has one `Version` from its first look to its end, whatever is applied meanwhile. Terms narrow: less
-time, fewer attempts, fewer ends after which one more may go. They never choose a server and never allow
-what the decisions would not.
+A ticket keeps one `Version` from arrival to its end, whatever is applied meanwhile. Terms only restrict: they allow
+less time, fewer attempts and retries after fewer outcomes. They never select a backend and never allow what the
+balancer's decisions would not.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class Terms(NamedTuple):
-    """One route's, derived; spans in us. `most` is how often a ticket may go out, `ends` after which it may
-    again."""
+    """The limits of one route; durations in us. `max_attempts` counts all attempts of a ticket; `retriable_outcomes`
+    are those after which it may be retried, None for any."""
 
     name: str
     use_case: str | None
-    time_out: int
+    max_attempt_timeout: int
     max_attempts: int
     retriable_outcomes: frozenset[str] | None
     default_timeout: int
@@ -32,24 +32,24 @@
     priority: int
     route: Route | None
 
-    def caller_timeout(self, given: int | None) -> int | None:
-        """What a client waits under these terms: `given` is what it said, None if nothing; None is the use
-        case's."""
-        if given is None:
+    def caller_timeout(self, sent_timeout: int | None) -> int | None:
+        """Returns the client's timeout, given the one it sent (None if it sent none). None stands for the use case's
+        default."""
+        if sent_timeout is None:
             return self.default_timeout if self.default_timeout < NO_LIMIT else None
-        return min(given, self.max_caller_timeout)
+        return min(sent_timeout, self.max_caller_timeout)
 
-    def attempt_timeout(self, wait: int) -> int:
-        """How long an attempt may take, of what the decisions would give it."""
-        return min(wait, self.time_out)
+    def attempt_timeout(self, allowed: int) -> int:
+        """Returns the timeout of an attempt, at most `allowed`, which is what the balancer's decisions give it."""
+        return min(allowed, self.max_attempt_timeout)
 
-    def may_retry_after(self, how: str) -> bool:
-        """Whether a ticket may go out again after an attempt that ended so, as far as these terms go."""
-        return self.retriable_outcomes is None or how in self.retriable_outcomes or how == "moot"
+    def may_retry_after(self, outcome: str) -> bool:
+        """Returns whether these terms allow a retry after an attempt with this outcome."""
+        return self.retriable_outcomes is None or outcome in self.retriable_outcomes or outcome == "moot"
 
 
-# A ticket that no route matches goes by the decisions alone.
-DEFAULT_TERMS = Terms("", None, NO_LIMIT, MOST := 3, None, NO_LIMIT, NO_LIMIT, 5, None)
+# The terms of tickets that no route matches, which only the balancer's own decisions limit.
+DEFAULT_TERMS = Terms("", None, NO_LIMIT, DEFAULT_MAX_ATTEMPTS := 3, None, NO_LIMIT, NO_LIMIT, 5, None)
 
 
 def terms_of(route: Route) -> Terms:
@@ -57,7 +57,7 @@
         route.name,
         route.use_case,
         route.time_out or NO_LIMIT,
-        route.attempts or MOST,
+        route.attempts or DEFAULT_MAX_ATTEMPTS,
         None if route.retry_on is None else frozenset(route.retry_on),
         route.outer or NO_LIMIT,
         route.patience or NO_LIMIT,
@@ -67,8 +67,7 @@
 
 
 class Version:
-    """All that a file says, as one thing that never changes. `in_hand` are its tickets: it goes with the
-    last."""
+    """One version of the configuration file; immutable but for `open_tickets`, the number of tickets that use it."""
 
     __slots__ = ("number", "read", "marks", "open_tickets", "_routes", "_terms")
 
@@ -84,14 +83,14 @@
         )
 
     def terms(self, method: str, target: str, host: str, headers: Mapping[str, str], use_case: str) -> Terms:
-        """Of the most exact route; one that is for another use case is none."""
-        place = self._routes.find(method, target, host, headers)
-        if place < 0:
+        """Returns the terms of the most specific route; a route for another use case does not apply."""
+        index = self._routes.find(method, target, host, headers)
+        if index < 0:
             return DEFAULT_TERMS
-        found = self._terms[place]
+        found = self._terms[index]
         return found if found.use_case in (None, use_case) else DEFAULT_TERMS
 
     @property
     def matches_headers(self) -> bool:
-        """Whether any route looks at headers: else they need not be made ready for it."""
+        """Returns whether any route matches headers; otherwise headers need not be prepared for matching."""
         return any(route.match.headers for route in self.read.own.routes)
