--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,7 +1,8 @@
-"""Three toy backends and a toy discovery on loopback, to try the proxy with.
+"""Three example backends and an example discovery service on loopback, to try the proxy with.
 
-Each backend answers any request with its name after a little work. `POST /drain` to one makes discovery list it as
-draining, `POST /ready` lists it again. Discovery holds the list and tells its watchers each change.
+Each backend answers any request with its name after a short delay. `POST /drain` to a backend makes discovery list it
+as draining, `POST /ready` lists it as ready again. Discovery holds the endpoint list and sends every change to its
+watchers.
 """
 
 from __future__ import annotations
@@ -13,26 +14,27 @@
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
 HOST = "127.0.0.1"
-DISCOVERY = 8500
+DISCOVERY_PORT = 8500
 PORTS = {"one": 7101, "two": 7102, "three": 7103}
 
 
-class Fleet:
-    """The list of backends; `changed` wakes the watches."""
+class EndpointList:
+    """The endpoint list; `changed` wakes the watches."""
 
     def __init__(self) -> None:
         self.changed = threading.Condition()
         self.version = 1
         self.states = {name: "ready" for name in PORTS}
 
-    def set(self, name: str, state: str) -> None:
+    def set_state(self, name: str, state: str) -> None:
         with self.changed:
             self.states[name] = state
             self.version += 1
             self.changed.notify_all()
 
-    def told(self) -> bytes:
-        servers = [
+    def snapshot(self) -> bytes:
+        """Returns the full list as one line of a watch."""
+        endpoints = [
             {
                 "id": name,
                 "addr": f"{HOST}:{PORTS[name]}",
@@ -45,13 +47,13 @@
             }
             for name, state in self.states.items()
         ]
-        return json.dumps({"version": self.version, "full": True, "servers": servers}).encode() + b"\n"
+        return json.dumps({"version": self.version, "full": True, "servers": endpoints}).encode() + b"\n"
 
 
-FLEET = Fleet()
+ENDPOINTS = EndpointList()
 
 
-class Quiet(BaseHTTPRequestHandler):
+class QuietHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *_: object) -> None:
@@ -64,10 +66,12 @@
         self.wfile.write(body)
 
 
-class Discovery(Quiet):
+class Discovery(QuietHandler):
+    """Serves the endpoint list, and watches that send it again after each change."""
+
     def do_GET(self) -> None:
         if "watch=1" not in self.path:
-            self.answer(FLEET.told())
+            self.answer(ENDPOINTS.snapshot())
             return
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
@@ -75,28 +79,30 @@
         seen = 0
         try:
             while True:
-                with FLEET.changed:
-                    if FLEET.version == seen:
-                        FLEET.changed.wait(2.0)
-                    line = FLEET.told() if FLEET.version != seen else b"\n"
-                    seen = FLEET.version
+                with ENDPOINTS.changed:
+                    if ENDPOINTS.version == seen:
+                        ENDPOINTS.changed.wait(2.0)
+                    line = ENDPOINTS.snapshot() if ENDPOINTS.version != seen else b"\n"
+                    seen = ENDPOINTS.version
                 self.wfile.write(b"%x\r\n%b\r\n" % (len(line), line))
         except OSError:
             self.close_connection = True
 
 
-class Backend(Quiet):
+class Backend(QuietHandler):
+    """A backend that answers every request."""
+
     name = ""
 
     def work(self) -> None:
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.path in ("/drain", "/ready"):
-            FLEET.set(self.name, "draining" if self.path == "/drain" else "ready")
-            self.answer(f"{self.name} is now {FLEET.states[self.name]}\n".encode())
+            ENDPOINTS.set_state(self.name, "draining" if self.path == "/drain" else "ready")
+            self.answer(f"{self.name} is now {ENDPOINTS.states[self.name]}\n".encode())
             return
         time.sleep(random.uniform(0.01, 0.05))
         print(f"{self.name}: {self.command} {self.path} id {self.headers.get('Request-Id')}", flush=True)
-        self.answer(f"{self.name} did {self.path} with {len(body)} bytes\n".encode())
+        self.answer(f"{self.name} handled {self.path} with {len(body)} bytes\n".encode())
 
     do_GET = do_POST = work
 
@@ -106,11 +112,11 @@
         kind = type(name, (Backend,), {"name": name})
         threading.Thread(target=ThreadingHTTPServer((HOST, port), kind).serve_forever, daemon=True).start()
     print(
-        f"backends at {HOST}:{', '.join(map(str, PORTS.values()))}, discovery at {HOST}:{DISCOVERY}; Ctrl-C ends",
+        f"backends at {HOST}:{', '.join(map(str, PORTS.values()))}, discovery at {HOST}:{DISCOVERY_PORT}; stop with Ctrl-C",
         flush=True,
     )
     try:
-        ThreadingHTTPServer((HOST, DISCOVERY), Discovery).serve_forever()
+        ThreadingHTTPServer((HOST, DISCOVERY_PORT), Discovery).serve_forever()
     except KeyboardInterrupt:
         pass
 
--- a/pepperusher/endpoint.py
+++ b/pepperusher/endpoint.py
@@ -1,4 +1,4 @@
-"""One line of the list of backends, for whoever reads the list: a proxy, or a control machine that tells proxies."""
+"""One entry of the endpoint list, as read by proxies and by control machines that pass the list on to proxies."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 
 
 class Endpoint(NamedTuple):
-    """One line of the list of backends. `born` 0 is long ago; not `ready` means it drains, or is `gone`."""
+    """One entry of the endpoint list. `started_at` is 0 if the start time is unknown; one that is not `ready` drains
+    or is `gone`."""
 
     id: str
     zone: str
@@ -19,5 +20,5 @@
     gone: bool = False
 
 
-# What one makes of lines, whole or not, before they are acted on.
+# Transforms the entries of an update, full or partial, before they take effect.
 Narrow = Callable[[list[Endpoint], bool], list[Endpoint]]
--- a/pepperusher/endpoint_filter.py
+++ b/pepperusher/endpoint_filter.py
@@ -1,6 +1,6 @@
-"""The list of backends as discovery tells it, narrowed by a mark on each line; free of I/O.
+"""Filters the endpoint list of discovery through a mark per endpoint, for example an operator's drain; free of I/O.
 
-A mark never lifts what discovery told: every word of discovery's goes through at once, whatever the marks are.
+A mark never lifts a state that discovery reports: every update of discovery passes at once, whatever the marks are.
 """
 
 from __future__ import annotations
@@ -11,35 +11,41 @@
 
 
 class EndpointFilter:
-    def __init__(self, mark: Callable[[Endpoint], Endpoint]) -> None:
-        self._mark = mark
-        # Discovery's last word of each that is ready; emptied with the list.
-        self._told: dict[str, Endpoint] = {}
+    """Applies marks to the endpoints of discovery and remembers which ones discovery lists as ready."""
 
-    def filter(self, entries: Iterable[Endpoint], whole: bool) -> list[Endpoint]:
-        """An endpoint update, as the decisions are to have it: a line for each, in the same order."""
+    def __init__(self, apply_mark: Callable[[Endpoint], Endpoint]) -> None:
+        self._apply_mark = apply_mark
+        # The last entry from discovery of each ready endpoint, by id; a full list replaces them.
+        self._listed: dict[str, Endpoint] = {}
+
+    def filter(self, endpoints: Iterable[Endpoint], whole: bool) -> list[Endpoint]:
+        """Returns an endpoint update with the marks applied: one entry for each, in the same order."""
         if whole:
-            self._told.clear()
-        made = []
-        for entry in entries:
-            if entry.ready:
-                self._told[entry.id] = entry
+            self._listed.clear()
+        filtered = []
+        for endpoint in endpoints:
+            if endpoint.ready:
+                self._listed[endpoint.id] = endpoint
             else:
-                # Draining or gone: no mark has anything to say of it, and no undo brings it back.
-                self._told.pop(entry.id, None)
-            made.append(self._mark(entry))
-        return made
-
-    def replace_marks(self, turn: Callable[[], None]) -> list[Endpoint]:
-        """Other marks from now on, by `turn`; the lines that change by it, of backends that discovery has as
-        ready alone."""
-        before = {name: self._mark(entry) for name, entry in self._told.items()}
-        turn()
-        return [after for name, entry in self._told.items() if (after := self._mark(entry)) != before[name]]
+                # Draining or gone: marks do not apply, and removing a mark does not make it ready again.
+                self._listed.pop(endpoint.id, None)
+            filtered.append(self._apply_mark(endpoint))
+        return filtered
+
+    def replace_marks(self, update_marks: Callable[[], None]) -> list[Endpoint]:
+        """Changes the marks by calling `update_marks` and returns the entries that change, among endpoints that
+        discovery lists as ready."""
+        before = {endpoint_id: self._apply_mark(endpoint) for endpoint_id, endpoint in self._listed.items()}
+        update_marks()
+        return [
+            after
+            for endpoint_id, endpoint in self._listed.items()
+            if (after := self._apply_mark(endpoint)) != before[endpoint_id]
+        ]
 
     def ready_endpoints(self) -> list[Endpoint]:
-        """Those that discovery has as ready."""
-        return list(self._told.values())
+        """Returns the endpoints that discovery lists as ready."""
+        return list(self._listed.values())
 
     def __contains__(self, name: str) -> bool:
-        return name in self._told
+        return name in self._listed
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -1,7 +1,7 @@
-"""The decisions in blocking style for whoever holds the connections: take, pick, report, tick.
+"""The decisions for the code that owns the connections, as synchronous calls with plain values.
 
-Answers are plain values; the module's own types stay behind this page. A ticket taken here is a handle to its
-caller. Times are whole microseconds of one clock that only advances.
+The types of the decision module stay internal; a ticket is an opaque handle for the code that holds it. Times are
+whole microseconds of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from pepperusher import terms
 from pepperusher.endpoint import Endpoint as Endpoint
 from pepperusher.invariants import check_invariant
-from pepperusher.policy import OPEN_FOR, Balancer
+from pepperusher.policy import OPEN_DURATION_US, Balancer
 from pepperusher.terms import Backend, PolicySettings, Listing, Ticket
 
-# What to do next with a ticket.
+# Next action for a ticket.
 SEND, HOLD, BOUNCE, SCRAP, NOTHING = "send", "hold", "bounce", "scrap", "nothing"
-# How an attempt ended.
-HOW = {
+# Outcomes of an attempt, by the names that callers and metrics use.
+OUTCOMES = {
     "done": terms.DONE,
     "error": terms.ERROR,
     "full": terms.FULL,
@@ -30,95 +30,109 @@
     "turned away": terms.MOOT,
     "unknown": terms.UNKNOWN,
 }
-# While a trial is set aside it is not overdue.
-FOR_NOW = 3600 * 1_000_000
-# Calls for the list that fail are at the most half of this apart, so that one after discovery is back has time
-# to be answered before what it tells counts, 6 s after that; also where its queue turned away the first.
-ASK_WITHIN = 5_000_000
+# A trial that is paused does not become overdue.
+PAUSED_TRIAL_TIMEOUT_US = 3600 * 1_000_000
+# Upper limit for the time between failed requests for the endpoint list is half of this. A request made after
+# discovery has recovered can then be answered before a change takes effect, 6 s after the recovery, even if the first
+# request was turned away by discovery's full queue.
+LIST_REQUEST_PERIOD_US = 5_000_000
 # Whether a ticket may run again.
 REPLAYABLE, REFERENCED, SINGLE_USE = "replayable", "referenced", "single-use"
-REPEAT = {terms.REPLAYABLE: REPLAYABLE, terms.REFERENCED: REFERENCED, terms.SINGLE_USE: SINGLE_USE}
-STATES = {terms.CLOSED: "closed", terms.OPEN: "open", terms.HALF_OPEN: "half-open"}
-FINAL = {terms.BOUNCE: BOUNCE, terms.SCRAP: SCRAP}
+RETRY_CLASS_NAMES = {terms.REPLAYABLE: REPLAYABLE, terms.REFERENCED: REFERENCED, terms.SINGLE_USE: SINGLE_USE}
+STATE_NAMES = {terms.CLOSED: "closed", terms.OPEN: "open", terms.HALF_OPEN: "half-open"}
+FINAL_ACTIONS = {terms.BOUNCE: BOUNCE, terms.SCRAP: SCRAP}
 
 
 class Step(NamedTuple):
-    """What to do: send to `backend` for `wait` at most, hold for `wait`, or answer (`wait`: the advice, 0
-    none)."""
+    """The next action: send to `backend` with timeout `wait`, hold for `wait`, or answer (`wait` is the retry-after, 0
+    for none)."""
 
     action: str
     backend: str
     wait: int
 
 
-OVER = Step(NOTHING, "", 0)
+NO_ACTION = Step(NOTHING, "", 0)
 
 
 class Facade:
-    """One proxy's decisions, asked in turn."""
-
-    def __init__(self, policy_settings: PolicySettings, now: int, say: Callable[[str], None]) -> None:
-        self._on_sockets(policy_settings)
-        self._balancer = Balancer(policy_settings, now, say)
-        self._take_up(policy_settings)
-        self._sharers: int | None = None
-        self._backends: dict[str, Backend] = {}  # emptied by endpoint updates, long after they left it
-        self._unlisted: dict[str, int] = {}  # since when; emptied likewise, and when they come back
-        self._latest: int | None = None
-        self._tickets: set[Ticket] = set()  # in hand; emptied as they are settled
-
-    def _on_sockets(self, policy_settings: PolicySettings) -> None:
-        """Nobody pushes the list there: a watch has to be asked for, whatever the settings call it. Where they call it pushed,
-        a change binds from the moment it is known nearby, so a lost watch is asked for anew within half a drain's grace;
-        where it is asked for, the settings leave time, and every proxy asks the one discovery. But a change
-        counts 6 s after discovery had it and could be reached, whatever they leave."""
+    """The balancing decisions of one proxy. Calls must not overlap."""
+
+    def __init__(self, policy_settings: PolicySettings, now: int, log: Callable[[str], None]) -> None:
+        self._adapt_list_settings(policy_settings)
+        self._balancer = Balancer(policy_settings, now, log)
+        self._apply_settings(policy_settings)
+        self._proxy_count: int | None = None
+        self._backends: dict[str, Backend] = {}  # by id; updates remove backends that have been unlisted long enough
+        # time at which each was unlisted; removed likewise, or when it is listed again
+        self._unlisted: dict[str, int] = {}
+        self._latest_deadline: int | None = None
+        self._tickets: set[Ticket] = set()  # open tickets
+
+    def _adapt_list_settings(self, policy_settings: PolicySettings) -> None:
+        """Adapts the list settings to a proxy on sockets.
+
+        Discovery never connects to a proxy, so the proxy has to request a watch, also where the settings say that the
+        list is pushed. In that case a change is binding as soon as discovery knows it, so a lost watch is requested
+        again within half of the drain period. Otherwise the settings allow more time, and all proxies request the list
+        from the same discovery. A change always takes effect 6 s after discovery had it and was reachable, whatever
+        the settings allow.
+        """
         policy_settings.polls_list = True
         policy_settings.ask_within = (
             policy_settings.drain_within
             if policy_settings.list_is_pushed
-            else min(policy_settings.ask_within, ASK_WITHIN)
+            else min(policy_settings.ask_within, LIST_REQUEST_PERIOD_US)
         )
 
-    def _take_up(self, policy_settings: PolicySettings) -> None:
-        self._use_cases = {use.name: use for use in policy_settings.use_cases}
+    def _apply_settings(self, policy_settings: PolicySettings) -> None:
+        """Sets the parameters that depend only on the settings."""
+        self._use_cases = {use_case.name: use_case for use_case in policy_settings.use_cases}
         self._customers = {customer.name: customer for customer in policy_settings.customers}
-        self._most = policy_settings.most_attempts
-        self._by_answers = policy_settings.reported_by == terms.REPORTS_IN_RESPONSES
-        # A backend off the list may come back under its id. Its breaker tells something while it could still
-        # be open
-        # for a ticket that is in hand now; kept for longer, ids that are ever new would pile up.
-        self._remembered = OPEN_FOR + policy_settings.max_outer_limit
+        self._max_attempts = policy_settings.most_attempts
+        self._takes_load_reports = policy_settings.reported_by == terms.REPORTS_IN_RESPONSES
+        # A backend that is off the list may be listed again under its id. Its breaker state is kept while it could
+        # still be open for a ticket that is open now; keeping it longer would accumulate state if ids are never
+        # reused.
+        self._retention_us = OPEN_DURATION_US + policy_settings.max_outer_limit
 
     def reconfigure(self, policy_settings: PolicySettings, now: int) -> None:
-        """Other settings from now on, all of them at once.
+        """Applies new settings as a whole.
 
-        A ticket in hand keeps the use case that it was taken under, and goes out no more often than either ground allows:
-        the module asks its own figure too. What is known of use cases and customers that stay is kept.
+        An open ticket keeps the use case under which it was accepted, and both the old and the new limit on its
+        attempts apply. Learned state of use cases and customers that remain is kept.
         """
-        self._on_sockets(policy_settings)
+        self._adapt_list_settings(policy_settings)
         for ticket in self._tickets:
-            ticket.most = min(ticket.most, self._most)
-        for at, use in enumerate(policy_settings.use_cases):
-            was = self._use_cases.get(use.name)
-            if was is not None:
-                for name in terms.LEARNED:
-                    setattr(use, name, getattr(was, name))
-                if use.same_terms(was):
-                    policy_settings.use_cases[at] = was
+            ticket.max_attempts = min(ticket.max_attempts, self._max_attempts)
+        for index, use_case in enumerate(policy_settings.use_cases):
+            previous = self._use_cases.get(use_case.name)
+            if previous is not None:
+                for name in terms.LEARNED_FIELDS:
+                    setattr(use_case, name, getattr(previous, name))
+                if use_case.same_settings(previous):
+                    policy_settings.use_cases[index] = previous
         for customer in policy_settings.customers:
-            if (known := self._customers.get(customer.name)) is not None:
-                customer.allowance, customer.counted_at, customer.asked = known.allowance, known.counted_at, known.asked
+            if (previous_customer := self._customers.get(customer.name)) is not None:
+                customer.tokens, customer.tokens_updated_at, customer.demand = (
+                    previous_customer.tokens,
+                    previous_customer.tokens_updated_at,
+                    previous_customer.demand,
+                )
         self._balancer.reconfigure(policy_settings, now)
-        self.set_proxy_count(self._sharers)
-        self._take_up(policy_settings)
+        self.set_proxy_count(self._proxy_count)
+        self._apply_settings(policy_settings)
 
-    def set_proxy_count(self, sharers: int | None) -> None:
-        """Of how many proxies this one is one, where they share what a customer or a cold backend may get; None where nobody
-        knows better than the settings. Which backends it takes for its own hangs on the settings alone: arcs would move
-        with each proxy that comes and goes."""
-        self._sharers = sharers
-        if sharers is not None:
-            self._balancer.sharers = max(1, sharers)
+    def set_proxy_count(self, proxy_count: int | None) -> None:
+        """Sets the number of proxies that share customer quotas and cold-start budgets; None uses the settings' group
+        size.
+
+        The subset of backends depends on the settings alone, since it would otherwise move whenever a proxy joins or
+        leaves.
+        """
+        self._proxy_count = proxy_count
+        if proxy_count is not None:
+            self._balancer.proxy_count = max(1, proxy_count)
 
     # --- tickets ----------------------------------------------------------------------------------
 
@@ -127,261 +141,293 @@
         return len(self._tickets)
 
     def retry_class_of(self, use_case: str) -> str | None:
-        """Whether its tickets may run again; None for a use case that is not known."""
-        use = self._use_cases.get(use_case)
-        return REPEAT[use.retry_class] if use is not None else None
+        """Returns whether tickets of the use case may run again; None if the use case is unknown."""
+        found = self._use_cases.get(use_case)
+        return RETRY_CLASS_NAMES[found.retry_class] if found is not None else None
 
     def default_timeout_of(self, use_case: str) -> int:
-        """How long a client of it waits that does not say."""
+        """Returns the timeout of a client that sends none."""
         return self._use_cases[use_case].outer_limit
 
-    def open_ticket(self, use_case: str, customer: str, came: int, left: int | None, cost: int) -> Ticket:
-        """A ticket in hand until it is settled; `left` is what its client waits, None if it does not say."""
-        use = self._use_cases[use_case]
-        until = came + (use.outer_limit if left is None else left)
-        if self._latest is not None:
-            until = min(until, self._latest)
-        ticket = Ticket(use, self._customers.get(customer), came, until, cost)
+    def open_ticket(self, use_case: str, customer: str, arrived_at: int, timeout: int | None, work_hint: int) -> Ticket:
+        """Opens a ticket. `timeout` is the client's timeout, None if it sent none."""
+        found = self._use_cases[use_case]
+        deadline = arrived_at + (found.outer_limit if timeout is None else timeout)
+        if self._latest_deadline is not None:
+            deadline = min(deadline, self._latest_deadline)
+        ticket = Ticket(found, self._customers.get(customer), arrived_at, deadline, work_hint)
         self._tickets.add(ticket)
         return ticket
 
     def choose_backend(self, ticket: Ticket, now: int) -> Step:
+        """Returns the next action: the backend for the ticket's next attempt, or the answer if there is none."""
         answer = self._balancer.choose_backend(ticket, now)
         wait = self._balancer.wait_time(ticket, now)
         if isinstance(answer, Backend):
             return Step(SEND, answer.address, min(wait, ticket.deadline - now))
         if answer == terms.NOT_YET:
             return Step(HOLD, "", wait)
-        return Step(FINAL[answer], "", wait)
+        return Step(FINAL_ACTIONS[answer], "", wait)
 
     def may_still_send(self, ticket: Ticket, now: int) -> bool:
-        """Whether the attempt just picked may still be sent: a list or a client may have changed
-        meanwhile."""
-        sent = ticket.attempts[-1]
-        if ticket.finished or sent.backend.address in self._unlisted or now - sent.sent_at >= sent.timeout:
+        """Returns whether the attempt just picked may still be sent; the list may have changed or the client
+        disconnected since."""
+        attempt = ticket.attempts[-1]
+        if ticket.finished or attempt.backend.address in self._unlisted or now - attempt.sent_at >= attempt.timeout:
             return False
-        # Its group may have forgotten an earlier one in the time that the connection took to come up.
-        ran = [one.sent_at for one in ticket.attempts[:-1] if one.ended not in terms.NEVER_RAN]
-        use = ticket.use_case
-        return not ran or use.retry_class == terms.REPLAYABLE or not 0 < use.deduplication_window <= now - ran[0]
+        # While the connection was being set up, the deduplication window of an earlier attempt may have ended.
+        sent_times = [earlier.sent_at for earlier in ticket.attempts[:-1] if earlier.outcome not in terms.NEVER_RAN]
+        use_case = ticket.use_case
+        return (
+            not sent_times
+            or use_case.retry_class == terms.REPLAYABLE
+            or not 0 < use_case.deduplication_window <= now - sent_times[0]
+        )
 
     def remaining(self, ticket: Ticket, now: int) -> int:
-        """How long its client waits yet; under 0 once its time is over. While the attempt is aside that time stands."""
-        aside = ticket.attempts[-1].aside if ticket.attempts else None
-        return ticket.deadline - (now if aside is None else aside)
-
-    def restore_attempt(self, ticket: Ticket, backend: str, cell: int, sent: int, ran: bool) -> None:
-        """One that went out under the same mark before this ticket was taken, and may have run, or is known
-        never to
-        have: the rules on further attempts then hold for the mark. Before the first `pick`."""
+        """Returns the time until the ticket's deadline, negative once it has passed. The time is frozen while an
+        attempt is paused."""
+        paused_at = ticket.attempts[-1].paused_at if ticket.attempts else None
+        return ticket.deadline - (now if paused_at is None else paused_at)
+
+    def restore_attempt(self, ticket: Ticket, backend: str, cell: int, sent_at: int, may_have_run: bool) -> None:
+        """Restores an attempt that was sent under the same idempotency key before this ticket was opened, so that the
+        retry rules apply to the key. `may_have_run` is false if it is known never to have run. Must be called before
+        the first `choose_backend`."""
         known = self._backends.get(backend)
         if known is None:
-            # Off the list, and its group may stand: that alone is known of it.
+            # The backend is off the list, but its deduplication group may still exist, so only its cell is set.
             known = Backend(backend)
             known.cell = cell
-        before = terms.Attempt(ticket, known, sent, 0, False)
-        before.ended = terms.UNKNOWN if ran else terms.FULL
-        ticket.attempts.append(before)
+        attempt = terms.Attempt(ticket, known, sent_at, 0, False)
+        attempt.outcome = terms.UNKNOWN if may_have_run else terms.FULL
+        ticket.attempts.append(attempt)
 
     def cell_of(self, backend: str) -> int:
+        """Returns the cell of a backend; 0 if it is unknown."""
         known = self._backends.get(backend)
         return known.cell if known is not None else 0
 
     def deduplication_window_of(self, use_case: str) -> int:
-        """For how long its group knows a repeat; at least as long as a client of it waits."""
-        use = self._use_cases[use_case]
-        return max(use.deduplication_window, use.outer_limit)
+        """Returns the deduplication window, at least as long as a client of the use case waits."""
+        found = self._use_cases[use_case]
+        return max(found.deduplication_window, found.outer_limit)
 
-    def limit_attempts(self, ticket: Ticket, most: int) -> None:
-        """It goes out `most` times at the most, if the settings do not say less."""
-        ticket.most = max(1, min(ticket.most, most))
+    def limit_attempts(self, ticket: Ticket, max_attempts: int) -> None:
+        """Limits the ticket to `max_attempts` attempts if the settings do not limit it further."""
+        ticket.max_attempts = max(1, min(ticket.max_attempts, max_attempts))
 
     def pause_attempt(self, ticket: Ticket, now: int) -> None:
-        """Its body still comes, or its answer is passed on: a slow client, of which the backend's calls in
-        flight, its time
-        and its breaker must tell nothing. Until `back`, or the report."""
-        sent = ticket.attempts[-1]
-        if sent.aside is None and sent.ended is None:
-            sent.aside = now
-            sent.backend.in_flight -= 1
-            if sent.trial and sent.generation == sent.backend.generation:
-                sent.backend.trial_due = now + FOR_NOW
+        """Excludes the attempt from the backend's calls in flight, latency and breaker until `resume_attempt` or
+        `report` is called.
+
+        Used while the request body is still being received or the response is being forwarded: a slow client says
+        nothing about the backend.
+        """
+        attempt = ticket.attempts[-1]
+        if attempt.paused_at is None and attempt.outcome is None:
+            attempt.paused_at = now
+            attempt.backend.in_flight -= 1
+            if attempt.is_trial and attempt.generation == attempt.backend.generation:
+                attempt.backend.trial_deadline = now + PAUSED_TRIAL_TIMEOUT_US
 
     def resume_attempt(self, ticket: Ticket, now: int) -> None:
-        """Its last byte is written: the ticket's time and the attempt's run from here."""
-        self._back(ticket.attempts[-1], now)
+        """Counts the attempt again: the last byte of the request is written, and the ticket's and the attempt's times
+        continue."""
+        self._resume(ticket.attempts[-1], now)
 
     @staticmethod
-    def _back(sent: terms.Attempt, now: int) -> None:
-        if sent.aside is None:
+    def _resume(attempt: terms.Attempt, now: int) -> None:
+        if attempt.paused_at is None:
             return
-        ticket, stood = sent.ticket, now - sent.aside
-        sent.aside = None
-        sent.backend.in_flight += 1
-        sent.sent_at += stood
-        ticket.arrived_at += stood
-        ticket.deadline += stood
-        if sent.trial and sent.generation == sent.backend.generation:
-            sent.backend.trial_due = sent.sent_at + sent.timeout
+        ticket, paused_for = attempt.ticket, now - attempt.paused_at
+        attempt.paused_at = None
+        attempt.backend.in_flight += 1
+        attempt.sent_at += paused_for
+        ticket.arrived_at += paused_for
+        ticket.deadline += paused_for
+        if attempt.is_trial and attempt.generation == attempt.backend.generation:
+            attempt.backend.trial_deadline = attempt.sent_at + attempt.timeout
 
     def response_started(self, ticket: Ticket, now: int) -> None:
-        """Its answer is passed on from here: no other can be its answer any more."""
+        """The response is being forwarded to the client, so no other attempt can answer the ticket any more."""
         self._balancer.response_started(ticket.attempts[-1])
         self.pause_attempt(ticket, now)
 
-    def report(self, ticket: Ticket, how: str, now: int, again: bool = True) -> Step:
-        """The attempt that was out has ended; tells what to do next. Not `again`: whatever it was, it
-        was the last."""
-        sent = ticket.attempts[-1]
-        check_invariant(sent.ended is None, "an attempt ends once")
-        if sent.ended is not None:
-            return OVER
-        self._back(sent, now)
-        if not again:
-            ticket.most = min(ticket.most, len(ticket.attempts))
-        answer = self._balancer.attempt_ended(sent, HOW[how], how == "done", now)
-        check_invariant(sent.backend.in_flight >= 0, "calls in flight are never under none")
+    def report(self, ticket: Ticket, outcome: str, now: int, may_retry: bool = True) -> Step:
+        """Records how the current attempt ended and returns the next action. `may_retry` is False if it must be the
+        last attempt."""
+        attempt = ticket.attempts[-1]
+        check_invariant(attempt.outcome is None, "an attempt ends once")
+        if attempt.outcome is not None:
+            return NO_ACTION
+        self._resume(attempt, now)
+        if not may_retry:
+            ticket.max_attempts = min(ticket.max_attempts, len(ticket.attempts))
+        answer = self._balancer.attempt_ended(attempt, OUTCOMES[outcome], outcome == "done", now)
+        check_invariant(attempt.backend.in_flight >= 0, "calls in flight are never negative")
         if answer == terms.AGAIN:
             return self.choose_backend(ticket, now)
         if answer == terms.NOTHING:
-            return OVER
-        return Step(FINAL[answer], "", self._balancer.wait_time(ticket, now))
+            return NO_ACTION
+        return Step(FINAL_ACTIONS[answer], "", self._balancer.wait_time(ticket, now))
 
     def caller_disconnected(self, ticket: Ticket, now: int) -> bool:
-        """The client left; tells whether what is out is to be called off."""
+        """The client has disconnected. Returns whether the attempt in flight is to be cancelled."""
         if ticket.finished:
             return False
         self._balancer.caller_disconnected(ticket)
         return self._balancer.wait_time(ticket, now) == 0
 
     def close_ticket(self, ticket: Ticket, now: int) -> None:
-        """The last word on a ticket, whatever became of it: nothing of it may stay in flight."""
-        for sent in ticket.attempts:
-            if sent.ended is None:
-                self._back(sent, now)
-                self._balancer.attempt_ended(sent, terms.UNKNOWN, True, now)
+        """Closes the ticket, whatever its outcome; attempts that are still in flight end as unknown."""
+        for attempt in ticket.attempts:
+            if attempt.outcome is None:
+                self._resume(attempt, now)
+                self._balancer.attempt_ended(attempt, terms.UNKNOWN, True, now)
         ticket.finished = True
-        # Each points to its ticket: they would stay until a collection.
+        # Each attempt refers to its ticket; without this they would stay until the next cycle collection.
         ticket.attempts.clear()
-        check_invariant(ticket in self._tickets, "a ticket is settled once")
+        check_invariant(ticket in self._tickets, "a ticket is closed once")
         self._tickets.discard(ticket)
 
-    def limit_deadlines(self, latest: int) -> None:
-        """Tickets in hand and those still to come are to be over by `latest`: the proxy is about to stop."""
-        self._latest = latest
+    def limit_deadlines(self, latest_deadline: int) -> None:
+        """Limits the deadlines of all open and future tickets to `latest_deadline`, because the proxy is about to
+        stop."""
+        self._latest_deadline = latest_deadline
         for ticket in self._tickets:
-            ticket.deadline = min(ticket.deadline, latest)
+            ticket.deadline = min(ticket.deadline, latest_deadline)
 
-    # --- the list ---------------------------------------------------------------------------------
+    # --- endpoint list ----------------------------------------------------------------------------
 
-    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
-        lines = []
+    def update_endpoints(self, endpoints: Iterable[Endpoint], whole: bool, now: int) -> None:
+        """Applies an endpoint update; `whole` is set for a full list, which replaces all endpoints."""
+        listings = []
         seen = set()
-        for entry in entries:
-            backend = self._backends.get(entry.id)
+        for endpoint in endpoints:
+            backend = self._backends.get(endpoint.id)
             if backend is None:
-                backend = self._backends[entry.id] = Backend(entry.id)
-            seen.add(entry.id)
-            if entry.ready:
-                self._unlisted.pop(entry.id, None)
+                backend = self._backends[endpoint.id] = Backend(endpoint.id)
+            seen.add(endpoint.id)
+            if endpoint.ready:
+                self._unlisted.pop(endpoint.id, None)
             else:
-                self._unlisted.setdefault(entry.id, now)
-            lines.append(
+                self._unlisted.setdefault(endpoint.id, now)
+            listings.append(
                 Listing(
-                    backend, entry.zone, entry.cell, entry.weight, entry.started_at, entry.ready, entry.kind, entry.gone
+                    backend,
+                    endpoint.zone,
+                    endpoint.cell,
+                    endpoint.weight,
+                    endpoint.started_at,
+                    endpoint.ready,
+                    endpoint.kind,
+                    endpoint.gone,
                 )
             )
         if whole:
-            for name in self._backends:
-                if name not in seen:
-                    self._unlisted.setdefault(name, now)
-        # Here and not in tick, which nobody calls while a watch lives: that may be for weeks.
-        for name, since in list(self._unlisted.items()):
-            if now - since >= self._remembered and not self._backends[name].in_flight:
-                del self._unlisted[name], self._backends[name]
-        self._balancer.update_endpoints(lines, whole, now)
+            for backend_id in self._backends:
+                if backend_id not in seen:
+                    self._unlisted.setdefault(backend_id, now)
+        # Done here rather than in `endpoint_request_delay`, which is not called while a watch is alive, possibly for
+        # weeks.
+        for backend_id, since in list(self._unlisted.items()):
+            if now - since >= self._retention_us and not self._backends[backend_id].in_flight:
+                del self._unlisted[backend_id], self._backends[backend_id]
+        self._balancer.update_endpoints(listings, whole, now)
 
     def export_learned(self, now: int) -> dict[str, object]:
-        """What another process of the same proxy can go on from, in plain values: `taught` reads it there."""
+        """Returns the learned state as plain values, for `import_learned` in another process of the same proxy."""
         open_for = {
-            name: max(0, one.open_until - now) if one.state == terms.OPEN else 0
-            for name, one in self._backends.items()
-            if one.state != terms.CLOSED
+            name: max(0, backend.open_until - now) if backend.state == terms.OPEN else 0
+            for name, backend in self._backends.items()
+            if backend.state != terms.CLOSED
         }
-        times = {
-            name: [use.mean_latency, use.latency_deviation] for name, use in self._use_cases.items() if use.mean_latency
+        latencies = {
+            name: [use_case.mean_latency, use_case.latency_deviation]
+            for name, use_case in self._use_cases.items()
+            if use_case.mean_latency
         }
-        return {"open_for": open_for, "times": times, "flow": list(self._balancer.export_learned(now))}
+        return {"open_for": open_for, "times": latencies, "flow": list(self._balancer.export_learned(now))}
 
-    def import_learned(self, told: Mapping[str, object], now: int) -> None:
-        """Raises ValueError where that is not what `learned` gives; nothing of it is taken then."""
+    def import_learned(self, learned: Mapping[str, object], now: int) -> None:
+        """Imports the result of `export_learned`. Raises ValueError if the input is malformed; nothing is imported
+        then."""
 
-        def whole(value: object) -> int:
+        def parse_number(value: object) -> int:
             if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < 1e12:
-                raise ValueError(f"{value!r} is no figure")
+                raise ValueError(f"{value!r} is not a valid number")
             return round(value)
 
         try:
-            open_for = {name: min(whole(left), OPEN_FOR) for name, left in dict(told["open_for"]).items()}
-            times = {name: (whole(usual), whole(spread)) for name, (usual, spread) in dict(told["times"]).items()}
-            usual, flow, took = map(whole, told["flow"])
+            open_for = {
+                name: min(parse_number(open_us), OPEN_DURATION_US)
+                for name, open_us in dict(learned["open_for"]).items()
+            }
+            latencies = {
+                name: (parse_number(mean), parse_number(deviation))
+                for name, (mean, deviation) in dict(learned["times"]).items()
+            }
+            mean, completion_rate, unit_rate = map(parse_number, learned["flow"])
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"{type(error).__name__}: {error}") from None
-        for name, left in open_for.items():
+        for name, open_us in open_for.items():
             if (backend := self._backends.get(name)) is not None:
-                backend.state, backend.open_until = terms.OPEN, now + left
-        for name, (known, spread) in times.items():
-            if (use := self._use_cases.get(name)) is not None:
-                use.mean_latency, use.latency_deviation = known, spread
-        self._balancer.import_learned(usual, flow, took, now)
+                backend.state, backend.open_until = terms.OPEN, now + open_us
+        for name, (mean_latency, deviation) in latencies.items():
+            if (use_case := self._use_cases.get(name)) is not None:
+                use_case.mean_latency, use_case.latency_deviation = mean_latency, deviation
+        self._balancer.import_learned(mean, completion_rate, unit_rate, now)
 
     def record_load_report(self, backend: str, load: Mapping[int, float], now: int) -> None:
-        """What an answer told of its backend's load, in the words of `terms`; where the settings name no such
-        reports, and of one off the list, it counts for nothing."""
+        """Records a load report from a response. Ignored if the settings name no such reports or the backend is
+        unknown."""
         known = self._backends.get(backend)
-        if known is not None and self._by_answers:
+        if known is not None and self._takes_load_reports:
             self._balancer.record_load_report(known, load, now)
 
     def has_backend(self, backend: str) -> bool:
-        """Whether the list has it, or had it a short time ago."""
+        """Returns whether the backend is listed, or was until a short time ago."""
         return backend in self._backends
 
     def backends(self) -> list[dict[str, object]]:
-        """Each known one as it stands, for those who ask; the words are plain."""
+        """Describes all known backends in plain values, for the console."""
         return [
             {
                 "id": name,
-                "state": STATES[one.state],
+                "state": STATE_NAMES[backend.state],
                 "ready": name not in self._unlisted,
-                "weight": one.weight,
-                "zone": one.zone,
-                "cell": one.cell,
-                "in_flight": one.in_flight,
-                "failed": one.failures,
-                "of": len(one.results),
-                "run_failed": one.run_failed,
-                "open_until": one.open_until,
+                "weight": backend.weight,
+                "zone": backend.zone,
+                "cell": backend.cell,
+                "in_flight": backend.in_flight,
+                "failed": backend.failures,
+                "of": len(backend.results),
+                "run_failed": backend.run_failed,
+                "open_until": backend.open_until,
             }
-            for name, one in self._backends.items()
+            for name, backend in self._backends.items()
         ]
 
     def tickets(self, now: int) -> list[dict[str, object]]:
-        """Each in hand, the oldest first."""
+        """Describes the open tickets, the oldest first."""
         return [
             {
-                "use_case": one.use_case.name,
-                "customer": one.customer.name if one.customer else "",
-                "age_ms": (now - one.arrived_at) // 1000,
-                "left_ms": (one.deadline - now) // 1000,
-                "attempts": len(one.attempts),
-                "at": next((sent.backend.address for sent in one.attempts if sent.ended is None), ""),
+                "use_case": ticket.use_case.name,
+                "customer": ticket.customer.name if ticket.customer else "",
+                "age_ms": (now - ticket.arrived_at) // 1000,
+                "left_ms": (ticket.deadline - now) // 1000,
+                "attempts": len(ticket.attempts),
+                "at": next((attempt.backend.address for attempt in ticket.attempts if attempt.outcome is None), ""),
             }
-            for one in sorted(self._tickets, key=lambda one: one.arrived_at)
+            for ticket in sorted(self._tickets, key=lambda ticket: ticket.arrived_at)
         ]
 
     def endpoint_request_failed(self, now: int) -> None:
+        """Reports that a request for the endpoint list has failed or that the watch has ended."""
         self._balancer.endpoint_request_failed(now)
 
     def endpoint_request_delay(self, now: int) -> int:
-        """In how long to ask for the list; 0 is now, and counts as asked; -1 is when the asking has ended."""
+        """Returns the delay until the list is to be requested: 0 means now and counts as a request, -1 that none is
+        due."""
         return self._balancer.wait_time(None, now)
--- a/pepperusher/invariants.py
+++ b/pepperusher/invariants.py
@@ -1,11 +1,13 @@
-"""What must hold: asserted in debug, counted in release (`python -O`), where one slip must not end a proxy."""
+"""Invariant checks. They raise in debug mode and are only counted under `python -O`, where one violation must not end
+a proxy."""
 
 from __future__ import annotations
 
-broken: dict[str, int] = {}  # keyed by the texts in the code, so it grows with the code alone
+broken: dict[str, int] = {}  # violations by the text of the check, so bounded by the number of checks
 
 
-def check_invariant(truth: bool, what: str) -> None:
-    if not truth:
-        assert False, what
-        broken[what] = broken.get(what, 0) + 1
+def check_invariant(holds: bool, description: str) -> None:
+    """Asserts or counts an invariant; `description` says what has to be true."""
+    if not holds:
+        assert False, description
+        broken[description] = broken.get(description, 0) + 1
--- a/pepperusher/settings.py
+++ b/pepperusher/settings.py
@@ -1,6 +1,7 @@
-"""The settings object that a proxy is handed at its start, turned into the `PolicySettings` of its decisions.
+"""Converts the settings object that a proxy receives at its start into the `PolicySettings` of its decisions.
 
-The operators' names for things end here; the adapter for the bench and the proxy on sockets share this door.
+The simulator's adapter and the proxy on sockets both use it. The names that operators use in the settings do not
+appear past this module.
 """
 
 from __future__ import annotations
@@ -11,147 +12,158 @@
 from pepperusher import terms
 from pepperusher.terms import Customer, PolicySettings, UseCase
 
-REPEAT = {"pure": terms.REPLAYABLE, "token": terms.REFERENCED, "side_effect": terms.SINGLE_USE}
-# What the decisions make use of in a load report; any other name is read over.
-REPORT = {"active": terms.LOAD_ACTIVE, "waiting": terms.LOAD_WAITING}
-REPORTED_BY = {"silent": terms.REPORTS_NONE, "piggyback": terms.REPORTS_IN_RESPONSES, "pull": terms.REPORTS_BY_PROBES}
-SCOPE = {"all": terms.SCOPE_ALL, "zone": terms.SCOPE_ZONE, "cell": terms.SCOPE_CELL}
+RETRY_CLASSES = {"pure": terms.REPLAYABLE, "token": terms.REFERENCED, "side_effect": terms.SINGLE_USE}
+# The metrics of a load report that the decisions use; others are ignored.
+LOAD_METRICS = {"active": terms.LOAD_ACTIVE, "waiting": terms.LOAD_WAITING}
+REPORTING_MODES = {
+    "silent": terms.REPORTS_NONE,
+    "piggyback": terms.REPORTS_IN_RESPONSES,
+    "pull": terms.REPORTS_BY_PROBES,
+}
+SCOPES = {"all": terms.SCOPE_ALL, "zone": terms.SCOPE_ZONE, "cell": terms.SCOPE_CELL}
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be read; its text names the entry."""
+    """Invalid settings; the text names the entry."""
 
 
-def number_field(of: dict[str, Any], name: str, default: float | None = None) -> float:
-    value = of.get(name, default)
+def number_field(fields: dict[str, Any], name: str, default: float | None = None) -> float:
+    """Returns a numeric entry of the settings. Raises SettingsError if it is missing or invalid."""
+    value = fields.get(name, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise SettingsError(f"{name} is {'missing' if value is None else 'not a number'}")
-    if not abs(value) < 1e15:  # json reads NaN and Infinity, and neither is a figure
-        raise SettingsError(f"{name} is out of any range")
+    if not abs(value) < 1e15:  # json accepts NaN and Infinity, which are not valid numbers here
+        raise SettingsError(f"{name} is out of range")
     return value
 
 
-def duration_field(of: dict[str, Any], name: str, default: float | None = None) -> int:
-    return round(number_field(of, name, default) * 1000)
+def duration_field(fields: dict[str, Any], name: str, default: float | None = None) -> int:
+    """Returns a duration, given in milliseconds, in microseconds."""
+    return round(number_field(fields, name, default) * 1000)
 
 
-def typed_field(of: dict[str, Any], name: str, kind: type) -> Any:
-    value = of.get(name)
+def typed_field(fields: dict[str, Any], name: str, kind: type) -> Any:
+    """Returns an entry of the given type; a missing entry counts as empty."""
+    value = fields.get(name)
     if value is None:
         return kind()
     if not isinstance(value, kind):
-        raise SettingsError(f"{name} has the wrong form")
+        raise SettingsError(f"{name} has the wrong type")
     return value
 
 
-def _only(of: dict[str, Any], name: str, known: list[str] | None = None) -> frozenset[str] | None:
-    """The only places or kinds; None where the settings name none. An empty set lets nothing run, and is a
-    mistake."""
-    told = of.get(name)
-    if told is None:
+def _allowed_names(fields: dict[str, Any], name: str, zones: list[str] | None = None) -> frozenset[str] | None:
+    """Returns the zones or kinds that an entry is limited to; None if it is not limited. An empty list would leave
+    nowhere to run and is an error."""
+    names = fields.get(name)
+    if names is None:
         return None
-    if not isinstance(told, list) or not all(isinstance(one, str) for one in told):
-        raise SettingsError(f"use-cases: {of['name']}: {name} is not a list of names")
-    if not told:
-        raise SettingsError(f"use-cases: {of['name']}: {name} names none, so it could run nowhere")
-    if known is not None and (unknown := sorted(set(told) - set(known))):
-        raise SettingsError(f"use-cases: {of['name']}: {name}: {unknown[0]} is not one of the zones")
-    return frozenset(told)
-
-
-def _word(of: dict[str, Any], name: str, known: dict[str, Any], default: str, within: str = "") -> Any:
-    told = of.get(name, default)
-    if not isinstance(told, str) or told not in known:
-        raise SettingsError(f"{within + ': ' if within else ''}{name}: {told!r} is not one of {', '.join(known)}")
-    return known[told]
-
-
-def boolean_field(of: dict[str, Any], name: str) -> bool:
-    told = of.get(name, False)
-    if not isinstance(told, bool):
+    if not isinstance(names, list) or not all(isinstance(name_, str) for name_ in names):
+        raise SettingsError(f"use-cases: {fields['name']}: {name} is not a list of names")
+    if not names:
+        raise SettingsError(f"use-cases: {fields['name']}: {name} is empty, so it could run nowhere")
+    if zones is not None and (unknown := sorted(set(names) - set(zones))):
+        raise SettingsError(f"use-cases: {fields['name']}: {name}: {unknown[0]} is not one of the zones")
+    return frozenset(names)
+
+
+def _choice_field(fields: dict[str, Any], name: str, choices: dict[str, Any], default: str, section: str = "") -> Any:
+    """Returns the value in `choices` for a text entry."""
+    value = fields.get(name, default)
+    if not isinstance(value, str) or value not in choices:
+        raise SettingsError(f"{section + ': ' if section else ''}{name}: {value!r} is not one of {', '.join(choices)}")
+    return choices[value]
+
+
+def boolean_field(fields: dict[str, Any], name: str) -> bool:
+    """Returns a boolean entry; a missing entry counts as false."""
+    value = fields.get(name, False)
+    if not isinstance(value, bool):
         raise SettingsError(f"{name} is neither true nor false")
-    return told
+    return value
 
 
-def parse_load_report(told: Iterable[tuple[str, Any]]) -> dict[int, float]:
-    """A load report in our words. What is no figure from 0 up, or of a name not known, is as if it were not
-    there: a spoilt report is worth no more than none, and ends nothing."""
-    made = {}
-    for name, value in told:
+def parse_load_report(metrics: Iterable[tuple[str, Any]]) -> dict[int, float]:
+    """Converts a load report into the keys of `terms`. Unknown metrics and values that are not valid numbers from 0 up
+    are skipped: a malformed report counts as a missing one and is no error."""
+    load = {}
+    for name, value in metrics:
         try:
-            found = float(value)
+            number = float(value)
         except (TypeError, ValueError):
             continue
-        if name in REPORT and not isinstance(value, bool) and 0 <= found < 1e9:
-            made[REPORT[name]] = found
-    return made
+        if name in LOAD_METRICS and not isinstance(value, bool) and 0 <= number < 1e9:
+            load[LOAD_METRICS[name]] = number
+    return load
 
 
-def _named(of: Any, within: str) -> str:
-    if not isinstance(of, dict) or not isinstance(of.get("name"), str):
-        raise SettingsError(f"{within} has an entry without a name")
-    return of["name"]
+def _entry_name(entry: Any, list_name: str) -> str:
+    """Returns the name of an entry in a list."""
+    if not isinstance(entry, dict) or not isinstance(entry.get("name"), str):
+        raise SettingsError(f"{list_name} has an entry without a name")
+    return entry["name"]
 
 
-def read_settings(told: Any, seed: int) -> PolicySettings:
-    if not isinstance(told, dict):
+def read_settings(data: Any, seed: int) -> PolicySettings:
+    """Converts the settings object. Raises SettingsError if it is invalid."""
+    if not isinstance(data, dict):
         raise SettingsError("is not an object")
-    limits, rules = typed_field(told, "policy-limits", dict), typed_field(told, "rules", dict)
-    made = PolicySettings()
-    made.seed = seed
-    made.zones = [str(zone) for zone in typed_field(told, "zones", list)]
-    made.use_cases = [
+    limits, rules = typed_field(data, "policy-limits", dict), typed_field(data, "rules", dict)
+    settings = PolicySettings()
+    settings.seed = seed
+    settings.zones = [str(zone) for zone in typed_field(data, "zones", list)]
+    settings.use_cases = [
         UseCase(
-            _named(use, "use-cases"),
-            duration_field(use, "promised-time"),
-            duration_field(use, "outer-limit"),
-            number_field(use, "importance", 1.0),
-            number_field(use, "overdue-importance", 0.0),
-            # A kind that is not known is held to the strictest.
-            REPEAT.get(use.get("effect"), terms.SINGLE_USE),
-            SCOPE.get(use.get("key-scope"), terms.SCOPE_CELL),
-            duration_field(use, "window", 0.0),
-            number_field(use, "aim-stretch", 0.0),
-            _only(use, "zones-allowed", made.zones),
-            _only(use, "runs-on"),
+            _entry_name(entry, "use-cases"),
+            duration_field(entry, "promised-time"),
+            duration_field(entry, "outer-limit"),
+            number_field(entry, "importance", 1.0),
+            number_field(entry, "overdue-importance", 0.0),
+            # An unknown effect or scope gets the strictest rules.
+            RETRY_CLASSES.get(entry.get("effect"), terms.SINGLE_USE),
+            SCOPES.get(entry.get("key-scope"), terms.SCOPE_CELL),
+            duration_field(entry, "window", 0.0),
+            number_field(entry, "aim-stretch", 0.0),
+            _allowed_names(entry, "zones-allowed", settings.zones),
+            _allowed_names(entry, "runs-on"),
         )
-        for use in typed_field(told, "use-cases", list)
+        for entry in typed_field(data, "use-cases", list)
     ]
-    made.customers = [
-        Customer(_named(one, "customers"), number_field(one, "quota-rps", 0.0))
-        for one in typed_field(told, "customers", list)
+    settings.customers = [
+        Customer(_entry_name(entry, "customers"), number_field(entry, "quota-rps", 0.0))
+        for entry in typed_field(data, "customers", list)
     ]
-    made.group_size = int(number_field(told, "group-size", 1))
-    made.proxy_index = int(number_field(told, "ordinal", 0))
-    made.tier_index = int(number_field(told, "stage", 0))
-    made.last_tier = made.tier_index >= len(typed_field(told, "tiers", list)) - 1
-    made.zone = str(told.get("zone", ""))
-    made.most_attempts = int(number_field(limits, "most-transmissions", 1))
-    made.cancel_allowed = bool(limits.get("cancel", False))
-    made.retry_after_allowed = bool(limits.get("retry-after", False))
-    made.max_retry_after = duration_field(limits, "max-retry-after", 0.0)
-    made.polls_list = _word(told, "discovery", {"push": False, "ask": True}, "push")
-    made.list_is_pushed = told.get("discovery") == "push"
-    made.ask_within = duration_field(rules, "ask-within", 0.0)
-    made.drain_within = duration_field(rules, "stop-sending-within", 500.0)
-    made.cold_share = number_field(rules, "cold-share", 1.0)
-    made.warm_after = duration_field(rules, "warm-after", 0.0)
-    made.tip_multiple = number_field(rules, "tip-multiple", 1.0)
-    made.overload_for = duration_field(rules, "overload-for", 1000.0)
-    made.forwards_deadline = bool(typed_field(told, "family-info", dict).get("passes-deadline", False))
-    made.only_drain_binds = boolean_field(rules, "drain-binds-alone")
-    reporting = typed_field(told, "reporting", dict)
-    made.reported_by = _word(reporting, "how", REPORTED_BY, "silent", "reporting")
+    settings.group_size = int(number_field(data, "group-size", 1))
+    settings.proxy_index = int(number_field(data, "ordinal", 0))
+    settings.tier_index = int(number_field(data, "stage", 0))
+    settings.last_tier = settings.tier_index >= len(typed_field(data, "tiers", list)) - 1
+    settings.zone = str(data.get("zone", ""))
+    settings.most_attempts = int(number_field(limits, "most-transmissions", 1))
+    settings.cancel_allowed = bool(limits.get("cancel", False))
+    settings.retry_after_allowed = bool(limits.get("retry-after", False))
+    settings.max_retry_after = duration_field(limits, "max-retry-after", 0.0)
+    settings.polls_list = _choice_field(data, "discovery", {"push": False, "ask": True}, "push")
+    settings.list_is_pushed = data.get("discovery") == "push"
+    settings.ask_within = duration_field(rules, "ask-within", 0.0)
+    settings.drain_within = duration_field(rules, "stop-sending-within", 500.0)
+    settings.cold_share = number_field(rules, "cold-share", 1.0)
+    settings.warm_after = duration_field(rules, "warm-after", 0.0)
+    settings.tip_multiple = number_field(rules, "tip-multiple", 1.0)
+    settings.overload_for = duration_field(rules, "overload-for", 1000.0)
+    settings.forwards_deadline = bool(typed_field(data, "family-info", dict).get("passes-deadline", False))
+    settings.only_drain_binds = boolean_field(rules, "drain-binds-alone")
+    reporting = typed_field(data, "reporting", dict)
+    settings.reported_by = _choice_field(reporting, "how", REPORTING_MODES, "silent", "reporting")
     names = typed_field(reporting, "names", list)
-    if not all(isinstance(one, str) for one in names):
+    if not all(isinstance(entry, str) for entry in names):
         raise SettingsError("reporting: names: is not a list of names")
-    if twice := sorted({one for one in names if names.count(one) > 1}):
-        raise SettingsError(f"reporting: names: {twice[0]} stands there twice")
-    if made.reported_by == terms.REPORTS_NONE and names:
-        raise SettingsError(f"reporting: names: {names[0]} is told by nobody, as how says")
-    family = told.get("family", "")
+    if repeated := sorted({entry for entry in names if names.count(entry) > 1}):
+        raise SettingsError(f"reporting: names: {repeated[0]} appears twice")
+    if settings.reported_by == terms.REPORTS_NONE and names:
+        raise SettingsError(f"reporting: names: {names[0]} is named, but how is silent")
+    family = data.get("family", "")
     if not isinstance(family, str):
-        raise SettingsError("family is not a word")
-    made.is_sidecar = family == "mesh"
-    made.importance_by_work = told.get("importance-by") == "work"
-    return made
+        raise SettingsError("family is not a string")
+    settings.is_sidecar = family == "mesh"
+    settings.importance_by_work = data.get("importance-by") == "work"
+    return settings
--- a/pepperusher/simhost/__init__.py
+++ b/pepperusher/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decision module; it keeps timers and tickets and decides nothing."""
+"""Adapter between the simulator's protocol and the decision module; it keeps timers and tickets and decides nothing."""
--- a/pepperusher/simhost/__main__.py
+++ b/pepperusher/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""Speaks the bench's wire on standard input and output."""
+"""Speaks the simulator's line protocol on standard input and output."""
 
 from __future__ import annotations
 
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -1,4 +1,5 @@
-"""The wire's names and forms, turned into the terms of the decisions and back. Nothing past here knows them."""
+"""Converts between the simulator's protocol and the types of the decisions; no other module knows its names and
+formats."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 from pepperusher import terms
 from pepperusher.terms import PolicySettings
 
-HOW = {
+OUTCOMES = {
     "0": terms.DONE,
     "255": terms.ERROR,
     "254": terms.FULL,
@@ -21,10 +22,11 @@
 
 
 class WireError(Exception):
-    """A line that cannot be read; its text names the message and the field."""
+    """An invalid line; the text names the message and the field."""
 
 
 def fields_of(message: str, parts: list[str]) -> dict[str, str]:
+    """Parses the `name=value` fields of a message."""
     fields: dict[str, str] = {}
     for part in parts:
         name, equals, value = part.partition("=")
@@ -34,43 +36,43 @@
     return fields
 
 
-def text(message: str, fields: dict[str, str], name: str) -> str:
+def text_field(message: str, fields: dict[str, str], name: str) -> str:
     try:
         return fields[name]
     except KeyError:
         raise WireError(f"{message}: {name} is missing") from None
 
 
-def whole(message: str, fields: dict[str, str], name: str) -> int:
-    value = text(message, fields, name)
+def integer_field(message: str, fields: dict[str, str], name: str) -> int:
+    value = text_field(message, fields, name)
     try:
         return int(value)
     except ValueError:
         raise WireError(f"{message}: {name} is not a whole number: {value!r}") from None
 
 
-def micros(message: str, fields: dict[str, str], name: str) -> int:
-    value = text(message, fields, name)
+def time_field(message: str, fields: dict[str, str], name: str) -> int:
+    value = text_field(message, fields, name)
     try:
         return round(float(value) * 1000)
     except (ValueError, OverflowError):
         raise WireError(f"{message}: {name} is not a time: {value!r}") from None
 
 
-def millis(us: int) -> str:
+def format_ms(us: int) -> str:
     return f"{us // 1000}.{us % 1000:03d}"
 
 
-def load(text: str) -> dict[int, float]:
-    return settings.parse_load_report(tuple(one.split(":", 1)) for one in text.split(",") if ":" in one)
+def parse_load_report(report: str) -> dict[int, float]:
+    return settings.parse_load_report(tuple(metric.split(":", 1)) for metric in report.split(",") if ":" in metric)
 
 
 def read_settings(params: str, seed: int) -> PolicySettings:
     try:
-        told = json.loads(params)
+        data = json.loads(params)
     except ValueError:
         raise WireError("spawn: params is not JSON") from None
     try:
-        return settings.read_settings(told, seed)
+        return settings.read_settings(data, seed)
     except settings.SettingsError as error:
         raise WireError(f"spawn: params: {error}") from None
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -1,4 +1,4 @@
-"""The words of the interface: what passes between the decisions and whoever asks for them.
+"""The types and constants of the interface between the balancing decisions and the code that calls them.
 
 Times are whole microseconds. docs/interface.md describes each call and value.
 """
@@ -7,60 +7,60 @@
 
 from collections import deque
 
-# How an attempt ended.
+# Outcomes of an attempt.
 DONE = 0
 ERROR = 1
-FULL = 2
+FULL = 2  # refused, because the backend is at its limit
 TIMED_OUT = 3
-UNREACHED = 4
-RESET = 5
-CALLED_OFF = 6
-MOOT = 7
+UNREACHED = 4  # no connection
+RESET = 5  # the connection broke
+CALLED_OFF = 6  # cancelled by the proxy
+MOOT = 7  # not sent, because the backend or the client had gone
 UNKNOWN = 8
 NEVER_RAN = frozenset((FULL, UNREACHED, MOOT))
 
-# What the module answers where it names no backend.
-NOT_YET = 10
-BOUNCE = 11
-SCRAP = 12
-AGAIN = 13
-NOTHING = 14
-
-# May a use case run again, and which backends drop its repeats.
-REPLAYABLE = 20
-REFERENCED = 21
-SINGLE_USE = 22
+# Decisions other than a backend to send to.
+NOT_YET = 10  # hold the ticket
+BOUNCE = 11  # refuse it; the caller may safely retry
+SCRAP = 12  # fail it; it may have run and must not be retried
+AGAIN = 13  # choose a backend for another attempt
+NOTHING = 14  # no action
+
+# Whether the tickets of a use case may run again, and which backends deduplicate repeated runs.
+REPLAYABLE = 20  # may run any number of times
+REFERENCED = 21  # carries an idempotency key by which backends drop repeats
+SINGLE_USE = 22  # must not run twice
 SCOPE_ALL = 30
 SCOPE_ZONE = 31
 SCOPE_CELL = 32
 
-# Over what any ground allows; a ticket's own figure narrows it.
-MOST = 1 << 20
+# Higher than any limit in the settings; a ticket's own limit only lowers the limit of the settings.
+MAX_ATTEMPTS = 1 << 20
 
-# What a backend reports of its load: calls it holds, calls that wait there.
+# Metrics in a backend's load report: the calls that it holds and the calls that wait in its queue.
 LOAD_ACTIVE = 50
 LOAD_WAITING = 51
-# And with what its reports come.
+# How load reports arrive: not at all, with responses, or from probes.
 REPORTS_NONE = 60
 REPORTS_IN_RESPONSES = 61
 REPORTS_BY_PROBES = 62
 
-LONG_AGO = -1 << 60
+LONG_AGO = -1 << 60  # earlier than any time that occurs
 
-# A breaker's states.
+# Circuit breaker states.
 CLOSED = 40
 OPEN = 41
 HALF_OPEN = 42
 
 
-# What is learned of a use case, beside its terms.
-LEARNED = ("mean_latency", "latency_deviation", "work")
+# The fields of UseCase that the balancer learns; all others come from the settings.
+LEARNED_FIELDS = ("mean_latency", "latency_deviation", "mean_work")
 
 
 class UseCase:
-    """One use case: its terms, and what this balancer has learned of its times (two figures).
+    """One use case: its settings and the latency that this balancer has learned (mean and mean deviation).
 
-    `zones` and `kinds` are the only ones where it may run; None for any.
+    `zones` and `kinds` limit where it may run; None means anywhere.
     """
 
     __slots__ = (
@@ -68,8 +68,8 @@
         "latency_target",
         "outer_limit",
         "importance",
-        "late_share",
-        "stretch",
+        "late_importance",
+        "target_per_work",
         "retry_class",
         "scope",
         "deduplication_window",
@@ -77,7 +77,7 @@
         "kinds",
         "mean_latency",
         "latency_deviation",
-        "work",
+        "mean_work",
     )
 
     def __init__(
@@ -86,11 +86,11 @@
         latency_target: int,
         outer_limit: int,
         importance: float,
-        late_share: float = 0.0,
+        late_importance: float = 0.0,
         retry_class: int = REPLAYABLE,
         scope: int = SCOPE_ALL,
         deduplication_window: int = 0,
-        stretch: float = 0.0,
+        target_per_work: float = 0.0,
         zones: frozenset[str] | None = None,
         kinds: frozenset[str] | None = None,
     ) -> None:
@@ -98,37 +98,38 @@
         self.latency_target = latency_target
         self.outer_limit = outer_limit
         self.importance = importance
-        self.late_share = late_share
+        self.late_importance = late_importance
         self.retry_class = retry_class
         self.scope = scope
         self.deduplication_window = deduplication_window
-        self.stretch = stretch
+        self.target_per_work = target_per_work
         self.zones = zones
         self.kinds = kinds
         self.mean_latency = 0
         self.latency_deviation = 0
-        self.work = 0  # by the hints of its tickets; 0 where there are none
+        self.mean_work = 0  # mean work of its tickets as hinted by the callers; 0 if there are no hints
 
-    def same_terms(self, other: UseCase) -> bool:
-        return all(getattr(self, name) == getattr(other, name) for name in self.__slots__ if name not in LEARNED)
+    def same_settings(self, other: UseCase) -> bool:
+        return all(getattr(self, name) == getattr(other, name) for name in self.__slots__ if name not in LEARNED_FIELDS)
 
 
 class Customer:
-    """One customer: its share in tickets a second over all proxies, this proxy's allowance of it, and the tickets that it was
-    asked for of late."""
+    """One customer: its quota in tickets a second over all proxies, the tokens that this proxy has left of it, and the
+    recent demand at this proxy."""
 
-    __slots__ = ("name", "rate", "allowance", "counted_at", "asked")
+    __slots__ = ("name", "rate", "tokens", "tokens_updated_at", "demand")
 
     def __init__(self, name: str, rate: float) -> None:
         self.name = name
         self.rate = rate
-        self.allowance = 0.0
-        self.counted_at = 0
-        self.asked = 0.0
+        self.tokens = 0.0
+        self.tokens_updated_at = 0
+        self.demand = 0.0
 
 
 class Backend:
-    """One backend as this proxy knows it, with its breaker. The window empties at each change of state."""
+    """One backend as this proxy knows it, with its breaker. Each change of the breaker's state clears the result
+    window."""
 
     __slots__ = (
         "address",
@@ -138,13 +139,13 @@
         "weight",
         "started_at",
         "in_flight",
-        "held",
-        "turn",
-        "share",
-        "portion",
+        "mean_in_flight",
+        "current_weight",
+        "effective_weight",
+        "subset_weight",
         "near",
-        "room",
-        "cold",
+        "load_scale",
+        "is_cold",
         "state",
         "generation",
         "results",
@@ -152,17 +153,17 @@
         "run_failed",
         "run_done",
         "open_until",
-        "trials",
-        "trial_due",
+        "trials_in_flight",
+        "trial_deadline",
         "full_until",
-        "full_at",
-        "allowance",
-        "counted_at",
-        "runs",
-        "shut",
+        "full_in_flight",
+        "tokens",
+        "tokens_updated_at",
+        "use_case_failures",
+        "avoided_until",
         "told",
         "told_at",
-        "pace",
+        "time_per_work",
     )
 
     def __init__(self, address: str) -> None:
@@ -173,81 +174,87 @@
         self.weight = 1.0
         self.started_at = 0
         self.in_flight = 0
-        self.held = 0.0
-        self.turn = 0.0
-        self.share = 1.0
-        self.portion = 1.0
-        self.near = True
-        self.room = 1.0
-        self.cold = False
+        self.mean_in_flight = 0.0
+        self.current_weight = 0.0  # state of the smooth weighted round robin
+        self.effective_weight = 1.0  # `subset_weight`, reduced during slow start
+        self.subset_weight = 1.0  # the part of `weight` that belongs to this proxy's subset
+        self.near = True  # whether it belongs to this proxy's subset
+        self.load_scale = 1.0  # expected load relative to the other backends
+        self.is_cold = False
         self.state = CLOSED
-        self.generation = 0
+        self.generation = 0  # counts changes of the breaker's state; results of older attempts are ignored
         self.results: deque[bool] = deque()
         self.failures = 0
-        self.run_failed = 0
-        self.run_done = 0
+        self.run_failed = 0  # consecutive failures
+        self.run_done = 0  # consecutive successes
         self.open_until = 0
-        self.trials = 0
-        self.trial_due = 0
-        self.full_until = 0
-        self.full_at = 0
-        self.allowance = 0.0
-        self.counted_at = 0
-        # By use case: how often in a row it failed here, and until when it is not sent here. Emptied by what
-        # is done.
-        self.runs: dict[UseCase, int] = {}
-        self.shut: dict[UseCase, int] = {}
-        # Calls that it reports, from all proxies, and when that came; a report is as good as none soon after.
+        self.trials_in_flight = 0
+        self.trial_deadline = 0
+        self.full_until = 0  # until then it gets no more calls than `full_in_flight`
+        self.full_in_flight = 0
+        self.tokens = 0.0  # slow-start budget, in calls
+        self.tokens_updated_at = 0
+        # By use case: consecutive failures at this backend, and the time until which it is avoided. A successful
+        # attempt removes the entry.
+        self.use_case_failures: dict[UseCase, int] = {}
+        self.avoided_until: dict[UseCase, int] = {}
+        # Calls in the latest load report, those of all proxies, and when the report arrived. A report soon becomes
+        # stale.
         self.told = 0.0
         self.told_at = LONG_AGO
-        # What its calls take, for their hinted work; 0 where none is known.
-        self.pace = 0.0
+        # Mean duration of its attempts per unit of hinted work; 0 if unknown.
+        self.time_per_work = 0.0
 
 
-class Side:
-    """One location's backends as one proxy knows them, and its flow there."""
+class Locality:
+    """The backends of one zone as one proxy knows them, and the rate at which they complete its calls."""
 
     __slots__ = (
-        "part",
-        "reach",
+        "traffic_share",
+        "subset_scale",
         "ring",
-        "weight",
-        "grown",
-        "grown_then",
-        "sharing",
-        "mean",
-        "held",
-        "flow",
-        "flow_at",
-        "started",
-        "span",
-        "gap",
-        "done_at",
-        "took",
-        "took_at",
+        "subset_weight",
+        "slow_start_weight",
+        "mean_slow_start_weight",
+        "sharing_proxies",
+        "mean_load",
+        "mean_in_flight",
+        "completion_rate",
+        "rate_updated_at",
+        "measured_since",
+        "rate_span",
+        "completion_gap",
+        "last_completion_at",
+        "unit_rate",
+        "unit_rate_updated_at",
     )
 
-    def __init__(self, started: int, span: int, gap: int) -> None:
-        self.part = 1.0  # of the calls that go here first
-        self.ring: deque[Backend] = deque()  # all of the location, this proxy's part first; emptied by the list
-        self.reach = 1.0  # how many times as wide as others' this proxy's arc is
-        self.weight = 0.0
-        self.grown = 1.0
-        self.grown_then = 0.0  # over `sharing`, as it was while what makes up the flow came
-        self.sharing = 1.0
-        self.mean = 0.0
-        self.held = 0.0
-        self.flow = 0.0
-        self.started = self.flow_at = self.done_at = self.took_at = started
-        self.span = span
-        self.gap = gap
-        self.took = 0.0  # a second, by one of weight 1 from all that share it
+    def __init__(self, measured_since: int, rate_span: int, completion_gap: int) -> None:
+        self.traffic_share = 1.0  # share of the tickets that try this zone first
+        # all backends of the zone, this proxy's subset first; replaced by endpoint updates
+        self.ring: deque[Backend] = deque()
+        self.subset_scale = 1.0  # width of this proxy's subset relative to that of other proxies
+        self.subset_weight = 0.0
+        self.slow_start_weight = 1.0
+        # `slow_start_weight` / `sharing_proxies`, averaged over the period in which the completion rate was measured
+        self.mean_slow_start_weight = 0.0
+        self.sharing_proxies = 1.0  # how many proxies share the backends of this subset
+        self.mean_load = 0.0  # attempts in flight per backend of the subset
+        self.mean_in_flight = 0.0
+        self.completion_rate = 0.0
+        self.measured_since = self.rate_updated_at = self.last_completion_at = self.unit_rate_updated_at = (
+            measured_since
+        )
+        self.rate_span = rate_span
+        self.completion_gap = completion_gap
+        self.unit_rate = 0.0  # completions a second of a backend of weight 1, over all proxies that share it
 
 
 class Listing:
-    """One line of the list of backends. `born` 0 is long ago; `ready` is false while it drains or once gone.
+    """One entry of an endpoint update. `started_at` is 0 if the start time is unknown; `ready` is false while it
+    drains and after it has been removed.
 
-    `gone` tells the second from the first, where that makes a difference.
+    `gone` tells removal from draining where the difference matters.
     """
 
     __slots__ = ("backend", "zone", "cell", "weight", "started_at", "ready", "kind", "gone")
@@ -274,47 +281,59 @@
 
 
 class Attempt:
-    """One sending of a ticket to a backend. `ended` is None while it is out."""
+    """One attempt to send a ticket to a backend. `outcome` is None while it is in flight."""
 
-    __slots__ = ("ticket", "backend", "sent_at", "timeout", "generation", "trial", "ended", "aside")
+    __slots__ = ("ticket", "backend", "sent_at", "timeout", "generation", "is_trial", "outcome", "paused_at")
 
-    def __init__(self, ticket: Ticket, backend: Backend, sent_at: int, timeout: int, trial: bool) -> None:
+    def __init__(self, ticket: Ticket, backend: Backend, sent_at: int, timeout: int, is_trial: bool) -> None:
         self.ticket = ticket
         self.backend = backend
         self.sent_at = sent_at
         self.timeout = timeout
         self.generation = backend.generation
-        self.trial = trial
-        self.ended: int | None = None
-        # Since when it holds no place at its backend, while its body still comes or its answer is passed on.
-        self.aside: int | None = None
+        self.is_trial = is_trial
+        self.outcome: int | None = None
+        # The time since when it does not count as in flight, because the request body is still being received or the
+        # response is being forwarded; None if it counts.
+        self.paused_at: int | None = None
 
 
 class Ticket:
-    """One ticket in hand. `until` is its outer limit; `over` once it has had its final answer or its client
-    left.
+    """A request in hand. `deadline` is a point in time; `finished` is set once it has its final answer or its client
+    has disconnected.
 
-    `most` is how often it may go out, where that is less than the ground allows.
+    `max_attempts` limits its attempts where that is below the limit of the settings.
     """
 
-    __slots__ = ("use_case", "customer", "arrived_at", "deadline", "cost", "attempts", "finished", "pause", "most")
+    __slots__ = (
+        "use_case",
+        "customer",
+        "arrived_at",
+        "deadline",
+        "work_hint",
+        "attempts",
+        "finished",
+        "retry_after",
+        "max_attempts",
+    )
 
     def __init__(
-        self, use_case: UseCase, customer: Customer | None, arrived_at: int, deadline: int, cost: float = 0.0
+        self, use_case: UseCase, customer: Customer | None, arrived_at: int, deadline: int, work_hint: float = 0.0
     ) -> None:
         self.use_case = use_case
         self.customer = customer
         self.arrived_at = arrived_at
         self.deadline = deadline
-        self.cost = cost
+        self.work_hint = work_hint  # work that the caller announced, 0 for none
         self.attempts: list[Attempt] = []
         self.finished = False
-        self.pause = 0
-        self.most = MOST
+        # After a refusal the retry-after; after a disconnect 0 to cancel what is in flight, -1 to let it finish.
+        self.retry_after = 0
+        self.max_attempts = MAX_ATTEMPTS
 
 
 class PolicySettings:
-    """What a proxy is told once, at its start: the use cases, the customers and the limits it works under."""
+    """The settings of a proxy's decisions: use cases, customers and the limits of its operation."""
 
     __slots__ = (
         "seed",
@@ -348,9 +367,9 @@
     seed: int
     use_cases: list[UseCase]
     customers: list[Customer]
-    group_size: int
-    proxy_index: int
-    tier_index: int
+    group_size: int  # number of proxies that share the backends
+    proxy_index: int  # position of this proxy in the group, from 0
+    tier_index: int  # 0 for the tier that receives the calls of clients
     last_tier: bool
     zone: str
     zones: list[str]
@@ -359,20 +378,22 @@
     retry_after_allowed: bool
     max_retry_after: int
     polls_list: bool
-    list_is_pushed: bool  # what has been told to whoever pushes the list binds, whether or not it came here
-    ask_within: int
-    drain_within: int  # nothing new to a backend so long after it was told to drain
-    cold_share: float
-    warm_after: int
-    tip_multiple: float
-    overload_for: int
-    forwards_deadline: bool
-    importance_by_work: bool
-    reported_by: int
-    is_sidecar: bool  # each client process has a proxy of its own, and so each proxy traffic of its own
-    only_drain_binds: bool  # one that is gone or left out of the list may still be sent to
+    list_is_pushed: bool  # a drain is binding once discovery knows of it, even if the update has not reached this proxy
+    ask_within: int  # a lost endpoint list has to be requested again within this time
+    drain_within: int  # how long after the start of a drain a proxy may still send new attempts to the backend
+    cold_share: float  # initial share of its calls that a cold backend can carry
+    warm_after: int  # age at which a backend is warm
+    tip_multiple: float  # a cold backend fails at this multiple of its share of the calls
+    overload_for: int  # if it lasts for this long
+    forwards_deadline: bool  # whether calls carry their deadline to the next tier
+    importance_by_work: bool  # whether the importance counts per unit of work, not per ticket
+    reported_by: int  # one of REPORTS_NONE, REPORTS_IN_RESPONSES, REPORTS_BY_PROBES
+    # whether each client process has its own (sidecar) proxy, and each proxy therefore different traffic
+    is_sidecar: bool
+    # whether only draining excludes a backend: one that is gone or absent from the list may still receive attempts
+    only_drain_binds: bool
 
     @property
     def max_outer_limit(self) -> int:
-        """As long as any client waits, whatever it asks for."""
-        return max((use.outer_limit for use in self.use_cases), default=0)
+        """The longest outer limit of all use cases."""
+        return max((use_case.outer_limit for use_case in self.use_cases), default=0)
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -1,7 +1,8 @@
-"""Many balancers before one small ground, in one thread and by one clock: what only a crowd shows.
+"""Many balancers that share a few backends, simulated in one thread and virtual time, for effects that one proxy alone
+does not show.
 
-A backend has a core, shared evenly by what it holds; `speed` is what it does of a second's work in a second. Nothing is
-random but by the seed, and nothing is known to a balancer but what the interface tells it.
+A backend has one core, shared evenly by the calls it holds; `speed` is the work it does in a second, in seconds of
+work. All randomness comes from the seed, and a balancer knows only what its interface tells it.
 """
 
 from __future__ import annotations
@@ -17,73 +18,82 @@
 STEP = 5_000
 
 
-class Core:
-    """One backend as it is, beside the many proxies' pictures of it."""
+class SimulatedBackend:
+    """The actual state of one backend, as opposed to what each proxy knows of it."""
 
-    def __init__(self, speed: float, born: int, cold: float) -> None:
+    def __init__(self, speed: float, started_at: int, initial_share: float) -> None:
         self.speed = speed
-        self.born = born
-        self.cold = cold  # the share it starts at; warm after 10 s
+        self.started_at = started_at
+        self.initial_share = initial_share  # initial share of its speed; full speed after 10 s
         self.work: dict[Ticket, float] = {}
-        self.sent: list[int] = []
+        self.sent_times: list[int] = []
 
-    def turn(self, now: int) -> list[Ticket]:
-        age = 1.0 if not self.born else min(1.0, (now - self.born) / (10 * SECOND))
-        each = self.speed * (self.cold + (1 - self.cold) * age) * STEP / SECOND / max(1, len(self.work))
-        over = []
+    def advance(self, now: int) -> list[Ticket]:
+        """Simulates one step and returns the finished tickets."""
+        age = 1.0 if not self.started_at else min(1.0, (now - self.started_at) / (10 * SECOND))
+        progress = (
+            self.speed * (self.initial_share + (1 - self.initial_share) * age) * STEP / SECOND / max(1, len(self.work))
+        )
+        finished = []
         for ticket in self.work:
-            self.work[ticket] -= each
+            self.work[ticket] -= progress
             if self.work[ticket] <= 0:
-                over.append(ticket)
-        return over
+                finished.append(ticket)
+        return finished
 
 
 class Crowd:
+    """Balancers, their common backends and the tickets in flight."""
+
     def __init__(self, proxies: int, **changes: object) -> None:
         self.now = 100 * SECOND
-        self.chance = Random(5)
-        self.grounds = [
-            policy_settings(group_size=proxies, proxy_index=one, seed=one, **changes) for one in range(proxies)
+        self.rng = Random(5)
+        self.settings = [
+            policy_settings(group_size=proxies, proxy_index=index, seed=index, **changes) for index in range(proxies)
         ]
-        self.balancers = [Balancer(told, self.now, lambda line: None) for told in self.grounds]
-        self.pictures: list[dict[str, Backend]] = [{} for _ in self.balancers]
-        self.cores: dict[str, Core] = {}
-        self.out: dict[Ticket, tuple[int, int]] = {}  # its balancer and when its patience ends
-        self.tally: Counter[str] = Counter()
+        self.balancers = [Balancer(settings, self.now, lambda line: None) for settings in self.settings]
+        self.known_backends: list[dict[str, Backend]] = [{} for _ in self.balancers]
+        self.backends: dict[str, SimulatedBackend] = {}
+        # the balancer that sent it and the time at which its attempt times out
+        self.in_flight: dict[Ticket, tuple[int, int]] = {}
+        self.counts: Counter[str] = Counter()
 
-    def list(self, *names: str, speed: float = 1.0, born: int = 0, ready: bool = True) -> None:
+    def list(self, *names: str, speed: float = 1.0, started_at: int = 0, ready: bool = True) -> None:
+        """Lists these backends at all balancers."""
         for name in names:
-            self.cores.setdefault(name, Core(speed, born, 0.4))
-        for balancer, picture in zip(self.balancers, self.pictures):
-            lines = [Listing(picture.setdefault(name, Backend(name)), "here", 0, 1.0, born, ready) for name in names]
-            balancer.update_endpoints(lines, False, self.now)
+            self.backends.setdefault(name, SimulatedBackend(speed, started_at, 0.4))
+        for balancer, known in zip(self.balancers, self.known_backends):
+            listings = [
+                Listing(known.setdefault(name, Backend(name)), "here", 0, 1.0, started_at, ready) for name in names
+            ]
+            balancer.update_endpoints(listings, False, self.now)
 
     def play(self, seconds: float, rate: float, work: float) -> None:
-        """`rate` tickets a second over all proxies, each of `work` seconds on the mean."""
+        """Runs `rate` tickets a second over all proxies, each of `work` seconds on average."""
         for _ in range(round(seconds * SECOND / STEP)):
             self.now += STEP
-            for name, core in self.cores.items():
-                for ticket in core.turn(self.now):
-                    self._end(name, ticket, DONE)
-            for ticket, (_, until) in list(self.out.items()):
-                if self.now >= until:
-                    self._end(ticket.attempts[-1].backend.address, ticket, TIMED_OUT)
-            if self.chance.random() < rate * STEP / SECOND:
-                one = self.chance.randrange(len(self.balancers))
-                use = self.grounds[one].use_cases[0]
-                ticket = Ticket(use, None, self.now, self.now + 2 * SECOND)
-                backend = self.balancers[one].choose_backend(ticket, self.now)
+            for name, simulated in self.backends.items():
+                for ticket in simulated.advance(self.now):
+                    self._finish(name, ticket, DONE)
+            for ticket, (_, timeout_at) in list(self.in_flight.items()):
+                if self.now >= timeout_at:
+                    self._finish(ticket.attempts[-1].backend.address, ticket, TIMED_OUT)
+            if self.rng.random() < rate * STEP / SECOND:
+                index = self.rng.randrange(len(self.balancers))
+                use_case = self.settings[index].use_cases[0]
+                ticket = Ticket(use_case, None, self.now, self.now + 2 * SECOND)
+                backend = self.balancers[index].choose_backend(ticket, self.now)
                 if not isinstance(backend, Backend):
-                    self.tally["bounced"] += 1
+                    self.counts["bounced"] += 1
                     continue
-                core = self.cores[backend.address]
-                core.work[ticket] = self.chance.expovariate(1 / work)
-                core.sent.append(self.now)
-                self.tally[backend.address] += 1
-                self.out[ticket] = one, self.now + self.balancers[one].wait_time(ticket, self.now)
-
-    def _end(self, name: str, ticket: Ticket, how: int) -> None:
-        del self.cores[name].work[ticket]
-        one, _ = self.out.pop(ticket)
-        self.tally["done" if how == DONE else "timed out"] += 1
-        self.balancers[one].attempt_ended(ticket.attempts[-1], how, True, self.now)
+                simulated = self.backends[backend.address]
+                simulated.work[ticket] = self.rng.expovariate(1 / work)
+                simulated.sent_times.append(self.now)
+                self.counts[backend.address] += 1
+                self.in_flight[ticket] = index, self.now + self.balancers[index].wait_time(ticket, self.now)
+
+    def _finish(self, name: str, ticket: Ticket, outcome: int) -> None:
+        del self.backends[name].work[ticket]
+        index, _ = self.in_flight.pop(ticket)
+        self.counts["done" if outcome == DONE else "timed out"] += 1
+        self.balancers[index].attempt_ended(ticket.attempts[-1], outcome, True, self.now)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,6 +1,6 @@
-"""One scripted conversation with the decision module, printed as it goes and compared with the trace that is kept.
+"""Scripted test cases for the decision module and the proxy whose printed steps are compared with recorded traces.
 
-To keep a new trace after a wanted change, run the tests with KEEP=1 and read the difference before committing it.
+To record a new trace after an intended change, run the tests with KEEP=1 and read the difference before committing.
 """
 
 from __future__ import annotations
@@ -25,12 +25,15 @@
 
 TRACES = Path(__file__).parent / "traces"
 SECOND = 1_000_000
-WORDS = {value: name.lower() for name, value in vars(terms).items() if name.isupper() and isinstance(value, int)}
+CONSTANT_NAMES = {
+    value: name.lower() for name, value in vars(terms).items() if name.isupper() and isinstance(value, int)
+}
 
 
 def policy_settings(**changes: object) -> PolicySettings:
-    made = PolicySettings()
-    given = {
+    """Returns settings for tests; `changes` override the defaults."""
+    settings = PolicySettings()
+    defaults = {
         "seed": 7,
         "customers": [],
         "group_size": 1,
@@ -68,37 +71,41 @@
             UseCase("pay", SECOND, 4 * SECOND, 5.0, retry_class=terms.SINGLE_USE),
         ],
     }
-    for name, value in {**given, **changes}.items():
-        setattr(made, name, value)
-    return made
+    for name, value in {**defaults, **changes}.items():
+        setattr(settings, name, value)
+    return settings
 
 
 class TraceTestCase(unittest.TestCase):
-    """A test case whose steps print; `kept` compares what was printed with tests/traces/NAME.txt."""
+    """A test case that prints its steps; `compare_trace` compares them with tests/traces/NAME.txt."""
 
     lines: list[str]
 
     def compare_trace(self, name: str) -> None:
         path = TRACES / f"{name}.txt"
-        said = "\n".join(self.lines) + "\n"
+        actual = "\n".join(self.lines) + "\n"
         if os.environ.get("KEEP") == "1":
-            path.write_text(said)
-        was = path.read_text()
-        if said != was:
+            path.write_text(actual)
+        expected = path.read_text()
+        if actual != expected:
             self.fail(
-                "\n" + "".join(difflib.unified_diff(was.splitlines(True), said.splitlines(True), f"kept {name}", "now"))
+                "\n"
+                + "".join(
+                    difflib.unified_diff(expected.splitlines(True), actual.splitlines(True), f"kept {name}", "now")
+                )
             )
 
 
 class BalancerTestCase(TraceTestCase):
-    """A conversation with the module."""
+    """A test case that calls the decision module in virtual time and prints each call and its result."""
 
     def open(self, *addresses: str, **changes: object) -> None:
-        told = policy_settings(**changes)
+        """Creates a balancer with these backends; `changes` override its settings."""
+        settings = policy_settings(**changes)
         self.lines: list[str] = []
         self.now = 100 * SECOND
-        self.balancer = Balancer(told, self.now, lambda line: self.note(f"log: {line}"))
-        self.use_cases = {use.name: use for use in told.use_cases}
+        self.balancer = Balancer(settings, self.now, lambda line: self.note(f"log: {line}"))
+        self.use_cases = {use.name: use for use in settings.use_cases}
         self.backends: dict[str, Backend] = {}
         self.list(*addresses)
 
@@ -109,49 +116,57 @@
         self,
         *addresses: str,
         ready: bool = True,
-        born: int = 0,
+        started_at: int = 0,
         whole: bool = False,
         weight: float = 1.0,
         zone: str = "here",
     ) -> None:
-        """Backends are named by letter and cell: a1 and b1 share cell 1."""
-        lines = [
-            Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:] or 0), weight, born, ready)
+        """Backends are named by a letter and the cell: a1 and b1 share cell 1."""
+        listings = [
+            Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:] or 0), weight, started_at, ready)
             for name in addresses
         ]
-        self.balancer.update_endpoints(lines, whole, self.now)
+        self.balancer.update_endpoints(listings, whole, self.now)
 
     def pass_time(self, seconds: float) -> None:
         self.now += round(seconds * SECOND)
 
-    def ticket(self, use: str = "look", left: float = 2.0, customer: Customer | None = None) -> Ticket:
-        return Ticket(self.use_cases[use], customer, self.now, self.now + round(left * SECOND))
+    def ticket(self, use_case: str = "look", timeout_s: float = 2.0, customer: Customer | None = None) -> Ticket:
+        """Creates a ticket that arrives now."""
+        return Ticket(self.use_cases[use_case], customer, self.now, self.now + round(timeout_s * SECOND))
 
     def where(self, ticket: Ticket, quiet: bool = False) -> Backend | int:
+        """Requests a decision and prints it unless `quiet`."""
         answer = self.balancer.choose_backend(ticket, self.now)
         if isinstance(answer, Backend):
-            said = f"{answer.address}, patience {self.balancer.wait_time(ticket, self.now) / SECOND:.3f}"
+            text = f"{answer.address}, timeout {self.balancer.wait_time(ticket, self.now) / SECOND:.3f}"
         else:
-            said = WORDS[answer]
+            text = CONSTANT_NAMES[answer]
         if not quiet:
-            self.note(f"{ticket.use_case.name} -> {said}")
+            self.note(f"{ticket.use_case.name} -> {text}")
         return answer
 
-    def after(self, ticket: Ticket, how: int, took: float = 0.0, over: bool = False, quiet: bool = False) -> int:
-        self.pass_time(took)
-        sent = ticket.attempts[-1]
+    def after(
+        self, ticket: Ticket, outcome: int, duration_s: float = 0.0, final: bool = False, quiet: bool = False
+    ) -> int:
+        """Ends the ticket's last attempt after `duration_s` and prints what follows unless `quiet`."""
+        self.pass_time(duration_s)
+        attempt = ticket.attempts[-1]
         if not quiet:
-            self.note(f"{ticket.use_case.name} at {sent.backend.address} {WORDS[how]}")
-        answer = self.balancer.attempt_ended(sent, how, over or how == terms.DONE, self.now)
+            self.note(f"{ticket.use_case.name} at {attempt.backend.address} {CONSTANT_NAMES[outcome]}")
+        answer = self.balancer.attempt_ended(attempt, outcome, final or outcome == terms.DONE, self.now)
         if not quiet and answer != terms.NOTHING:
-            self.note(f"{ticket.use_case.name} -> {WORDS[answer]}")
+            self.note(f"{ticket.use_case.name} -> {CONSTANT_NAMES[answer]}")
         return answer
 
-    def call(self, how: int, took: float = 0.1, use: str = "look", times: int = 1, quiet: bool = False) -> None:
+    def call(
+        self, outcome: int, duration_s: float = 0.1, use_case: str = "look", times: int = 1, quiet: bool = False
+    ) -> None:
+        """Sends tickets one after another, each with a single attempt of this outcome."""
         for _ in range(times):
-            ticket = self.ticket(use)
+            ticket = self.ticket(use_case)
             if isinstance(self.where(ticket, quiet), Backend):
-                self.after(ticket, how, took, over=True, quiet=quiet)
+                self.after(ticket, outcome, duration_s, final=True, quiet=quiet)
 
 
 SETTINGS = {
@@ -192,7 +207,7 @@
     ],
 }
 
-# No ticket is late, however busy the machine, where its client says that it waits for as long (in ms).
+# A client timeout (ms) and settings under which no ticket is late, however busy the machine is.
 LONG_TIMEOUT_MS = 60_000
 LONG_TIMEOUT_SETTINGS = {
     **SETTINGS,
@@ -200,28 +215,29 @@
 }
 
 
-_given: set[str] = set()  # by this process, one for each that it starts; emptied by its end
+_assigned_addresses: set[str] = set()  # the addresses that this process has handed out
 
 
 def own_address() -> str:
-    """host:port for a process that is told where to listen, on a loopback address that this process alone
-    goes by.
+    """Returns a free host:port for a child process, on a loopback address that only this test process uses.
 
-    At 127.0.0.1 a port that the kernel says is free may be an outgoing connection's by the time the process
-    has come so far, also another test's: it then ends with "Address already in use". None goes out from here.
+    At 127.0.0.1 a port that the kernel reports as free may be taken by an outgoing connection, also of another test,
+    before the child listens on it; the child then ends with "Address already in use". No connection goes out from this
+    address.
     """
     pid = os.getpid()
     host = f"127.{240 + (pid >> 16) % 15}.{pid >> 8 & 255}.{pid & 255}"
     while True:
-        with socket.socket() as free:
-            free.bind((host, 0))
-            made = f"{host}:{free.getsockname()[1]}"
-        if made not in _given:
-            _given.add(made)
-            return made
+        with socket.socket() as probe:
+            probe.bind((host, 0))
+            address = f"{host}:{probe.getsockname()[1]}"
+        if address not in _assigned_addresses:
+            _assigned_addresses.add(address)
+            return address
 
 
 def configuration(**changes: object) -> dict[str, object]:
+    """Returns a proxy's configuration; `changes` override its entries."""
     return {
         "name": "p1",
         "listen": "127.0.0.1:7070",
@@ -234,14 +250,15 @@
 
 
 class FakeBackend:
-    """A backend that does what it is told with each request, in turn: an answer's text, or a word below."""
+    """A backend with scripted answers: for each request the next text of `does`, either a raw response or a keyword
+    below."""
 
-    def __init__(self, name: str, said: list[str]) -> None:
-        self.name, self.said = name, said
+    def __init__(self, name: str, output: list[str]) -> None:
+        self.name, self.output = name, output
         self.does: list[str] = []
         self.connections = 0
-        self.deadlines: list[int] = []  # as each request told it, in us
-        self.may = asyncio.Event()  # set by the test: what is "held" goes on
+        self.deadlines: list[int] = []  # the timeout of each request, in us
+        self.may = asyncio.Event()  # set by the test to release answers with the keyword "held"
         self.writers: list[asyncio.StreamWriter] = []
 
     async def open(self) -> None:
@@ -265,73 +282,74 @@
             return False
         if fields.get("request-timeout", "").endswith("u"):
             self.deadlines.append(int(fields["request-timeout"][:-1]))
-        wait = "with" if fields.get("request-timeout", "").endswith("u") else "without"
+        timeout_note = "with" if fields.get("request-timeout", "").endswith("u") else "without"
         key = f" key {fields['idempotency-key']}" if "idempotency-key" in fields else ""
-        self.said.append(
-            f"    {self.name} gets {first} id {fields.get('request-id')}{key} {len(body)} bytes, {wait} a wait"
+        self.output.append(
+            f"    {self.name} gets {first} id {fields.get('request-id')}{key} {len(body)} bytes, {timeout_note} a wait"
         )
-        what = self.does.pop(0) if self.does else "ok"
-        if what == "break":
+        behavior = self.does.pop(0) if self.does else "ok"
+        if behavior == "break":
             return False
-        if what == "garble":
+        if behavior == "garble":
             writer.write(b"garbage\r\n\r\n")
-        if what in ("silent", "garble"):
+        if behavior in ("silent", "garble"):
             try:
                 await reader.read()
             except ConnectionError:
                 pass
-            self.said.append(f"    {self.name}'s connection is closed")
+            self.output.append(f"    {self.name}'s connection is closed")
             return False
-        if what == "soon":
+        if behavior == "soon":
             writer.write(b"HTTP/1.1 103 Soon\r\n\r\n")
-        if what in ("slow", "soon"):
+        if behavior in ("slow", "soon"):
             await asyncio.sleep(0.4)
-        if what == "held":
+        if behavior == "held":
             await self.may.wait()
-        if what in ("ok", "slow", "soon", "held", "stray"):
+        if behavior in ("ok", "slow", "soon", "held", "stray"):
             text = f"{self.name} {fields.get('request-id')}"
-            what = f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}" + "stray" * (what == "stray")
-        writer.write(what.encode())
-        return not what.endswith("half")
+            behavior = f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}" + "stray" * (behavior == "stray")
+        writer.write(behavior.encode())
+        return not behavior.endswith("half")
 
 
 class ProxyTestCase(TraceTestCase, unittest.IsolatedAsyncioTestCase):
-    """A whole proxy on loopback between a toy client, toy backends and a toy discovery."""
+    """A test case with a complete proxy on loopback between a test client, fake backends and a fake discovery."""
 
-    beats = True  # False where a watch is to be silent, or a line of it to come in parts
-    start_spread = 0.0  # seconds within which it asks for the list at its start
-    left = 1500  # how long clients wait that say nothing else, in ms
+    beats = True  # False if a watch is to stay silent, or if the test writes partial lines to it
+    start_spread = 0.0  # seconds over which the proxy spreads its first request for the list
+    left = 1500  # client timeout (ms) unless a test sets another
 
     async def open(self, *names: str, own: str | None = None, passed: str | None = None, **changes: object) -> None:
-        """`own` is the text of the proxy's own file, at `own_file`; `passed` the folder for what processes pass on."""
+        """Starts the proxy. `own` is the text of its configuration file `own_file`, `passed` the folder for handover
+        state."""
         if passed is None and "console" in changes:
-            kept = tempfile.TemporaryDirectory()
-            self.addCleanup(kept.cleanup)
-            passed = kept.name
+            handover_folder = tempfile.TemporaryDirectory()
+            self.addCleanup(handover_folder.cleanup)
+            passed = handover_folder.name
         environment = mock.patch.dict(os.environ, {"TMPDIR": passed or ""})
         environment.start()
         self.addCleanup(environment.stop)
-        # Most tests are about what follows the first call; with 0 it goes out at once, by the same code.
+        # Most tests start with the first request for the list; with 0 it is sent immediately, by the same code.
         spread = mock.patch("pepperusher.net.discovery.START_SPREAD", self.start_spread)
         spread.start()
         self.addCleanup(spread.stop)
         self.lines = []
         self.logged: list[str] = []
         self.fake_backends = {name: FakeBackend(name, self.lines) for name in names}
-        for toy in self.fake_backends.values():
-            await toy.open()
+        for backend in self.fake_backends.values():
+            await backend.open()
         self.watches: list[asyncio.StreamWriter] = []
         self.heard: list[asyncio.StreamReader] = []
         self.server = await asyncio.start_server(self.watched, "127.0.0.1", 0)
         listed = {"version": 1, "full": True, "servers": [self.line(name) for name in names]}
-        given = configuration(known=listed, **changes)
-        given["discovery"] = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
-        self.given = json.dumps(given)
+        content = configuration(known=listed, **changes)
+        content["discovery"] = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
+        self.given = json.dumps(content)
         read = self.read_again()
         read.listen = ("127.0.0.1", 0)
         if read.console is not None:
             read.console = ("127.0.0.1", 0)
-        made = admin_handlers_alone
+        make_extensions = admin_handlers_alone
         if own is not None:
             from pepperusher.extensions import extensions_of
 
@@ -339,15 +357,16 @@
             self.addCleanup(folder.cleanup)
             self.own_file = Path(folder.name) / "own.toml"
             self.own_file.write_text(own.replace("HERE", folder.name))
-            made = functools.partial(extensions_of, self.own_file, ())
-        self.proxy = Proxy(read, self.read_again, made)
-        # Here tickets follow one another at once; that a connection settles has tests of its own.
+            make_extensions = functools.partial(extensions_of, self.own_file, ())
+        self.proxy = Proxy(read, self.read_again, make_extensions)
+        # Tests send tickets in quick succession; the settling time of connections has tests of its own.
         self.proxy._backends._settles = 0
         self.proxy._log.say = lambda line, figures=None: self.logged.append(f"{line} {figures}" if figures else line)
         self.serving = asyncio.create_task(self.proxy.serve())
         await self.until(lambda: self.proxy.port and (self.watches or not names))
 
     def read_again(self, before: bootstrap.BootstrapConfiguration | None = None) -> bootstrap.BootstrapConfiguration:
+        """Reads the configuration file that a test has set in `given`."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(self.given)
             file.flush()
@@ -360,6 +379,7 @@
         return next(one for one in self.proxy._extensions if isinstance(one, AdminHandlers))
 
     def line(self, name: str, state: str = "ready") -> dict[str, object]:
+        """Returns discovery's entry for a fake backend."""
         return {
             "id": name,
             "addr": f"127.0.0.1:{self.fake_backends[name].port}",
@@ -371,34 +391,39 @@
         }
 
     async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
-        self.lines.append(f"discovery gets {asked}")
+        """Serves one watch of the fake discovery service."""
+        request_line = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
+        self.lines.append(f"discovery gets {request_line}")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
         self.watches.append(writer)
         self.heard.append(reader)
         if self.beats:
-            beating = asyncio.create_task(self.beat(writer))
-            self.addCleanup(beating.cancel)  # and so it is kept
+            heartbeats = asyncio.create_task(self.beat(writer))
+            self.addCleanup(heartbeats.cancel)  # keeps a reference to the task
 
     async def beat(self, writer: asyncio.StreamWriter) -> None:
-        """As discovery does, every 2 s at the latest: a test that took longer, on a busy machine, saw its watch asked for anew."""
+        """Sends a heartbeat as discovery does at least every 2 s; without it the proxy renewed its watch in tests that
+        took longer on a busy machine."""
         while not writer.is_closing():
             await asyncio.sleep(0.5)
             writer.write(b"1\r\n\n\r\n")
 
     def endpoint_update(self, version: int, *servers: dict[str, object], full: bool = False, watch: int = -1) -> None:
+        """Sends an endpoint update on a watch."""
         text = json.dumps({"version": version, "full": full, "servers": servers}) + "\n"
         self.watches[watch].write(f"{len(text):x}\r\n{text}\r\n".encode())
 
-    async def until(self, true: object) -> None:
+    async def until(self, condition: object) -> None:
+        """Waits up to 10 s until the condition is true."""
         async with asyncio.timeout(10):
-            while not true():
+            while not condition():
                 await asyncio.sleep(0.002)
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection("127.0.0.1", self.proxy.port)
 
     def request(self, use: str, number: int, body: str = "", left: int | None = None, more: str = "") -> bytes:
+        """Builds a request of a use case; `left` is its timeout in ms, `more` are further header lines."""
         left = self.left if left is None else left
         verb = "POST" if body or use != "look" else "GET"
         more += f"Idempotency-Key: k{number}\r\n" if use == "book" else ""
@@ -408,19 +433,19 @@
         ).encode()
 
     async def to_the_end(self, at: socket.socket) -> tuple[bytes, ConnectionError | None]:
-        """All that a client outside the loop hears till its connection ends, and what broke it."""
+        """Reads until the connection ends; returns the bytes and the error that ended it, if any."""
         at.setblocking(False)
-        heard = b""
+        received = b""
         try:
             async with asyncio.timeout(10):
-                while part := await asyncio.get_running_loop().sock_recv(at, 65536):
-                    heard += part
+                while chunk := await asyncio.get_running_loop().sock_recv(at, 65536):
+                    received += chunk
         except ConnectionError as error:
-            return heard, error
-        return heard, None
+            return received, error
+        return received, None
 
     async def hear(self, reader: asyncio.StreamReader) -> str:
-        """One answer, as its status, body and whether more may follow."""
+        """Reads one response and describes its status and body, and whether the connection closes after it."""
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         except asyncio.IncompleteReadError:
@@ -433,6 +458,7 @@
     async def ask(
         self, what: str, sent: bytes, at: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
     ) -> None:
+        """Sends a request and prints the response; `what` names the step in the trace."""
         reader, writer = at or await self.connect()
         writer.write(sent)
         self.lines.append(f"{what} ...")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -804,7 +804,7 @@
             balancer._ask_step = 4_000_000
             await self.until(lambda: len(self.watches) == 3)
         self.assertLessEqual(balancer._ask_step, 4_000_000)
-        self.assertEqual(0, sum("list lost" in line for line in self.logged))
+        self.assertEqual(0, sum("endpoint list unavailable" in line for line in self.logged))
 
     async def test_a_call_without_a_word_keeps_its_place_and_others_go_out_beside_it(self) -> None:
         """Left too soon, a call that only waits in discovery's queue begins anew at its end for good. After a
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -5,7 +5,8 @@
 from tests.scene import TRACES, BalancerTestCase
 
 
-def host(lines: str) -> subprocess.CompletedProcess[str]:
+def run_simhost(lines: str) -> subprocess.CompletedProcess[str]:
+    """Runs the adapter as a process with these lines as its input."""
     return subprocess.run(
         [sys.executable, "-m", "pepperusher.simhost"],
         input=lines,
@@ -18,9 +19,9 @@
 
 class SimHost(BalancerTestCase):
     def test_an_exchange_on_standard_input_and_output(self) -> None:
-        said = host((TRACES / "exchange_in.tsv").read_text())
-        self.assertEqual(said.stderr, "")
-        self.lines = said.stdout.splitlines()
+        result = run_simhost((TRACES / "exchange_in.tsv").read_text())
+        self.assertEqual(result.stderr, "")
+        self.lines = result.stdout.splitlines()
         self.compare_trace("exchange")
 
     def test_bad_input_ends_with_one_plain_line(self) -> None:
@@ -37,8 +38,8 @@
             "begin_batch\tts=soon\n",
             begin,
         ):
-            said = host(lines)
-            self.lines.append(f"{said.returncode} {said.stderr.rstrip()}")
+            result = run_simhost(lines)
+            self.lines.append(f"{result.returncode} {result.stderr.rstrip()}")
         self.compare_trace("bad_input")
 
 
