--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -32,9 +32,9 @@
 }
 # A trial that is paused does not become overdue.
 PAUSED_TRIAL_TIMEOUT_US = 3600 * 1_000_000
-# Upper limit for the time between failed requests for the endpoint list is half of this. A request made after
-# discovery has recovered can then be answered before a change takes effect, 6 s after the recovery, even if the first
-# request was turned away by discovery's full queue.
+# The delay between failed requests for the endpoint list is at most half of this. After discovery has recovered, a
+# request can then be answered before a change takes effect 6 s later, even if discovery's full queue turned away the
+# first request.
 LIST_REQUEST_PERIOD_US = 5_000_000
 # Whether a ticket may run again.
 REPLAYABLE, REFERENCED, SINGLE_USE = "replayable", "referenced", "single-use"
@@ -64,7 +64,7 @@
         self._apply_settings(policy_settings)
         self._proxy_count: int | None = None
         self._backends: dict[str, Backend] = {}  # by id; updates remove backends that have been unlisted long enough
-        # time at which each was unlisted; removed likewise, or when it is listed again
+        # By id, the time at which each was unlisted; removed likewise, or when it is listed again.
         self._unlisted: dict[str, int] = {}
         self._latest_deadline: int | None = None
         self._tickets: set[Ticket] = set()  # open tickets
@@ -138,6 +138,7 @@
 
     @property
     def open_tickets(self) -> int:
+        """The number of open tickets."""
         return len(self._tickets)
 
     def retry_class_of(self, use_case: str) -> str | None:
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -33,7 +33,7 @@
         self.priority = priority
         self.arrived_at = arrived_at
         self.deadline = deadline
-        self.order = order
+        self.order = order  # of arrival
         self.on_decision: Callable[[str], Any] | None = None
 
 
@@ -62,7 +62,7 @@
         self._order = 0
         self._mean_service_time = 0.0
         self.admitted_count = 0
-        self.waiting = 0
+        self.waiting = 0  # number of queued tickets
 
     @property
     def limit(self) -> int:
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -55,7 +55,7 @@
     UseCase,
 )
 
-SECOND = 1_000_000
+SECOND = 1_000_000  # us
 # Circuit breaker thresholds; docs/design.md describes the alternatives that were tried.
 BREAKER_WINDOW = 20
 CONSECUTIVE_FAILURES = 5
@@ -65,7 +65,7 @@
 # A use case that fails this many times in a row at a backend where other use cases succeed avoids it for
 # OPEN_DURATION_US.
 USE_CASE_CONSECUTIVE_FAILURES = 2
-# The completion rate is averaged over about this time, and over at least this many completions.
+# The completion rate is averaged over about this time, or longer if it has fewer completions than this.
 RATE_SPAN_US = SECOND // 3
 MIN_RATE_SAMPLES = 8
 # Minimum burst of a customer's quota at one proxy, since several tickets may arrive at once by chance.
@@ -98,6 +98,7 @@
         self._apply_settings(policy_settings)
         self._mean_latency, self._consecutive_lost, self._list_lost = 0, 0, False
         self._polls_list, self._list_requested = policy_settings.polls_list, not policy_settings.polls_list
+        # Current backoff and time of the next request for the endpoint list.
         self._ask_step, self._ask_at = 0, now
         self._backends: list[Backend] = []  # the ready backends; replaced by endpoint updates
         # By zone, with this proxy's own zone first. Endpoint updates remove all other zones that have no backends.
--- a/pepperusher/routes/terms.py
+++ b/pepperusher/routes/terms.py
@@ -53,6 +53,7 @@
 
 
 def terms_of(route: Route) -> Terms:
+    """Derives the terms of a route from its settings."""
     return Terms(
         route.name,
         route.use_case,
--- a/pepperusher/settings.py
+++ b/pepperusher/settings.py
@@ -58,7 +58,7 @@
     names = fields.get(name)
     if names is None:
         return None
-    if not isinstance(names, list) or not all(isinstance(name_, str) for name_ in names):
+    if not isinstance(names, list) or not all(isinstance(item, str) for item in names):
         raise SettingsError(f"use-cases: {fields['name']}: {name} is not a list of names")
     if not names:
         raise SettingsError(f"use-cases: {fields['name']}: {name} is empty, so it could run nowhere")
--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -9,7 +9,7 @@
 from pepperusher.simhost.wire import WireError, time_field, format_ms, text_field, integer_field
 from pepperusher.terms import AGAIN, BOUNCE, NOT_YET, SCRAP, UNKNOWN, Backend, Listing, Ticket
 
-LIST_TIMER = 0
+LIST_TIMER = 0  # number of the timer for the next request for the endpoint list
 # One endpoint of an inventory: address, zone, cell, weight, start time, ready, kind, gone.
 InventoryEntry = tuple[str, str, int, float, int, bool, str, bool]
 
@@ -35,6 +35,7 @@
         self.output.append(f"journal_line\tline={line}")
 
     def new_request(self, fields: dict[str, str], now: int) -> None:
+        """A client sent a request."""
         xid = integer_field("new_request", fields, "xid")
         grade = text_field("new_request", fields, "grade")
         use_case = self.use_cases.get(grade)
@@ -76,6 +77,7 @@
             self.tickets.pop(xid, None)
 
     def settled(self, fields: dict[str, str], now: int) -> None:
+        """An attempt ended."""
         xid = integer_field("settled", fields, "xid")
         attempt_number = integer_field("settled", fields, "round-no")
         outcome = wire.OUTCOMES.get(text_field("settled", fields, "how"), UNKNOWN)
@@ -91,12 +93,14 @@
             )
 
     def first(self, fields: dict[str, str], now: int) -> None:
+        """The response to an attempt started."""
         ticket = self.tickets.get(integer_field("first", fields, "xid"))
         attempt_number = integer_field("first", fields, "round-no")
         if ticket is not None and attempt_number < len(ticket.attempts):
             self.balancer.response_started(ticket.attempts[attempt_number])
 
     def dropped(self, fields: dict[str, str], now: int) -> None:
+        """A client disconnected."""
         xid = integer_field("dropped", fields, "xid")
         ticket = self.tickets.get(xid)
         if ticket is None or ticket.finished:
@@ -109,6 +113,7 @@
         self._remove_if_finished(xid, ticket)
 
     def elapsed(self, fields: dict[str, str], now: int) -> None:
+        """A timer fired."""
         ref = integer_field("elapsed", fields, "ref")
         if ref == LIST_TIMER:
             self.list_timer_set = False
@@ -120,6 +125,7 @@
             self._place(xid, ticket, now)
 
     def sync(self, endpoints: Iterable[InventoryEntry] | None, whole_list: bool, now: int) -> None:
+        """An endpoint update arrived, or the request for the list failed if `endpoints` is None."""
         if endpoints is None:
             self.balancer.endpoint_request_failed(now)
         else:
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -10,13 +10,14 @@
 # Outcomes of an attempt.
 DONE = 0
 ERROR = 1
-FULL = 2  # refused, because the backend is at its limit
+FULL = 2  # the backend refused it, being at its limit
 TIMED_OUT = 3
 UNREACHED = 4  # no connection
 RESET = 5  # the connection broke
 CALLED_OFF = 6  # cancelled by the proxy
-MOOT = 7  # not sent, because the backend or the client had gone
+MOOT = 7  # not sent, or not completely, through no fault of the backend
 UNKNOWN = 8
+# After these outcomes the request certainly has not run.
 NEVER_RAN = frozenset((FULL, UNREACHED, MOOT))
 
 # Decisions other than a backend to send to.
@@ -30,9 +31,9 @@
 REPLAYABLE = 20  # may run any number of times
 REFERENCED = 21  # carries an idempotency key by which backends drop repeats
 SINGLE_USE = 22  # must not run twice
-SCOPE_ALL = 30
-SCOPE_ZONE = 31
-SCOPE_CELL = 32
+SCOPE_ALL = 30  # all backends drop a repeat
+SCOPE_ZONE = 31  # those in the same zone do
+SCOPE_CELL = 32  # those in the same cell do
 
 # Higher than any limit in the settings; a ticket's own limit only lowers the limit of the settings.
 MAX_ATTEMPTS = 1 << 20
@@ -95,18 +96,18 @@
         kinds: frozenset[str] | None = None,
     ) -> None:
         self.name = name
-        self.latency_target = latency_target
-        self.outer_limit = outer_limit
+        self.latency_target = latency_target  # promised time from arrival to response
+        self.outer_limit = outer_limit  # timeout of clients that send none
         self.importance = importance
-        self.late_importance = late_importance
+        self.late_importance = late_importance  # what a response after the promised time is still worth
         self.retry_class = retry_class
         self.scope = scope
-        self.deduplication_window = deduplication_window
-        self.target_per_work = target_per_work
+        self.deduplication_window = deduplication_window  # for how long backends recognize a repeat; 0 for no limit
+        self.target_per_work = target_per_work  # addition to the promised time per unit of hinted work
         self.zones = zones
         self.kinds = kinds
-        self.mean_latency = 0
-        self.latency_deviation = 0
+        self.mean_latency = 0  # 0 until the first sample
+        self.latency_deviation = 0  # mean absolute deviation
         self.mean_work = 0  # mean work of its tickets as hinted by the callers; 0 if there are no hints
 
     def same_settings(self, other: UseCase) -> bool:
@@ -121,7 +122,7 @@
 
     def __init__(self, name: str, rate: float) -> None:
         self.name = name
-        self.rate = rate
+        self.rate = rate  # tickets a second over all proxies
         self.tokens = 0.0
         self.tokens_updated_at = 0
         self.demand = 0.0
@@ -173,7 +174,7 @@
         self.cell = 0
         self.weight = 1.0
         self.started_at = 0
-        self.in_flight = 0
+        self.in_flight = 0  # attempts of this proxy
         self.mean_in_flight = 0.0
         self.current_weight = 0.0  # state of the smooth weighted round robin
         self.effective_weight = 1.0  # `subset_weight`, reduced during slow start
@@ -198,7 +199,7 @@
         # attempt removes the entry.
         self.use_case_failures: dict[UseCase, int] = {}
         self.avoided_until: dict[UseCase, int] = {}
-        # Calls in the latest load report, those of all proxies, and when the report arrived. A report soon becomes
+        # The calls of all proxies in the backend's latest load report, and when that arrived. A report soon becomes
         # stale.
         self.told = 0.0
         self.told_at = LONG_AGO
