--- a/examples/toy.py
+++ b/examples/toy.py
@@ -27,6 +27,7 @@
         self.states = {name: "ready" for name in PORTS}
 
     def set_state(self, name: str, state: str) -> None:
+        """Changes the state of a backend and wakes the watches."""
         with self.changed:
             self.states[name] = state
             self.version += 1
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -239,6 +239,7 @@
 
     @staticmethod
     def _resume(attempt: terms.Attempt, now: int) -> None:
+        """Ends the pause of an attempt and shifts its times and the ticket's by the length of the pause."""
         if attempt.paused_at is None:
             return
         ticket, paused_for = attempt.ticket, now - attempt.paused_at
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -66,6 +66,7 @@
 
     @property
     def limit(self) -> int:
+        """The current concurrency limit."""
         return max(1, int(self._limit.limit))
 
     @property
@@ -89,15 +90,18 @@
         self._admit_queued(now)
 
     def _weight(self, customer: str) -> float:
+        """Returns the customer's weight; it is never 0."""
         return max(1e-6, self._weights.get(customer, 1.0))
 
     def _customer_queue(self, customer: str) -> _CustomerQueue:
+        """Returns the customer's entry, created if needed."""
         found = self._customers.get(customer)
         if found is None:
             found = self._customers[customer] = _CustomerQueue(self._weight(customer))
         return found
 
     def _remove_if_idle(self, customer: str) -> None:
+        """Removes the customer's entry if it has neither admitted nor queued tickets."""
         found = self._customers.get(customer)
         if found is not None and not found.admitted_count and not found.queue:
             del self._customers[customer]
--- a/pepperusher/limits/gradient.py
+++ b/pepperusher/limits/gradient.py
@@ -56,15 +56,18 @@
         self.change(min_limit, max_limit, tolerance)
 
     def change(self, min_limit: int, max_limit: int, tolerance: float) -> None:
+        """Sets the bounds and the tolerance, and moves the limit into the bounds."""
         self._min_limit, self._max_limit, self._tolerance = min_limit, max_limit, tolerance
         self._limit = min(float(max_limit), max(float(min_limit), self._limit))
 
     @property
     def _is_dip(self) -> bool:
+        """Whether the current cycle is in its dip."""
         return self._sample_count % CYCLE_SAMPLES < DIP_SAMPLES
 
     @property
     def limit(self) -> float:
+        """The limit in force, which is halved during a dip."""
         # The first cycle has no dip, since no queue has formed yet.
         return (
             max(float(self._min_limit), self._limit / 2.0)
--- a/pepperusher/limits/rate.py
+++ b/pepperusher/limits/rate.py
@@ -53,6 +53,7 @@
         self._shared_bucket: Bucket | None = None
 
     def change(self, rate: float, burst: float) -> None:
+        """Applies new limits to all buckets."""
         self._rate, self._burst = rate, burst
         for bucket in (*self._buckets.values(), *(() if self._shared_bucket is None else (self._shared_bucket,))):
             bucket.change(rate, burst)
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -123,7 +123,11 @@
             policy_settings.zone if len(policy_settings.zones) > 1 else "",
         )
         self._customers = policy_settings.customers
-        self._use_cases = [use for use in policy_settings.use_cases if use.latency_target > 0 and use.importance > 0]
+        self._use_cases = [
+            use_case
+            for use_case in policy_settings.use_cases
+            if use_case.latency_target > 0 and use_case.importance > 0
+        ]
         self._group_size = self.proxy_count = max(1, policy_settings.group_size)
         self._cold_share, self._warm_after = policy_settings.cold_share, max(1, policy_settings.warm_after)
         # Uses half of the permitted multiple; the other half is reserved for the calls of other proxies and for
--- a/pepperusher/routes/match.py
+++ b/pepperusher/routes/match.py
@@ -116,6 +116,7 @@
 
 
 def _host_matches(host: str, pattern: str) -> bool:
+    """Returns whether a host matches a host pattern; an empty pattern matches any host."""
     return (
         not pattern
         or host == pattern
@@ -238,6 +239,7 @@
 
 
 def _matches(pattern: Pattern, method: str, host: str, headers: Mapping[str, str]) -> bool:
+    """Returns whether method, host and headers match; the path has been matched by the tree."""
     return (
         (not pattern.method or pattern.method == method)
         and (not pattern.host or _host_matches(host, pattern.host))
--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -23,7 +23,7 @@
         )
         self.output: list[str] = []
         self.balancer = Balancer(policy_settings, now, self._log)
-        self.use_cases = {use.name: use for use in policy_settings.use_cases}
+        self.use_cases = {use_case.name: use_case for use_case in policy_settings.use_cases}
         self.customers = {customer.name: customer for customer in policy_settings.customers}
         self.backends: dict[str, Backend] = {}  # bounded by the fleet, not by the tickets
         self.tickets: dict[int, Ticket] = {}  # removed when a ticket is finished and has no attempt in flight
@@ -32,6 +32,7 @@
         self.list_timer_set = False
 
     def _log(self, line: str) -> None:
+        """Sends a log line of the decisions to the simulator."""
         self.output.append(f"journal_line\tline={line}")
 
     def new_request(self, fields: dict[str, str], now: int) -> None:
@@ -62,6 +63,7 @@
             self._answer(xid, ticket, decision, now)
 
     def _answer(self, xid: int, ticket: Ticket, decision: int, now: int) -> None:
+        """Sends the outcome of a ticket to the simulator, or places its next attempt."""
         if decision == AGAIN:
             self._place(xid, ticket, now)
             return
@@ -140,6 +142,7 @@
         return Listing(backend, *rest)
 
     def _request_list(self, now: int) -> None:
+        """Requests the endpoint list, or sets a timer if the next request is due later."""
         delay = self.balancer.wait_time(None, now)
         if delay == 0:
             self.output.append("watch\twant=1")
@@ -171,6 +174,7 @@
         self.inventories: dict[int, list[InventoryEntry]] = {}
 
     def replies(self, lines: Iterator[str]) -> Iterator[str]:
+        """Reads batches of input lines and yields a reply for each."""
         for line in lines:
             if line == "\n":
                 continue
@@ -227,6 +231,7 @@
 
     @staticmethod
     def _inventory(fields: dict[str, str], lines: Iterator[str]) -> list[InventoryEntry]:
+        """Reads the entries of an endpoint list that follow an inventory line."""
         entries: list[InventoryEntry] = []
         for _ in range(integer_field("inventory", fields, "elements")):
             message, *parts = next(lines, "").rstrip("\n").split("\t")
@@ -252,6 +257,7 @@
         return entries
 
     def _sync(self, fields: dict[str, str], current: Instance | None, now: int) -> None:
+        """Passes an endpoint update, or the failure of its request, to the instance."""
         how = text_field("sync", fields, "how")
         if how not in ("delta", "full", "cached", "failed"):
             raise WireError(f"sync: unknown how: {how!r}")
--- a/pepperusher/simhost/wire.py
+++ b/pepperusher/simhost/wire.py
@@ -52,6 +52,7 @@
 
 
 def time_field(message: str, fields: dict[str, str], name: str) -> int:
+    """Returns a time in milliseconds as microseconds."""
     value = text_field(message, fields, name)
     try:
         return round(float(value) * 1000)
@@ -60,14 +61,17 @@
 
 
 def format_ms(us: int) -> str:
+    """Formats microseconds as milliseconds with three decimals."""
     return f"{us // 1000}.{us % 1000:03d}"
 
 
 def parse_load_report(report: str) -> dict[int, float]:
+    """Parses a load report such as `active:3,waiting:1`."""
     return settings.parse_load_report(tuple(metric.split(":", 1)) for metric in report.split(",") if ":" in metric)
 
 
 def read_settings(params: str, seed: int) -> PolicySettings:
+    """Parses the JSON settings of a spawn message."""
     try:
         data = json.loads(params)
     except ValueError:
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -111,6 +111,7 @@
         self.mean_work = 0  # mean work of its tickets as hinted by the callers; 0 if there are no hints
 
     def same_settings(self, other: UseCase) -> bool:
+        """Returns whether both have the same settings, whatever has been learned."""
         return all(getattr(self, name) == getattr(other, name) for name in self.__slots__ if name not in LEARNED_FIELDS)
 
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -82,6 +82,7 @@
     lines: list[str]
 
     def compare_trace(self, name: str) -> None:
+        """Compares the printed steps with a trace, or records them if KEEP=1."""
         path = TRACES / f"{name}.txt"
         actual = "\n".join(self.lines) + "\n"
         if os.environ.get("KEEP") == "1":
@@ -110,6 +111,7 @@
         self.list(*addresses)
 
     def note(self, line: str) -> None:
+        """Prints a step with the time since the start."""
         self.lines.append(f"{(self.now - 100 * SECOND) / SECOND:8.3f} {line}")
 
     def list(
@@ -376,7 +378,8 @@
 
     @property
     def desk(self) -> AdminHandlers:
-        return next(one for one in self.proxy._extensions if isinstance(one, AdminHandlers))
+        """The extension that serves the admin console."""
+        return next(extension for extension in self.proxy._extensions if isinstance(extension, AdminHandlers))
 
     def line(self, name: str, state: str = "ready") -> dict[str, object]:
         """Returns discovery's entry for a fake backend."""
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -109,17 +109,18 @@
 
 
 class Gates(TraceTestCase):
-    def enter(self, gate: Gate, customer: str, now: int = 0, until: int = 10 * SECOND, priority: int = 5) -> Waiting:
+    def enter(self, gate: Gate, customer: str, now: int = 0, deadline: int = 10 * SECOND, priority: int = 5) -> Waiting:
         """Requests admission and prints the decision."""
-        decision, ticket = gate.enter(customer, priority, now, until)
+        decision, ticket = gate.enter(customer, priority, now, deadline)
         name = f"{customer}{ticket.order}"
         ticket.on_decision = lambda decision: self.lines.append(f"  {name}: {decision}")
         self.lines.append(f"{name} {decision}; {gate.admitted_count} admitted, {gate.waiting} queued")
         return ticket
 
-    def leave(self, gate: Gate, customer: str, now: int, took: int = 100 * MS) -> None:
+    def leave(self, gate: Gate, customer: str, now: int, duration: int = 100 * MS) -> None:
+        """Releases a ticket of the customer."""
         self.lines.append(f"{customer} released")
-        gate.release(customer, took, True, now)
+        gate.release(customer, duration, True, now)
 
     def test_who_waits_who_goes_in_and_who_gives_way(self) -> None:
         """Two admitted and three queued at most; north weighs twice as much as the others."""
@@ -135,7 +136,7 @@
         self.lines.append("one with priority, and one that cannot finish in time")
         self.enter(gate, "west", 300 * MS)
         self.enter(gate, "west", 300 * MS, priority=9)
-        self.enter(gate, "east", 300 * MS, until=350 * MS)
+        self.enter(gate, "east", 300 * MS, deadline=350 * MS)
         self.leave(gate, "west", 400 * MS)
         self.lines.append(f"dropped at 9.95 s: {gate.sweep(9950 * MS)}")
         self.compare_trace("limits_gate")
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -25,7 +25,7 @@
 class Greedy(Balancer):
     """A balancer that never refuses a ticket, whatever it predicts, and so starves the other kind."""
 
-    def _predicted_in_time(self, *given: object) -> bool:
+    def _predicted_in_time(self, *arguments: object) -> bool:
         return True
 
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -35,6 +35,7 @@
         self.list_endpoints("d2 e3", "there", "big")
 
     def list_endpoints(self, names: str, zone: str, kind: str, ready: bool = True) -> None:
+        """Sends an endpoint update for backends named by a letter and their cell."""
         self.balancer.update_endpoints(
             [
                 Listing(self.backends.setdefault(name, Backend(name)), zone, int(name[1:]), 1.0, 0, ready, kind)
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -19,6 +19,7 @@
 
 
 def changed_settings(change: Callable[[Any], None]) -> dict[str, Any]:
+    """Returns a changed copy of the settings."""
     settings = copy.deepcopy(SETTINGS)
     change(settings)
     return settings
--- a/tests/test_sides.py
+++ b/tests/test_sides.py
@@ -26,6 +26,7 @@
 
 class Sides(BalancerTestCase):
     def open_two_zones(self, here: int, there: int, **changes: object) -> None:
+        """Opens a balancer with this many backends in each of two zones."""
         self.open(zones=[HERE, THERE], zone=HERE, **changes)
         entries = listings(here, there)
         self.backends = {entry.backend.address: entry.backend for entry in entries}
