--- a/pepperusher/simhost/host.py
+++ b/pepperusher/simhost/host.py
@@ -170,7 +170,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        # by number; sixteen at most, each replaced by the next list with its number
+        # By number; sixteen at most, each replaced by the next list with its number.
         self.inventories: dict[int, list[InventoryEntry]] = {}
 
     def replies(self, lines: Iterator[str]) -> Iterator[str]:
@@ -277,6 +277,6 @@
             method(current, *arguments)
         except WireError:
             raise
-        # reports any failure of a decision to the simulator, which would otherwise see no answer
+        # Reports any failure of a decision to the simulator, which would otherwise see no answer.
         except Exception as error:
             current.output.append(f"bail_out\tline={type(error).__name__}: {' '.join(str(error).split())}")
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -233,7 +233,7 @@
 
     def __init__(self, measured_since: int, rate_span: int, completion_gap: int) -> None:
         self.traffic_share = 1.0  # share of the tickets that try this zone first
-        # all backends of the zone, this proxy's subset first; replaced by endpoint updates
+        # All backends of the zone, this proxy's subset first; replaced by endpoint updates.
         self.ring: deque[Backend] = deque()
         self.subset_scale = 1.0  # width of this proxy's subset relative to that of other proxies
         self.subset_weight = 0.0
@@ -390,9 +390,9 @@
     forwards_deadline: bool  # whether calls carry their deadline to the next tier
     importance_by_work: bool  # whether the importance counts per unit of work, not per ticket
     reported_by: int  # one of REPORTS_NONE, REPORTS_IN_RESPONSES, REPORTS_BY_PROBES
-    # whether each client process has its own (sidecar) proxy, and each proxy therefore different traffic
+    # Whether each client process has its own (sidecar) proxy, and each proxy therefore different traffic.
     is_sidecar: bool
-    # whether only draining excludes a backend: one that is gone or absent from the list may still receive attempts
+    # Whether only draining excludes a backend: one that is gone or absent from the list may still receive attempts.
     only_drain_binds: bool
 
     @property
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -54,7 +54,7 @@
         self.balancers = [Balancer(settings, self.now, lambda line: None) for settings in self.settings]
         self.known_backends: list[dict[str, Backend]] = [{} for _ in self.balancers]
         self.backends: dict[str, SimulatedBackend] = {}
-        # the balancer that sent it and the time at which its attempt times out
+        # The balancer that sent it and the time at which its attempt times out.
         self.in_flight: dict[Ticket, tuple[int, int]] = {}
         self.counts: Counter[str] = Counter()
 
