--- a/pepperusher/rehearsal/endpoint_history.py
+++ b/pepperusher/rehearsal/endpoint_history.py
@@ -22,7 +22,7 @@
 
 
 class Change(NamedTuple):
-    """From `told` on (us after the start, under 0 before it) the list has `id` at `place` in `state`; `born`
+    """From `notified_at` on (us after the start, under 0 before it) the list has `id` at `place` in `state`; `born`
     as in Life."""
 
     notified_at: int
