--- a/pepperusher/net/__init__.py
+++ b/pepperusher/net/__init__.py
@@ -1,1 +1,3 @@
-"""The proxy on sockets: connections, HTTP and discovery round the decisions; it decides nothing itself."""
+"""The proxy on sockets: connections, HTTP and discovery around the balancing decisions; this package decides nothing
+itself.
+"""
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -1,4 +1,4 @@
-"""What the control socket answers, out of the running proxy."""
+"""Answers commands on the control socket from the state of the running proxy."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 
 def _change(change: Change) -> dict[str, Any]:
+    """A configuration change as it is shown to operators."""
     return {
         "number": change.number,
         "name": change.name,
@@ -28,17 +29,17 @@
 
 
 def _rows(key: str, rows: Iterable[dict[str, Any]]) -> Iterable[dict[str, Any]]:
-    """An answer in parts of so many rows."""
-    left = iter(rows)
-    part = list(islice(left, ROWS))
-    while following := list(islice(left, ROWS)):
-        yield {"ok": True, key: part, "more": True}
-        part = following
-    yield {"ok": True, key: part}
+    """Splits an answer into parts of at most ROWS rows."""
+    remaining = iter(rows)
+    rows_of_part = list(islice(remaining, ROWS))
+    while next_rows := list(islice(remaining, ROWS)):
+        yield {"ok": True, key: rows_of_part, "more": True}
+        rows_of_part = next_rows
+    yield {"ok": True, key: rows_of_part}
 
 
 class Members(Protocol):
-    """The group, as it can be asked."""
+    """The group of proxies, as far as control commands use it."""
 
     def members(self) -> dict[str, Any] | None: ...
 
@@ -46,13 +47,13 @@
 
 
 class Shared(Protocol):
-    """What control machines distribute, as it can be asked."""
+    """The configuration that control machines distribute, as far as control commands use it."""
 
     def status(self) -> dict[str, Any]: ...
 
 
 class Answers(Extension):
-    """The control socket that the own file names, for as long as the proxy serves."""
+    """The control socket that the configuration file names, open for as long as the proxy serves."""
 
     def __init__(
         self,
@@ -61,28 +62,28 @@
         say: Callable[..., None],
         shared: Shared | None = None,
     ) -> None:
-        self._house = house
+        self._manager = house
         self._shared = shared
         self._members = members
-        said = house.active_configuration.version.read.own.control
-        assert said.socket is not None
-        self._control = Control(said.socket, said.connections, said.within / 1e6, self.to, say)
+        control = house.active_configuration.version.read.own.control
+        assert control.socket is not None
+        self._control = Control(control.socket, control.connections, control.within / 1e6, self.answer, say)
         self._host: ExtensionHost
 
     async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
-        """Raises ControlError where the socket can't be opened."""
+        """Raises ControlError if the socket cannot be opened."""
         await self._control.listen()
 
     async def stop(self) -> None:
         self._control.close()
 
-    async def to(self, command: str, said: dict[str, Any]) -> AsyncIterator[dict[str, Any]]:
+    async def answer(self, command: str, arguments: dict[str, Any]) -> AsyncIterator[dict[str, Any]]:
         try:
             if command in ("propose", "confirm", "undo", "drain"):
-                yield {"ok": True, "change": _change(await self._change(command, said))}
+                yield {"ok": True, "change": _change(await self._apply_change(command, arguments))}
                 return
         except ConfigurationError as error:
             yield {
@@ -95,18 +96,18 @@
             yield {"ok": False, "why": str(error)}
             return
         if command in ("members", "forget"):
-            for part in self._of_group(command, said):
+            for part in self._group_answers(command, arguments):
                 yield part
             return
-        for part in self._read(command):
+        for part in self._read_state(command):
             yield part
 
-    def _of_group(self, command: str, said: dict[str, Any]) -> Iterable[dict[str, Any]]:
+    def _group_answers(self, command: str, arguments: dict[str, Any]) -> Iterable[dict[str, Any]]:
         group = self._members.members() if self._members is not None else None
         if group is None or self._members is None:
             yield {"ok": False, "why": "this proxy is in no group" + ("" if self._members is None else " yet")}
         elif command == "forget":
-            name = said.get("id") or ""
+            name = arguments.get("id") or ""
             if self._members.forget(name):
                 yield {"ok": True, "forgotten": name}
             else:
@@ -116,38 +117,38 @@
             for part in _rows("members", rows):
                 yield {**part, **group}
 
-    async def _change(self, command: str, said: dict[str, Any]) -> Change:
-        house, who, why = self._house, said.get("who") or "ctl", said.get("why") or "none given"
+    async def _apply_change(self, command: str, arguments: dict[str, Any]) -> Change:
+        house, who, why = self._manager, arguments.get("who") or "ctl", arguments.get("why") or "none given"
         if command == "confirm":
-            return await house.confirm(said.get("number"), who, why)
+            return await house.confirm(arguments.get("number"), who, why)
         if command == "undo":
-            return await house.undo(said.get("number"), who, why)
+            return await house.undo(arguments.get("number"), who, why)
         if command == "propose":
-            text = said.get("text")
+            text = arguments.get("text")
             return await (house.propose_file(who, why) if text is None else house.propose_text(text, who, why))
-        return await house.drain(said.get("id") or "", bool(said.get("undo")), who, why)
+        return await house.drain(arguments.get("id") or "", bool(arguments.get("undo")), who, why)
 
-    def _read(self, command: str) -> Iterable[dict[str, Any]]:
-        house, facade = self._house, self._host.facade
+    def _read_state(self, command: str) -> Iterable[dict[str, Any]]:
+        house, facade = self._manager, self._host.facade
         if command == "status":
-            standing = house.active_configuration
-            change = standing.ledger.open
+            active = house.active_configuration
+            change = active.ledger.open
             yield {
                 "ok": True,
                 "program": __version__,
-                "version": standing.version.number,
-                "digest": standing.version.read.digest,
-                "versions": sorted(standing.versions),
+                "version": active.version.number,
+                "digest": active.version.read.digest,
+                "versions": sorted(active.versions),
                 "in_hand": facade.open_tickets,
                 "stopping": self._host.stopping,
                 "open_change": None if change is None else _change(change),
                 "kept_out": dict(house.kept_out),
-                "limits": standing.gates(),
+                "limits": active.gates(),
                 "distribution": None if self._shared is None else self._shared.status(),
                 "since_change": {
-                    "done": standing.toll.since.done,
-                    "bounced": standing.toll.since.bounced,
-                    "scrapped": standing.toll.since.scrapped,
+                    "done": active.toll.since.done,
+                    "bounced": active.toll.since.bounced,
+                    "scrapped": active.toll.since.scrapped,
                 },
             }
         elif command == "history":
@@ -159,5 +160,8 @@
         else:
             yield from _rows(
                 "breakers",
-                ({key: one[key] for key in ("id", "state", "failed", "of", "run_failed")} for one in facade.backends()),
+                (
+                    {key: backend[key] for key in ("id", "state", "failed", "of", "run_failed")}
+                    for backend in facade.backends()
+                ),
             )
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -1,4 +1,4 @@
-"""Connections to backends, kept and used again, and one attempt on one of them."""
+"""Connections to backends, which are kept alive and reused, and single attempts on them."""
 
 from __future__ import annotations
 
@@ -9,292 +9,318 @@
 from pepperusher.net import clock
 from pepperusher.net.buffers import Pool
 from pepperusher.net.budget import Budget
-from pepperusher.net.exchange import Attempt, Exchange, Placed
+from pepperusher.net.exchange import Attempt, Exchange, AttemptContext
 from pepperusher.net.body_streaming import ResponseForwarder
 from pepperusher.net.connection import StreamConnection, connect
 from pepperusher.net.message import MAX_HEAD_BYTES, Answer, Request
 
-# No connection to a backend is opened above this part of all descriptors: the rest is for callers, who must
-# always get in, if only to be bounced.
-PART = 0.95
-# Under so much a kept connection is used again whatever happened to others.
-KEPT_LEAST = 10_000
-# Turns of the loop that a connection takes to come up once the kernel has it, with some to spare.
-TURNS = 10
-# So long after its last answer a connection is not used again: some backends answer twice, the second time a little later,
-# and that would be taken for the answer to the next ticket. Later still, and it is learned, up to the second figure.
-SETTLES = 20_000
-SETTLES_MOST = 200_000
+# Connections to backends are opened only up to this share of all descriptors: the rest is for callers, who must always
+# be accepted, if only to be bounced.
+BACKEND_SHARE = 0.95
+# A connection that has been idle for less than this is reused, whatever happened to others.
+MIN_REUSE_IDLE_US = 10_000
+# Loop iterations that a connection needs to be set up once the kernel has it, with some to spare.
+CONNECT_LOOP_TURNS = 10
+# A connection is not reused for so long after its last answer: some backends send a second answer a little later, which
+# would be taken for the answer to the next ticket. If one comes later still, the time is raised, up to the maximum.
+SETTLE_TIME_US = 20_000
+MAX_SETTLE_TIME_US = 200_000
 
 
 class BackendConnection:
-    """One connection to a backend with its parser."""
+    """One connection to a backend with its HTTP parser."""
 
-    __slots__ = ("line", "address", "answered", "parser", "idle_since")
+    __slots__ = ("stream", "address", "has_answered", "parser", "idle_since")
 
-    def __init__(self, line: StreamConnection, address: tuple[str, int]) -> None:
-        self.line = line
+    def __init__(self, stream: StreamConnection, address: tuple[str, int]) -> None:
+        self.stream = stream
         self.address = address
-        self.answered = False  # it has carried a ticket
+        self.has_answered = False  # it has carried a ticket
         self.parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.idle_since = 0
 
 
 class BackendConnections:
-    """Where one backend is reached, with the connections that stand idle there, the latest used last."""
+    """The address of one backend and the idle connections to it, ordered by last use."""
 
-    __slots__ = ("address", "idle", "listed", "heard_at", "out")
+    __slots__ = ("address", "idle", "listed", "last_answer_at", "attempts")
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self.idle: list[BackendConnection] = []  # emptied by use, by age, when the other side leaves, and with the list
+        self.idle: list[BackendConnection] = []  # removed by use, by age, when the peer closes, and with the list
         self.listed = True
-        self.heard_at = 0
-        self.out: set[Attempt] = set()  # under way there; emptied as they end
+        self.last_answer_at = 0
+        self.attempts: set[Attempt] = set()  # attempts under way at this backend; removed as they end
 
 
 class Backends:
+    """All backends of the list, the connections to them, and attempts on these."""
+
     def __init__(self, budget: Budget, pool: Pool, connect_timeout: int, idle_timeout: int) -> None:
         self._budget = budget
         self._pool = pool
         self._connect_timeout = connect_timeout / 1e6
-        # Well before the backend's own limit: a request that crosses its close may have run.
+        # Well below the backend's own idle timeout: a request that crosses the backend's close may have run.
         self._idle_timeout = idle_timeout // 2
-        # What stands between may drop a connection long before that, and tells it with a reset of the next
-        # ticket.
-        self._kept_most = self._idle_timeout
-        self._settles = SETTLES
-        self._doors: dict[str, BackendConnections] = {}  # emptied by the list, once nothing is out there
-        budget.may_close_idle(self._close_oldest)
+        # A device on the network may drop an idle connection long before that, and reveals it only by resetting the
+        # next request.
+        self._max_idle_us = self._idle_timeout
+        self._settles = SETTLE_TIME_US
+        self._doors: dict[str, BackendConnections] = {}  # removed with the list, once no attempt is under way
+        budget.register_idle_closer(self._close_oldest)
 
     def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
         self._connect_timeout, self._idle_timeout = connect_timeout / 1e6, idle_timeout // 2
-        self._kept_most = min(self._kept_most, self._idle_timeout)
+        self._max_idle_us = min(self._max_idle_us, self._idle_timeout)
 
     @property
     def known(self) -> bool:
-        return any(door.listed for door in self._doors.values())
+        """Whether the list holds any backend."""
+        return any(connections.listed for connections in self._doors.values())
 
     # --- the list ---------------------------------------------------------------------------------
 
-    def set_address(self, backend: str, address: tuple[str, int], wanted: bool) -> None:
-        door = self._doors.get(backend)
-        if door is None:
-            if not wanted:
+    def set_address(self, backend: str, address: tuple[str, int], is_listed: bool) -> None:
+        """Sets where a backend is reached, or removes it from the list (`is_listed` false). Connections to an earlier
+        address are closed.
+        """
+        connections = self._doors.get(backend)
+        if connections is None:
+            if not is_listed:
                 return
-            door = self._doors[backend] = BackendConnections(address)
-        if door.address != address or not wanted:
-            door.address = address
-            self._close_idle(door)
-        door.listed = wanted
-        self._forget(backend, door)
+            connections = self._doors[backend] = BackendConnections(address)
+        if connections.address != address or not is_listed:
+            connections.address = address
+            self._close_idle(connections)
+        connections.listed = is_listed
+        self._forget_if_unused(backend, connections)
 
     def retain_only(self, backends: set[str]) -> None:
-        """The whole list: others are gone."""
-        for name, door in list(self._doors.items()):
+        """Applies a complete list: backends that are not in it are gone."""
+        for name, connections in list(self._doors.items()):
             if name not in backends:
-                door.listed = False
-                self._close_idle(door)
-                self._forget(name, door)
+                connections.listed = False
+                self._close_idle(connections)
+                self._forget_if_unused(name, connections)
 
-    def _forget(self, backend: str, door: BackendConnections) -> None:
-        if not door.listed and not door.out:
+    def _forget_if_unused(self, backend: str, connections: BackendConnections) -> None:
+        if not connections.listed and not connections.attempts:
             self._doors.pop(backend, None)
 
-    def give_up_all(self, how: str) -> None:
-        for door in self._doors.values():
-            for out in list(door.out):
-                out.give_up(how)
+    def give_up_all(self, outcome: str) -> None:
+        """Gives up all attempts under way, with this outcome."""
+        for connections in self._doors.values():
+            for attempt in list(connections.attempts):
+                attempt.give_up(outcome)
 
-    # --- connections that stand idle --------------------------------------------------------------
+    # --- idle connections -------------------------------------------------------------------------
 
-    def _close_idle(self, door: BackendConnections) -> None:
-        while door.idle:
-            self._drop(door, door.idle[-1])
+    def _close_idle(self, connections: BackendConnections) -> None:
+        while connections.idle:
+            self._drop(connections, connections.idle[-1])
 
     @staticmethod
-    def _drop(door: BackendConnections, link: BackendConnection) -> None:
-        if link in door.idle:
-            door.idle.remove(link)
-        link.line.abort()
+    def _drop(connections: BackendConnections, connection: BackendConnection) -> None:
+        if connection in connections.idle:
+            connections.idle.remove(connection)
+        connection.stream.abort()
 
     def _close_oldest(self, needed: bool = False) -> bool:
-        door = min(
-            (door for door in self._doors.values() if door.idle), default=None, key=lambda one: one.idle[0].idle_since
+        """Closes the connection that has been idle for longest, if there is one."""
+        connections = min(
+            (connections for connections in self._doors.values() if connections.idle),
+            default=None,
+            key=lambda one: one.idle[0].idle_since,
         )
-        if door is None:
+        if connections is None:
             return False
-        self._drop(door, door.idle[0])
+        self._drop(connections, connections.idle[0])
         return True
 
     def sweep(self, now: int) -> None:
-        for door in self._doors.values():
-            while door.idle and now - door.idle[0].idle_since >= self._kept_most:
-                self._drop(door, door.idle[0])
-
-    def _rest(self, door: BackendConnections, link: BackendConnection) -> None:
-        if link.parser.our_state is h11.DONE:
-            link.parser.start_next_cycle()
-        link.idle_since = clock.now()
-
-        def strays() -> None:
-            stood = clock.now() - link.idle_since
-            if 2 * stood < SETTLES_MOST:
-                self._settles = max(self._settles, 2 * stood)
-            self._drop(door, link)
-
-        # Whatever comes now, an end or words nobody asked for: this connection is not used again.
-        link.line.on_end, link.line.on_data = lambda: self._drop(door, link), strays
-        door.idle.append(link)
-
-    def _keep(self, door: BackendConnections, link: BackendConnection) -> bool:
-        """Whether it may serve the next: a backend that has gone, or stands at another address by now, has none kept."""
-        if not door.listed or door.address != link.address:
-            link.line.abort()
+        for connections in self._doors.values():
+            while connections.idle and now - connections.idle[0].idle_since >= self._max_idle_us:
+                self._drop(connections, connections.idle[0])
+
+    def _add_idle(self, connections: BackendConnections, connection: BackendConnection) -> None:
+        if connection.parser.our_state is h11.DONE:
+            connection.parser.start_next_cycle()
+        connection.idle_since = clock.now()
+
+        def handle_unexpected_data() -> None:
+            idle_time = clock.now() - connection.idle_since
+            if 2 * idle_time < MAX_SETTLE_TIME_US:
+                self._settles = max(self._settles, 2 * idle_time)
+            self._drop(connections, connection)
+
+        # Whatever arrives now, an end or an unexpected second answer, the connection is not reused.
+        connection.stream.on_peer_end, connection.stream.on_data = (
+            lambda: self._drop(connections, connection),
+            handle_unexpected_data,
+        )
+        connections.idle.append(connection)
+
+    def _keep_for_reuse(self, connections: BackendConnections, connection: BackendConnection) -> bool:
+        """Keeps a connection for reuse and returns whether it did: not for a backend that is gone or has moved to
+        another address.
+        """
+        if not connections.listed or connections.address != connection.address:
+            connection.stream.abort()
             return False
-        self._rest(door, link)
+        self._add_idle(connections, connection)
         return True
 
-    def _latest(self, door: BackendConnections) -> BackendConnection | None:
+    def _take_idle_connection(self, connections: BackendConnections) -> BackendConnection | None:
         now = clock.now()
-        for at in range(len(door.idle) - 1, -1, -1):
-            link = door.idle[at]
-            if link.answered and now - link.idle_since < self._settles:
+        for index in range(len(connections.idle) - 1, -1, -1):
+            connection = connections.idle[index]
+            if connection.has_answered and now - connection.idle_since < self._settles:
                 continue
-            del door.idle[at]
-            link.line.on_data = None
-            link.line.on_end = None
-            # Its end may be in the kernel and not yet read: written to now, the ticket may have run.
-            if now - link.idle_since < self._kept_most and link.line.quiet():
-                return link
-            link.line.abort()
+            del connections.idle[index]
+            connection.stream.on_data = None
+            connection.stream.on_peer_end = None
+            # The peer's end may be in the kernel and not yet read: if a request were written now, it would count as one
+            # that may have run.
+            if now - connection.idle_since < self._max_idle_us and connection.stream.quiet():
+                return connection
+            connection.stream.abort()
         return None
 
-    def _learn(self, stood: int, answered: bool) -> None:
-        """From a connection that was used again after it `stood` idle: half of what broke, and slowly more
-        again.
+    def _adapt_max_idle(self, idle_time: int, reused_successfully: bool) -> None:
+        """Adapts the maximum idle time of reused connections from one that was reused after it was idle for
+        `idle_time`: halves it after a failure, and slowly raises it again.
 
-        One network lies between this proxy and all backends, and a few resets at each would be as many tickets lost.
+        One network connects this proxy to all backends, so the figure is shared: learning it per backend would cost a
+        few reset tickets at each.
         """
-        if not answered:
-            self._kept_most = max(KEPT_LEAST, min(self._kept_most, stood) // 2)
-        elif 2 * stood >= self._kept_most:
-            self._kept_most = min(self._idle_timeout, self._kept_most + self._kept_most // 128)
-
-    async def _connect(self, door: BackendConnections, out: Attempt, within: float) -> BackendConnection | str:
-        for turn in range(TURNS, -1, -1):
-            if self._budget.take(PART, True):
+        if not reused_successfully:
+            self._max_idle_us = max(MIN_REUSE_IDLE_US, min(self._max_idle_us, idle_time) // 2)
+        elif 2 * idle_time >= self._max_idle_us:
+            self._max_idle_us = min(self._idle_timeout, self._max_idle_us + self._max_idle_us // 128)
+
+    async def _connect(
+        self, connections: BackendConnections, attempt: Attempt, timeout_s: float
+    ) -> BackendConnection | str:
+        for turns_left in range(CONNECT_LOOP_TURNS, -1, -1):
+            if self._budget.acquire(BACKEND_SHARE, True):
                 break
-            if not turn or not self._budget.busy or out.how is not None:
+            if not turns_left or not self._budget.reserve_exhausted or attempt.outcome is not None:
                 return "moot"
-            # Of many that came in one turn of the loop the last were refused, beside idle clients that could be closed.
+            # Closed connections free their descriptors in the next loop iteration. Of many tickets that arrived in one
+            # iteration the last were otherwise refused, although idle clients could be closed.
             await asyncio.sleep(0)
-        address = door.address
-        reaching = asyncio.ensure_future(connect(address))
-        reaching.add_done_callback(self._connected)
-        out.stopped_by(reaching.cancel)
-        done, _ = await asyncio.wait((reaching,), timeout=within)
+        address = connections.address
+        connecting = asyncio.ensure_future(connect(address))
+        connecting.add_done_callback(self._return_descriptor)
+        attempt.on_give_up(connecting.cancel)
+        done, _ = await asyncio.wait((connecting,), timeout=timeout_s)
         if not done:
-            # The timer may be late, and what it waited for may be here: it needs a few turns to come up.
-            for _ in range(TURNS):
-                if not reaching.done():
+            # The timer may have fired late, and the connection may be up in the kernel: it needs a few loop iterations
+            # to be set up.
+            for _ in range(CONNECT_LOOP_TURNS):
+                if not connecting.done():
                     await asyncio.sleep(0)
-            reaching.cancel()
-            await asyncio.wait((reaching,))
-        if reaching.cancelled() or reaching.exception() is not None:
+            connecting.cancel()
+            await asyncio.wait((connecting,))
+        if connecting.cancelled() or connecting.exception() is not None:
             return "unreached"
-        return BackendConnection(reaching.result(), address)
+        return BackendConnection(connecting.result(), address)
 
-    def _connected(self, reaching: asyncio.Future[StreamConnection]) -> None:
-        """The descriptor goes back to the budget when the connection ends, or at once if there is none."""
-        if reaching.cancelled() or reaching.exception() is not None:
-            self._budget.give()
+    def _return_descriptor(self, connecting: asyncio.Future[StreamConnection]) -> None:
+        """Returns the descriptor to the budget when the connection ends, or at once if connecting failed."""
+        if connecting.cancelled() or connecting.exception() is not None:
+            self._budget.release()
         else:
-            reaching.result().when_let_go(self._budget.give)
+            connecting.result().call_when_lost(self._budget.release)
 
-    # --- one attempt -------------------------------------------------------------------------
+    # --- one attempt ------------------------------------------------------------------------------
 
     async def attempt(
         self,
         backend: str,
         request: Request,
-        out: Attempt,
-        patience: int,
-        placed: Placed,
-        onward: ResponseForwarder | None = None,
+        attempt: Attempt,
+        timeout_us: int,
+        context: AttemptContext,
+        forwarder: ResponseForwarder | None = None,
     ) -> tuple[str, Answer | None]:
-        """How it ended, and the answer if a whole one came and was not passed on. Never sends a second
-        time. The backend is told what is left of `patience`, in microseconds, when the request is written."""
-        door = self._doors.get(backend)
-        if door is None:
+        """Makes one attempt, never a second one. Returns the outcome, and the answer if a complete one arrived and was
+        not streamed to the client. The backend is told what is left of `timeout_us` when the request is written.
+        """
+        connections = self._doors.get(backend)
+        if connections is None:
             return "unreached", None
-        door.out.add(out)
+        connections.attempts.add(attempt)
         began = clock.now()
         try:
-            how, answer = await self._attempt(door, request, out, patience, placed, onward)
+            outcome, answer = await self._attempt(connections, request, attempt, timeout_us, context, forwarder)
         finally:
-            door.out.discard(out)
-            self._forget(backend, door)
-        if how == "timed out" and door.heard_at < began:
-            # A silent machine's other connections are as silent; a new one that doesn't come up tells at
+            connections.attempts.discard(attempt)
+            self._forget_if_unused(backend, connections)
+        if outcome == "timed out" and connections.last_answer_at < began:
+            # Other connections to an unresponsive machine are as unresponsive; a new one that cannot be set up fails at
             # once.
-            self._close_idle(door)
-        return how, answer
+            self._close_idle(connections)
+        return outcome, answer
 
     async def _attempt(
         self,
-        door: BackendConnections,
+        connections: BackendConnections,
         request: Request,
-        out: Attempt,
-        patience: int,
-        placed: Placed,
-        onward: ResponseForwarder | None,
+        attempt: Attempt,
+        timeout_us: int,
+        context: AttemptContext,
+        forwarder: ResponseForwarder | None,
     ) -> tuple[str, Answer | None]:
-        until = clock.now() + patience
-        link = self._latest(door)
-        stood = None if link is None else clock.now() - link.idle_since
-        if link is None:
-            made = await self._connect(door, out, min(self._connect_timeout, patience / 1e6))
-            if isinstance(made, str):
-                return "moot" if out.how == "called off" else made, None
-            link = made
-            await placed.list_read()
-            # Never written to, whatever it is given up for: the ticket never ran, and where its client left that tells
-            # nothing of the backend.
-            if out.how is not None or not placed.may_still_send():
-                self._keep(door, link)
-                return "moot" if out.how == "called off" or placed.left() else "unreached", None
-            if door.address != link.address or not link.line.quiet():
-                # Somebody else may be there now; or it has ended already, or speaks out of turn, in the kernel alone as yet:
-                # written to, a single-use ticket would count as one that may have run.
-                link.line.abort()
+        deadline = clock.now() + timeout_us
+        connection = self._take_idle_connection(connections)
+        idle_time = None if connection is None else clock.now() - connection.idle_since
+        if connection is None:
+            connected = await self._connect(connections, attempt, min(self._connect_timeout, timeout_us / 1e6))
+            if isinstance(connected, str):
+                return "moot" if attempt.outcome == "called off" else connected, None
+            connection = connected
+            await context.wait_for_list()
+            # Nothing was written, whatever the reason for giving up: the ticket has not run, and if its client left,
+            # that says nothing about the backend.
+            if attempt.outcome is not None or not context.may_still_send():
+                self._keep_for_reuse(connections, connection)
+                return "moot" if attempt.outcome == "called off" or context.client_left() else "unreached", None
+            if connections.address != connection.address or not connection.stream.quiet():
+                # The old address may belong to another process by now, or the peer has already closed or sent
+                # unexpected data that is still in the kernel. If a single-use ticket were written here, it would count
+                # as one that may have run.
+                connection.stream.abort()
                 return "unreached", None
-        link.answered = True
+        connection.has_answered = True
         began = clock.now()
-        left = max(0, until - began)
-        request = request._replace(headers=[*request.headers, (b"request-timeout", b"%du" % max(1, left))])
-        exchange = Exchange(link.line, link.parser, self._pool, out, left, self._connect_timeout, placed)
-        kept = False
+        time_left = max(0, deadline - began)
+        request = request._replace(headers=[*request.headers, (b"request-timeout", b"%du" % max(1, time_left))])
+        exchange = Exchange(
+            connection.stream, connection.parser, self._pool, attempt, time_left, self._connect_timeout, context
+        )
+        reusable = False
         try:
-            how, answer = await exchange.run(request, onward)
-            if exchange.heard:
-                door.heard_at = clock.now()
-                if stood is not None:
-                    self._learn(stood, True)
+            outcome, answer = await exchange.run(request, forwarder)
+            if exchange.head_received:
+                connections.last_answer_at = clock.now()
+                if idle_time is not None:
+                    self._adapt_max_idle(idle_time, True)
             elif (
-                stood is not None
-                and how == "reset"
-                and out.how is None
-                and link.line.heard_at < began
+                idle_time is not None
+                and outcome == "reset"
+                and attempt.outcome is None
+                and connection.stream.last_received_at < began
                 and clock.now() - began < self._connect_timeout * 1e6
             ):
-                # At once and without a word: an answer that broke off, or work that ended in a crash, tells
-                # nothing of it.
-                self._learn(stood, False)
-            kept = exchange.clean
-            return how, answer
+                # Only an immediate reset without any data counts: an answer that broke off, or work that ended in a
+                # crash, says nothing about idle connections.
+                self._adapt_max_idle(idle_time, False)
+            reusable = exchange.reusable
+            return outcome, answer
         finally:
-            if not kept or not self._keep(door, link):
-                link.line.abort()
-                # The loop closes it when it comes round: sent on before that, the ticket would be out twice.
+            if not reusable or not self._keep_for_reuse(connections, connection):
+                connection.stream.abort()
+                # The loop closes the aborted connection in its next iteration. If the ticket were sent elsewhere before
+                # that, it would be out twice at the same time.
                 await asyncio.sleep(0)
--- a/pepperusher/net/body_streaming.py
+++ b/pepperusher/net/body_streaming.py
@@ -1,5 +1,6 @@
-"""Bodies too long to be held: a request's rest, read as it is sent on, and an answer passed on as it
-comes."""
+"""Bodies too long to be buffered: the rest of a request's body, read while it is sent on, and an answer streamed to the
+client as it arrives.
+"""
 
 from __future__ import annotations
 
@@ -12,98 +13,109 @@
 
 
 class RequestBodyReader:
-    """The rest of a request's body. `waits` is told while it is its caller's turn.
+    """The rest of a request's body. `set_waiting` is called with whether the proxy waits for the caller.
 
-    Once `touched`, what was read is gone: there is no second attempt.
+    Once `started`, data that was read is gone: there is no second attempt.
     """
 
-    __slots__ = ("_parser", "_line", "_waits", "_length", "touched", "bad")
+    __slots__ = ("_parser", "_connection", "_set_waiting", "_length", "started", "error")
 
     def __init__(
-        self, parser: h11.Connection, line: StreamConnection, held: int, waits: Callable[[bool], None]
+        self, parser: h11.Connection, connection: StreamConnection, buffered: int, set_waiting: Callable[[bool], None]
     ) -> None:
         self._parser = parser
-        self._line = line
-        self._waits = waits
-        self._length = held
-        self.touched = False
-        self.bad: tuple[str, int] | None = None
+        self._connection = connection
+        self._set_waiting = set_waiting
+        self._length = buffered
+        self.started = False
+        self.error: tuple[str, int] | None = None
 
     async def read(self) -> bytes:
-        """The next part, nothing at the end. Raises BadMessage, and keeps it, where there is no end."""
-        if not self.touched:
-            # Nothing further goes out: where its client is by now changes nothing that its end, in its turn, does not.
-            self.touched, self._line.may_read_ahead = True, False
-        self._waits(True)
+        """Reads the next part of the body, empty at its end. Raises BadMessage, and stores it in `error`, if the body
+        is incomplete or invalid.
+        """
+        if not self.started:
+            # No further attempt can follow, so it no longer matters to know early whether the client has left: its end
+            # is noticed when it is read in order.
+            self.started, self._connection.may_read_ahead = True, False
+        self._set_waiting(True)
         try:
-            data = await read_data(self._parser, self._line)
+            data = await read_data(self._parser, self._connection)
             self._length += len(data)
             if self._length > MAX_BODY_BYTES:
                 raise BadMessage(413, "the body is too large")
             return data
-        except BadMessage as bad:
-            # Not itself: it points to its frames, and they would stay until a collection.
-            self.bad = str(bad), bad.status
+        except BadMessage as error:
+            # The exception itself is not stored: it refers to its stack frames, and the cycle would last until a
+            # garbage collection.
+            self.error = str(error), error.status
             raise
         finally:
-            self._waits(False)
+            self._set_waiting(False)
 
 
-def _as_it_is(answer: Answer) -> Answer:
+def _unchanged(answer: Answer) -> Answer:
     return answer
 
 
 class ResponseForwarder:
-    """The way back to a caller, for an answer that is passed on as it comes. `dress` makes its head the
-    caller's."""
+    """Streams an answer to a caller as it arrives. `prepare_head` turns the backend's head into the caller's."""
 
-    # What it is handed points back to the call: `over` lets go of it, else the two would stay until a
+    # The callbacks refer back to the call: `release` drops them, since the cycle would otherwise last until a garbage
     # collection.
 
-    __slots__ = ("_parser", "_line", "_waits", "_closes", "dress", "begun", "ended")
+    __slots__ = ("_parser", "_connection", "_set_waiting", "_closes_connection", "prepare_head", "started", "finished")
 
     def __init__(
-        self, parser: h11.Connection, line: StreamConnection, waits: Callable[[bool], None], closes: Callable[[], bool]
+        self,
+        parser: h11.Connection,
+        connection: StreamConnection,
+        set_waiting: Callable[[bool], None],
+        closes_connection: Callable[[], bool],
     ) -> None:
         self._parser = parser
-        self._line = line
-        self._waits = waits
-        self._closes = closes
-        self.dress: Callable[[Answer], Answer] = _as_it_is
-        self.begun = False
-        self.ended = False
+        self._connection = connection
+        self._set_waiting = set_waiting
+        self._closes_connection = closes_connection
+        self.prepare_head: Callable[[Answer], Answer] = _unchanged
+        self.started = False
+        self.finished = False
 
-    def over(self) -> None:
-        self.dress, self._closes = _as_it_is, bool
+    def release(self) -> None:
+        """Drops the callbacks once the call is over."""
+        self.prepare_head, self._closes_connection = _unchanged, bool
 
     async def begin(self, answer: Answer, length: int | None) -> bool:
-        """Its head and what was held of it; without a length its end is told by its framing. Whether the
-        caller takes it."""
-        self.begun = True
-        dressed = self.dress(answer)
-        headers = list(dressed.headers)
+        """Sends the head and the buffered part of the body; without `length` the framing marks its end. Returns whether
+        the caller accepts it.
+        """
+        self.started = True
+        prepared = self.prepare_head(answer)
+        headers = list(prepared.headers)
         if length is not None:
             headers.append((b"content-length", b"%d" % length))
-        if self._closes():
+        if self._closes_connection():
             headers.append((b"connection", b"close"))
-        head = self._parser.send(h11.Response(status_code=dressed.status, headers=headers))
+        head = self._parser.send(h11.Response(status_code=prepared.status, headers=headers))
         assert head is not None
-        return await self._write(head) and (not dressed.body or await self.write(dressed.body))
+        return await self._write(head) and (not prepared.body or await self.write(prepared.body))
 
     async def write(self, data: bytes) -> bool:
+        """Sends a part of the body. Returns whether the caller accepts it."""
         return await self._write(self._parser.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> bool:
-        taken = await self._write(self._parser.send(h11.EndOfMessage()) or b"")
-        self.ended = taken
-        return taken
+        """Marks the end of the body. Returns whether the caller accepted everything."""
+        accepted = await self._write(self._parser.send(h11.EndOfMessage()) or b"")
+        self.finished = accepted
+        return accepted
 
     async def _write(self, data: bytes) -> bool:
-        """Whether the kernel took it: the next part is not read before."""
-        if self._line.send(data):
+        """Returns whether the kernel took the data: the next part is not read from the backend before that."""
+        if self._connection.send(data):
             return True
-        self._waits(True)
+        self._set_waiting(True)
         try:
-            return await self._line.flush()
+            return await self._connection.flush()
         finally:
-            self._waits(False)
+            self._set_waiting(False)
--- a/pepperusher/net/buffers.py
+++ b/pepperusher/net/buffers.py
@@ -1,17 +1,15 @@
-"""Buffers of one size for what is held of bodies, used again from a pool."""
+"""Fixed-size buffers for the buffered parts of bodies, reused from a pool."""
 
 from __future__ import annotations
 
-# Of a body so much is held, and one buffer. Most bodies take one; at 64 KiB each, those of a few hundred
-# callers that
-# send no more than a part were half of a small proxy's memory.
+# Up to this much of a body is buffered, in buffers of the second size. Most bodies fit one buffer. With buffers of 64
+# KiB, a few hundred callers that send only a part took half of a small proxy's memory.
 MAX_HELD_BODY_BYTES = 64 * 1024
-SIZE = 4 * 1024
+BUFFER_BYTES = 4 * 1024
 
 
 class Body:
-    """One body as it comes in. It takes buffers as it grows, none before its first byte: most tickets have
-    none."""
+    """A body as it arrives. It takes buffers as it grows, and none before its first byte: most tickets have no body."""
 
     __slots__ = ("_pool", "_buffers", "_joined", "length")
 
@@ -23,69 +21,73 @@
 
     @property
     def full(self) -> bool:
-        """Whether no more is to be held, or hardly more where all that is held together comes to its
-        bound."""
-        return self.length > MAX_HELD_BODY_BYTES or self.length > SIZE and self._pool.short
+        """Whether no more should be buffered: at the limit per body, or at one buffer while the pool is exhausted."""
+        return self.length > MAX_HELD_BODY_BYTES or self.length > BUFFER_BYTES and self._pool.exhausted
 
     def add(self, data: bytes) -> None:
         while data:
-            at = self.length % SIZE
-            if not at:
+            offset = self.length % BUFFER_BYTES
+            if not offset:
                 self._buffers.append(self._pool.take())
-            part = data[: SIZE - at]
-            self._buffers[-1][at : at + len(part)] = part
+            part = data[: BUFFER_BYTES - offset]
+            self._buffers[-1][offset : offset + len(part)] = part
             self.length += len(part)
             data = data[len(part) :]
 
     def contents(self) -> memoryview | bytes:
-        """Once all of it has come. Copied only where it is in several, in place of them: many tickets may be
-        in hand. Good
-        until it is given back."""
+        """The whole body once it has arrived, valid until `release`. It is copied only where it spans several buffers,
+        which are then returned, because many tickets may be in hand.
+        """
         if len(self._buffers) == 1:
             return memoryview(self._buffers[0])[: self.length]
         if self._buffers:
             self._joined = b"".join(self._buffers)[: self.length]
-            self._pool.count(len(self._buffers))
+            self._pool.adjust_lent(len(self._buffers))
             while self._buffers:
-                self._pool.give(self._buffers.pop())
+                self._pool.release(self._buffers.pop())
         return self._joined
 
     def release(self) -> None:
         while self._buffers:
-            self._pool.give(self._buffers.pop())
+            self._pool.release(self._buffers.pop())
         if self._joined:
-            self._pool.count(-len(self._joined) // SIZE)  # as many as it took, rounded up
+            self._pool.adjust_lent(-len(self._joined) // BUFFER_BYTES)  # as many as it took, rounded up
             self._joined = b""
         self.length = 0
 
 
 class Pool:
-    """`most` is the bound in bytes on what is lent; beyond it bodies take one buffer each."""
-
-    def __init__(self, most_spare: int, most: int = 64 * 1024 * 1024) -> None:
-        self._spare: list[bytearray] = []  # emptied by take; holds most_spare at the most
-        self._most_spare = most_spare
-        self._most = most // SIZE
+    """Lends buffers and keeps some spare ones. `max_bytes` limits what is lent; beyond it each body takes only one
+    buffer.
+    """
+
+    def __init__(self, max_spare: int, max_bytes: int = 64 * 1024 * 1024) -> None:
+        self._spare: list[bytearray] = []  # reduced by take; at most max_spare
+        self._max_spare = max_spare
+        self._max_buffers = max_bytes // BUFFER_BYTES
         self._lent = 0
 
     @property
-    def most(self) -> int:
-        """In bytes."""
-        return self._most * SIZE
+    def max_bytes(self) -> int:
+        """The limit on lent buffers in bytes."""
+        return self._max_buffers * BUFFER_BYTES
 
     @property
-    def short(self) -> bool:
-        return self._lent >= self._most
+    def exhausted(self) -> bool:
+        """Whether as many buffers are lent as the limit allows."""
+        return self._lent >= self._max_buffers
 
     def take(self) -> bytearray:
         self._lent += 1
-        return self._spare.pop() if self._spare else bytearray(SIZE)
+        return self._spare.pop() if self._spare else bytearray(BUFFER_BYTES)
 
-    def count(self, buffers: int) -> None:
-        """Held as they were, in one piece: so many more, or less, are lent."""
+    def adjust_lent(self, buffers: int) -> None:
+        """Accounts for a body that is held in one piece in place of buffers: adds so many to the lent ones, or removes
+        them if negative.
+        """
         self._lent += buffers
 
-    def give(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         self._lent -= 1
-        if len(self._spare) < self._most_spare:
+        if len(self._spare) < self._max_spare:
             self._spare.append(buffer)
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -1,4 +1,4 @@
-"""The callers' side: listens, reads tickets, writes answers and notices a client that left."""
+"""The callers' side: accepts connections, reads tickets, writes answers and notices clients that leave."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 from pepperusher.net import clock
 from pepperusher.net.buffers import MAX_HELD_BODY_BYTES, Body, Pool
-from pepperusher.net.budget import HALF, SHORT, Budget
+from pepperusher.net.budget import CLOSE_WITHOUT_TICKET_SHARE, CLOSE_AFTER_ANSWER_SHARE, Budget
 from pepperusher.net.connection import StreamConnection, wrap_socket
-from pepperusher.net.listening import NOBODY, listener, steer
+from pepperusher.net.listening import NO_LISTENER, open_listener, steer_listener_group
 from pepperusher.net.log import Log
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
 from pepperusher.net.body_streaming import RequestBodyReader, ResponseForwarder
@@ -24,513 +24,564 @@
     BadMessage,
     Request,
     encode_answer,
-    length_of,
+    content_length_of,
     text_answer,
     read_head,
     buffer_body,
 )
 
-# Connections let in one after another before others have their turn.
-BATCH = 16
-# So long after its connect a caller has begun, or the connection ends.
-BEGUN = 2_000_000
-# So long after its first byte a message is whole, and a second more for each so many bytes that came. Not from the last
-# byte: a caller that drips would keep its connection for good. Honest ones take 2 s for a head and send 64 kB a second.
-WHOLE = 2_400_000
-SLOWEST = 32_000
-# Where descriptors run out, or the proxy ends, a new connection that has said nothing for so long is closed: whoever
-# opens one to send does so at once.
-SHY = 250_000
-# And where a ticket in hand would be refused, whoever is as new as that: what it sends may be on its way.
-JUST_NOW = 50_000
-# Where descriptors run out, a message that has begun and stopped for so long is answered as one that took too long.
-STOPPED = 500_000
-# Callers get no more than this part of all descriptors: a ticket in hand takes one of its caller's and one to a backend,
-# and a crowd that says nothing left none for the second, so that those who asked were bounced.
-PART = 2 / 3
-# After an answer to bad input so much more is read, so that the answer is not lost in a reset.
-LINGER = 1.0
-LINGER_MOST = 4 * MAX_HELD_BODY_BYTES
-# An honest one whose body was not read to its end has longer to notice.
-NOTICED = 3.0
-# And one that is told to close with its answer, so that what it still sends does not turn our close into a reset.
-CLOSING = 0.25
-# What is no ticket costs as much as one to read. Whoever sends it is heard again after so long.
-PAUSE = 0.1
-
-# What is read ahead of its turn, lest an end stand behind it, is this part of what is held of bodies.
-AHEAD_PART = 2
-
-# Of two processes at one address, which came after the other.
-SECOND = 1
-# Over all that the budget holds, where nothing else would do.
-FOR_ONCE = 2.0
-
-LATE = text_answer(408, "the request did not end in time")
-
-
-def _accepted(listener: socket.socket) -> socket.socket | None:
-    """The next from the kernel's queue, None where it is empty. At once: a wait that is called off could lose
-    one."""
+# So many connections are accepted in a row before other tasks get a turn.
+ACCEPT_BATCH = 16
+# A connection that has sent nothing for so long after it was opened is closed.
+FIRST_BYTE_TIMEOUT_US = 2_000_000
+# A request must be complete this long after its first byte, plus one second for every MIN_BYTES_PER_SECOND bytes
+# received. The limit does not run from the last byte, because a client that trickles bytes would keep its connection
+# for good. Legitimate clients take up to 2 s for a head and send 64 kB/s.
+REQUEST_TIMEOUT_US = 2_400_000
+MIN_BYTES_PER_SECOND = 32_000
+# Where descriptors run out, or while the proxy stops, a new connection that has sent nothing for so long is closed: a
+# client that opens one in order to send does so at once.
+NEW_CONNECTION_GRACE_US = 250_000
+# Where a ticket in hand would otherwise be refused, connections of this age are closed too; a younger one may have its
+# request on the way.
+MIN_IDLE_US = 50_000
+# Where descriptors run out, a request that has begun and then stalled for so long is answered with a timeout.
+STALLED_REQUEST_US = 500_000
+# Callers get at most this share of all descriptors. A ticket in hand takes one for its caller and one for its backend;
+# a crowd of silent clients otherwise left none for the second, and tickets in hand were bounced.
+CALLER_SHARE = 2 / 3
+# After the answer to bad input up to this much more is read, for up to this long, so that the answer is not lost in a
+# connection reset.
+LINGER_S = 1.0
+LINGER_BYTES = 4 * MAX_HELD_BODY_BYTES
+# A legitimate client whose body was not read to its end has longer to notice the answer.
+UNREAD_BODY_LINGER_S = 3.0
+# A client told to close with its answer has this long, so that data it still sends does not turn the close into a
+# reset.
+CLOSE_LINGER_S = 0.25
+# A request that is no valid ticket costs as much to read as a ticket. Its sender is read again only after this pause.
+BAD_REQUEST_PAUSE_S = 0.1
+
+# Data read ahead (to detect an end of the connection behind it) is limited to this fraction of the memory for held
+# bodies.
+READ_AHEAD_DIVISOR = 2
+
+# Of two processes that listen at one address, the one that started later.
+SECOND_PROCESS = 1
+# A share of the descriptor budget above its limit, used where refusing is not possible.
+SHARE_ABOVE_LIMIT = 2.0
+
+REQUEST_TIMEOUT_ANSWER = text_answer(408, "the request did not end in time")
+
+
+def _accept_one(listening: socket.socket) -> socket.socket | None:
+    """Accepts the next connection from the kernel's queue, or returns None if it is empty. It does not wait: cancelling
+    a waiting accept could lose a connection.
+    """
     try:
-        taken, _ = listener.accept()
+        accepted, _ = listening.accept()
     except (BlockingIOError, InterruptedError):
         return None
-    taken.setblocking(False)
-    return taken
+    accepted.setblocking(False)
+    return accepted
 
 
-async def _readable(listener: socket.socket) -> None:
+async def _wait_readable(listening: socket.socket) -> None:
     loop = asyncio.get_running_loop()
     ready = loop.create_future()
-    loop.add_reader(listener, lambda: ready.done() or ready.set_result(None))
+    loop.add_reader(listening, lambda: ready.done() or ready.set_result(None))
     try:
         await ready
     finally:
-        loop.remove_reader(listener)
+        loop.remove_reader(listening)
 
 
 class Call:
-    """One request from a caller. `on_leave` is told if its client leaves before the answer.
+    """One request from a caller. `on_leave` is called if its client leaves before the answer.
 
-    `ticket` once it is one: neither `bad` nor about the proxy itself. `away` looks whether its client has left, in the kernel
-    too: docs/crossings.md says what counts as leaving.
+    `ticket` is set once the request is a valid ticket, so neither `bad` nor a question about the proxy itself.
+    `has_left` checks, also in the kernel, whether the client has left: docs/crossings.md defines what counts as
+    leaving.
     """
 
-    __slots__ = ("request", "received_at", "onward", "on_leave", "left", "bad", "ticket", "_away")
+    __slots__ = ("request", "received_at", "forwarder", "on_leave", "left", "bad", "ticket", "_has_left")
 
     def __init__(
         self,
         request: Request,
         received_at: int,
-        onward: ResponseForwarder | None = None,
-        away: Callable[[], bool] = bool,
+        forwarder: ResponseForwarder | None = None,
+        has_left: Callable[[], bool] = bool,
     ) -> None:
-        self._away = away
+        self._has_left = has_left
         self.request = request
         self.received_at = received_at
-        self.onward = onward
+        self.forwarder = forwarder
         self.on_leave: Callable[[], None] | None = None
         self.left = False
         self.bad = False
         self.ticket = False
 
     @property
-    def begun(self) -> bool:
-        """Whether its answer is passed on already."""
-        return self.onward is not None and self.onward.begun
+    def answer_started(self) -> bool:
+        """Whether part of the answer has already been sent to the client."""
+        return self.forwarder is not None and self.forwarder.started
 
-    def leave(self) -> None:
+    def set_left(self) -> None:
+        """Records that the client has left, and calls `on_leave` once."""
         if not self.left:
             self.left = True
             if self.on_leave is not None:
                 self.on_leave()
 
     def check_disconnected(self) -> bool:
-        """Whether its client has left by now: asked before a byte goes to a backend, since the loop tells of an end behind
-        all that came before it."""
-        if not self.left and self._away():
-            self.leave()
+        """Checks whether the client has left by now. It is called before a byte is sent to a backend, because the event
+        loop reports an end only after all data received before it.
+        """
+        if not self.left and self._has_left():
+            self.set_left()
         return self.left
 
     def release(self) -> None:
-        """It has its answer. What it was handed points back to its connection: the two would stay until a collection."""
-        self._away = bool
+        """Called once the request is answered. Drops the callback that refers back to the connection; the reference
+        cycle would last until a garbage collection.
+        """
+        self._has_left = bool
 
 
 class Caller:
-    """One connection from a caller."""
+    """One connection from a caller, with its HTTP parser and timing."""
 
-    __slots__ = ("line", "parser", "waiting_since", "answered", "useful", "before", "spent")
+    __slots__ = ("connection", "parser", "waiting_since", "answered", "sent_ticket", "bytes_before", "waited_us")
 
-    def __init__(self, line: StreamConnection) -> None:
-        self.line = line
+    def __init__(self, connection: StreamConnection) -> None:
+        self.connection = connection
         self.parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
-        # For the caller: to ask or to ask again, to end what it began, to take an answer; None while we work
-        # for it.
+        # Since when the proxy waits for the caller: to send a request, to complete one, or to read an answer. None
+        # while the proxy works on a request.
         self.waiting_since: int | None = clock.now()
         self.answered = False
-        self.useful = False  # it has sent a ticket, and may send more
-        self.before = 0  # what it had sent when this message began
-        self.spent = 0  # how long this message was waited for before it was sent on
+        self.sent_ticket = False  # it has sent a ticket and may send more
+        self.bytes_before = 0  # bytes received before the current request began
+        self.waited_us = 0  # how long the proxy waited for parts of the current request so far
 
-    def waits(self, on: bool) -> None:
-        """Whether it is the caller's turn, within a message that is under way."""
+    def set_waiting(self, on: bool) -> None:
+        """Records whether the proxy waits for the caller, within a request that is under way."""
         now = clock.now()
         if on:
-            self.waiting_since = now - self.spent
+            self.waiting_since = now - self.waited_us
         elif self.waiting_since is not None:
-            self.spent, self.waiting_since = now - self.waiting_since, None
+            self.waited_us, self.waiting_since = now - self.waiting_since, None
 
-    def takes(self, on: bool) -> None:
-        """Whether it has to take a part of its answer."""
+    def set_waiting_for_reader(self, on: bool) -> None:
+        """Records whether the proxy waits for the caller to read a part of its answer."""
         self.waiting_since = clock.now() if on else None
 
     @property
-    def whole_within(self) -> int:
-        return WHOLE + 1_000_000 * (self.line.bytes_received - self.before) // SLOWEST
+    def request_timeout(self) -> int:
+        """How long the current request may take in all, in microseconds."""
+        return (
+            REQUEST_TIMEOUT_US
+            + 1_000_000 * (self.connection.bytes_received - self.bytes_before) // MIN_BYTES_PER_SECOND
+        )
 
 
 class Callers:
+    """Accepts the callers' connections, serves their requests, and closes idle connections where descriptors run short."""
+
     def __init__(
         self, handle: Callable[[Call], Awaitable[Answer]], budget: Budget, pool: Pool, log: Log, longest_wait: int
     ) -> None:
         self._handle = handle
-        # As long as any client waits for an answer: one that takes longer to take it, or to ask again, has
-        # left.
+        # The longest time that any client waits for an answer. A client that takes longer to read its answer or to send
+        # the next request is assumed to have left.
         self._longest_wait = longest_wait
         self._budget = budget
         self._pool = pool
         self._log = log
-        self._serving: set[asyncio.Task[None]] = set()  # emptied as connections end
-        self._callers: dict[Caller, None] = {}  # likewise; in the order in which they came
-        # Standing between tickets, the longest first; emptied by a ticket's first byte and as connections
-        # end.
+        self._serving: set[asyncio.Task[None]] = set()  # removed as connections end
+        self._callers: dict[Caller, None] = {}  # likewise; in the order of their arrival
+        # Idle connections between tickets, the longest idle first; removed with the first byte of a ticket and as
+        # connections end.
         self._idle: dict[Caller, None] = {}
-        # Told to close with their answer, and not closed yet; emptied as connections end, and where room is needed.
-        self._ending: dict[Caller, None] = {}
+        # Connections told to close with their answer and not closed yet; removed as connections end, and where
+        # descriptors are needed.
+        self._closing_connections: dict[Caller, None] = {}
         self._closing = False
         self._listener: socket.socket | None = None
-        self._disconnect_watcher = DisconnectWatcher(pool.most // AHEAD_PART)
+        self._disconnect_watcher = DisconnectWatcher(pool.max_bytes // READ_AHEAD_DIVISOR)
         self._accepting: asyncio.Task[None]
-        budget.may_close_idle(self._close_oldest)
+        budget.register_idle_closer(self._close_one)
 
     def reconfigure(self, longest_wait: int) -> None:
         self._longest_wait = longest_wait
 
     @property
     def open(self) -> int:
+        """The number of open connections."""
         return len(self._serving)
 
     def listen(self, address: tuple[str, int], shared: bool = False) -> int:
-        """The port it listens at."""
-        self._listener = listener(address, shared)
+        """Starts to listen and returns the port."""
+        self._listener = open_listener(address, shared)
         self._accepting = asyncio.get_running_loop().create_task(self._accept(self._listener))
         port: int = self._listener.getsockname()[1]
         return port
 
-    def give_way(self) -> None:
-        """New connections are another process's from now on; what the kernel has queued here is ours
-        still."""
+    def hand_over_listener(self) -> None:
+        """Directs new connections to the other process at this address. Connections that the kernel has already queued
+        here are still served here.
+        """
         assert self._listener is not None
-        steer(self._listener, SECOND)
-        self.shut()
+        steer_listener_group(self._listener, SECOND_PROCESS)
+        self.close_listener()
 
-    def shut(self) -> bool:
-        """No more are let in from now on, but for what the kernel has queued; whether there was any. A connection that came
-        while the last of the others ended would be reset, and a ticket may be in it."""
+    def close_listener(self) -> bool:
+        """Stops listening after accepting what the kernel has queued, and returns whether anything was queued. Closing
+        the listener would reset a connection that arrived as the last of the others ended, and it may carry a ticket.
+        """
         if self._listener is None:
             return False
-        # It stands between two accepts, and none is lost by its end.
+        # The task waits between two accepts, so no accepted connection is lost by cancelling it.
         self._accepting.cancel()
-        queued = False
-        while (taken := _accepted(self._listener)) is not None:
-            # Beyond its part, but once: left in the queue it would be reset.
-            self._budget.take(FOR_ONCE)
-            self._let_in(taken)
-            queued = True
+        was_queued = False
+        while (accepted := _accept_one(self._listener)) is not None:
+            # This may exceed the limit, but only once per connection: left in the queue, the connection would be reset.
+            self._budget.acquire(SHARE_ABOVE_LIMIT)
+            self._start_serving(accepted)
+            was_queued = True
         self._listener.close()
         self._listener = None
-        return queued
+        return was_queued
 
-    def steer(self, to: int | None) -> bool:
-        """All new connections to the first or the second process of this address, or as the kernel has it; whether it could be
-        done."""
-        return self._listener is not None and steer(self._listener, NOBODY if to is None else to)
+    def steer(self, index: int | None) -> bool:
+        """Directs all new connections to the first (0) or second (1) process at this address, or leaves the choice to
+        the kernel (None). Returns whether that was possible.
+        """
+        return self._listener is not None and steer_listener_group(
+            self._listener, NO_LISTENER if index is None else index
+        )
 
-    async def _accept(self, listener: socket.socket) -> None:
-        """Stops for another process alone: what the kernel has accepted may hold a ticket, which is then
-        ours."""
+    async def _accept(self, listening: socket.socket) -> None:
+        """Accepts connections until it is cancelled, when another process takes over: what the kernel has accepted may
+        carry a ticket, which this process then has to answer.
+        """
         for number in count(1):
-            if number % BATCH == 0:
-                # What is accepted at once is not waited for; hundreds that come together leave others their
-                # turn.
+            if number % ACCEPT_BATCH == 0:
+                # Tasks of accepted connections are not awaited; without this pause hundreds that arrive together would
+                # keep other tasks from running.
                 await asyncio.sleep(0)
-            while not self._may_let_in():
-                await self._budget.freed()
+            while not self._acquire_descriptor():
+                await self._budget.wait_for_release()
             try:
-                while (taken := _accepted(listener)) is None:
-                    await _readable(listener)
+                while (accepted := _accept_one(listening)) is None:
+                    await _wait_readable(listening)
             except OSError as error:
-                self._budget.give()
+                self._budget.release()
                 self._log.say(f"accept failed: {error}")
                 await asyncio.sleep(0.01)
                 continue
-            self._let_in(taken)
-
-    def _let_in(self, taken: socket.socket) -> None:
-        # Not waited for: in a crowd each turn of the loop is long, and would let in one.
-        serving = asyncio.get_running_loop().create_task(self._serve(taken))
-        self._serving.add(serving)
-        serving.add_done_callback(self._serving.discard)
-
-    def _may_let_in(self) -> bool:
-        """Takes a descriptor for one more; where callers have their part, one of theirs makes room."""
-        if self.open >= self._budget.most * PART and not self._close_oldest():
+            self._start_serving(accepted)
+
+    def _start_serving(self, accepted: socket.socket) -> None:
+        # The task is not awaited: under load one loop iteration takes long, and only one connection would be accepted
+        # in each.
+        task = asyncio.get_running_loop().create_task(self._serve(accepted))
+        self._serving.add(task)
+        task.add_done_callback(self._serving.discard)
+
+    def _acquire_descriptor(self) -> bool:
+        """Acquires a descriptor for one more connection. Where callers have used up their share, an idle connection of
+        theirs is closed for it.
+        """
+        if self.open >= self._budget.limit * CALLER_SHARE and not self._close_one():
             return False
-        return self._budget.take()
+        return self._budget.acquire()
 
     # --- one connection ---------------------------------------------------------------------------
 
-    async def _serve(self, taken: socket.socket) -> None:
+    async def _serve(self, accepted: socket.socket) -> None:
         try:
-            line = await wrap_socket(taken)
-        except Exception as error:  # this connection's trouble, and nobody else's
-            taken.close()
-            self._budget.give()
+            connection = await wrap_socket(accepted)
+        except Exception as error:  # ends only this connection
+            accepted.close()
+            self._budget.release()
             self._log.say(f"a connection was not taken: {error}")
             return
-        line.when_let_go(self._budget.give)
-        line.disconnect_watcher = self._disconnect_watcher
-        caller = Caller(line)
+        connection.call_when_lost(self._budget.release)
+        connection.disconnect_watcher = self._disconnect_watcher
+        caller = Caller(connection)
         self._callers[caller] = None
         body = Body(self._pool)
         try:
             while await self._serve_one(caller, body):
                 body.release()
             body.release()
-            await line.discard_until_closed(LINGER)
-        except Exception as error:  # this connection's trouble, and nobody else's
+            await connection.discard_until_closed(LINGER_S)
+        except Exception as error:  # ends only this connection
             self._log.say(f"connection ended: {type(error).__name__}: {error}")
         finally:
             body.release()
-            self._rest(caller, False)
+            self._set_idle(caller, False)
             self._callers.pop(caller, None)
-            self._ending.pop(caller, None)
-            caller.line.close()
+            self._closing_connections.pop(caller, None)
+            caller.connection.close()
 
     async def _serve_one(self, caller: Caller, body: Body) -> bool:
-        """One ticket; tells whether the connection goes on.
+        """Serves one request and returns whether the connection stays open.
 
-        Where descriptors run short it ends with the answer: unlike a close between tickets, that crosses nothing.
+        Where descriptors run short the connection closes with its answer: unlike a close between requests, that cannot
+        cross with a request on its way.
         """
-        line, parser = caller.line, caller.parser
-        ahead = bool(parser.trailing_data[0])
-        self._rest(caller, not ahead)
-        if ahead:
-            # Against hundreds sent at once, which would be read and answered while all others wait.
+        connection, parser = caller.connection, caller.parser
+        pipelined = bool(parser.trailing_data[0])
+        self._set_idle(caller, not pipelined)
+        if pipelined:
+            # Yields to other tasks; otherwise hundreds of pipelined requests would be read and answered while all
+            # others wait.
             await asyncio.sleep(0)
-        caller.before = line.bytes_received - line.unread_bytes - len(parser.trailing_data[0])
-        line.on_data = lambda: self._rest(caller, False)
-        line.may_read_ahead = True
-        whole = False
+        caller.bytes_before = connection.bytes_received - connection.unread_bytes - len(parser.trailing_data[0])
+        connection.on_data = lambda: self._set_idle(caller, False)
+        connection.may_read_ahead = True
+        complete = False
         try:
-            head = await read_head(parser, line)
+            head = await read_head(parser, connection)
             if head is not None:
-                whole = await buffer_body(parser, line, body)
-                if whole:  # else what is behind is of its own body, which is passed on as it comes
-                    await line.looked_ahead()
-        except BadMessage as bad:
-            caller.waiting_since = None  # it has a limit of its own
-            await self._turn_away(caller, bad)
+                complete = await buffer_body(parser, connection, body)
+                if complete:  # otherwise the data behind it belongs to its own body, which is streamed
+                    await connection.wait_for_read_ahead()
+        except BadMessage as error:
+            caller.waiting_since = None  # the linger time limits this connection from here on
+            await self._reject(caller, error)
             return False
         finally:
-            line.on_data = None
-            self._rest(caller, False)
-        if head is None or line.closing:
+            connection.on_data = None
+            self._set_idle(caller, False)
+        if head is None or connection.closing:
             return False
         assert isinstance(head, h11.Request)
-        caller.waits(False)
+        caller.set_waiting(False)
         request = Request(head.method, head.target, list(head.headers), body.contents())
-        came = line.came_at()
-        if not whole:
+        received_at = connection.received_at()
+        if not complete:
             request = request._replace(
-                rest=RequestBodyReader(parser, line, body.length, caller.waits), length=length_of(head)
+                rest=RequestBodyReader(parser, connection, body.length, caller.set_waiting),
+                length=content_length_of(head),
             )
-            came = clock.now()
-        onward = ResponseForwarder(parser, line, caller.takes, lambda: self._closes(caller, call))
-        call = Call(request, came, onward, line.left)
-        if line.ended:
-            call.leave()
-        line.on_end = call.leave
+            received_at = clock.now()
+        forwarder = ResponseForwarder(
+            parser, connection, caller.set_waiting_for_reader, lambda: self._closes_with_answer(caller, call)
+        )
+        call = Call(request, received_at, forwarder, connection.peer_has_left)
+        if connection.peer_ended:
+            call.set_left()
+        connection.on_peer_end = call.set_left
         answer = await self._handle(call)
-        line.on_end = None
-        onward.over()
+        connection.on_peer_end = None
+        forwarder.release()
         call.release()
-        caller.waiting_since, caller.spent = None, 0
-        if onward.begun and not onward.ended:
-            line.reset()  # broken off: it must not look like an end
-        # Whoever ended its sending alone, and reads on, is told; nobody else is there to be.
-        if line.closing or onward.begun and not onward.ended:
+        caller.waiting_since, caller.waited_us = None, 0
+        if forwarder.started and not forwarder.finished:
+            connection.reset()  # the answer was cut short: the client must not take it for complete
+        # A client that ended only its sending direction still reads, so it gets its answer; in the other cases there is
+        # nobody left to answer.
+        if connection.closing or forwarder.started and not forwarder.finished:
             return False
-        if not onward.begun:
+        if not forwarder.started:
             if parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
-                return False  # its time was up, and it has been told
-            line.send(encode_answer(parser, answer, self._closes(caller, call)))
+                return False  # it took too long and has been answered with a timeout
+            connection.send(encode_answer(parser, answer, self._closes_with_answer(caller, call)))
         caller.answered = True
-        caller.useful = caller.useful or call.ticket
+        caller.sent_ticket = caller.sent_ticket or call.ticket
         caller.waiting_since = clock.now()
-        if not await line.flush():
+        if not await connection.flush():
             return False
         if parser.our_state is not h11.DONE or parser.their_state is not h11.DONE:
             caller.waiting_since = None
             if parser.their_state is h11.SEND_BODY:
-                await self._linger(line, *((NOTICED, MAX_BODY_BYTES) if call.ticket else (LINGER, LINGER_MOST)))
-            elif self._closing and call.ticket and not line.ended:
-                # Only where clients are sent away: where descriptors run short, one held on to is worth more to others.
-                self._ending[caller] = None
-                await self._linger(line, CLOSING, LINGER_MOST)
+                await self._linger(
+                    connection, *((UNREAD_BODY_LINGER_S, MAX_BODY_BYTES) if call.ticket else (LINGER_S, LINGER_BYTES))
+                )
+            elif self._closing and call.ticket and not connection.peer_ended:
+                # Only where operators redirect clients: where descriptors run short, other connections need the
+                # descriptor more.
+                self._closing_connections[caller] = None
+                await self._linger(connection, CLOSE_LINGER_S, LINGER_BYTES)
             return False
         if call.bad:
-            await asyncio.sleep(PAUSE)
+            await asyncio.sleep(BAD_REQUEST_PAUSE_S)
         caller.waiting_since = clock.now()
         parser.start_next_cycle()
         return True
 
-    def _closes(self, caller: Caller, call: Call) -> bool:
-        """Whether the connection ends with this answer."""
-        line, parser = caller.line, caller.parser
-        # Whoever sends what is no ticket and more behind it is not read to the end.
+    def _closes_with_answer(self, caller: Caller, call: Call) -> bool:
+        """Whether the connection closes with this answer."""
+        connection, parser = caller.connection, caller.parser
+        # A client that sends a bad request with more data behind it is not read to the end.
         close = (
             call.left
             or parser.their_state is not h11.DONE
             or call.bad
-            and bool(parser.trailing_data[0] or not line.quiet())
+            and bool(parser.trailing_data[0] or not connection.quiet())
         )
-        if self._closing or self._budget.above(SHORT):
-            # What a client has sent ahead is taken as well: it is answered before the connection ends.
-            close = close or line.quiet() and not parser.trailing_data[0]
-        # Against hundreds that ask whether we are ready, or for what there is not, and keep a connection each.
-        return close or not call.ticket and not caller.useful and self._budget.above(HALF)
-
-    async def _turn_away(self, caller: Caller, bad: BadMessage) -> None:
-        line = caller.line
+        if self._closing or self._budget.is_above(CLOSE_AFTER_ANSWER_SHARE):
+            # Pipelined requests are served as well: they are answered before the connection closes.
+            close = close or connection.quiet() and not parser.trailing_data[0]
+        # Guards against hundreds of clients that only probe readiness or send bad requests and keep a connection each.
+        return close or not call.ticket and not caller.sent_ticket and self._budget.is_above(CLOSE_WITHOUT_TICKET_SHARE)
+
+    async def _reject(self, caller: Caller, error: BadMessage) -> None:
+        connection = caller.connection
         if caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        line.send(encode_answer(caller.parser, text_answer(bad.status, str(bad)), True))
-        await self._linger(line, LINGER, LINGER_MOST)
+        connection.send(encode_answer(caller.parser, text_answer(error.status, str(error)), True))
+        await self._linger(connection, LINGER_S, LINGER_BYTES)
 
     @staticmethod
-    async def _linger(line: StreamConnection, within: float, left: int) -> None:
-        """Reads on for a while, so that the answer is not lost in a reset."""
+    async def _linger(connection: StreamConnection, timeout_s: float, bytes_left: int) -> None:
+        """Reads on for a while, so that the answer is not lost in a connection reset."""
         try:
-            async with asyncio.timeout(within):
-                if await line.flush():
-                    line.send_end()
-                while left > 0 and (read := await line.read()):
-                    left -= len(read)
+            async with asyncio.timeout(timeout_s):
+                if await connection.flush():
+                    connection.send_end()
+                while bytes_left > 0 and (data := await connection.read()):
+                    bytes_left -= len(data)
         except (TimeoutError, OSError):
             pass
 
-    # --- connections that stand idle --------------------------------------------------------------
+    # --- idle connections -------------------------------------------------------------------------
 
-    def _rest(self, caller: Caller, idle: bool) -> None:
+    def _set_idle(self, caller: Caller, idle: bool) -> None:
+        """Adds the caller to the idle ones or removes it."""
         if idle == (caller in self._idle):
             return
         if idle:
             self._idle[caller] = None
             return
         del self._idle[caller]
-        # A message's first byte.
-        caller.waiting_since, caller.spent = clock.now(), 0
+        # The first byte of a request has arrived.
+        caller.waiting_since, caller.waited_us = clock.now(), 0
 
-    def _close_oldest(self, needed: bool = False) -> bool:
-        """Where descriptors run out: first whose answer said so already. What is in the kernel, and so may be a whole ticket, is left alone.
+    def _close_one(self, needed: bool = False) -> bool:
+        """Frees a descriptor by closing a connection, first one whose answer already announced the close. A connection
+        with data in the kernel is spared, since that may be a whole ticket.
 
-        `needed` by a ticket in hand, which would be refused: then whoever is new, or asked of late, is not spared either.
+        `needed` says that a ticket in hand would otherwise be refused: then new and recently used connections are not
+        spared either.
         """
-        while self._ending:
-            caller = next(iter(self._ending))
-            del self._ending[caller]
-            line = caller.line
-            if not line.transport.is_closing():
-                line.abort()
+        while self._closing_connections:
+            caller = next(iter(self._closing_connections))
+            del self._closing_connections[caller]
+            connection = caller.connection
+            if not connection.transport.is_closing():
+                connection.abort()
                 return True
         now = clock.now()
 
-        def stood(caller: Caller, least: int) -> bool:
-            return caller.waiting_since is not None and now - caller.waiting_since >= least
+        def idle_for(caller: Caller, min_idle: int) -> bool:
+            return caller.waiting_since is not None and now - caller.waiting_since >= min_idle
 
-        # One that has had no answer may carry a ticket that crossed a close and is sent once more: it is
+        # A connection without an answer so far may carry a ticket that is sent again because it crossed a close: it is
         # given time.
-        shy = [caller for caller in self._idle if not caller.answered]
+        silent = [caller for caller in self._idle if not caller.answered]
         if needed:
             return any(
-                self._closed(caller)
+                self._close_unless_pending(caller)
                 for caller in chain(
-                    (one for one in shy if stood(one, JUST_NOW)), (one for one in self._idle if one.answered)
+                    (caller for caller in silent if idle_for(caller, MIN_IDLE_US)),
+                    (caller for caller in self._idle if caller.answered),
                 )
             )
-        # While most are silent, their time is waited for: whoever asked of late asks again, and opens one for
-        # it.
-        spared = BEGUN if 2 * len(shy) > len(self._idle) else 0
+        # While most idle connections are silent ones, their time-out is awaited: closing a recently active client would
+        # only make it open a new connection for its next request.
+        active_grace = FIRST_BYTE_TIMEOUT_US if 2 * len(silent) > len(self._idle) else 0
         return any(
-            self._closed(caller)
+            self._close_unless_pending(caller)
             for caller in chain(
-                (one for one in shy if stood(one, SHY)),
-                (one for one in self._idle if one.answered and not one.useful),
-                (one for one in self._idle if one.useful and stood(one, spared)),
+                (caller for caller in silent if idle_for(caller, NEW_CONNECTION_GRACE_US)),
+                (caller for caller in self._idle if caller.answered and not caller.sent_ticket),
+                (caller for caller in self._idle if caller.sent_ticket and idle_for(caller, active_grace)),
             )
-        ) or self._close_half(now)
+        ) or self._close_stalled_request(now)
 
-    def _close_half(self, now: int) -> bool:
-        """The oldest that began a message and says no more. An honest one goes on; of a crowd that stops half way each kept
-        its place for as long as a message may take, and all others stood in the kernel's queue."""
+    def _close_stalled_request(self, now: int) -> bool:
+        """Closes the oldest connection with a request that began and has stalled. A legitimate client continues to
+        send; a crowd of clients that stop midway would each keep a descriptor for as long as a request may take, with
+        all others waiting in the kernel's queue.
+        """
         for caller in self._callers:
-            line = caller.line
+            connection = caller.connection
             if (
                 caller.waiting_since is not None
                 and caller not in self._idle
-                and now - line.heard_at >= STOPPED
-                and line.on_end is None
+                and now - connection.last_received_at >= STALLED_REQUEST_US
+                and connection.on_peer_end is None
                 and caller.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE)
-                and line.quiet()
+                and connection.quiet()
             ):
-                if line.send(encode_answer(caller.parser, LATE, True)):
-                    line.close()
+                if connection.send(encode_answer(caller.parser, REQUEST_TIMEOUT_ANSWER, True)):
+                    connection.close()
                 else:
-                    line.abort()  # its descriptor is wanted now, and it takes nothing
+                    connection.abort()  # its descriptor is needed now, and the client does not read
                 return True
         return False
 
-    def _closed(self, caller: Caller) -> bool:
-        """Closed, unless the kernel holds something of its."""
-        if not caller.line.quiet():
+    def _close_unless_pending(self, caller: Caller) -> bool:
+        """Closes the connection unless the kernel holds unread data from it; returns whether it was closed."""
+        if not caller.connection.quiet():
             return False
-        self._rest(caller, False)
-        caller.line.abort()
+        self._set_idle(caller, False)
+        caller.connection.abort()
         return True
 
     def sweep(self, now: int) -> None:
-        """Ends what its caller has no more use for: asked once and kept, begun and not ended, opened and
-        silent."""
-        idle_most = BEGUN if self._budget.above(HALF) else max(BEGUN, self._longest_wait)
+        """Closes connections that their callers no longer use: idle since one request, stalled within a request, or
+        opened and silent.
+        """
+        idle_most = (
+            FIRST_BYTE_TIMEOUT_US
+            if self._budget.is_above(CLOSE_WITHOUT_TICKET_SHARE)
+            else max(FIRST_BYTE_TIMEOUT_US, self._longest_wait)
+        )
         for caller in list(self._callers):
             since = caller.waiting_since
-            if since is None or now - since < BEGUN:
+            if since is None or now - since < FIRST_BYTE_TIMEOUT_US:
                 continue
             idle = caller in self._idle
-            taking = caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
-            if taking:
-                most = self._longest_wait
+            reading_answer = caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
+            if reading_answer:
+                limit = self._longest_wait
             elif idle:
-                most = idle_most if caller.answered else BEGUN
+                limit = idle_most if caller.answered else FIRST_BYTE_TIMEOUT_US
             else:
-                most = caller.whole_within
-            if now - since < most:
+                limit = caller.request_timeout
+            if now - since < limit:
                 continue
-            if idle or taking:
-                self._closed(caller)
-            elif caller.line.quiet():
-                # It may be sending still, and would lose the answer in a reset; for room it goes first.
+            if idle or reading_answer:
+                self._close_unless_pending(caller)
+            elif caller.connection.quiet():
+                # The client may still be sending, and a reset would lose the answer; where descriptors are needed, this
+                # connection is closed first.
                 caller.waiting_since = None
-                self._ending[caller] = None
-                caller.line.send_last(encode_answer(caller.parser, LATE, True), LINGER_MOST)
+                self._closing_connections[caller] = None
+                caller.connection.send_last(encode_answer(caller.parser, REQUEST_TIMEOUT_ANSWER, True), LINGER_BYTES)
 
     # --- the end ----------------------------------------------------------------------------------
 
     def close_after_answers(self, on: bool = True) -> None:
+        """From now on (or no longer) every connection closes with its next answer."""
         self._closing = on
 
-    def close_idle(self, least: int = 0) -> None:
-        """Those that have stood idle for so long; one that is new has time for its first words. One that has sent something
-        ends with the answer to it."""
+    def close_idle(self, min_idle: int = 0) -> None:
+        """Closes connections that have been idle for at least `min_idle`; a new one gets time for its first request. A
+        connection that has already sent data closes with its answer instead.
+        """
         now = clock.now()
         for caller in list(self._idle):
             if caller.waiting_since is None or now - caller.waiting_since >= (
-                least if caller.answered else max(least, SHY)
+                min_idle if caller.answered else max(min_idle, NEW_CONNECTION_GRACE_US)
             ):
-                self._closed(caller)
+                self._close_unless_pending(caller)
 
-    def over(self) -> None:
+    def close_watcher(self) -> None:
         self._disconnect_watcher.close()
--- a/pepperusher/net/clock.py
+++ b/pepperusher/net/clock.py
@@ -1,7 +1,8 @@
-"""One clock for the whole proxy: whole microseconds, advancing evenly, its zero at Unix time's as of the start.
+"""One clock for the whole proxy, in whole microseconds: it never jumps, and its zero is that of Unix time when the
+process started.
 
-Against a wall clock that is set while tickets are out; the starts that discovery tells are in Unix time, and
-this clock reads them as they come.
+A wall clock may be set while tickets are in hand. Start times that discovery reports are in Unix time, and are compared
+with this clock directly.
 """
 
 from __future__ import annotations
@@ -12,4 +13,5 @@
 
 
 def now() -> int:
+    """The time in microseconds."""
     return (monotonic_ns() + _OFFSET) // 1000
--- a/pepperusher/net/connection.py
+++ b/pepperusher/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection on asyncio streams that tells at once when the other side leaves or speaks out of turn."""
+"""One connection on asyncio streams that reports at once when the peer closes or sends unexpected data."""
 
 from __future__ import annotations
 
@@ -11,239 +11,258 @@
 from pepperusher.net import clock
 from pepperusher.net.disconnect_watcher import DisconnectWatcher
 
-# Where the kernel's figures of a connection hold the time since data last came in, and how coarse it may be.
-INFO = struct.Struct("=52xI")
-COARSE = 4
-# What is read at once; a peer that sends faster is held back by the kernel.
-READ = 16 * 1024
+# Offset of `tcpi_last_data_recv` (milliseconds since data last arrived) in the kernel's TCP_INFO, and the granularity
+# of that figure.
+TCP_INFO_LAST_DATA = struct.Struct("=52xI")
+TCP_INFO_GRANULARITY_MS = 4
+# Bytes per read; a peer that sends faster is slowed down by TCP flow control.
+READ_BYTES = 16 * 1024
 
 
 class StreamConnection(asyncio.StreamReaderProtocol):
-    """The two streams of a connection. Watching costs no task: most of the time nothing happens."""
+    """The two streams of a connection. Its end is reported by callbacks, so that watching an idle connection costs no
+    task.
+    """
 
     def __init__(self) -> None:
-        self.reader = asyncio.StreamReader(READ)
+        self.reader = asyncio.StreamReader(READ_BYTES)
         super().__init__(self.reader)
         self.transport: asyncio.Transport
         self.writer: asyncio.StreamWriter
-        self.heard_at = 0
-        self.ended = False
-        self.ended_in_order = False  # by the other side's end, not by a reset or by us
+        self.last_received_at = 0
+        self.peer_ended = False
+        # the peer closed its sending direction, as opposed to a reset or a close on this side
+        self.ended_cleanly = False
         self.bytes_received = 0
-        self.on_end: Callable[[], None] | None = None
+        self.on_peer_end: Callable[[], None] | None = None
         self.on_data: Callable[[], None] | None = None
-        # The base class has a name _closed of its own.
-        self._tell_let_go: Callable[[], None] | None = None
-        self._let_go = False
-        self._unwritten = False
-        # Who sees to its end while so much has come unread that the reader takes no more; None where that need not be known.
+        # The name is not _closed, which the base class uses.
+        self._on_lost: Callable[[], None] | None = None
+        self._lost = False
+        self._write_pending = False
+        # Watches for the peer's end while so much unread data is buffered that the reader accepts no more; None where
+        # the end need not be known at that time.
         self.disconnect_watcher: DisconnectWatcher | None = None
-        self._minded = False
-        # Whether it may be read on then, since the end may stand behind it; whether it is, and what came so, which empties as
-        # it is read and with the connection; and whether the end came, of which the reader is told behind that.
+        self._watched = False
+        # Whether reading may continue in that case, since the end may follow the unread data; whether it does; the data
+        # read in this way, which shrinks as it is consumed and is dropped with the connection; and whether the end was
+        # received behind that data, and the reader is still to be told.
         self.may_read_ahead = True
-        self._reads_ahead = False
-        self._ahead = bytearray()
-        self._end_due = False
-        # Come and not yet read; what is left after an answer belongs to no ticket.
+        self._reading_ahead = False
+        self._read_ahead = bytearray()
+        self._end_pending = False
+        # Bytes received and not yet consumed; bytes left after an answer belong to no ticket.
         self.unread_bytes = 0
-        # Once our last word is out: done when the other side ends too, or has sent `_droppable` bytes more.
-        self._dropped_all: asyncio.Future[None] | None = None
-        self._droppable = 0
+        # Set once the last data has been sent: done when the peer closes too, or has sent more than `_discard_limit`
+        # bytes.
+        self._discard_done: asyncio.Future[None] | None = None
+        self._discard_limit = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
         super().connection_made(transport)
         self.transport = transport
-        # Written is what the kernel has: by it an attempt is known to have gone or not.
+        # With no write buffer allowed, data counts as written only once the kernel has it, which decides whether an
+        # attempt may have run.
         transport.set_write_buffer_limits(high=0)
         self.writer = asyncio.StreamWriter(transport, self, self.reader, asyncio.get_running_loop())
 
     def pause_writing(self) -> None:
-        self._unwritten = True
+        self._write_pending = True
         super().pause_writing()
 
     def resume_writing(self) -> None:
-        self._unwritten = False  # the mark is at nothing: all of it is with the kernel
+        self._write_pending = False  # the low-water mark is zero: the kernel has all of it
         super().resume_writing()
 
     def data_received(self, data: bytes) -> None:
-        if self._dropped_all is not None:
-            self._droppable -= len(data)
-            if self._droppable <= 0:
-                self._drop_no_more()
+        if self._discard_done is not None:
+            self._discard_limit -= len(data)
+            if self._discard_limit <= 0:
+                self._finish_discarding()
             return
-        self.heard_at = clock.now()
+        self.last_received_at = clock.now()
         self.unread_bytes += len(data)
         self.bytes_received += len(data)
-        if self._reads_ahead and self.disconnect_watcher is not None:
-            self._ahead += data
-            self.disconnect_watcher.held += len(data)
+        if self._reading_ahead and self.disconnect_watcher is not None:
+            self._read_ahead += data
+            self.disconnect_watcher.read_ahead_bytes += len(data)
         else:
             super().data_received(data)
         if self.on_data is not None:
             self.on_data()
         if (
             self.disconnect_watcher is not None
-            and not self._minded
-            and (self._reads_ahead or not self.transport.is_reading())
+            and not self._watched
+            and (self._reading_ahead or not self.transport.is_reading())
         ):
-            self._go_on(self.disconnect_watcher)
-
-    def _go_on(self, disconnect_watcher: DisconnectWatcher) -> None:
-        """The reader takes no more."""
-        if self.may_read_ahead and disconnect_watcher.room(len(self._ahead)):
-            if not self._reads_ahead:
-                self._reads_ahead = True
+            self._read_ahead_or_watch(self.disconnect_watcher)
+
+    def _read_ahead_or_watch(self, disconnect_watcher: DisconnectWatcher) -> None:
+        """Called when the reader accepts no more data: reads ahead within the limit, or watches for the peer's end
+        only.
+        """
+        if self.may_read_ahead and disconnect_watcher.may_read_ahead(len(self._read_ahead)):
+            if not self._reading_ahead:
+                self._reading_ahead = True
                 self.transport.resume_reading()
         else:
             self.transport.pause_reading()
-            self._minded = True
-            disconnect_watcher.mind(self)
-
-    def _taken(self) -> None:
-        """Some of what came is read: where more is taken again, its end is told with it."""
-        if self._reads_ahead and self.unread_bytes - len(self._ahead) <= READ:
-            part = bytes(self._ahead[:READ])
-            self._dropped(len(part))
-            if part:
-                self.reader.feed_data(part)
-            if not self._ahead:
-                self._reads_ahead = False
-                if self._end_due:
+            self._watched = True
+            disconnect_watcher.watch(self)
+
+    def _data_consumed(self) -> None:
+        """Called when data was consumed: passes on data that was read ahead and, once all of it is, resumes normal
+        reading and reports a pending end.
+        """
+        if self._reading_ahead and self.unread_bytes - len(self._read_ahead) <= READ_BYTES:
+            data = bytes(self._read_ahead[:READ_BYTES])
+            self._remove_read_ahead(len(data))
+            if data:
+                self.reader.feed_data(data)
+            if not self._read_ahead:
+                self._reading_ahead = False
+                if self._end_pending:
                     self.reader.feed_eof()
                 elif not self.transport.is_closing():
                     self.transport.resume_reading()
-        if self._minded and self.transport.is_reading():
-            if self._reads_ahead:
-                self.transport.pause_reading()  # the reader knows nothing of the bound, and has had it go on
+        if self._watched and self.transport.is_reading():
+            if self._reading_ahead:
+                self.transport.pause_reading()  # the stream reader does not know the limit and has resumed reading
             else:
-                self._unminded()
+                self._stop_watching()
 
-    def _dropped(self, size: int) -> None:
-        del self._ahead[:size]
+    def _remove_read_ahead(self, size: int) -> None:
+        del self._read_ahead[:size]
         if self.disconnect_watcher is not None:
-            self.disconnect_watcher.held -= size
+            self.disconnect_watcher.read_ahead_bytes -= size
 
-    def _unminded(self) -> None:
-        if self._minded and self.disconnect_watcher is not None:
-            self._minded = False
-            self.disconnect_watcher.leave(self)
+    def _stop_watching(self) -> None:
+        if self._watched and self.disconnect_watcher is not None:
+            self._watched = False
+            self.disconnect_watcher.unwatch(self)
 
     def fileno(self) -> int:
-        number: int = self.transport.get_extra_info("socket").fileno()
-        return number
+        descriptor: int = self.transport.get_extra_info("socket").fileno()
+        return descriptor
 
-    def hung_up(self) -> None:
-        """The other side has ended, with words of its still unread."""
-        self._minded = False
-        self._end()
+    def on_hang_up(self) -> None:
+        """The peer has closed while some of its data is still unread."""
+        self._watched = False
+        self._report_end()
 
     def eof_received(self) -> bool | None:
-        self._drop_no_more()
-        self.ended_in_order = True
-        if self._reads_ahead:
-            self._end_due = True
-            self._end()
+        self._finish_discarding()
+        self.ended_cleanly = True
+        if self._reading_ahead:
+            self._end_pending = True
+            self._report_end()
             return True
-        stays = super().eof_received()
-        self._end()
-        return stays
+        keeps_open = super().eof_received()
+        self._report_end()
+        return keeps_open
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self._drop_no_more()
-        self._unminded()
-        self._reads_ahead = False
-        self._dropped(len(self._ahead))
-        self._end()
-        # It points back here: the two would stay until a collection.
+        self._finish_discarding()
+        self._stop_watching()
+        self._reading_ahead = False
+        self._remove_read_ahead(len(self._read_ahead))
+        self._report_end()
+        # The writer refers back to this object: the cycle would last until a garbage collection.
         del self.writer
-        self.on_end = self.on_data = None
-        self._let_go = True
-        if self._tell_let_go is not None:
-            self._tell_let_go()
-
-    def when_let_go(self, tell: Callable[[], None]) -> None:
-        """Once, when the connection is over and its descriptor about to be closed."""
-        if self._let_go:
-            tell()
+        self.on_peer_end = self.on_data = None
+        self._lost = True
+        if self._on_lost is not None:
+            self._on_lost()
+
+    def call_when_lost(self, callback: Callable[[], None]) -> None:
+        """Calls `callback` once, when the connection is lost and its descriptor is about to be closed."""
+        if self._lost:
+            callback()
         else:
-            self._tell_let_go = tell
+            self._on_lost = callback
 
-    def _end(self) -> None:
-        if not self.ended:
-            self.ended = True
-            if self.on_end is not None:
-                self.on_end()
+    def _report_end(self) -> None:
+        if not self.peer_ended:
+            self.peer_ended = True
+            if self.on_peer_end is not None:
+                self.on_peer_end()
 
     async def read(self) -> bytes:
-        """What has come; nothing at the end, however it ended."""
+        """Returns received data, or nothing at the end, whether that was a close or a reset."""
         try:
-            data = await self.reader.read(READ)
+            data = await self.reader.read(READ_BYTES)
         except OSError:
             return b""
         self.unread_bytes -= len(data)
-        self._taken()
+        self._data_consumed()
         return data
 
-    async def looked_ahead(self) -> None:
-        """Until all is read ahead that the other side had for us by now, its end perhaps behind it: where it filled the
-        kernel's buffers it follows as these empty, a part with each turn of the loop."""
-        seen = -1
-        while self._reads_ahead and not self.ended and seen != self.bytes_received:
-            seen = self.bytes_received
+    async def wait_for_read_ahead(self) -> None:
+        """Waits until all data that the peer has sent so far is read ahead, perhaps with its end behind it: data beyond
+        the kernel's buffers follows as these empty, a part in each loop iteration.
+        """
+        bytes_seen = -1
+        while self._reading_ahead and not self.peer_ended and bytes_seen != self.bytes_received:
+            bytes_seen = self.bytes_received
             await asyncio.sleep(0)
 
-    def came_at(self) -> int:
-        """When the last of it came to this machine, which on a busy one is long before it is read."""
+    def received_at(self) -> int:
+        """When the last data arrived at this machine, which under load is long before it is read."""
         if not hasattr(socket, "TCP_INFO"):
-            return self.heard_at
-        told = self.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO.size)
-        if len(told) < INFO.size:
-            return self.heard_at
-        return min(self.heard_at, clock.now() - 1000 * max(0, INFO.unpack(told)[0] - COARSE))
+            return self.last_received_at
+        info = self.transport.get_extra_info("socket").getsockopt(
+            socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA.size
+        )
+        if len(info) < TCP_INFO_LAST_DATA.size:
+            return self.last_received_at
+        return min(
+            self.last_received_at,
+            clock.now() - 1000 * max(0, TCP_INFO_LAST_DATA.unpack(info)[0] - TCP_INFO_GRANULARITY_MS),
+        )
 
     def quiet(self) -> bool:
-        """Whether the kernel holds nothing of the other side's, neither its end nor words out of turn."""
-        if self.ended or self.unread_bytes or self.transport.is_closing():
+        """Whether the kernel holds nothing from the peer: neither its end nor unexpected data."""
+        if self.peer_ended or self.unread_bytes or self.transport.is_closing():
             return False
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket"), select.POLLIN)
-        return not look.poll(0)
+        poll = select.poll()
+        poll.register(self.transport.get_extra_info("socket"), select.POLLIN)
+        return not poll.poll(0)
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether the other side's words wait to be read, here or in the kernel alone; its end counts as one there."""
-        return bool(self.unread_bytes) or not self.ended and not self.quiet()
-
-    def left(self) -> bool:
-        """Whether the other side has ended its sending or the connection, be it in the kernel alone: the loop tells it later,
-        behind what came before it."""
-        if self.ended or self.transport.is_closing():
+        """Whether data from the peer waits to be read, here or in the kernel; in the kernel an end counts as data."""
+        return bool(self.unread_bytes) or not self.peer_ended and not self.quiet()
+
+    def peer_has_left(self) -> bool:
+        """Whether the peer has ended its sending direction or the connection, even if only the kernel knows: the event
+        loop reports it later, after all data received before.
+        """
+        if self.peer_ended or self.transport.is_closing():
             return True
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket"), select.POLLRDHUP)
-        return bool(look.poll(0))
+        poll = select.poll()
+        poll.register(self.transport.get_extra_info("socket"), select.POLLRDHUP)
+        return bool(poll.poll(0))
 
     def send(self, data: bytes) -> bool:
-        """Whether the kernel took all of it at once."""
+        """Sends data and returns whether the kernel took all of it at once."""
         if self.closing:
-            self._unwritten = True
+            self._write_pending = True
             return False
         self.writer.write(data)
         if self.transport.is_closing():
-            self._unwritten = True
-        return not self._unwritten
+            self._write_pending = True
+        return not self._write_pending
 
     async def flush(self) -> bool:
-        """Whether the kernel took the rest."""
-        if self._unwritten and not self.transport.is_closing():
+        """Waits until pending data is written and returns whether the kernel took all of it."""
+        if self._write_pending and not self.transport.is_closing():
             try:
                 await self.writer.drain()
             except OSError:
                 pass
-        # Not by how the wait ended: a connection that we abort ends it as one that has taken all.
-        return not self._unwritten
+        # The end of the wait does not tell: aborting the connection ends it just like writing everything does.
+        return not self._write_pending
 
     def send_end(self) -> None:
         if not self.transport.is_closing() and self.transport.can_write_eof():
@@ -251,52 +270,58 @@
 
     @property
     def closing(self) -> bool:
-        """Whether it ends by our will: closed, or with our last word said."""
-        return self._dropped_all is not None or self.transport.is_closing()
+        """Whether this side ends the connection: it is closed, or its last data has been sent."""
+        return self._discard_done is not None or self.transport.is_closing()
 
-    def send_last(self, last: bytes, most: int) -> None:
-        """Sends the last that we say, and ends our sending: whoever reads here finds an end at once.
+    def send_last(self, data: bytes, max_discarded: int) -> None:
+        """Sends the last data and closes the sending direction; a reader on this side finds an end at once.
 
-        What still comes, up to `most` bytes, is dropped for as long as `dropped` is waited for: a close over
-        unread bytes resets the connection, and whoever writes on would lose our last word (RFC 9112, 9.6)."""
+        Data that still arrives, up to `max_discarded` bytes, is discarded while `discard_until_closed` is awaited:
+        closing with unread bytes resets the connection, and a peer that keeps writing would lose the last data (RFC
+        9112, 9.6).
+        """
         if self.closing:
             return
-        self.send(last)
+        self.send(data)
         self.send_end()
-        self._droppable = most
-        self._dropped_all = asyncio.get_running_loop().create_future()
+        self._discard_limit = max_discarded
+        self._discard_done = asyncio.get_running_loop().create_future()
         self.reader.feed_eof()
-        self._end()
+        self._report_end()
 
-    async def discard_until_closed(self, within: float) -> None:
-        """After `end_with`: till the other side ends too or has sent more than it may, or for `within` seconds."""
-        if self._dropped_all is not None:
-            await asyncio.wait((self._dropped_all,), timeout=within)
+    async def discard_until_closed(self, timeout_s: float) -> None:
+        """After `send_last`: waits until the peer closes too or has sent more than the limit, or for `timeout_s`
+        seconds.
+        """
+        if self._discard_done is not None:
+            await asyncio.wait((self._discard_done,), timeout=timeout_s)
 
-    def _drop_no_more(self) -> None:
-        if self._dropped_all is not None and not self._dropped_all.done():
-            self._dropped_all.set_result(None)
+    def _finish_discarding(self) -> None:
+        if self._discard_done is not None and not self._discard_done.done():
+            self._discard_done.set_result(None)
 
     def close(self) -> None:
-        """Once what was sent is with the kernel."""
+        """Closes the connection once the kernel has all data that was sent."""
         self.transport.close()
 
     def abort(self) -> None:
         self.transport.abort()
 
     def reset(self) -> None:
-        """At once, and so that it is not taken for an end in order."""
+        """Resets the connection at once, so that the peer does not take it for an orderly end."""
         if not self.transport.is_closing():
-            at_once = struct.pack("ii", 1, 0)
-            self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, at_once)
+            linger = struct.pack("ii", 1, 0)
+            self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.transport.abort()
 
 
 async def connect(address: tuple[str, int]) -> StreamConnection:
-    _, line = await asyncio.get_running_loop().create_connection(StreamConnection, *address)
-    return line
+    """Opens a connection to an address."""
+    _, connection = await asyncio.get_running_loop().create_connection(StreamConnection, *address)
+    return connection
 
 
-async def wrap_socket(taken: socket.socket) -> StreamConnection:
-    _, line = await asyncio.get_running_loop().create_connection(StreamConnection, sock=taken)
-    return line
+async def wrap_socket(accepted: socket.socket) -> StreamConnection:
+    """Makes a connection of a socket that was accepted."""
+    _, connection = await asyncio.get_running_loop().create_connection(StreamConnection, sock=accepted)
+    return connection
--- a/pepperusher/net/disconnect_watcher.py
+++ b/pepperusher/net/disconnect_watcher.py
@@ -1,4 +1,6 @@
-"""The ends of connections whose words nobody needs yet: read ahead up to a bound, and beyond it watched for their end alone."""
+"""Detects the end of connections whose data is not needed yet: reads ahead up to a limit, and beyond it watches for the
+end only.
+"""
 
 from __future__ import annotations
 
@@ -7,60 +9,66 @@
 from typing import Protocol
 
 
-# Of one connection so much is read ahead at the most.
-EACH = 1024 * 1024
+# At most so many bytes are read ahead on one connection.
+MAX_READ_AHEAD_BYTES = 1024 * 1024
 
 
 class Watched(Protocol):
+    """A connection as the watcher uses it."""
+
     def fileno(self) -> int:
-        """-1 once it is closed."""
+        """The descriptor, -1 once it is closed."""
 
-    def hung_up(self) -> None:
-        """Its other side has ended; told once."""
+    def on_hang_up(self) -> None:
+        """Called once when the peer has ended the connection."""
 
 
 class DisconnectWatcher:
-    """The loop's own selector reports an end with what is to be read, and so not while nothing is: whoever sent more than is
-    held ahead of its answer, and left, was served on. And an end that is behind more than the kernel takes stays with the other
-    side, where nothing tells of it: so what comes is read ahead, until its bound.
+    """Watches connections with much unread data for their end.
+
+    The loop's own selector reports an end together with readable data, so not while reading is paused: a client that
+    sent more than is buffered, and left, was still served. An end behind more data than the kernel buffers stays with
+    the peer, where nothing shows it: therefore data is read ahead up to a limit.
 
-    One descriptor, opened when it is first needed; where the platform has no epoll, such an end is seen when an attempt
-    is about to go out, and no sooner. `most` is the bound in bytes on what all connections hold read ahead.
+    It uses one descriptor, opened when it is first needed. Where the platform has no epoll, such an end is noticed only
+    when an attempt is about to be sent. `max_bytes` limits what all connections together hold read ahead.
     """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self.held = 0  # read ahead, in bytes: counted down as it is used and as connections end
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self.read_ahead_bytes = 0  # bytes read ahead; reduced as they are consumed and as connections end
         self._poll: select.epoll | None = None
-        self._watched: dict[int, Watched] = {}  # emptied by their ends, and as they are read from again
+        self._watched: dict[int, Watched] = {}  # removed when they end, and when they are read from again
 
-    def room(self, held: int) -> bool:
-        """Whether a connection that has read `held` bytes ahead may go on."""
-        return held < EACH and self.held < self._most
+    def may_read_ahead(self, read_ahead: int) -> bool:
+        """Whether a connection that has read `read_ahead` bytes ahead may continue."""
+        return read_ahead < MAX_READ_AHEAD_BYTES and self.read_ahead_bytes < self._max_bytes
 
-    def mind(self, one: Watched) -> None:
-        number = one.fileno()
-        if number < 0 or number in self._watched or not hasattr(select, "epoll"):
+    def watch(self, connection: Watched) -> None:
+        """Watches a connection for its end, if the platform can."""
+        descriptor = connection.fileno()
+        if descriptor < 0 or descriptor in self._watched or not hasattr(select, "epoll"):
             return
         if self._poll is None:
             self._poll = select.epoll()
-            asyncio.get_running_loop().add_reader(self._poll.fileno(), self._look)
-        self._poll.register(number, select.EPOLLRDHUP | select.EPOLLONESHOT)
-        self._watched[number] = one
-
-    def leave(self, one: Watched) -> None:
-        number = one.fileno()
-        if self._watched.get(number) is one:
-            del self._watched[number]
+            asyncio.get_running_loop().add_reader(self._poll.fileno(), self._handle_ended)
+        self._poll.register(descriptor, select.EPOLLRDHUP | select.EPOLLONESHOT)
+        self._watched[descriptor] = connection
+
+    def unwatch(self, connection: Watched) -> None:
+        """Stops to watch a connection, if it is watched."""
+        descriptor = connection.fileno()
+        if self._watched.get(descriptor) is connection:
+            del self._watched[descriptor]
             assert self._poll is not None
-            self._poll.unregister(number)
+            self._poll.unregister(descriptor)
 
-    def _look(self) -> None:
+    def _handle_ended(self) -> None:
         assert self._poll is not None
-        for number, _ in self._poll.poll(0):
-            if (one := self._watched.get(number)) is not None:
-                self.leave(one)
-                one.hung_up()
+        for descriptor, _ in self._poll.poll(0):
+            if (connection := self._watched.get(descriptor)) is not None:
+                self.unwatch(connection)
+                connection.on_hang_up()
 
     def close(self) -> None:
         if self._poll is not None:
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -1,5 +1,6 @@
-"""One attempt on one connection to a backend: what is sent, how it ended, and the answer, held or passed
-on."""
+"""One attempt on one connection to a backend: sends the request, determines the outcome, and buffers or streams the
+answer.
+"""
 
 from __future__ import annotations
 
@@ -12,312 +13,336 @@
 from pepperusher.net.body_streaming import ResponseForwarder
 from pepperusher.net.connection import StreamConnection
 from pepperusher.net.message import (
-    INTERIM,
+    MAX_INTERIM_ANSWERS,
     Answer,
     BadMessage,
     Request,
     check_framing,
     encode_request,
-    length_of,
+    content_length_of,
     read_data,
     read_head,
 )
 
-# Once it has begun, an answer takes the network's time and not the work's: silent for so many times what a
-# new connection may
-# take, or this if that is more, it is broken, and sooner where its client's time ends. Some never end.
-REST = 2
-QUIET = 0.5
-# An answer that is not whole so long after its head is passed on as it comes: held back further it might miss
-# its client.
-HOLD = 1.0
-# Once its answer is passed on, or while its body flows, a backend that neither gives nor takes for so long is
+# An answer that has begun no longer waits for the backend's work but for the network. After a silence of so many times
+# the connect timeout, or of the minimum if that is longer, it counts as broken; the client's deadline may end it
+# sooner. Some answers never end.
+SILENCE_FACTOR = 2
+MIN_SILENCE_TIMEOUT_S = 0.5
+# An answer that is incomplete so many seconds after its head is streamed to the client: held back longer, it might miss
+# the client's deadline.
+HOLD_TIMEOUT_S = 1.0
+# While an answer or a request body is streamed, a backend that neither sends nor reads for so many seconds counts as
 # gone.
-STALLED = 5.0
-# The answers that tell of work done.
-DONE = frozenset((200, 201, 202, 203, 204, 206, 304))
-# Answers 4xx that speak of the moment and not of the request.
-PASSING = (408, 425, 429)
-# The outcomes whose answer is the ticket's.
-PASSED_ON = ("done", "turned away")
+STALL_TIMEOUT_S = 5.0
+# Statuses of answers that report completed work.
+DONE_STATUSES = frozenset((200, 201, 202, 203, 204, 206, 304))
+# 4xx statuses that concern the moment (load, timing) rather than the request.
+TRANSIENT_STATUSES = (408, 425, 429)
+# Outcomes whose answer is the answer to the ticket.
+FORWARDED_OUTCOMES = ("done", "turned away")
 
 
 class Attempt:
-    """One sending of a ticket to one backend. `how` is set once it is given up from outside, `written` once the kernel has its
-    last byte: before that it never ran, and may always be given up."""
+    """One attempt to send a ticket to one backend. `outcome` is set if the attempt is given up from outside. `written`
+    is set once the kernel has the last byte of the request: before that the request has not run, so the attempt may
+    always be given up.
+    """
 
     def __init__(self) -> None:
-        self.how: str | None = None
+        self.outcome: str | None = None
         self.written = False
-        self._stop: Callable[[], object] | None = None
+        self._abort: Callable[[], object] | None = None
 
-    def give_up(self, how: str) -> None:
-        if self.how is None:
-            self.how = how
-            if self._stop is not None:
-                self._stop()
+    def give_up(self, outcome: str) -> None:
+        """Gives the attempt up from outside and aborts what it is doing."""
+        if self.outcome is None:
+            self.outcome = outcome
+            if self._abort is not None:
+                self._abort()
 
-    def end(self) -> None:
-        """Its connection may be another's from now on."""
-        self._stop = None
+    def detach(self) -> None:
+        """Called when the connection may be used by another attempt: giving this one up must not abort it any more."""
+        self._abort = None
 
-    def stopped_by(self, stop: Callable[[], object]) -> None:
-        self._stop = stop
-        if self.how is not None:
-            stop()
+    def on_give_up(self, abort: Callable[[], object]) -> None:
+        """Sets what is called if the attempt is given up; calls it at once if it already is."""
+        self._abort = abort
+        if self.outcome is not None:
+            abort()
 
 
-class Placed:
-    """What the decisions are told of an attempt under way: set aside while its body comes, and back in
-    its place."""
+class AttemptContext:
+    """What an attempt needs from the ticket and the balancing decisions: whether it may be sent, the client's state,
+    and calls that exclude the attempt from load figures while a body is streamed and include it again.
+    """
 
     __slots__ = (
         "may_still_send",
-        "left",
+        "client_left",
         "pause_attempt",
         "resume_attempt",
-        "remaining",
-        "list_read",
-        "stood",
-        "expired",
+        "remaining_time",
+        "wait_for_list",
+        "was_paused",
+        "list_expired",
     )
 
     def __init__(
         self,
         may_still_send: Callable[[], bool],
-        left: Callable[[], bool],
+        client_left: Callable[[], bool],
         pause_attempt: Callable[[], None],
         resume_attempt: Callable[[], None],
-        remaining: Callable[[], int],
-        list_read: Callable[[], Awaitable[None]],
-        stood: Callable[[], bool],
-        expired: Callable[[], bool],
+        remaining_time: Callable[[], int],
+        wait_for_list: Callable[[], Awaitable[None]],
+        was_paused: Callable[[], bool],
+        list_expired: Callable[[], bool],
     ) -> None:
         self.may_still_send = may_still_send
-        self.left = left  # whether its client has
+        self.client_left = client_left  # whether the client has left
         self.pause_attempt = pause_attempt
         self.resume_attempt = resume_attempt
-        self.remaining = remaining  # how long its client waits yet, in microseconds
-        self.stood = stood  # whether the process stood still, and the list was not read since
-        self.expired = expired  # whether the list has: nothing may be written by it
-        self.list_read = list_read  # returns once the list is as discovery has written it, also after a process pause
+        self.remaining_time = remaining_time  # how long the client still waits, in microseconds
+        self.was_paused = was_paused  # whether the process was paused and has not read the list since
+        self.list_expired = list_expired  # whether the list has expired: no request may be sent by it
+        # returns once the list in use is as discovery has written it, also after a process pause
+        self.wait_for_list = wait_for_list
 
 
 class Exchange:
-    """`patience` starts with it, or with the body's last byte where that is still to come."""
+    """Runs one attempt on one connection. `timeout_us` runs from its start, or from the last byte of the request body
+    where that is still to come.
+    """
 
     def __init__(
         self,
-        line: StreamConnection,
+        connection: StreamConnection,
         parser: h11.Connection,
         pool: Pool,
-        out: Attempt,
-        patience: int,
+        attempt: Attempt,
+        timeout_us: int,
         connect_timeout: float,
-        placed: Placed,
+        context: AttemptContext,
     ) -> None:
-        self._placed = placed
-        self._line = line
+        self._context = context
+        self._connection = connection
         self._parser = parser
         self._body = Body(pool)
-        self._out = out
-        self._patience = patience
-        self._quiet = max(REST * connect_timeout, QUIET)
-        self._overdue: asyncio.Handle | None = None
-        self._silent: asyncio.Handle | None = None
-        self.heard = False
-        self._head: h11.Request | h11.Response | None = None  # where it came before the body was written
-        self._ahead = 0
-
-    async def run(self, request: Request, onward: ResponseForwarder | None) -> tuple[str, Answer | None]:
-        """How it ended, and the answer if a whole one came and was not passed on yet."""
-        out = self._out
-        out.stopped_by(self._line.abort)
+        self._attempt = attempt
+        self._timeout_us = timeout_us
+        self._silence_timeout_s = max(SILENCE_FACTOR * connect_timeout, MIN_SILENCE_TIMEOUT_S)
+        self._timeout_timer: asyncio.Handle | None = None
+        self._silence_timer: asyncio.Handle | None = None
+        self.head_received = False
+        # set where the answer's head arrives before the body is written
+        self._head: h11.Request | h11.Response | None = None
+        self._interim_answers = 0
+
+    async def run(self, request: Request, forwarder: ResponseForwarder | None) -> tuple[str, Answer | None]:
+        """Returns the outcome, and the answer if a complete one arrived and was not streamed to the client."""
+        attempt = self._attempt
+        attempt.on_give_up(self._connection.abort)
         try:
             if request.rest is None:
-                self._due()
-            how = await self._send(request)
-            if how is not None:
-                return how, None
-            how, answer = await self._receive(onward)
-            # Whatever it answered before its last byte was written, it has not run it.
+                self._start_timeout()
+            outcome = await self._send(request)
+            if outcome is not None:
+                return outcome, None
+            outcome, answer = await self._receive(forwarder)
+            # Whatever the backend answered before the last byte was written, it has not run the request.
             return (
-                (how, answer) if self._out.written or how in (*PASSED_ON, "full", "called off") else ("unreached", None)
+                (outcome, answer)
+                if self._attempt.written or outcome in (*FORWARDED_OUTCOMES, "full", "called off")
+                else ("unreached", None)
             )
         except h11.RemoteProtocolError:
-            return out.how or "unreached", None  # what it said before it had the whole body is no HTTP
+            # the backend sent something other than HTTP before it had the whole body
+            return attempt.outcome or "unreached", None
         except h11.LocalProtocolError:
-            return "moot", None  # it can't be framed, so nothing was written: no fault of the backend's
+            # the request cannot be framed, so nothing was written, which is not the backend's fault
+            return "moot", None
         except BadMessage:
-            return out.how or ("reset" if self._out.written else "unreached"), None
+            return attempt.outcome or ("reset" if self._attempt.written else "unreached"), None
         except TimeoutError:
-            return out.how or ("reset" if self._out.written else "unreached"), None
+            return attempt.outcome or ("reset" if self._attempt.written else "unreached"), None
         finally:
-            for timer in (self._overdue, self._silent):
+            for timer in (self._timeout_timer, self._silence_timer):
                 if timer is not None:
                     timer.cancel()
-            out.end()
+            attempt.detach()
             self._body.release()
 
     @property
-    def clean(self) -> bool:
-        """Whether the connection may serve the next. What came after the answer would be taken for the answer
-        to that."""
+    def reusable(self) -> bool:
+        """Whether the connection may serve another request. Data received after the answer would be taken for the
+        answer to the next request.
+        """
         return (
             self._parser.our_state is h11.DONE
             and self._parser.their_state is h11.DONE
-            and not self._line.ended
-            and self._out.how is None
-            and not self._line.unread_bytes
+            and not self._connection.peer_ended
+            and self._attempt.outcome is None
+            and not self._connection.unread_bytes
             and not self._parser.trailing_data[0]
         )
 
     # --- the request ------------------------------------------------------------------------------
 
     async def _send(self, request: Request) -> str | None:
-        """None once it is with the kernel, or the backend has spoken before that; else how it ended."""
-        line, rest = self._line, request.rest
-        framed = encode_request(self._parser, request)
-        if self._placed.expired():
-            return "moot"  # chosen before its term ended
-        if self._placed.stood():
+        """Sends the request. Returns None once the kernel has all of it or the backend answers before that; otherwise
+        the outcome.
+        """
+        connection, rest = self._connection, request.rest
+        encoded = encode_request(self._parser, request)
+        if self._context.list_expired():
+            return "moot"  # the backend was chosen from a list that has expired since
+        if self._context.was_paused():
             return "unreached"
-        sent = line.send(framed) or await line.flush()
+        sent = connection.send(encoded) or await connection.flush()
         if not sent:
-            return "moot" if self._out.how == "called off" else "unreached"
+            return "moot" if self._attempt.outcome == "called off" else "unreached"
         if rest is not None:
-            self._placed.pause_attempt()
+            self._context.pause_attempt()
             while True:
                 try:
                     data = await rest.read()
                 except BadMessage:
-                    return "moot"  # no fault of the backend's
-                if await self._answers():
-                    self._due()  # it has its patience still, and no more of the body
+                    return "moot"  # the client's body is invalid, which is not the backend's fault
+                if await self._answer_started():
+                    self._start_timeout()  # the backend still has its full time to answer and gets no more of the body
                     return None
                 event = h11.Data(data=data) if data else h11.EndOfMessage()
-                if not line.send(self._parser.send(event) or b""):
-                    async with asyncio.timeout(STALLED):
-                        sent = await line.flush()
+                if not connection.send(self._parser.send(event) or b""):
+                    async with asyncio.timeout(STALL_TIMEOUT_S):
+                        sent = await connection.flush()
                     if not sent:
-                        return "moot" if self._out.how == "called off" else "unreached"
+                        return "moot" if self._attempt.outcome == "called off" else "unreached"
                 if not data:
                     break
-            self._placed.resume_attempt()
-            self._due()
-        self._out.written = True
+            self._context.resume_attempt()
+            self._start_timeout()
+        self._attempt.written = True
         return None
 
-    async def _answers(self) -> bool:
-        """Whether the backend has begun its answer before it has the whole body. An answer 1xx ahead is none: taken
-        for one, each side would wait for the other."""
-        line, parser = self._line, self._parser
-        while line.unread_bytes:
-            parser.receive_data(await line.read())
+    async def _answer_started(self) -> bool:
+        """Whether the backend has begun its answer before it has the whole body. An interim (1xx) answer does not
+        count: if it did, the proxy would wait for the answer and the backend for the rest of the body.
+        """
+        connection, parser = self._connection, self._parser
+        while connection.unread_bytes:
+            parser.receive_data(await connection.read())
         event = parser.next_event()
         while isinstance(event, h11.InformationalResponse):
-            self._ahead += 1
-            if self._ahead > INTERIM:
+            self._interim_answers += 1
+            if self._interim_answers > MAX_INTERIM_ANSWERS:
                 raise BadMessage(502, "interim answers without end")
             event = parser.next_event()
         if isinstance(event, h11.Response):
             check_framing(event)
             self._head = event
-        return event is not h11.NEED_DATA or bool(parser.trailing_data[0]) or line.ended
+        return event is not h11.NEED_DATA or bool(parser.trailing_data[0]) or connection.peer_ended
 
     # --- the answer -------------------------------------------------------------------------------
 
-    async def _receive(self, onward: ResponseForwarder | None) -> tuple[str, Answer | None]:
-        head = self._head or await read_head(self._parser, self._line, self._listen)
+    async def _receive(self, forwarder: ResponseForwarder | None) -> tuple[str, Answer | None]:
+        head = self._head or await read_head(self._parser, self._connection, self._restart_silence_timer)
         if head is None:
-            return self._out.how or ("reset" if self._out.written else "unreached"), None
+            return self._attempt.outcome or ("reset" if self._attempt.written else "unreached"), None
         assert isinstance(head, h11.Response)
-        self.heard = True
-        # The work is done: from here on it is silence that ends it, or its client's time, and not its patience.
-        if self._overdue is not None:
-            self._overdue.cancel()
-        length = length_of(head)
-        how = _outcome(head)
-        whole = False
-        if length is None or length <= MAX_HELD_BODY_BYTES or how not in PASSED_ON:
+        self.head_received = True
+        # The work is done: from here on a silence or the client's deadline ends the attempt, not its timeout.
+        if self._timeout_timer is not None:
+            self._timeout_timer.cancel()
+        length = content_length_of(head)
+        outcome = _outcome_of(head)
+        complete = False
+        if length is None or length <= MAX_HELD_BODY_BYTES or outcome not in FORWARDED_OUTCOMES:
             try:
-                async with asyncio.timeout(HOLD):
-                    whole = await self._hold()
+                async with asyncio.timeout(HOLD_TIMEOUT_S):
+                    complete = await self._buffer_answer()
             except TimeoutError:
                 pass
         answer = Answer(head.status_code, list(head.headers), bytes(self._body.contents()))
-        if whole:
-            return how, answer
-        if self._out.how is not None:
-            # Given up as its head came: what is left of it is cut off, and begun its client would have a part of it
-            # in the place of its final answer.
-            return self._out.how, None
-        if how not in PASSED_ON or onward is None:
-            return how, None
-        return await self._pass_on(how, answer, length, onward)
-
-    async def _hold(self) -> bool:
-        """Whether it is whole, once as much is held as is to be."""
+        if complete:
+            return outcome, answer
+        if self._attempt.outcome is not None:
+            # The attempt was given up as the head arrived, so the rest of the answer is cut off. Streaming it would
+            # give the client a part of an answer in place of its final answer.
+            return self._attempt.outcome, None
+        if outcome not in FORWARDED_OUTCOMES or forwarder is None:
+            return outcome, None
+        return await self._forward(outcome, answer, length, forwarder)
+
+    async def _buffer_answer(self) -> bool:
+        """Buffers the answer up to the limit and returns whether it is complete."""
         while not self._body.full:
-            self._listen()
-            data = await read_data(self._parser, self._line)
+            self._restart_silence_timer()
+            data = await read_data(self._parser, self._connection)
             if not data:
                 return True
             self._body.add(data)
         return False
 
-    async def _pass_on(
-        self, how: str, answer: Answer, length: int | None, onward: ResponseForwarder
+    async def _forward(
+        self, outcome: str, answer: Answer, length: int | None, forwarder: ResponseForwarder
     ) -> tuple[str, Answer | None]:
-        for timer in (self._overdue, self._silent):
+        for timer in (self._timeout_timer, self._silence_timer):
             if timer is not None:
                 timer.cancel()
-        taken = await onward.begin(answer, length)
+        accepted = await forwarder.begin(answer, length)
         self._body.release()
-        while taken:
-            async with asyncio.timeout(STALLED):
-                data = await read_data(self._parser, self._line)
+        while accepted:
+            async with asyncio.timeout(STALL_TIMEOUT_S):
+                data = await read_data(self._parser, self._connection)
             if not data:
-                taken = await onward.end()
-                return how if taken else "called off", None
-            taken = await onward.write(data)
+                accepted = await forwarder.end()
+                return outcome if accepted else "called off", None
+            accepted = await forwarder.write(data)
         return "called off", None
 
-    # --- time -------------------------------------------------------------------------------------
-
-    def _due(self) -> None:
-        self._overdue = asyncio.get_running_loop().call_later(self._patience / 1e6, self._late, "timed out", 2)
-
-    def _listen(self) -> None:
-        """There is a part of an answer, which an answer 1xx ahead is not: the next is to follow, while its client still
-        waits. Else one that stopped short held a client of less time than such a silence until it left unanswered."""
-        if self._silent is not None:
-            self._silent.cancel()
-        within = min(self._quiet, max(0, self._placed.remaining()) / 1e6)
-        self._silent = asyncio.get_running_loop().call_later(within, self._late, "reset", 2)
-
-    def _late(self, how: str, looks: int) -> None:
-        """Under load timers run late, and an answer may have been read already: it has its turn first, and ends this. So has
-        one that comes with the last look, whose reader takes it with the next turn; once, since a reader that waits to
-        write takes none."""
-        if looks > 0 or looks == 0 and self._line.unread_bytes:
-            again = asyncio.get_running_loop().call_soon(self._late, how, looks - 1)
-            # Kept, so that what calls off the timer calls off this: an answer whose head came in the same turn, and whose
-            # rest came later, was cut off.
-            if how == "timed out":
-                self._overdue = again
+    # --- timers -----------------------------------------------------------------------------------
+
+    def _start_timeout(self) -> None:
+        """Starts the timer that ends the attempt as timed out."""
+        self._timeout_timer = asyncio.get_running_loop().call_later(
+            self._timeout_us / 1e6, self._timer_fired, "timed out", 2
+        )
+
+    def _restart_silence_timer(self) -> None:
+        """Restarts the silence timer because a part of the answer has arrived (an interim 1xx answer is none): the next
+        part has to follow while the client still waits. Without the client's deadline, an answer that stopped midway
+        kept a client with little time left waiting until it left without an answer.
+        """
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
+        timeout_s = min(self._silence_timeout_s, max(0, self._context.remaining_time()) / 1e6)
+        self._silence_timer = asyncio.get_running_loop().call_later(timeout_s, self._timer_fired, "reset", 2)
+
+    def _timer_fired(self, outcome: str, rechecks: int) -> None:
+        """Gives the attempt up after a few loop iterations. Under load timers fire late and an answer may already be
+        received: it is handled first and ends the attempt. With the last check still pending, unread data gets one more
+        iteration for its reader; only one, because a reader that is waiting to write consumes nothing.
+        """
+        if rechecks > 0 or rechecks == 0 and self._connection.unread_bytes:
+            recheck = asyncio.get_running_loop().call_soon(self._timer_fired, outcome, rechecks - 1)
+            # Stored as the timer, so that cancelling the timer cancels this check too: otherwise an answer was cut off
+            # whose head came in the same loop iteration and whose rest came later.
+            if outcome == "timed out":
+                self._timeout_timer = recheck
             else:
-                self._silent = again
+                self._silence_timer = recheck
         else:
-            self._out.give_up(how)
+            self._attempt.give_up(outcome)
 
 
-def _outcome(head: h11.Response) -> str:
-    if head.status_code in DONE:
+def _outcome_of(head: h11.Response) -> str:
+    """The outcome that an answer's head stands for."""
+    if head.status_code in DONE_STATUSES:
         return "done"
     if head.status_code in (503, 504) and (b"not-started", b"1") in list(head.headers):
         return "full"
-    if 400 <= head.status_code < 500 and head.status_code not in PASSING:
-        # The request is at fault, and as much so anywhere else.
+    if 400 <= head.status_code < 500 and head.status_code not in TRANSIENT_STATUSES:
+        # The request is at fault, and would be at any other backend.
         return "turned away"
     return "error"
--- a/pepperusher/net/listening.py
+++ b/pepperusher/net/listening.py
@@ -1,4 +1,4 @@
-"""The listening socket of the callers' side, alone or one of a group at one address."""
+"""The listening socket for callers, alone or in a group of sockets that share one address (SO_REUSEPORT)."""
 
 from __future__ import annotations
 
@@ -6,47 +6,50 @@
 import struct
 
 BACKLOG = 1024
-# One instruction of a classic filter, and what the kernel takes a program of them as; neither is in the
-# socket module.
-RETURN = 0x06
-INSTRUCTION = struct.Struct("HBBI")
-PROGRAM = struct.Struct("@HP")
+# The return instruction of classic BPF, the layouts of an instruction and of a program (struct sock_fprog), and the
+# socket option; the socket module has none of them.
+BPF_RETURN = 0x06
+BPF_INSTRUCTION = struct.Struct("HBBI")
+BPF_PROGRAM = struct.Struct("@HP")
 ATTACH_REUSEPORT_CBPF = 51
 
 
-def listener(address: tuple[str, int], shared: bool) -> socket.socket:
-    """`shared` where another process may listen at the same address."""
+def open_listener(address: tuple[str, int], shared: bool) -> socket.socket:
+    """Opens a listening socket. `shared` allows another process to listen at the same address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    made = socket.socket(family, socket.SOCK_STREAM)
+    listening = socket.socket(family, socket.SOCK_STREAM)
     try:
-        # A proxy starts again under its address while connections of the one before it still time out.
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        # A proxy restarts at its address while connections of its predecessor are still in TIME_WAIT.
+        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        made.bind(address)
-        made.listen(BACKLOG)
-        made.setblocking(False)
+            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        listening.bind(address)
+        listening.listen(BACKLOG)
+        listening.setblocking(False)
     except OSError:
-        made.close()
+        listening.close()
         raise
-    return made
+    return listening
 
 
-# Of no listener of a group: the kernel then goes by its own choice, as without a filter.
-NOBODY = 0xFFFF_FFFF
+# An index that no listener of a group has: the kernel then chooses as it does without a filter.
+NO_LISTENER = 0xFFFF_FFFF
 
 
-def steer(made: socket.socket, to: int) -> bool:
-    """From now on the kernel gives new connections to this one of the group, 0 being who listened first; NOBODY ends that.
+def steer_listener_group(listening: socket.socket, index: int) -> bool:
+    """Makes the kernel give new connections to the listener with this index in its group, 0 being the first that
+    listened; NO_LISTENER ends that. Returns whether the kernel accepted the filter.
 
-    A listener that closes resets what is queued for it. Which is which holds for two; with more in the group, or where the
-    kernel has no such filter, it may come to nothing.
+    A listener that closes resets the connections in its queue. The indexes are reliable for two listeners; with more,
+    or on kernels without such filters, the call may have no effect.
     """
-    import ctypes  # here alone, and seldom: it would be a megabyte of each small proxy
+    import ctypes  # imported only here, where it is rarely needed: it takes a megabyte, too much for a small proxy
 
-    one = ctypes.create_string_buffer(INSTRUCTION.pack(RETURN, 0, 0, to))
+    instruction = ctypes.create_string_buffer(BPF_INSTRUCTION.pack(BPF_RETURN, 0, 0, index))
     try:
-        made.setsockopt(socket.SOL_SOCKET, ATTACH_REUSEPORT_CBPF, PROGRAM.pack(1, ctypes.addressof(one)))
+        listening.setsockopt(
+            socket.SOL_SOCKET, ATTACH_REUSEPORT_CBPF, BPF_PROGRAM.pack(1, ctypes.addressof(instruction))
+        )
     except OSError:
         return False
     return True
--- a/pepperusher/net/load_reports.py
+++ b/pepperusher/net/load_reports.py
@@ -1,8 +1,9 @@
-"""Load reports that answers carry, out of their headers.
+"""Load reports in the headers of backends' answers.
 
-The operators' protocol page leaves the place open. Read is the header that Envoy and gRPC clients know from Open
-Request Cost Aggregation: `endpoint-load-metrics: TEXT active=3,cpu=0.5`, or `JSON {"named_metrics": {"active": 3}}`.
-Names are those of the settings, alone or behind `named_metrics.`. What can't be read is as if it were not there.
+The operators' protocol page does not say where reports are carried. This reads the header that Envoy and gRPC clients
+know from Open Request Cost Aggregation (ORCA): `endpoint-load-metrics: TEXT active=3,cpu=0.5`, or `JSON
+{"named_metrics": {"active": 3}}`. Names are those in the settings, alone or with the prefix `named_metrics.`. A report
+that cannot be read is ignored.
 """
 
 from __future__ import annotations
@@ -11,39 +12,39 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-HEADER = b"endpoint-load-metrics"
-NAMED = "named_metrics"
-LONGEST = 1024
+REPORT_HEADER = b"endpoint-load-metrics"
+NAMED_METRICS = "named_metrics"
+MAX_HEADER_BYTES = 1024
 
 
-def pairs_of(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, Any]]:
-    """Names and values as they stand there, for `settings.load` to read; none for none."""
+def reported_metrics(headers: Iterable[tuple[bytes, bytes]]) -> list[tuple[str, Any]]:
+    """Names and values as they are in the headers, for `settings.parse_load_report` to read; empty without a report."""
     return [
         pair
         for name, value in headers
-        if name.lower() == HEADER and len(value) <= LONGEST
-        for pair in _pairs(value.decode("latin-1"))
+        if name.lower() == REPORT_HEADER and len(value) <= MAX_HEADER_BYTES
+        for pair in _parse_header(value.decode("latin-1"))
     ]
 
 
-def without(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
-    """What a client gets: how busy a backend is concerns nobody outside."""
-    return [pair for pair in headers if pair[0].lower() != HEADER]
+def without_reports(headers: list[tuple[bytes, bytes]]) -> list[tuple[bytes, bytes]]:
+    """The headers that the client gets: the load of a backend is internal."""
+    return [pair for pair in headers if pair[0].lower() != REPORT_HEADER]
 
 
-def _pairs(text: str) -> Iterator[tuple[str, Any]]:
-    form, _, rest = text.strip().partition(" ")
+def _parse_header(text: str) -> Iterator[tuple[str, Any]]:
+    form, _, content = text.strip().partition(" ")
     if form == "TEXT":
-        for one in rest.split(","):
-            name, equals, value = one.strip().partition("=")
-            if equals:
-                yield name.removeprefix(f"{NAMED}."), value
+        for item in content.split(","):
+            name, separator, value = item.strip().partition("=")
+            if separator:
+                yield name.removeprefix(f"{NAMED_METRICS}."), value
     elif form == "JSON":
         try:
-            told = json.loads(rest)
+            report = json.loads(content)
         except (ValueError, RecursionError):
             return
-        if isinstance(told, dict):
-            named = told.pop(NAMED, None)
-            yield from told.items()
-            yield from named.items() if isinstance(named, dict) else ()
+        if isinstance(report, dict):
+            named_metrics = report.pop(NAMED_METRICS, None)
+            yield from report.items()
+            yield from named_metrics.items() if isinstance(named_metrics, dict) else ()
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -1,4 +1,4 @@
-"""Lines to standard error by plain print, held to a rate: a storm of troubles must not become a storm of writes."""
+"""Log lines printed to standard error, rate-limited so that a burst of errors does not become a burst of writes."""
 
 from __future__ import annotations
 
@@ -8,54 +8,57 @@
 
 from pepperusher.net import clock
 
-RATE = 5  # lines a second in the long run
-SAVED = 40  # lines at once
-LONGEST = 400  # characters a line
-LONGEST_FORMED = 4000
+LINES_PER_SECOND = 5  # lines per second on average
+BURST_LINES = 40  # lines in one burst
+MAX_LINE_CHARACTERS = 400  # characters per line
+MAX_STRUCTURED_CHARACTERS = 4000
 
 
 class Log:
+    """Writes the proxy's log lines, as plain text or through a formatter."""
+
     def __init__(self, name: str) -> None:
         self._name = name
-        self._allowance = float(SAVED)
-        self._counted_at = clock.now()
-        self._kept_back = 0
-        # Puts a line otherwise than plain: its words, and figures that go with them.
-        self._form: Callable[[dict[str, Any]], str] | None = None
+        self._allowance = float(BURST_LINES)
+        self._refilled_at = clock.now()
+        self._dropped_lines = 0
+        # Formats a line differently from plain text, given its text and its fields.
+        self._formatter: Callable[[dict[str, Any]], str] | None = None
 
-    def set_formatter(self, form: Callable[[dict[str, Any]], str]) -> None:
-        self._form = form
+    def set_formatter(self, formatter: Callable[[dict[str, Any]], str]) -> None:
+        self._formatter = formatter
 
-    def write_event(self, what: str, **figures: Any) -> None:
-        """A line with its figures, each by name."""
-        self.say(what, figures)
+    def write_event(self, event: str, **figures: Any) -> None:
+        """Logs a line with named fields."""
+        self.say(event, figures)
 
     def say(self, line: str, figures: dict[str, Any] | None = None) -> None:
+        """Logs a line, with named fields if there are any."""
         now = clock.now()
-        self._allowance = min(SAVED, self._allowance + RATE * (now - self._counted_at) / 1e6)
-        self._counted_at = now
+        self._allowance = min(BURST_LINES, self._allowance + LINES_PER_SECOND * (now - self._refilled_at) / 1e6)
+        self._refilled_at = now
         if self._allowance < 1.0:
-            self._kept_back += 1
+            self._dropped_lines += 1
             return
         self._allowance -= 1.0
-        kept_back, self._kept_back = self._kept_back, 0
-        if self._form is not None:
-            told = {"time": now // 1000 / 1000, "proxy": self._name, "event": line, **(figures or {})}
-            if kept_back:
-                told["kept_back"] = kept_back
-            self._print(self._form(told), LONGEST_FORMED)
+        dropped_lines, self._dropped_lines = self._dropped_lines, 0
+        if self._formatter is not None:
+            record = {"time": now // 1000 / 1000, "proxy": self._name, "event": line, **(figures or {})}
+            if dropped_lines:
+                record["kept_back"] = dropped_lines
+            self._print(self._formatter(record), MAX_STRUCTURED_CHARACTERS)
             return
         if figures:
             line = f"{line}: " + ", ".join(f"{name} {value}" for name, value in figures.items())
-        if kept_back:
-            line = f"{line} ({kept_back} lines kept back before this)"
-        self._print(f"{now // 1000 / 1000:.3f} {self._name}: {line[:LONGEST]}", LONGEST + 200)
+        if dropped_lines:
+            line = f"{line} ({dropped_lines} lines kept back before this)"
+        self._print(f"{now // 1000 / 1000:.3f} {self._name}: {line[:MAX_LINE_CHARACTERS]}", MAX_LINE_CHARACTERS + 200)
 
     @staticmethod
-    def _print(line: str, longest: int) -> None:
-        # What came from outside may stand in it: one line stays one line.
-        line = "".join(one if one.isprintable() else "?" for one in line[:longest])
+    def _print(line: str, max_characters: int) -> None:
+        # The text may contain outside input: non-printable characters are replaced, so that one line stays one line.
+        line = "".join(character if character.isprintable() else "?" for character in line[:max_characters])
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
-            pass  # whoever read the log has gone; that is no reason to stop serving
+            pass  # the reader of the log is gone, which is no reason to stop serving
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages over a line, parsed and framed by h11."""
+"""HTTP/1.1 messages over a connection, parsed and encoded by h11."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from pepperusher.net.buffers import Body
 from pepperusher.net.connection import StreamConnection
 
-# A body at the most, whether it is held or flows.
+# Largest body, buffered or streamed.
 MAX_BODY_BYTES = 32 * 1024 * 1024
-# A message's head; more is bad input.
+# Largest message head; a longer one is bad input.
 MAX_HEAD_BYTES = 16 * 1024
-# Answers 1xx ahead of one; more never come to an end.
-INTERIM = 16
-BODILESS = (204, 304)
-HOP = frozenset(
+# Interim (1xx) answers accepted before the final one; a backend that sends more never ends.
+MAX_INTERIM_ANSWERS = 16
+STATUSES_WITHOUT_BODY = (204, 304)
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -38,7 +38,7 @@
 
 
 class BadMessage(Exception):
-    """What came is no message that can be answered as one; `status` is the answer it gets."""
+    """The input is no valid message; `status` is the status of the answer to it."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -46,98 +46,108 @@
 
 
 class Rest(Protocol):
-    """What of a body is not held, and is read as it is sent on. Once `touched`, what was read is gone; `bad` is why
-    it had no end, and the status to answer."""
+    """The part of a body that is not buffered but read while it is sent on. Once `started`, data that was read is gone;
+    `error` holds why the body was incomplete or invalid, and the status of the answer to it.
+    """
 
-    touched: bool
-    bad: tuple[str, int] | None
+    started: bool
+    error: tuple[str, int] | None
 
     async def read(self) -> bytes: ...
 
 
 class Request(NamedTuple):
+    """A request to a backend, whose body may be partly buffered."""
+
     method: bytes
     target: bytes
     headers: Headers
-    body: memoryview | bytes  # as far as it is held
-    rest: Rest | None = None  # what comes behind that
-    length: int | None = None  # of all of it, where there is a rest and its head says so
+    body: memoryview | bytes  # as much of it as is buffered
+    rest: Rest | None = None  # the part of the body behind `body`
+    length: int | None = None  # of the whole body, if there is a rest and the head has a Content-Length
 
 
 class Answer(NamedTuple):
+    """An answer to a client, with its buffered body."""
+
     status: int
     headers: Headers
     body: bytes
-    length: int | None = None  # where it has a length and no body, as the answer to HEAD
+    length: int | None = None  # set where the answer has a Content-Length and no body, as the answer to HEAD
 
 
-def text_answer(status: int, text: str, *more: tuple[bytes, bytes]) -> Answer:
-    """An answer of the proxy's own: one line, with `more` headers."""
-    return Answer(status, [(b"content-type", b"text/plain"), *more], f"{text}\n".encode())
+def text_answer(status: int, text: str, *more_headers: tuple[bytes, bytes]) -> Answer:
+    """An answer of the proxy itself: one line of text, with `more_headers`."""
+    return Answer(status, [(b"content-type", b"text/plain"), *more_headers], f"{text}\n".encode())
 
 
-def end_to_end(headers: Headers) -> Headers:
-    """What a proxy passes on: neither the connection's own headers nor those it names as such."""
-    named = frozenset(
+def end_to_end_headers(headers: Headers) -> Headers:
+    """The headers that a proxy forwards: without hop-by-hop headers and those that Connection names."""
+    named_by_connection = frozenset(
         name.strip().lower() for key, value in headers if key == b"connection" for name in value.split(b",")
     )
-    return [pair for pair in headers if pair[0] not in HOP and pair[0] not in named]
+    return [
+        header for header in headers if header[0] not in HOP_BY_HOP_HEADERS and header[0] not in named_by_connection
+    ]
 
 
 def check_framing(head: h11.Request | h11.Response) -> None:
-    """What h11 lets pass, and where it matters most: how long the body is has to be beyond doubt."""
-    length = coding = None
+    """Checks what h11 accepts but a proxy must not: the length of the body has to be unambiguous, since a wrong one
+    allows request smuggling.
+    """
+    length = transfer_encoding = None
     for name, value in head.headers:
         if name == b"content-length":
             length = int(value)
         elif name == b"transfer-encoding":
-            coding = value
-    if length is not None and coding is not None:
-        # Whoever goes by the other of the two finds another request in the body.
+            transfer_encoding = value
+    if length is not None and transfer_encoding is not None:
+        # A recipient that uses the other of the two headers would find another request inside the body.
         raise BadMessage(400, "both Content-Length and Transfer-Encoding")
     if length is not None and length > MAX_BODY_BYTES:
-        # Not read first: some say 3 GB and send them.
+        # Rejected before it is read: some clients announce 3 GB and send them.
         raise BadMessage(413, "the body is too large")
 
 
 async def read_head(
-    parser: h11.Connection, line: StreamConnection, came: Callable[[], None] | None = None
+    parser: h11.Connection, connection: StreamConnection, on_data: Callable[[], None] | None = None
 ) -> h11.Request | h11.Response | None:
-    """The next message's head; None where the line ended before one began. `came` is told when a part of it
-    has."""
-    interim = 0
-    with _bad_messages():
+    """Reads the head of the next message; None where the connection ended before one began. `on_data` is called when a
+    part of it has arrived.
+    """
+    interim_answers = 0
+    with _parser_errors_as_bad_messages():
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
-                if came is not None and parser.trailing_data[0]:
-                    came()
-                parser.receive_data(await line.read())
+                if on_data is not None and parser.trailing_data[0]:
+                    on_data()
+                parser.receive_data(await connection.read())
             elif isinstance(event, (h11.Request, h11.Response)):
                 check_framing(event)
                 return event
             elif isinstance(event, h11.InformationalResponse):
-                interim += 1
-                if interim > INTERIM:
+                interim_answers += 1
+                if interim_answers > MAX_INTERIM_ANSWERS:
                     raise BadMessage(502, "interim answers without end")
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
                 return None
 
 
-async def read_data(parser: h11.Connection, line: StreamConnection) -> bytes:
-    """The next part of the body behind a head that was read; nothing at its end."""
-    with _bad_messages():
+async def read_data(parser: h11.Connection, connection: StreamConnection) -> bytes:
+    """Reads the next part of the body of the message whose head was read; empty at its end."""
+    with _parser_errors_as_bad_messages():
         while True:
             event = parser.next_event()
             if event is h11.NEED_DATA:
                 if parser.they_are_waiting_for_100_continue:
-                    line.send(parser.send(h11.InformationalResponse(status_code=100, headers=[])))
-                read = await line.read()
-                if not read and not line.ended_in_order:
-                    # Where the end of the connection is the end of the body, a broken one must not look like
-                    # it.
+                    connection.send(parser.send(h11.InformationalResponse(status_code=100, headers=[])))
+                received = await connection.read()
+                if not received and not connection.ended_cleanly:
+                    # Where the end of the connection marks the end of the body, a broken connection must not look like
+                    # that.
                     raise BadMessage(400, "the connection broke")
-                parser.receive_data(read)
+                parser.receive_data(received)
             elif isinstance(event, h11.Data):
                 if event.data:
                     return bytes(event.data)
@@ -147,10 +157,10 @@
                 raise BadMessage(400, "the message broke off")
 
 
-async def buffer_body(parser: h11.Connection, line: StreamConnection, body: Body) -> bool:
-    """Reads a body into `body`, as far as that holds it; whether it is whole."""
+async def buffer_body(parser: h11.Connection, connection: StreamConnection, body: Body) -> bool:
+    """Reads a body into `body` up to its limit and returns whether it is complete."""
     while not body.full:
-        data = await read_data(parser, line)
+        data = await read_data(parser, connection)
         if not data:
             return True
         body.add(data)
@@ -158,8 +168,8 @@
 
 
 @contextmanager
-def _bad_messages() -> Iterator[None]:
-    """Whatever else the parser trips over is no message either, and its sender's fault."""
+def _parser_errors_as_bad_messages() -> Iterator[None]:
+    """Turns other errors of the parser into BadMessage: they are faults of the sender too."""
     try:
         yield
     except (BadMessage, TimeoutError):
@@ -168,35 +178,36 @@
         raise BadMessage(getattr(error, "error_status_hint", 400), str(error)) from None
 
 
-def length_of(head: h11.Request | h11.Response) -> int | None:
-    """The body's length by the head's own word."""
+def content_length_of(head: h11.Request | h11.Response) -> int | None:
+    """The Content-Length in the head, if there is one."""
     return next((int(value) for name, value in head.headers if name == b"content-length"), None)
 
 
 def encode_request(parser: h11.Connection, request: Request) -> bytes:
-    """The whole of it, or as much as is held: the rest flows."""
+    """Encodes the request, or its buffered part where the rest is streamed."""
     headers = request.headers
     if request.rest is not None:
         length = request.length
-        by = (b"transfer-encoding", b"chunked") if length is None else (b"content-length", b"%d" % length)
-        headers = [*headers, by]
+        framing_header = (b"transfer-encoding", b"chunked") if length is None else (b"content-length", b"%d" % length)
+        headers = [*headers, framing_header]
     elif request.body or request.method not in (b"GET", b"HEAD"):
         headers = [*headers, (b"content-length", b"%d" % len(request.body))]
     head = h11.Request(method=request.method, target=request.target, headers=headers)
-    return _framed(parser, head, request.body, request.rest is None)
+    return _encode(parser, head, request.body, request.rest is None)
 
 
 def encode_answer(parser: h11.Connection, answer: Answer, close: bool) -> bytes:
+    """Encodes the answer; `close` announces that the connection closes after it."""
     headers = list(answer.headers)
-    # Some have no body by their status, and a length is not theirs to tell.
-    if answer.status not in BODILESS:
+    # Answers of some statuses have no body and must not have a Content-Length.
+    if answer.status not in STATUSES_WITHOUT_BODY:
         headers.append((b"content-length", b"%d" % (len(answer.body) if answer.length is None else answer.length)))
     if close:
         headers.append((b"connection", b"close"))
-    return _framed(parser, h11.Response(status_code=answer.status, headers=headers), answer.body)
+    return _encode(parser, h11.Response(status_code=answer.status, headers=headers), answer.body)
 
 
-def _framed(
+def _encode(
     parser: h11.Connection, head: h11.Request | h11.Response, body: memoryview | bytes, whole: bool = True
 ) -> bytes:
     parts = [parser.send(head)]
--- a/pepperusher/net/process_pause.py
+++ b/pepperusher/net/process_pause.py
@@ -1,6 +1,7 @@
-"""Notices that the process stood still, and lets nothing go out after that before the list was read.
+"""Detects that the process was paused, and holds back requests after that until the endpoint list has been read.
 
-Others may have been told meanwhile what holds for this process too: what discovery has written counts as told, read or not.
+Other proxies may have been told of a change meanwhile that applies to this one too: what discovery has written counts
+as told, whether it was read or not.
 """
 
 from __future__ import annotations
@@ -10,75 +11,83 @@
 
 from pepperusher.net import clock
 
-# Microseconds from one look at the clock to the next.
-PACE = 50_000
-# Timers that did not run for so many microseconds belong to a process that was stopped, or had no processor.
-STOOD = 300_000
-# After that nothing goes out before the loop has come round so often, since sockets are read in one iteration and what
-# they brought is taken in the next ones, and until discovery's connections hold nothing unread, for so many seconds.
+# Microseconds between two checks of the clock.
+CHECK_INTERVAL_US = 50_000
+# If timers did not run for so many microseconds, the process was stopped or had no CPU.
+PAUSE_THRESHOLD_US = 300_000
+# After a pause nothing is sent before the event loop has run so many iterations, since sockets are read in one
+# iteration and their data is handled in the following ones, and until discovery's connections have no unread data, for
+# at most so many seconds.
 READ_ITERATIONS = 5
-READ_WITHIN = 0.1
-# The lateness of timers is forgotten by this part with each look, by half in 7 s: a few times as long as a request
-# lasts, since what runs late does so in spells.
-FORGOTTEN = 200
+READ_TIMEOUT_S = 0.1
+# With each check the recorded lateness of timers drops by one part in this many, which halves it in 7 s. That is a few
+# times as long as a request lasts, because lateness comes in bursts.
+LATENESS_DECAY = 200
 
 
 class ProcessPause:
-    """`unread` tells whether words of discovery wait in its connections; `noticed` is called once for each process pause."""
+    """`has_unread` says whether data of discovery waits on its connections; `on_pause` is called once for each pause of
+    the process.
+    """
 
-    def __init__(self, unread: Callable[[], bool], noticed: Callable[[], None]) -> None:
-        self._unread = unread
-        self._noticed = noticed
-        self._looked_at = clock.now()
-        self._reading: asyncio.Event | None = None  # while what waited is read
-        self._reader: asyncio.Task[None] | None = None
-        self.count = 0  # how often it stood still
-        self.late = 0  # how late timers have run of late, in microseconds
+    def __init__(self, has_unread: Callable[[], bool], on_pause: Callable[[], None]) -> None:
+        self._has_unread = has_unread
+        self._on_pause = on_pause
+        self._checked_at = clock.now()
+        self._catching_up: asyncio.Event | None = None  # set while pending data is read
+        self._catch_up_task: asyncio.Task[None] | None = None
+        self.count = 0  # how many pauses there were
+        self.lateness_us = 0  # recent lateness of timers in microseconds
 
     @property
     def unnoticed(self) -> bool:
-        """Whether it stood still, and nobody has looked since."""
-        return clock.now() - self._looked_at > STOOD
+        """Whether the process was paused and no check has noticed it yet."""
+        return clock.now() - self._checked_at > PAUSE_THRESHOLD_US
 
     @property
-    def unwatched_for(self) -> float:
-        """Seconds since the last look: whatever is due now may have been due so long."""
-        return max(0, clock.now() - self._looked_at) / 1e6
+    def seconds_since_check(self) -> float:
+        """Seconds since the last check: an event that is due now may have been due for so long."""
+        return max(0, clock.now() - self._checked_at) / 1e6
 
-    async def list_read(self) -> None:
-        """Returns at once, but after a process pause: then once what waited was read, the list among it."""
+    async def wait_for_list(self) -> None:
+        """Returns at once, except after a process pause: then once pending data, including the endpoint list, has been
+        read.
+        """
         if self.unnoticed:
-            self._notice()
-        if self._reading is not None:
-            await self._reading.wait()
+            self._record_pause()
+        if self._catching_up is not None:
+            await self._catching_up.wait()
 
     async def watch(self) -> None:
-        """Looks at the clock for as long as the proxy lives."""
+        """Checks the clock for as long as the proxy runs."""
         while True:
-            due = clock.now() + PACE
-            await asyncio.sleep(PACE / 1e6)
+            due = clock.now() + CHECK_INTERVAL_US
+            await asyncio.sleep(CHECK_INTERVAL_US / 1e6)
             if self.unnoticed:
-                # It was due just as the loop began to stand, and has its turn ahead of what waited: that would go unnoticed.
-                self._notice()
-            self._looked_at = clock.now()
-            self.late = max(self._looked_at - due, self.late - self.late // FORGOTTEN)
+                # This timer was due just as the loop stopped, so it runs before the pending data is read; without this
+                # check the pause would go unnoticed.
+                self._record_pause()
+            self._checked_at = clock.now()
+            self.lateness_us = max(self._checked_at - due, self.lateness_us - self.lateness_us // LATENESS_DECAY)
 
-    def _notice(self) -> None:
-        self._looked_at = clock.now()
+    def _record_pause(self) -> None:
+        self._checked_at = clock.now()
         self.count += 1
-        self._noticed()
-        if self._reading is None:
-            self._reading = asyncio.Event()
-            self._reader = asyncio.get_running_loop().create_task(self._read_on(self._reading))
+        self._on_pause()
+        if self._catching_up is None:
+            self._catching_up = asyncio.Event()
+            self._catch_up_task = asyncio.get_running_loop().create_task(self._catch_up(self._catching_up))
 
-    async def _read_on(self, reading: asyncio.Event) -> None:
-        """Counted in iterations of the loop and not by the clock, which goes on while a busy machine gives it no turn."""
+    async def _catch_up(self, caught_up: asyncio.Event) -> None:
+        """Waits for loop iterations rather than for a time, because time passes while a busy machine does not run the
+        loop.
+        """
         try:
             for _ in range(READ_ITERATIONS):
                 await asyncio.sleep(0)
-            until = clock.now() + round(READ_WITHIN * 1e6)
-            while self._unread() and clock.now() < until:
+            deadline = clock.now() + round(READ_TIMEOUT_S * 1e6)
+            while self._has_unread() and clock.now() < deadline:
                 await asyncio.sleep(0)
         finally:
-            self._reading = None
-            reading.set()
+            self._catching_up = None
+            caught_up.set()
