--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -1,4 +1,4 @@
-"""One proxy: joins callers, decisions and backends, starts them and drains them."""
+"""The proxy itself: connects the callers' side, the balancing decisions and the backends, starts them and drains them."""
 
 from __future__ import annotations
 
@@ -17,56 +17,61 @@
 from pepperusher.net.backends import Backends
 from pepperusher.net.budget import Budget
 from pepperusher.net.buffers import Pool
-from pepperusher.net.callers import SHY, Call, Callers
+from pepperusher.net.callers import NEW_CONNECTION_GRACE_US, Call, Callers
 from pepperusher.net.extension import Extension
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.endpoint_update import parse_address, parse_endpoint_update, format_address
-from pepperusher.net.exchange import PASSED_ON, Attempt, Placed
+from pepperusher.net.exchange import FORWARDED_OUTCOMES, Attempt, AttemptContext
 from pepperusher.net.log import Log
-from pepperusher.net.message import Answer, Request, end_to_end, text_answer
+from pepperusher.net.message import Answer, Request, end_to_end_headers, text_answer
 from pepperusher.net.handover_state import HandoverState
 from pepperusher.net.request_headers import BadRequest, duration_of, read_headers, timeout_of
 from pepperusher.net.process_pause import ProcessPause
 from pepperusher.net.bootstrap import BootstrapConfiguration, BootstrapError
 from pepperusher.terms import PolicySettings
 
-READY = text_answer(200, "ready")
-BROKEN = text_answer(500, "an error in the proxy")
-# For whoever ended its sending and reads on: nothing of it is sent on any more.
-LEFT = text_answer(503, "its client left before it was sent on")
-LEFT_LATER = text_answer(502, "its client left")
-NOT_READY = text_answer(503, "no backends known, clients sent away, or about to stop")
-# After SIGTERM connections go on coming for a while.
+READY_ANSWER = text_answer(200, "ready")
+INTERNAL_ERROR_ANSWER = text_answer(500, "an error in the proxy")
+# Answers for a client that ended its sending direction but still reads. Nothing of its ticket is sent to a backend any
+# more.
+CLIENT_LEFT_ANSWER = text_answer(503, "its client left before it was sent on")
+CLIENT_LEFT_AFTER_SEND_ANSWER = text_answer(502, "its client left")
+NOT_READY_ANSWER = text_answer(503, "no backends known, clients sent away, or about to stop")
+# For so many seconds after SIGTERM new connections still arrive, until the load balancer in front has noticed the stop.
 ACCEPT_AFTER_SIGTERM_S = 0.55
-# SIGKILL comes no sooner after SIGTERM than the longest wait of a client, or this if that is shorter, and a
-# moment.
+# SIGKILL follows SIGTERM no sooner than the longest time a client waits (or this figure, if that is shorter) plus a
+# margin, in seconds.
 MAX_GRACE_S = 3.0
 GRACE_MARGIN_S = 0.7
-# Before that, the last are given up, to have their answers, and so much before that it ends.
-GIVEN_UP = 0.45
-ENDED = 0.25
-# And so much before that connections end with their answers, so that those given up do.
-CLOSED_BEFORE = 0.1
+# So many seconds before SIGKILL the last attempts are given up, so that their tickets still get answers, and so many
+# seconds before it the process exits.
+GIVE_UP_MARGIN_S = 0.45
+EXIT_MARGIN_S = 0.25
+# So many seconds before the last attempts are given up, connections start to close with their answers, so that the
+# connections of the tickets given up do so as well.
+CLOSE_MARGIN_S = 0.1
 SWEEP_INTERVAL_S = 0.25
-# After operators sent clients away, fronts notice within this; connections that stand idle then are closed.
-SENT_AWAY = 600_000
-COUNTS_EVERY = 240
-# Of the memory that the process may take, so much is held of bodies at the most: the first part is the
-# program's own, and
-# each connection has buffers beside that.
-HELD_PART = 8
-# What a new configuration can't change in a process that serves.
-AT_A_START = ("name", "listen", "sockets", "memory", "console")
-# The ends of an attempt that tell of the time that work takes.
-WORKED = ("done", "error", "timed out", "reset")
-ENDS = {BOUNCE: "bounced", SCRAP: "scrapped"}
-
-# Makes what a proxy has beside it, from what it is told at its start.
+# Load balancers in front notice within this time (microseconds) that operators redirect clients; idle connections are
+# closed after it.
+REDIRECT_CLOSE_DELAY_US = 600_000
+SWEEPS_PER_COUNTS_LINE = 240
+# Held bodies take at most this fraction of the memory that the process may use. The program itself takes the first
+# part, and each connection has buffers besides.
+BODY_MEMORY_DIVISOR = 8
+# Settings that a running process cannot change when its configuration is reloaded.
+RESTART_ONLY_SETTINGS = ("name", "listen", "sockets", "memory", "console")
+# Outcomes of an attempt that say how long the work takes.
+OUTCOMES_THAT_MEASURE_WORK = ("done", "error", "timed out", "reset")
+FINAL_OUTCOMES = {BOUNCE: "bounced", SCRAP: "scrapped"}
+
+# Builds the proxy's extensions from the configuration it is started with.
 ExtensionFactory = Callable[[BootstrapConfiguration, Log], Sequence[Extension]]
 
 
-def _descriptors(wanted: int) -> int:
-    """What the process may really hold; a soft limit under what is wanted is raised as far as it goes."""
+def _available_descriptors(wanted: int) -> int:
+    """Returns how many descriptors the process can really hold. Raises a soft limit that is below `wanted`, as far as
+    the hard limit allows.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted <= hard or soft < wanted and hard == resource.RLIM_INFINITY:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
@@ -75,23 +80,28 @@
 
 
 class Proxy:
+    """One proxy process: serves tickets, follows the list of backends, and drains at a stop."""
+
     def __init__(
         self,
         bootstrap: BootstrapConfiguration,
-        again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
+        reload: Callable[[BootstrapConfiguration], BootstrapConfiguration],
         make_extensions: ExtensionFactory | None = None,
     ) -> None:
         self._bootstrap = bootstrap
-        self._again = again
+        self._reload = reload
         self._log = Log(bootstrap.name)
         self._extensions = make_extensions(bootstrap, self._log) if make_extensions is not None else ()
-        gates = [one.gate for one in self._extensions if one.gate is not None]
-        invariants.check_invariant(len(gates) <= 1, "a ticket goes through one gate")
-        self._gate = gates[0] if gates else None
-        self._pool = Pool(256, bootstrap.memory // HELD_PART)
-        self._budget = Budget(_descriptors(bootstrap.sockets), sum(one.descriptors for one in self._extensions))
+        admission_gates = [extension.gate for extension in self._extensions if extension.gate is not None]
+        invariants.check_invariant(len(admission_gates) <= 1, "a ticket goes through one gate")
+        self._gate = admission_gates[0] if admission_gates else None
+        self._pool = Pool(256, bootstrap.memory // BODY_MEMORY_DIVISOR)
+        self._budget = Budget(
+            _available_descriptors(bootstrap.sockets), sum(extension.descriptors for extension in self._extensions)
+        )
         self._facade = Facade(bootstrap.policy_settings, clock.now(), self._log.say)
-        # Callers first: where descriptors run out, it is theirs that are closed first, since they cost least.
+        # The callers' side registers first: where descriptors run out, its idle connections are closed first, since
+        # they cost least.
         self._callers = Callers(
             self._handle, self._budget, self._pool, self._log, bootstrap.policy_settings.max_outer_limit
         )
@@ -101,268 +111,297 @@
             self._facade,
             self._backends,
             self._log,
-            [one.filter_endpoints for one in self._extensions if one.filter_endpoints is not None],
+            [extension.filter_endpoints for extension in self._extensions if extension.filter_endpoints is not None],
             bootstrap.policy_settings.seed,
         )
-        self._names: set[bytes] = set()  # of the tickets in hand; emptied as they end
+        self._open_request_ids: set[bytes] = set()  # Request-Ids of the tickets in hand; removed as the tickets end
         self._stopping = asyncio.Event()
-        self._sent_away_at: int | None = None  # since when the operators have clients sent away
-        self._succeeded = False  # at its end: whether another process serves on
-        self._served = False  # whether backends have been known
+        self._sent_away_at: int | None = None  # when operators began to redirect clients; None while they do not
+        self._has_successor = False  # set when the stop begins: whether another process takes over the address
+        self._backends_were_known = False  # whether any backend has been known so far
         self.port = 0
         self._process_pause = ProcessPause(
-            lambda: self._discovery.has_unread_data, lambda: self._tell("woke", lambda one: one.process_resumed())
+            lambda: self._discovery.has_unread_data,
+            lambda: self._tell("woke", lambda extension: extension.process_resumed()),
         )
-        self._counts: dict[str, int] = {}  # by the words of facade and pages here, so it grows with the code alone
+        self._counts: dict[str, int] = {}  # keyed by outcomes and texts in the code, so its size is bounded by the code
 
     # --- one ticket -------------------------------------------------------------------------------
 
-    def _tell(self, what: str, does: Callable[[Extension], None]) -> None:
-        """Each companion in its turn: what one trips over keeps nothing from the others, and no ticket from its answer."""
-        for one in self._extensions:
+    def _tell(self, event: str, notify: Callable[[Extension], None]) -> None:
+        """Calls every extension in order. An exception in one neither keeps the others from their call nor a ticket
+        from its answer.
+        """
+        for extension in self._extensions:
             try:
-                does(one)
+                notify(extension)
             except Exception as error:
-                self._log.say(f"{type(one).__name__}, {what}: {type(error).__name__}: {error}")
+                self._log.say(f"{type(extension).__name__}, {event}: {type(error).__name__}: {error}")
 
     async def _handle(self, call: Call) -> Answer:
+        """Answers one request; errors end only this request."""
         try:
-            await self._process_pause.list_read()
-            told = read_headers(call.request.headers)
-            name = told.get(b"request-id")
-            if not name:
+            await self._process_pause.wait_for_list()
+            proxy_headers = read_headers(call.request.headers)
+            request_id = proxy_headers.get(b"request-id")
+            if not request_id:
                 if call.request.target.split(b"?")[0] == b"/ready":
-                    return READY if self._takes_clients else NOT_READY
+                    return READY_ANSWER if self._takes_clients else NOT_READY_ANSWER
                 raise BadRequest("Request-Id is missing")
-            if name in self._names:
-                # Sent on, it would be the same ticket out twice.
+            if request_id in self._open_request_ids:
+                # Sending it on would put the same ticket out twice at the same time.
                 raise BadRequest("a ticket with this Request-Id is in hand", 409)
-            self._names.add(name)
+            self._open_request_ids.add(request_id)
             try:
-                answer = await self._ticket(call, told)
+                answer = await self._serve_ticket(call, proxy_headers)
             finally:
-                self._names.discard(name)
+                self._open_request_ids.discard(request_id)
             invariants.check_invariant(
-                answer is not None or call.left or call.begun, "a ticket ends with an answer unless its client left"
+                answer is not None or call.left or call.answer_started,
+                "a ticket ends with an answer unless its client left",
             )
-            return answer or (LEFT if call.left and not call.begun else BROKEN)
-        except BadRequest as bad:
+            return answer or (CLIENT_LEFT_ANSWER if call.left and not call.answer_started else INTERNAL_ERROR_ANSWER)
+        except BadRequest as error:
             call.bad = True
             self._count("bad calls")
-            return text_answer(bad.status, str(bad))
-        except Exception as error:  # ends this ticket alone, with an answer
+            return text_answer(error.status, str(error))
+        except Exception as error:  # ends only this ticket, which gets an answer
             self._count("exceptions")
             self._log.say(f"a ticket ended by {type(error).__name__}: {error}")
-            return BROKEN
+            return INTERNAL_ERROR_ANSWER
 
-    async def _ticket(self, call: Call, told: dict[bytes, bytes]) -> Answer | None:
+    async def _serve_ticket(self, call: Call, proxy_headers: dict[bytes, bytes]) -> Answer | None:
+        """Serves one ticket: checks its headers, admits it, and makes attempts until there is a final answer. Returns
+        None if its client left.
+        """
         method, target, headers, body, rest, length = call.request
-        if b"host" not in told:
-            # HTTP/1.0 may do without; what goes on is HTTP/1.1.
+        if b"host" not in proxy_headers:
+            # HTTP/1.0 requests may omit Host; the request to the backend is HTTP/1.1, which requires it.
             headers = [(b"host", format_address(self._bootstrap.listen).encode()), *headers]
-        named = target.partition(b"?")[0].removeprefix(b"/").partition(b"/")[0]
-        if told.get(b"request-class", named) != named:
+        class_from_path = target.partition(b"?")[0].removeprefix(b"/").partition(b"/")[0]
+        if proxy_headers.get(b"request-class", class_from_path) != class_from_path:
             raise BadRequest("Request-Class is not the first part of the path")
-        use_case = named.decode("latin-1")
-        repeat = self._facade.retry_class_of(use_case)
-        if repeat is None:
+        use_case = class_from_path.decode("latin-1")
+        retry_class = self._facade.retry_class_of(use_case)
+        if retry_class is None:
             raise BadRequest("the use case is not known here")
-        # Backends turn the rest away, which would count as their failing.
+        # Backends reject such requests, and the rejections would count as failures of the backends.
         if (
-            method not in ((b"GET", b"HEAD") if repeat == REPLAYABLE else (b"POST",))
-            or repeat == REPLAYABLE
+            method not in ((b"GET", b"HEAD") if retry_class == REPLAYABLE else (b"POST",))
+            or retry_class == REPLAYABLE
             and (body or rest is not None)
         ):
             raise BadRequest("the method or a body is not this use case's")
-        if repeat == REFERENCED and not told.get(b"idempotency-key"):
+        if retry_class == REFERENCED and not proxy_headers.get(b"idempotency-key"):
             raise BadRequest("Idempotency-Key is missing")
-        wait, cost = None, 0
-        if given := told.get(b"request-timeout"):
-            wait = timeout_of(given)
-            # A loop that comes round late answers late: its client would have given up by then.
-            wait -= min(self._process_pause.late, wait // 10)
-        if given := told.get(b"work-hint"):
-            cost = duration_of("Work-Hint", given, 1, "a number")
+        timeout, cost = None, 0
+        if value := proxy_headers.get(b"request-timeout"):
+            timeout = timeout_of(value)
+            # When the event loop runs late, the answer is late as well and the client would have given up by then: the
+            # timeout is shortened by the lateness of timers, by a tenth at most.
+            timeout -= min(self._process_pause.lateness_us, timeout // 10)
+        if value := proxy_headers.get(b"work-hint"):
+            cost = duration_of("Work-Hint", value, 1, "a number")
         call.ticket = True
-        customer = told.get(b"tenant", b"").decode("latin-1")
+        customer = proxy_headers.get(b"tenant", b"").decode("latin-1")
         if call.left:
-            # While it waited for its turn.
+            # The client left while the request waited for its turn to be read.
             self._count("left")
-            return LEFT
-        passed = None
+            return CLIENT_LEFT_ANSWER
+        admission = None
         if self._gate is not None:
-            passed = self._gate.request_admission(
-                call.request, use_case, customer, wait, self._facade.default_timeout_of(use_case)
+            admission = self._gate.request_admission(
+                call.request, use_case, customer, timeout, self._facade.default_timeout_of(use_case)
             )
-            if not await self._gate.admit(passed, call):
-                return self._gate.refusal(passed)
-            wait = passed.terms.caller_timeout(wait)
-        ticket = self._facade.open_ticket(use_case, customer, call.received_at, wait, cost)
-        name = told[b"request-id"]
-        if passed is not None:
-            self._facade.limit_attempts(ticket, passed.terms.max_attempts)
-        # What was sent under a mark counts over tickets and restarts, where it is kept.
-        shelf = self._gate.request_store if self._gate is not None and repeat == REFERENCED else None
-        mark = told[b"idempotency-key"].decode("latin-1") if shelf is not None else ""
+            if not await self._gate.admit(admission, call):
+                return self._gate.refusal(admission)
+            timeout = admission.terms.caller_timeout(timeout)
+        ticket = self._facade.open_ticket(use_case, customer, call.received_at, timeout, cost)
+        request_id = proxy_headers[b"request-id"]
+        if admission is not None:
+            self._facade.limit_attempts(ticket, admission.terms.max_attempts)
+        # Attempts under an idempotency key count across tickets and restarts, where the request store records them.
+        shelf = self._gate.request_store if self._gate is not None and retry_class == REFERENCED else None
+        idempotency_key = proxy_headers[b"idempotency-key"].decode("latin-1") if shelf is not None else ""
         if shelf is not None and shelf.enabled:
-            for one in shelf.attempts_of(use_case, mark):
-                self._facade.restore_attempt(ticket, one.backend, one.cell, one.sent, one.ran)
+            for past in shelf.attempts_of(use_case, idempotency_key):
+                self._facade.restore_attempt(ticket, past.backend, past.cell, past.sent, past.ran)
         elif shelf is not None and any(header == b"client-retry" for header, _ in headers):
-            # Nobody knows any more how often it went out.
+            # Without the store there is no record of how often this request was sent: a retry gets one attempt.
             self._facade.limit_attempts(ticket, 1)
-        onward = [pair for pair in end_to_end(headers) if pair[0] != b"request-timeout"]
-        out: Attempt | None = None
+        forwarded_headers = [pair for pair in end_to_end_headers(headers) if pair[0] != b"request-timeout"]
+        attempt: Attempt | None = None
 
-        def leave() -> None:
-            off = self._facade.caller_disconnected(ticket, clock.now()) or call.begun
-            # Work under way stays where the settings have it so; what is not written whole is none, and would be later.
-            if out is not None and (off or not out.written):
-                out.give_up("called off")
+        def cancel_attempt() -> None:
+            may_cancel = self._facade.caller_disconnected(ticket, clock.now()) or call.answer_started
+            # Attempts under way continue where the settings forbid cancelling. A request that is not completely written
+            # has not run and would only run later, after its client has left, so it is always cancelled.
+            if attempt is not None and (may_cancel or not attempt.written):
+                attempt.give_up("called off")
 
-        call.on_leave = leave
+        call.on_leave = cancel_attempt
 
-        def heard(head: Answer) -> Answer:
-            """What it tells of its backend's load goes to the decisions, and no further."""
-            if not any(name == load_reports.HEADER for name, _ in head.headers):
+        def strip_load_report(head: Answer) -> Answer:
+            """Passes the load report in an answer's headers to the balancing decisions and removes it from the answer."""
+            if not any(name == load_reports.REPORT_HEADER for name, _ in head.headers):
                 return head
             self._facade.record_load_report(
-                step.backend, parse_load_report(load_reports.pairs_of(head.headers)), clock.now()
+                step.backend, parse_load_report(load_reports.reported_metrics(head.headers)), clock.now()
             )
-            return head._replace(headers=load_reports.without(head.headers))
+            return head._replace(headers=load_reports.without_reports(head.headers))
 
-        def dress(head: Answer) -> Answer:
-            """The head of an answer that is passed on as it comes: from here on it is this ticket's."""
-            head = heard(head)
+        def prepare_head(head: Answer) -> Answer:
+            """Prepares the head of an answer that is streamed to the client: from here on the answer is final for this
+            ticket.
+            """
+            head = strip_load_report(head)
             self._facade.response_started(ticket, clock.now())
-            made = Answer(head.status, end_to_end(head.headers), head.body)
-            return made if passed is None or self._gate is None else self._gate.add_version_header(passed, made) or made
+            prepared = Answer(head.status, end_to_end_headers(head.headers), head.body)
+            return (
+                prepared
+                if admission is None or self._gate is None
+                else self._gate.add_version_header(admission, prepared) or prepared
+            )
 
-        if call.onward is not None:
-            call.onward.dress = dress
-        placed = Placed(
+        if call.forwarder is not None:
+            call.forwarder.prepare_head = prepare_head
+        context = AttemptContext(
             lambda: not call.check_disconnected() and self._facade.may_still_send(ticket, clock.now()),
             lambda: call.left,
             lambda: self._facade.pause_attempt(ticket, clock.now()),
             lambda: self._facade.resume_attempt(ticket, clock.now()),
             lambda: self._facade.remaining(ticket, clock.now()),
-            self._process_pause.list_read,
+            self._process_pause.wait_for_list,
             lambda: self._process_pause.unnoticed,
             lambda: self._discovery.confirmation.expired,
         )
-        how, answer, end, attempts = "", None, "left", 0
+        outcome, answer, final_outcome, attempts = "", None, "left", 0
         try:
-            await self._process_pause.list_read()
+            await self._process_pause.wait_for_list()
             step = self._facade.choose_backend(ticket, clock.now())
             while step.action in (SEND, HOLD):
                 if step.action == HOLD:
-                    out = None
+                    attempt = None
                     await asyncio.sleep(step.wait / 1e6)
-                    await self._process_pause.list_read()
+                    await self._process_pause.wait_for_list()
                     step = self._facade.choose_backend(ticket, clock.now())
                     continue
                 if call.check_disconnected():
-                    # Seen here where the loop has not come round to it: nothing more goes out.
-                    how = "moot"
-                    step = self._facade.report(ticket, how, clock.now(), False)
+                    # The client's end was found in the kernel before the event loop reported it: nothing more is sent.
+                    outcome = "moot"
+                    step = self._facade.report(ticket, outcome, clock.now(), False)
                     continue
-                kept = None
+                record = None
                 if shelf is not None and shelf.enabled:
-                    kept = await shelf.record_attempt(
+                    record = await shelf.record_attempt(
                         use_case,
-                        mark,
+                        idempotency_key,
                         step.backend,
                         self._facade.cell_of(step.backend),
                         self._facade.deduplication_window_of(use_case),
                     )
-                    await self._process_pause.list_read()
-                    if kept is None or not placed.may_still_send():
-                        how = "moot"
-                        if kept is not None:
-                            shelf.record_outcome(use_case, mark, kept, how)
-                        step = self._facade.report(ticket, how, clock.now(), False)
+                    await self._process_pause.wait_for_list()
+                    if record is None or not context.may_still_send():
+                        outcome = "moot"
+                        if record is not None:
+                            shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                        step = self._facade.report(ticket, outcome, clock.now(), False)
                         continue
                 if self._discovery.confirmation.expired:
-                    self._discovery.confirmation.request_refused(name)
+                    self._discovery.confirmation.request_refused(request_id)
                     self._count("list expired")
-                    how = "moot"
-                    if shelf is not None and kept is not None:
-                        shelf.record_outcome(use_case, mark, kept, how)
-                    step = self._facade.report(ticket, how, clock.now(), False)
+                    outcome = "moot"
+                    if shelf is not None and record is not None:
+                        shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                    step = self._facade.report(ticket, outcome, clock.now(), False)
                     continue
                 if attempts:
                     self._count("retried")
                 attempts += 1
-                self._discovery.confirmation.request_sent(name, step.backend)
-                out = Attempt()
-                patience = step.wait
-                if passed is not None and self._gate is not None:
-                    patience = self._gate.start_attempt(passed, step.wait)
-                how, answer = await self._backends.attempt(
+                self._discovery.confirmation.request_sent(request_id, step.backend)
+                attempt = Attempt()
+                attempt_timeout = step.wait
+                if admission is not None and self._gate is not None:
+                    attempt_timeout = self._gate.start_attempt(admission, step.wait)
+                outcome, answer = await self._backends.attempt(
                     step.backend,
-                    Request(method, target, onward, body, rest, length),
-                    out,
-                    patience,
-                    placed,
-                    call.onward,
+                    Request(method, target, forwarded_headers, body, rest, length),
+                    attempt,
+                    attempt_timeout,
+                    context,
+                    call.forwarder,
                 )
-                self._count(how)
+                self._count(outcome)
                 if answer is not None:
-                    answer = heard(answer)
-                if shelf is not None and kept is not None:
-                    shelf.record_outcome(use_case, mark, kept, how)
-                again = passed is None or self._gate is None or self._gate.retry_allowed(passed, how)
-                # What was read of its rest is gone, and a second copy would be without it.
-                again = again and (rest is None or not rest.touched)
-                if again and how != "done":
-                    await self._process_pause.list_read()
-                step = self._facade.report(ticket, how, clock.now(), again)
-                if passed is not None and self._gate is not None and again and step.action != SEND:
-                    self._gate.refund_retry(passed, how)
-            if rest is not None and rest.bad is not None:
-                raise BadRequest(*rest.bad)
-            end = "done" if how == "done" else ENDS.get(step.action, "left")
-            answered = self._answer(step, how, answer)
-            if answered is None and call.left and not call.begun:
+                    answer = strip_load_report(answer)
+                if shelf is not None and record is not None:
+                    shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                retry_allowed = admission is None or self._gate is None or self._gate.retry_allowed(admission, outcome)
+                # The part of the body that was already read is gone, so another attempt would send an incomplete body.
+                retry_allowed = retry_allowed and (rest is None or not rest.started)
+                if retry_allowed and outcome != "done":
+                    await self._process_pause.wait_for_list()
+                step = self._facade.report(ticket, outcome, clock.now(), retry_allowed)
+                if admission is not None and self._gate is not None and retry_allowed and step.action != SEND:
+                    self._gate.refund_retry(admission, outcome)
+            if rest is not None and rest.error is not None:
+                raise BadRequest(*rest.error)
+            final_outcome = "done" if outcome == "done" else FINAL_OUTCOMES.get(step.action, "left")
+            final_answer = self._final_answer(step, outcome, answer)
+            if final_answer is None and call.left and not call.answer_started:
                 self._count("left")
-                answered = LEFT if self._facade.choose_backend(ticket, clock.now()).action == BOUNCE else LEFT_LATER
-            return answered if passed is None or self._gate is None else self._gate.add_version_header(passed, answered)
+                final_answer = (
+                    CLIENT_LEFT_ANSWER
+                    if self._facade.choose_backend(ticket, clock.now()).action == BOUNCE
+                    else CLIENT_LEFT_AFTER_SEND_ANSWER
+                )
+            return (
+                final_answer
+                if admission is None or self._gate is None
+                else self._gate.add_version_header(admission, final_answer)
+            )
         finally:
             call.on_leave = None
             self._facade.close_ticket(ticket, clock.now())
-            if passed is not None and self._gate is not None:
-                self._gate.finish(passed, end, how in WORKED)
+            if admission is not None and self._gate is not None:
+                self._gate.finish(admission, final_outcome, outcome in OUTCOMES_THAT_MEASURE_WORK)
 
-    def _answer(self, step: Step, how: str, answer: Answer | None) -> Answer | None:
-        if how in PASSED_ON and answer is not None:
-            # The answer to HEAD tells a length and has no body.
+    def _final_answer(self, step: Step, outcome: str, answer: Answer | None) -> Answer | None:
+        """The answer to the client: that of the backend, or one of the proxy for a bounced or scrapped ticket."""
+        if outcome in FORWARDED_OUTCOMES and answer is not None:
+            # The answer to HEAD has a Content-Length and no body.
             length = None
             if not answer.body:
                 length = next((int(value) for name, value in answer.headers if name == b"content-length"), None)
-            return Answer(answer.status, end_to_end(answer.headers), answer.body, length)
+            return Answer(answer.status, end_to_end_headers(answer.headers), answer.body, length)
         if step.action == BOUNCE:
             self._count("bounces")
             advice = [(b"retry-after", f"{step.wait / 1e6:.3f}".encode())] if step.wait > 0 else []
             return text_answer(503, "bounced", *advice)
         if step.action == SCRAP:
             self._count("scraps")
-            return text_answer(504 if how == "timed out" else 502, "scrapped")
+            return text_answer(504 if outcome == "timed out" else 502, "scrapped")
         return None
 
-    def _count(self, what: str) -> None:
-        self._counts[what] = self._counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self._counts[event] = self._counts.get(event, 0) + 1
 
-    # --- what operators ask for ---------------------------------------------------------------------
+    # --- operations ---------------------------------------------------------------------------------
 
     @property
     def can_serve(self) -> bool:
-        """Whether this process can, whoever is sent to it."""
-        self._served = self._served or self._backends.known
-        return self._served and not self._stopping.is_set()
+        """Whether this process is able to serve, whether or not clients are sent to it."""
+        self._backends_were_known = self._backends_were_known or self._backends.known
+        return self._backends_were_known and not self._stopping.is_set()
 
     @property
     def _takes_clients(self) -> bool:
-        """Or another process of this proxy does, which answers at the same address."""
-        return self._backends.known and self._sent_away_at is None and (not self._stopping.is_set() or self._succeeded)
+        """Whether clients may come: this process serves, or another process of this proxy that answers at the same
+        address.
+        """
+        return (
+            self._backends.known and self._sent_away_at is None and (not self._stopping.is_set() or self._has_successor)
+        )
 
     @property
     def name(self) -> str:
@@ -378,48 +417,48 @@
 
     @property
     def has_successor(self) -> bool:
-        return self._succeeded
+        return self._has_successor
 
     def sent_away(self) -> bool:
         return self._sent_away_at is not None
 
-    def limit_descriptors(self, part: float) -> None:
-        """So much of the descriptors: two processes of one proxy share them."""
-        self._budget.share(part)
-        self._log.say(f"keeps to {self._budget.most} connections")
+    def limit_descriptors(self, share: float) -> None:
+        """Limits this process to a share of the descriptors, since two processes of one proxy share them."""
+        self._budget.set_share(share)
+        self._log.say(f"keeps to {self._budget.limit} connections")
 
     def handover_state(self) -> HandoverState:
-        """For the next process."""
-        listed, told_by_source = self._discovery.handover_list()
-        due = self._discovery.confirmation.hard_deadline
+        """The state that the next process takes over."""
+        endpoints, told_by_source = self._discovery.handover_list()
+        deadline = self._discovery.confirmation.hard_deadline
         return HandoverState(
             self._discovery.source,
-            listed,
+            endpoints,
             self._facade.export_learned(clock.now()),
             told_by_source,
-            None if due is None else round(due * 1e6),
+            None if deadline is None else round(deadline * 1e6),
         )
 
-    def take_over_from(self, passed: HandoverState) -> None:
-        """Goes on from what the process before passed on, as far as it can be read."""
-        self._discovery.take_over(None if passed.expires_at is None else passed.expires_at / 1e6)
+    def take_over_from(self, state: HandoverState) -> None:
+        """Continues from the state that the previous process handed over, as far as it can be read."""
+        self._discovery.take_over(None if state.expires_at is None else state.expires_at / 1e6)
         try:
-            if passed.listed is not None:
-                known = passed.source in (self._discovery.source, self._newest_discovery())
+            if state.listed is not None:
+                same_discovery = state.source in (self._discovery.source, self._configured_discovery())
                 self._discovery.resume_from_handover(
-                    parse_address(passed.source) if known else parse_address(self._discovery.source),
-                    parse_endpoint_update(passed.listed),
-                    known and passed.told_by_source,
+                    parse_address(state.source) if same_discovery else parse_address(self._discovery.source),
+                    parse_endpoint_update(state.listed),
+                    same_discovery and state.told_by_source,
                 )
-            if passed.learned is not None:
-                self._facade.import_learned(passed.learned, clock.now())
+            if state.learned is not None:
+                self._facade.import_learned(state.learned, clock.now())
         except ValueError as error:
             self._log.say(f"what the process before passed on is not taken: {error}")
 
-    def _newest_discovery(self) -> str:
-        """The file's: it may have been replaced since the environment was set."""
+    def _configured_discovery(self) -> str:
+        """The discovery address in the configuration file, which may have been replaced since this process started."""
         try:
-            return format_address(self._again(self._bootstrap).discovery)
+            return format_address(self._reload(self._bootstrap).discovery)
         except BootstrapError:
             return ""
 
@@ -427,7 +466,9 @@
         return self._facade.has_backend(backend)
 
     def reapply_filters(self, by: Extension, lines: list[Endpoint]) -> None:
-        """Lines of the list as `by` has them now: those whose say comes behind its own have it too."""
+        """Applies `endpoints` as the extension `source` has filtered them; extensions behind it in the order filter
+        them as well.
+        """
         before = [one for one in self._extensions if one.filter_endpoints is not None]
         self._discovery.publish(lines, False, before.index(by) + 1)
 
@@ -460,10 +501,10 @@
         return self._callers.steer(to)
 
     def send_away(self, on: bool) -> None:
-        """Clients go elsewhere: no new ones, and those here with the answer to what they ask next, or when
-        they ask nothing.
+        """Redirects clients elsewhere or ends that: new ones are not accepted as ready, and present ones are closed
+        with the answer to their next request, or while they are idle.
 
-        Stopping, the proxy sends them away by itself, and no word brings them back.
+        While the proxy stops it redirects clients by itself, and this call cannot bring them back.
         """
         if on == (self._sent_away_at is not None):
             return
@@ -475,131 +516,139 @@
     # --- start and end ----------------------------------------------------------------------------
 
     async def serve(self) -> None:
-        told = self._bootstrap.policy_settings
+        """Starts the proxy, serves until it is stopped, and drains it."""
+        policy_settings = self._bootstrap.policy_settings
         if self._bootstrap.initial_endpoints is not None:
             self._discovery.apply_update(self._bootstrap.initial_endpoints)
         loop = asyncio.get_running_loop()
-        # What the loop trips over is a line in the log, not a traceback.
+        # Errors in event loop callbacks are logged as one line instead of a traceback.
         loop.set_exception_handler(
-            lambda _, trouble: self._log.say(f"loop: {trouble.get('message')}: {trouble.get('exception')!r}")
+            lambda _, context: self._log.say(f"loop: {context.get('message')}: {context.get('exception')!r}")
         )
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
-        # Without a handler it ends the process, and with it every ticket in hand.
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop)
+        # Without a handler SIGHUP ends the process, and with it every ticket in hand.
         loop.add_signal_handler(signal.SIGHUP, self.reload_configuration)
-        for one in self._extensions:
-            await one.attach(self)
-        # What is known nearby binds from the first moment on; otherwise the settings leave time to ask.
-        self._discovery.start(at_once=told.list_is_pushed)
-        if told.list_is_pushed:
-            # The list that this process was told may be old.
-            await self._discovery.wait_for_update(told.drain_within / 1e6)
-        self.port = self._callers.listen(self._bootstrap.listen, any(one.shares_address for one in self._extensions))
-        for one in self._extensions:
-            await one.start()
-        sweep = loop.create_task(self._sweep())
-        pace = loop.create_task(self._process_pause.watch())
-        # What stands now stays for good: the collector need not walk it each time. Connections leave cycles
-        # behind
-        # in asyncio's transports: collected seldom they look like memory that goes on growing.
+        for extension in self._extensions:
+            await extension.attach(self)
+        # With pushed lists a change counts for the proxy as soon as it is known nearby, so discovery is asked at once;
+        # otherwise the settings leave time to ask.
+        self._discovery.start(at_once=policy_settings.list_is_pushed)
+        if policy_settings.list_is_pushed:
+            # The list in the start configuration may be out of date.
+            await self._discovery.wait_for_update(policy_settings.drain_within / 1e6)
+        self.port = self._callers.listen(
+            self._bootstrap.listen, any(extension.shares_address for extension in self._extensions)
+        )
+        for extension in self._extensions:
+            await extension.start()
+        sweep_task = loop.create_task(self._sweep())
+        pause_watch = loop.create_task(self._process_pause.watch())
+        # Objects alive now live as long as the process, so the garbage collector need not scan them each time.
+        # Connections leave reference cycles in asyncio's transports: if the collector ran too rarely, they would look
+        # like a memory leak.
         gc.collect()
         gc.freeze()
         gc.set_threshold(2_000, 10, 10)
         self._log.say(f"serving at {self._bootstrap.listen[0]}:{self.port}")
         await self._stopping.wait()
         await self._drain()
-        for one in reversed(self._extensions):
-            await one.stop()
+        for extension in reversed(self._extensions):
+            await extension.stop()
         self._discovery.stop()
-        self._callers.over()
-        sweep.cancel()
-        pace.cancel()
-        self._say_counts()
+        self._callers.close_watcher()
+        sweep_task.cancel()
+        pause_watch.cancel()
+        self._log_counts()
 
     def stop(self) -> None:
+        """Begins the stop; `serve` drains and returns."""
         if not self._stopping.is_set():
-            self._succeeded = any(one.has_successor for one in self._extensions)
+            self._has_successor = any(extension.has_successor for extension in self._extensions)
         self._stopping.set()
 
     def reload_configuration(self) -> None:
-        """The configuration may have been replaced: settings and where discovery answers are taken from it,
-        all else at a start."""
+        """Reloads the configuration file: settings and the discovery address take effect now, everything else at the
+        next start.
+        """
         try:
-            told = self._again(self._bootstrap)
+            new = self._reload(self._bootstrap)
         except BootstrapError as error:
             self._log.say(f"the new configuration is not taken: {error}")
-            self._discovery.configuration_changed(None, self._process_pause.unwatched_for)
+            self._discovery.configuration_changed(None, self._process_pause.seconds_since_check)
             return
-        before = self._bootstrap
+        old = self._bootstrap
         self._log.say(
-            f"configuration read anew, discovery at {format_address(told.discovery)},"
-            f" use cases {', '.join(use.name for use in told.policy_settings.use_cases)}"
+            f"configuration read anew, discovery at {format_address(new.discovery)},"
+            f" use cases {', '.join(use_case.name for use_case in new.policy_settings.use_cases)}"
         )
-        if stays := [name for name in AT_A_START if getattr(told, name) != getattr(before, name)]:
-            self._log.say(f"not before the next start: {', '.join(stays)}")
-        self._bootstrap = told
-        self._facade.reconfigure(told.policy_settings, clock.now())
-        self._backends.reconfigure(told.connect_timeout, told.idle_timeout)
-        self._callers.reconfigure(told.policy_settings.max_outer_limit)
-        self._discovery.configuration_changed(told.discovery, self._process_pause.unwatched_for)
-        self._tell("told anew", lambda one: one.settings_changed(told.policy_settings))
+        if deferred := [name for name in RESTART_ONLY_SETTINGS if getattr(new, name) != getattr(old, name)]:
+            self._log.say(f"not before the next start: {', '.join(deferred)}")
+        self._bootstrap = new
+        self._facade.reconfigure(new.policy_settings, clock.now())
+        self._backends.reconfigure(new.connect_timeout, new.idle_timeout)
+        self._callers.reconfigure(new.policy_settings.max_outer_limit)
+        self._discovery.configuration_changed(new.discovery, self._process_pause.seconds_since_check)
+        self._tell("told anew", lambda one: one.settings_changed(new.policy_settings))
 
     async def _drain(self) -> None:
-        """Accepts to the last: what the kernel takes on our behalf is ours.
+        """Serves until the last ticket is answered or the process has to exit. Connections are accepted to the end,
+        because the kernel accepts them on behalf of this process.
 
-        Till the last are given up clients are served on through the connections they hold: the proxy next to this one
-        may be away as well, and where there is none they have nowhere to go.
+        Until the last attempts are given up, clients are served on the connections they hold: the neighbouring proxy
+        may be stopping as well, and without one the clients have nowhere to go.
         """
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        killed = min(self._bootstrap.policy_settings.max_outer_limit / 1e6, MAX_GRACE_S) + GRACE_MARGIN_S
+        started_at = loop.time()
+        kill_after = min(self._bootstrap.policy_settings.max_outer_limit / 1e6, MAX_GRACE_S) + GRACE_MARGIN_S
         self._log.say(
             f"stopping, {self._facade.open_tickets} tickets in hand"
-            + (", another process serves on" if self._succeeded else "")
+            + (", another process serves on" if self._has_successor else "")
         )
-        last = killed - GIVEN_UP
-        self._facade.limit_deadlines(clock.now() + round(last * 1e6))
-        self._tell("leaving", lambda one: one.drain_started(clock.now() + round(last * 1e6)))
-        loop.call_later(last, self._backends.give_up_all, "timed out")
-        if self._succeeded:
-            # New ones are the next process's, and those here end as they are answered.
-            self._callers.give_way()
+        give_up_after = kill_after - GIVE_UP_MARGIN_S
+        self._facade.limit_deadlines(clock.now() + round(give_up_after * 1e6))
+        self._tell("leaving", lambda extension: extension.drain_started(clock.now() + round(give_up_after * 1e6)))
+        loop.call_later(give_up_after, self._backends.give_up_all, "timed out")
+        if self._has_successor:
+            # New connections go to the next process, and those here close with their answers.
+            self._callers.hand_over_listener()
             self._callers.close_after_answers()
         else:
             await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        while (passed := loop.time() - began) < killed - ENDED:
-            if passed >= last - CLOSED_BEFORE:
+        while (elapsed := loop.time() - started_at) < kill_after - EXIT_MARGIN_S:
+            if elapsed >= give_up_after - CLOSE_MARGIN_S:
                 self._callers.close_after_answers()
-                self._callers.shut()
+                self._callers.close_listener()
                 self._callers.close_idle()
-            # With the last of them another may have come.
-            if not self._callers.open and not self._callers.shut():
+            # Another connection may have arrived while the last one ended.
+            if not self._callers.open and not self._callers.close_listener():
                 break
             await asyncio.sleep(0.02)
 
     async def _sweep(self) -> None:
-        for rounds in count(1):
+        """Closes unused connections several times a second, and logs the counts once a minute."""
+        for round_number in count(1):
             await asyncio.sleep(SWEEP_INTERVAL_S)
             try:
                 self._backends.sweep(clock.now())
                 self._callers.sweep(clock.now())
-                # Not at once: those whose connections close would open new ones, and the front still sends
-                # those here.
-                if self._sent_away_at is not None and clock.now() - self._sent_away_at >= SENT_AWAY:
-                    self._callers.close_idle(SHY)
+                # Idle connections are not closed at once: their clients would open new ones, which the load balancer in
+                # front still sends here.
+                if self._sent_away_at is not None and clock.now() - self._sent_away_at >= REDIRECT_CLOSE_DELAY_US:
+                    self._callers.close_idle(NEW_CONNECTION_GRACE_US)
                 self._budget.trim()
-                self._tell("sweep", lambda one: one.sweep())
-            except Exception as error:  # what it closes nobody else does: it goes on
+                self._tell("sweep", lambda extension: extension.sweep())
+            except Exception as error:  # nothing else closes these connections, so the loop has to go on
                 self._log.say(f"a sweep ended by {type(error).__name__}: {error}")
-            if rounds % COUNTS_EVERY == 0:
-                self._say_counts()
+            if round_number % SWEEPS_PER_COUNTS_LINE == 0:
+                self._log_counts()
 
-    def _say_counts(self) -> None:
-        said = ", ".join(f"{what} {count}" for what, count in sorted(self._counts.items()))
+    def _log_counts(self) -> None:
+        counts = ", ".join(f"{what} {count}" for what, count in sorted(self._counts.items()))
         self._log.say(
-            f"since the start: {said or 'nothing yet'}; {self._callers.open} callers,"
+            f"since the start: {counts or 'nothing yet'}; {self._callers.open} callers,"
             f" {self._facade.open_tickets} tickets in hand, {self._budget.open} connections,"
-            f" timers {self._process_pause.late} us late"
+            f" timers {self._process_pause.lateness_us} us late"
             + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
         )
         self._log.say(self._discovery.metrics.line())
@@ -609,9 +658,10 @@
 
 def run(
     bootstrap: BootstrapConfiguration,
-    again: Callable[[BootstrapConfiguration], BootstrapConfiguration],
+    reload: Callable[[BootstrapConfiguration], BootstrapConfiguration],
     make_extensions: ExtensionFactory | None = None,
 ) -> None:
-    """`again` reads the configuration anew, beside the one in force; `make_extensions` makes the extensions, where
-    there are any."""
-    asyncio.run(Proxy(bootstrap, again, make_extensions).serve())
+    """Runs a proxy until it stops. `reload` reads the configuration again, given the one in force; `make_extensions`
+    builds the extensions, if there are any.
+    """
+    asyncio.run(Proxy(bootstrap, reload, make_extensions).serve())
--- a/pepperusher/net/request_headers.py
+++ b/pepperusher/net/request_headers.py
@@ -1,4 +1,4 @@
-"""What the headers of a client's request tell, read and checked."""
+"""Reads and checks the headers of a client's request."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from pepperusher.net.message import Headers
 
-# Sound limits of what a client may say, in microseconds; more is absurd.
-LONGEST_WAIT = 3600 * 1_000_000
+# Longest timeout that a client may give, in microseconds; a longer one is rejected as invalid.
+MAX_TIMEOUT_US = 3600 * 1_000_000
 MICROSECONDS_OF = {b"m": 1000, b"u": 1}
-NUMBER = re.compile(rb"[0-9]{1,16}(\.[0-9]{1,16})?")
-READ = frozenset(
+DECIMAL_NUMBER = re.compile(rb"[0-9]{1,16}(\.[0-9]{1,16})?")
+PROXY_HEADERS = frozenset(
     (b"host", b"request-id", b"request-class", b"tenant", b"request-timeout", b"work-hint", b"idempotency-key")
 )
 
 
 class BadRequest(Exception):
-    """A request that can't be served as it stands; its client is told why, with `status`."""
+    """A request that cannot be served as it is; its client gets the reason, with `status`."""
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -24,36 +24,39 @@
 
 
 def read_headers(headers: Headers) -> dict[bytes, bytes]:
-    """Those that the proxy goes by, each by name. Raises BadRequest."""
+    """Returns the headers that the proxy itself uses, by name. Raises BadRequest."""
     read: dict[bytes, bytes] = {}
     for name, value in headers:
-        if name in READ:
-            # A backend may go by the other of two.
+        if name in PROXY_HEADERS:
+            # A backend may use the other one of two.
             if name in read:
                 raise BadRequest(f"two of {name.decode()}")
             read[name] = value
         elif name == b"connection":
-            # Taken off for the connection's own, a mark against repeats would be gone from the requests sent on.
-            if any(part.strip().lower() in READ for part in value.split(b",")):
+            # Headers that Connection names are removed: without its Idempotency-Key the request would reach the backend
+            # unprotected against repeats.
+            if any(part.strip().lower() in PROXY_HEADERS for part in value.split(b",")):
                 raise BadRequest("Connection names a header of the ticket")
     return read
 
 
-def duration_of(name: str, number: bytes, unit: int, form: str) -> int:
-    """A header's time in microseconds; `unit` is what 1 stands for, `form` is for the error. Raises BadRequest."""
-    # Not by float() alone, which reads 1e3, 1_0 and nan.
-    if not NUMBER.fullmatch(number):
-        raise BadRequest(f"{name} is not {form}")
-    duration = round(float(number) * unit)
-    if duration > LONGEST_WAIT:
+def duration_of(name: str, text: bytes, unit_us: int, expected_form: str) -> int:
+    """A duration in a header as microseconds; `unit` is the value of 1 in microseconds, `expected_form` is for the
+    error text. Raises BadRequest.
+    """
+    # float() alone would also accept 1e3, 1_0 and nan.
+    if not DECIMAL_NUMBER.fullmatch(text):
+        raise BadRequest(f"{name} is not {expected_form}")
+    duration = round(float(text) * unit_us)
+    if duration > MAX_TIMEOUT_US:
         raise BadRequest(f"{name} is out of any range")
     return duration
 
 
-def timeout_of(given: bytes) -> int:
+def timeout_of(value: bytes) -> int:
     """The value of Request-Timeout in microseconds. Raises BadRequest."""
-    form = "a number and m or u"
-    unit = MICROSECONDS_OF.get(given[-1:])
-    if unit is None:
-        raise BadRequest(f"Request-Timeout is not {form}")
-    return duration_of("Request-Timeout", given[:-1], unit, form)
+    expected_form = "a number and m or u"
+    unit_us = MICROSECONDS_OF.get(value[-1:])
+    if unit_us is None:
+        raise BadRequest(f"Request-Timeout is not {expected_form}")
+    return duration_of("Request-Timeout", value[:-1], unit_us, expected_form)
--- a/pepperusher/net/structured_log.py
+++ b/pepperusher/net/structured_log.py
@@ -1,5 +1,4 @@
-"""Log lines in another form than plain, by structlog; still printed to standard error under the one rate
-limit."""
+"""Log lines in a structured form by structlog, still printed to standard error under the same rate limit."""
 
 from __future__ import annotations
 
@@ -9,26 +8,28 @@
 
 import structlog
 
-BREAKER = re.compile(r"(\S+) (open|closed): (\d+) of (\d+) failed, run (\d+)$")
+BREAKER_LINE = re.compile(r"(\S+) (open|closed): (\d+) of (\d+) failed, run (\d+)$")
 
 
-def _breaker(_: object, __: str, told: dict[str, Any]) -> dict[str, Any]:
-    """A breaker's change has its counts by name: the decisions say them in one line of text."""
-    read = BREAKER.match(str(told["event"]))
-    if read:
-        told.update(event="breaker", id=read[1], state=read[2], failed=int(read[3]), of=int(read[4]), run=int(read[5]))
-    return told
+def _add_breaker_fields(_: object, __: str, record: dict[str, Any]) -> dict[str, Any]:
+    """Splits the text of a breaker's change into fields: the balancing decisions log it as one line of text."""
+    match = BREAKER_LINE.match(str(record["event"]))
+    if match:
+        record.update(
+            event="breaker", id=match[1], state=match[2], failed=int(match[3]), of=int(match[4]), run=int(match[5])
+        )
+    return record
 
 
 def formatter_of(form: str) -> Callable[[dict[str, Any]], str]:
-    """ "text" for key=value, "json" for an object a line."""
-    last = (
+    """Returns the formatter: "text" for key=value, "json" for one object per line."""
+    renderer = (
         structlog.processors.JSONRenderer()
         if form == "json"
         else structlog.processors.KeyValueRenderer(key_order=["time", "proxy", "event"])
     )
 
-    def formed(told: dict[str, Any]) -> str:
-        return str(last(None, "", _breaker(None, "", told)))
+    def format_line(record: dict[str, Any]) -> str:
+        return str(renderer(None, "", _add_breaker_fields(None, "", record)))
 
-    return formed
+    return format_line
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -1,7 +1,8 @@
-"""A crowd of clients that leave while they wait, round a whole proxy in a process of its own.
+"""Crowds of clients that leave while they wait, around a whole proxy in a process of its own.
 
-Stand-in backends note when each attempt's first byte comes; a client notes when it left. An attempt that begins later than
-`SLACK` after that was sent on for nobody. Run as a program it prints the cases by kind: `python -m tests.leavers [rounds]`.
+Stand-in backends record when the first byte of each attempt arrives; clients record when they left. An attempt that
+begins more than `SLACK` seconds after that was sent although nobody waits for it. Run as a program, this module prints
+the cases by kind: `python -m tests.leavers [rounds]`.
 """
 
 from __future__ import annotations
@@ -22,45 +23,47 @@
 
 from tests.scene import SETTINGS, ProxyTestCase, configuration
 
-SLACK = 0.1
-RESET = struct.pack("ii", 1, 0)
+SLACK_S = 0.1
+LINGER_RESET = struct.pack("ii", 1, 0)
 LIMITS = {**SETTINGS["policy-limits"], "connect-timeout": 2500.0}
-# Answered in time, so that a start is told by what the proxy does and not by a client's deadline.
-ROOMY = {
+# Timeouts long enough that the start of an attempt depends on the proxy and not on a client's deadline.
+LONG_TIMEOUT_SETTINGS = {
     **SETTINGS,
     "policy-limits": LIMITS,
     "use-cases": [{**one, "promised-time": 3000.0, "outer-limit": 6000.0} for one in SETTINGS["use-cases"]],
 }
-ENDS = ("ends", "resets", "half")
+LEAVING_WAYS = ("ends", "resets", "half")
 
 
 class Backend:
-    """Notes each attempt, and answers it as `plan` has it: a status, or "reset", after so many seconds."""
+    """Records each attempt and answers it according to `plan`: a status, or "reset", after so many seconds."""
 
-    def __init__(self, began: dict[str, list[float]], plan: dict[str, list[tuple[float, str]]]) -> None:
-        self.began, self.plan = began, plan
+    def __init__(
+        self, attempt_times: dict[str, list[float]], behaviour_plan: dict[str, list[tuple[float, str]]]
+    ) -> None:
+        self.attempt_times, self.behaviour_plan = attempt_times, behaviour_plan
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.port: int = self.listener.getsockname()[1]
-        self._held: list[socket.socket] = []
+        self.filling_sockets: list[socket.socket] = []
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
         self.listener.listen(256)
         self.server = await asyncio.start_server(self._serve, sock=self.listener)
 
-    def hold(self) -> None:
-        """Its accept queue is full: what connects is taken with the kernel's next try, a second later, once it is opened."""
+    def fill_accept_queue(self) -> None:
+        """Fills the accept queue: connects succeed at the kernel's retry one second later, once the backend is opened."""
         self.listener.listen(0)
         for _ in range(2):
-            made = socket.socket()
-            made.setblocking(False)
-            made.connect_ex(("127.0.0.1", self.port))
-            self._held.append(made)
+            filler = socket.socket()
+            filler.setblocking(False)
+            filler.connect_ex(("127.0.0.1", self.port))
+            self.filling_sockets.append(filler)
 
     def close(self) -> None:
-        for made in self._held:
-            made.close()
+        for filler in self.filling_sockets:
+            filler.close()
         if self.server is not None:
             self.server.close()
         else:
@@ -70,67 +73,76 @@
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                at = time.monotonic()
+                received_at = time.monotonic()
                 fields = dict(line.split(": ", 1) for line in head.strip().split("\r\n")[1:])
-                name = fields["request-id"]
-                self.began[name].append(at)
-                left = int(fields.get("content-length", 0))
-                while left > 0 and (part := await reader.read(left)):
-                    left -= len(part)
-                if left:
+                request_id = fields["request-id"]
+                self.attempt_times[request_id].append(received_at)
+                bytes_left = int(fields.get("content-length", 0))
+                while bytes_left > 0 and (data := await reader.read(bytes_left)):
+                    bytes_left -= len(data)
+                if bytes_left:
                     break
-                after, what = self.plan[name].pop(0) if self.plan.get(name) else (0.0, "200")
-                await asyncio.sleep(after)
-                if what == "reset":
+                delay, action = (
+                    self.behaviour_plan[request_id].pop(0) if self.behaviour_plan.get(request_id) else (0.0, "200")
+                )
+                await asyncio.sleep(delay)
+                if action == "reset":
                     break
-                writer.write(f"HTTP/1.1 {what} X\r\nContent-Length: 2\r\n\r\nok".encode())
+                writer.write(f"HTTP/1.1 {action} X\r\nContent-Length: 2\r\n\r\nok".encode())
         writer.close()
 
 
-class Ground:
-    """A proxy's process with its backends, and a discovery that says nothing after its first word."""
+class ProxyProcess:
+    """A proxy's process with its backends, and a discovery that sends only heartbeats."""
 
     def __init__(
-        self, backends: int = 8, own: str | None = None, before: Callable[[], None] | None = None, **changes: Any
+        self,
+        backends: int = 8,
+        own_configuration: str | None = None,
+        before_start: Callable[[], None] | None = None,
+        **bootstrap_changes: Any,
     ) -> None:
-        """`before` runs in the proxy's process before its program does."""
-        self.before = before
-        self.began: dict[str, list[float]] = defaultdict(list)
-        self.plan: dict[str, list[tuple[float, str]]] = {}
-        self.left: dict[str, tuple[str, float]] = {}  # by request: the kind, and when its client went
-        self.backends = [Backend(self.began, self.plan) for _ in range(backends)]
-        self.own, self.changes = own, {"settings": ROOMY, **changes}
-        self.said: list[str] = []
-
-    async def __aenter__(self) -> Ground:
+        """`before` runs in the proxy's process before its program starts."""
+        self.before_start = before_start
+        self.attempt_times: dict[str, list[float]] = defaultdict(list)
+        self.behaviour_plan: dict[str, list[tuple[float, str]]] = {}
+        self.left_at: dict[str, tuple[str, float]] = {}  # by request: the kind of case, and when its client left
+        self.backends = [Backend(self.attempt_times, self.behaviour_plan) for _ in range(backends)]
+        self.own_configuration, self.bootstrap_changes = (
+            own_configuration,
+            {"settings": LONG_TIMEOUT_SETTINGS, **bootstrap_changes},
+        )
+        self.log_lines: list[str] = []
+
+    async def __aenter__(self) -> ProxyProcess:
         self.folder = tempfile.TemporaryDirectory()
         self.discovery = await asyncio.start_server(self._watched, "127.0.0.1", 0)
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self.port = free.getsockname()[1]
+        with socket.socket() as port_probe:
+            port_probe.bind(("127.0.0.1", 0))
+            self.port = port_probe.getsockname()[1]
         listed = {
             "version": 1,
             "full": True,
             "servers": [
-                {"id": f"a{at}", "addr": f"127.0.0.1:{one.port}", "cell": at, "state": "ready"}
-                for at, one in enumerate(self.backends)
+                {"id": f"a{index}", "addr": f"127.0.0.1:{backend.port}", "cell": index, "state": "ready"}
+                for index, backend in enumerate(self.backends)
             ],
         }
-        told = configuration(
+        bootstrap = configuration(
             listen=f"127.0.0.1:{self.port}",
             known=listed,
             discovery=f"127.0.0.1:{self.discovery.sockets[0].getsockname()[1]}",
-            **self.changes,
+            **self.bootstrap_changes,
         )
         path = os.path.join(self.folder.name, "told.json")
         with open(path, "w") as file:
-            json.dump(told, file)
-        more = []
-        if self.own is not None:
-            own = os.path.join(self.folder.name, "own.toml")
-            with open(own, "w") as file:
-                file.write(self.own)
-            more = ["--own", own]
+            json.dump(bootstrap, file)
+        options = []
+        if self.own_configuration is not None:
+            own_path = os.path.join(self.folder.name, "own.toml")
+            with open(own_path, "w") as file:
+                file.write(self.own_configuration)
+            options = ["--own", own_path]
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-O",
@@ -139,21 +151,21 @@
             "serve",
             "--config",
             path,
-            *more,
+            *options,
             stderr=asyncio.subprocess.PIPE,
             env={**os.environ, "TMPDIR": self.folder.name},
-            preexec_fn=self.before,
+            preexec_fn=self.before_start,
         )
-        self.reading = asyncio.create_task(self._read())
+        self.log_reader = asyncio.create_task(self._read())
         async with asyncio.timeout(20):
-            while not any("serving at" in line for line in self.said):
+            while not any("serving at" in line for line in self.log_lines):
                 await asyncio.sleep(0.005)
         return self
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
         while line := await self.process.stderr.readline():
-            self.said.append(line.decode())
+            self.log_lines.append(line.decode())
 
     async def _watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
@@ -167,240 +179,268 @@
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        self.reading.cancel()
-        for one in self.backends:
-            one.close()
+        self.log_reader.cancel()
+        for backend in self.backends:
+            backend.close()
         self.discovery.close()
         self.folder.cleanup()
 
-    def dial(self) -> socket.socket:
-        made = socket.create_connection(("127.0.0.1", self.port), timeout=10)
-        made.setblocking(False)
-        # What is written is the kernel's, however much: a client that has gone has nothing left to write.
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * 1024 * 1024)
-        return made
+    def connect(self) -> socket.socket:
+        client = socket.create_connection(("127.0.0.1", self.port), timeout=10)
+        client.setblocking(False)
+        # The kernel takes everything that is written, however much: a client that has left cannot write the rest.
+        client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4 * 1024 * 1024)
+        return client
 
     @contextlib.contextmanager
     def stopped(self) -> Iterator[None]:
-        """The proxy's loop does nothing meanwhile."""
+        """Stops the proxy's process, so that its event loop does nothing meanwhile."""
         self.process.send_signal(signal.SIGSTOP)
         try:
             yield
         finally:
             self.process.send_signal(signal.SIGCONT)
 
-    def go(self, at: socket.socket, how: str, kind: str, *names: str) -> None:
-        """Its client leaves, with these requests of its not answered."""
+    def make_leave(self, client: socket.socket, way: str, case: str, *names: str) -> None:
+        """Makes the client leave while these requests of it are unanswered."""
         for name in names:
-            self.left[name] = f"{kind}, {how}", time.monotonic()
-        if how == "half":
-            at.shutdown(socket.SHUT_WR)
-            asyncio.get_running_loop().call_later(8, at.close)
+            self.left_at[name] = f"{case}, {way}", time.monotonic()
+        if way == "half":
+            client.shutdown(socket.SHUT_WR)
+            asyncio.get_running_loop().call_later(8, client.close)
             return
-        if how == "resets":
-            at.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        at.close()
+        if way == "resets":
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        client.close()
 
-    async def until(self, true: Callable[[], object], within: float = 10.0) -> None:
-        async with asyncio.timeout(within):
-            while not true():
+    async def wait_until(self, condition: Callable[[], object], timeout_s: float = 10.0) -> None:
+        async with asyncio.timeout(timeout_s):
+            while not condition():
                 await asyncio.sleep(0.002)
 
-    def late(self) -> dict[str, list[float]]:
-        """By kind, how late each attempt began that did so more than SLACK after its client left."""
-        found: dict[str, list[float]] = {kind: [] for kind, _ in self.left.values()}
-        for name, (kind, at) in self.left.items():
-            lag = max(self.began.get(name, [at]), default=at) - at
-            if lag > SLACK:
-                found[kind].append(lag)
-        return found
+    def late_attempts(self) -> dict[str, list[float]]:
+        """By kind of case, the delays of the attempts that began more than SLACK seconds after their client left."""
+        delays: dict[str, list[float]] = {case: [] for case, _ in self.left_at.values()}
+        for name, (case, left_at) in self.left_at.items():
+            delay = max(self.attempt_times.get(name, [left_at]), default=left_at) - left_at
+            if delay > SLACK_S:
+                delays[case].append(delay)
+        return delays
 
 
-def request(use: str, name: str, body: str = "", left: int = 5000) -> bytes:
-    return ProxyTestCase.request(None, use, name, body, left)  # type: ignore[arg-type]
+def request(use_case: str, request_id: str, body: str = "", timeout_ms: int = 5000) -> bytes:
+    return ProxyTestCase.request(None, use_case, request_id, body, timeout_ms)  # type: ignore[arg-type]
 
 
-async def write(at: socket.socket, data: bytes) -> None:
-    """All of it is with the kernel, or as much as it takes in a moment."""
+async def write(client: socket.socket, data: bytes) -> None:
+    """Writes until the kernel has all of the data, or as much as it takes within 0.1 s."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(0.1):
-            await asyncio.get_running_loop().sock_sendall(at, data)
+            await asyncio.get_running_loop().sock_sendall(client, data)
 
 
-class Crowd:
+class LeavingClients:
     def __init__(self) -> None:
         self.count = 0
 
-    def name(self) -> str:
+    def next_id(self) -> str:
         self.count += 1
         return f"{self.count}"
 
-    def ahead(self, size: int) -> bytes:
-        made = b""
-        while len(made) < size:
-            made += request("pay", self.name(), "x" * 3000)
-        return made
+    def pipelined_requests(self, size: int) -> bytes:
+        requests = b""
+        while len(requests) < size:
+            requests += request("pay", self.next_id(), "x" * 3000)
+        return requests
 
-    async def between(self, ground: Ground, how: str, kind: str, behind: int) -> None:
+    async def leave_between_attempts(
+        self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int
+    ) -> None:
         """The first attempt fails some time after its client left."""
-        name, at = self.name(), ground.dial()
-        ground.plan[name] = [(0.3, "500"), (0.3, "500"), (0.0, "200")]
-        await write(at, request("look", name) + self.ahead(behind))
-        await ground.until(lambda: ground.began[name])
+        request_id, client = self.next_id(), proxy_process.connect()
+        proxy_process.behaviour_plan[request_id] = [(0.3, "500"), (0.3, "500"), (0.0, "200")]
+        await write(client, request("look", request_id) + self.pipelined_requests(pipelined_bytes))
+        await proxy_process.wait_until(lambda: proxy_process.attempt_times[request_id])
         await asyncio.sleep(0.05)
-        ground.go(at, how, kind, name)
-
-    async def broken(self, ground: Ground, how: str, kind: str, behind: int) -> None:
-        """The connection of the first attempt ends under it some time after its client left."""
-        name, at = self.name(), ground.dial()
-        ground.plan[name] = [(0.3, "reset"), (0.3, "reset")]
-        await write(at, request("look", name) + self.ahead(behind))
-        await ground.until(lambda: ground.began[name])
+        proxy_process.make_leave(client, way, case, request_id)
+
+    async def leave_before_reset(self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int) -> None:
+        """The first attempt's connection is closed by the backend some time after its client left."""
+        request_id, client = self.next_id(), proxy_process.connect()
+        proxy_process.behaviour_plan[request_id] = [(0.3, "reset"), (0.3, "reset")]
+        await write(client, request("look", request_id) + self.pipelined_requests(pipelined_bytes))
+        await proxy_process.wait_until(lambda: proxy_process.attempt_times[request_id])
         await asyncio.sleep(0.05)
-        ground.go(at, how, kind, name)
-
-    async def pipelined(self, ground: Ground, how: str, kind: str, behind: int) -> None:
-        """Others stand behind the first, which is answered after its client left."""
-        at, names = ground.dial(), [self.name() for _ in range(5)]
-        ground.plan[names[0]] = [(0.3, "200")]
-        await write(at, b"".join(request("pay", name, "x" * (behind // 5)) for name in names))
-        await ground.until(lambda: ground.began[names[0]])
+        proxy_process.make_leave(client, way, case, request_id)
+
+    async def leave_with_pipelined(
+        self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int
+    ) -> None:
+        """More requests are pipelined behind the first, which is answered after its client left."""
+        client, request_ids = proxy_process.connect(), [self.next_id() for _ in range(5)]
+        proxy_process.behaviour_plan[request_ids[0]] = [(0.3, "200")]
+        await write(
+            client, b"".join(request("pay", request_id, "x" * (pipelined_bytes // 5)) for request_id in request_ids)
+        )
+        await proxy_process.wait_until(lambda: proxy_process.attempt_times[request_ids[0]])
         await asyncio.sleep(0.05)
-        ground.go(at, how, kind, *names)
+        proxy_process.make_leave(client, way, case, *request_ids)
 
-    async def connecting(self, ground: Ground, how: str, kind: str, behind: int, body: int) -> None:
-        """Its first attempt waits for a connection, which comes up a second later."""
-        name, at = self.name(), ground.dial()
-        await write(at, request("pay" if body else "look", name, "x" * body) + self.ahead(behind))
+    async def leave_while_connecting(
+        self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int, body: int
+    ) -> None:
+        """The first attempt waits for a connection, which is set up one second later."""
+        request_id, client = self.next_id(), proxy_process.connect()
+        await write(
+            client,
+            request("pay" if body else "look", request_id, "x" * body) + self.pipelined_requests(pipelined_bytes),
+        )
         await asyncio.sleep(0.05)
-        ground.go(at, how, kind, name)
+        proxy_process.make_leave(client, way, case, request_id)
 
-    async def busy(self, ground: Ground, how: str, kind: str) -> None:
-        """It comes and goes within 80 ms in which the loop does nothing."""
-        names = []
+    async def leave_while_blocked(self, proxy_process: ProxyProcess, way: str, case: str) -> None:
+        """The client connects and leaves within 80 ms in which the event loop does nothing."""
+        request_ids = []
         for wait in (0.0, 0.02, 0.07):
-            name, at = self.name(), ground.dial()
+            request_id, client = self.next_id(), proxy_process.connect()
             await asyncio.sleep(0.01)
-            with ground.stopped():
-                await write(at, request("look", name))
+            with proxy_process.stopped():
+                await write(client, request("look", request_id))
                 await asyncio.sleep(wait)
-                ground.go(at, how, kind, name)
+                proxy_process.make_leave(client, way, case, request_id)
                 await asyncio.sleep(0.08 - wait)
-            names.append(name)
-
-    async def busy_between(self, ground: Ground, how: str, kind: str) -> None:
-        """Its first attempt fails, and it leaves, within 80 ms in which the loop does nothing."""
-        name, at = self.name(), ground.dial()
-        ground.plan[name] = [(0.06, "500"), (0.06, "500")]
-        await write(at, request("look", name))
-        await ground.until(lambda: ground.began[name])
-        with ground.stopped():
+            request_ids.append(request_id)
+
+    async def leave_between_attempts_while_blocked(self, proxy_process: ProxyProcess, way: str, case: str) -> None:
+        """The first attempt fails and its client leaves within 80 ms in which the event loop does nothing."""
+        request_id, client = self.next_id(), proxy_process.connect()
+        proxy_process.behaviour_plan[request_id] = [(0.06, "500"), (0.06, "500")]
+        await write(client, request("look", request_id))
+        await proxy_process.wait_until(lambda: proxy_process.attempt_times[request_id])
+        with proxy_process.stopped():
             await asyncio.sleep(0.02)
-            ground.go(at, how, kind, name)
+            proxy_process.make_leave(client, way, case, request_id)
             await asyncio.sleep(0.06)
 
-    async def still(self, ground: Ground, how: str, kind: str, behind: int) -> None:
-        """It comes and goes while the process stands still."""
-        name, at = self.name(), ground.dial()
-        with ground.stopped():
-            await write(at, request("look", name) + self.ahead(behind))
-            ground.go(at, how, kind, name)
+    async def leave_while_stopped(self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int) -> None:
+        """The client connects and leaves while the process is stopped."""
+        request_id, client = self.next_id(), proxy_process.connect()
+        with proxy_process.stopped():
+            await write(client, request("look", request_id) + self.pipelined_requests(pipelined_bytes))
+            proxy_process.make_leave(client, way, case, request_id)
             await asyncio.sleep(0.25)
 
-    async def queued(self, ground: Ground, how: str, kind: str, behind: int) -> None:
-        """It waits behind others: in the gate, or in the kernel's queue of those not let in."""
-        name, at = self.name(), ground.dial()
-        await write(at, request("look", name) + self.ahead(behind))
+    async def leave_while_queued(self, proxy_process: ProxyProcess, way: str, case: str, pipelined_bytes: int) -> None:
+        """The ticket waits behind others, in the gate or in the kernel's accept queue."""
+        request_id, client = self.next_id(), proxy_process.connect()
+        await write(client, request("look", request_id) + self.pipelined_requests(pipelined_bytes))
         await asyncio.sleep(0.05)
-        ground.go(at, how, kind, name)
+        proxy_process.make_leave(client, way, case, request_id)
 
-    async def held(self, ground: Ground, count: int) -> list[socket.socket]:
-        """So many that are out for half a second, and stay."""
-        made = []
+    async def send_slow_tickets(self, proxy_process: ProxyProcess, count: int) -> list[socket.socket]:
+        """Sends `count` tickets that take half a second each, from clients that stay."""
+        connected = []
         for _ in range(count):
-            name, at = self.name(), ground.dial()
-            ground.plan[name] = [(0.5, "200")]
-            await write(at, request("look", name))
-            made.append(at)
-        return made
+            request_id, client = self.next_id(), proxy_process.connect()
+            proxy_process.behaviour_plan[request_id] = [(0.5, "200")]
+            await write(client, request("look", request_id))
+            connected.append(client)
+        return connected
 
 
-BEHIND = (
+PIPELINED_SIZES = (
     ("alone", 0),
     ("20 kB behind", 20_000),
     ("100 kB behind", 100_000),
     ("400 kB behind", 400_000),
     ("1 MB behind", 1_000_000),
 )
-ONE_AT_ONCE = '[[routes]]\nname = "all"\nconcurrency = {most = 1, queue = 500}\n'
+ONE_TICKET_AT_A_TIME = '[[routes]]\nname = "all"\nconcurrency = {most = 1, queue = 500}\n'
 
 
-async def figures(rounds: int) -> dict[str, tuple[int, list[float]]]:
-    found: dict[str, tuple[int, list[float]]] = {}
+async def run_cases(rounds: int) -> dict[str, tuple[int, list[float]]]:
+    results: dict[str, tuple[int, list[float]]] = {}
 
-    def add(ground: Ground) -> None:
-        late = ground.late()
-        for kind, lags in late.items():
-            cases = sum(one == kind for one, _ in ground.left.values())
-            before, was = found.get(kind, (0, []))
-            found[kind] = before + cases, was + lags
+    def add_results(proxy_process: ProxyProcess) -> None:
+        delays_by_case = proxy_process.late_attempts()
+        for case, delays in delays_by_case.items():
+            total = sum(other_case == case for other_case, _ in proxy_process.left_at.values())
+            total_before, delays_before = results.get(case, (0, []))
+            results[case] = total_before + total, delays_before + delays
 
-    crowd = Crowd()
-    async with Ground(24) as ground:
-        for one in ground.backends:
-            await one.open()
+    clients = LeavingClients()
+    async with ProxyProcess(24) as proxy_process:
+        for backend in proxy_process.backends:
+            await backend.open()
         for _ in range(rounds):
-            for what, behind in BEHIND:
-                for how in ENDS:
-                    await crowd.between(ground, how, f"between attempts, {what}", behind)
-                    await crowd.broken(ground, how, f"connection ended, {what}", behind)
-                    await crowd.pipelined(ground, how, f"pipelined, {what}", behind)
-                    await crowd.still(ground, how, f"stood still, {what}", behind)
-            for how in ENDS:
-                await crowd.busy(ground, how, "loop busy")
-                await crowd.busy_between(ground, how, "loop busy, between attempts")
+            for description, pipelined_bytes in PIPELINED_SIZES:
+                for way in LEAVING_WAYS:
+                    await clients.leave_between_attempts(
+                        proxy_process, way, f"between attempts, {description}", pipelined_bytes
+                    )
+                    await clients.leave_before_reset(
+                        proxy_process, way, f"connection ended, {description}", pipelined_bytes
+                    )
+                    await clients.leave_with_pipelined(proxy_process, way, f"pipelined, {description}", pipelined_bytes)
+                    await clients.leave_while_stopped(
+                        proxy_process, way, f"stood still, {description}", pipelined_bytes
+                    )
+            for way in LEAVING_WAYS:
+                await clients.leave_while_blocked(proxy_process, way, "loop busy")
+                await clients.leave_between_attempts_while_blocked(proxy_process, way, "loop busy, between attempts")
         await asyncio.sleep(1.5)
-        add(ground)
-    for own, sockets, count, kind in ((ONE_AT_ONCE, 1024, 2, "in the gate"), (None, 64, 31, "not let in yet")):
-        for what, behind in BEHIND:
-            async with Ground(4, own, limits={"sockets": sockets}) as ground:
-                for one in ground.backends:
-                    await one.open()
-                stay = await crowd.held(ground, count)
+        add_results(proxy_process)
+    for own_configuration, sockets, count, case in (
+        (ONE_TICKET_AT_A_TIME, 1024, 2, "in the gate"),
+        (None, 64, 31, "not let in yet"),
+    ):
+        for description, pipelined_bytes in PIPELINED_SIZES:
+            async with ProxyProcess(4, own_configuration, limits={"sockets": sockets}) as proxy_process:
+                for backend in proxy_process.backends:
+                    await backend.open()
+                waiting = await clients.send_slow_tickets(proxy_process, count)
                 await asyncio.sleep(0.1)
                 await asyncio.gather(
-                    *(crowd.queued(ground, how, f"{kind}, {what}", behind) for how in ENDS for _ in range(rounds))
+                    *(
+                        clients.leave_while_queued(proxy_process, way, f"{case}, {description}", pipelined_bytes)
+                        for way in LEAVING_WAYS
+                        for _ in range(rounds)
+                    )
                 )
                 await asyncio.sleep(1.5)
-                add(ground)
-                for at in stay:
-                    at.close()
-    for what, behind in BEHIND:
+                add_results(proxy_process)
+                for client in waiting:
+                    client.close()
+    for description, pipelined_bytes in PIPELINED_SIZES:
         for body in (0, 30_000, 200_000, 1_000_000):
-            if behind and body > 30_000:
+            if pipelined_bytes and body > 30_000:
                 continue
-            async with Ground(6) as ground:
-                for one in ground.backends:
-                    one.hold()
-                kind = f"connecting, body {body // 1000} kB, {what}"
+            async with ProxyProcess(6) as proxy_process:
+                for backend in proxy_process.backends:
+                    backend.fill_accept_queue()
+                case = f"connecting, body {body // 1000} kB, {description}"
                 await asyncio.gather(
-                    *(crowd.connecting(ground, how, kind, behind, body) for how in ENDS for _ in range(rounds))
+                    *(
+                        clients.leave_while_connecting(proxy_process, way, case, pipelined_bytes, body)
+                        for way in LEAVING_WAYS
+                        for _ in range(rounds)
+                    )
                 )
-                for one in ground.backends:
-                    await one.open()
+                for backend in proxy_process.backends:
+                    await backend.open()
                 await asyncio.sleep(2.5)
-                add(ground)
-    return found
+                add_results(proxy_process)
+    return results
 
 
 def main() -> None:
     rounds = int(sys.argv[1]) if len(sys.argv) > 1 else 2
-    found = asyncio.run(figures(rounds))
-    for kind, (cases, late) in sorted(found.items()):
-        print(f"{kind:60} {len(late):4} of {cases:4} late, longest {max(late, default=0.0):.3f} s")
+    results = asyncio.run(run_cases(rounds))
+    for case, (cases, delays) in sorted(results.items()):
+        print(f"{case:60} {len(delays):4} of {cases:4} late, longest {max(delays, default=0.0):.3f} s")
     print(
-        f"{sum(len(late) for _, late in found.values())} of {sum(cases for cases, _ in found.values())} late,"
-        f" longest {max((max(late, default=0.0) for _, late in found.values()), default=0.0):.3f} s"
+        f"{sum(len(delays) for _, delays in results.values())} of {sum(cases for cases, _ in results.values())} late,"
+        f" longest {max((max(delays, default=0.0) for _, delays in results.values()), default=0.0):.3f} s"
     )
 
 
--- a/tests/skipping.py
+++ b/tests/skipping.py
@@ -1,7 +1,8 @@
-"""A loop whose clock stands while there is work, and skips to the next timer when there is none.
+"""An event loop whose clock stands still while there is work, and skips to the next timer when there is none.
 
-Sockets are the kernel's. All that talk stand in the one loop, so what a busy machine adds to a wait in real
-time is no part of a verdict. Not for what waits for another process or a thread."""
+Sockets are real. All peers run in this one loop, so delays of a busy machine in real time do not affect results. It is
+not suitable for tests that wait for another process or a thread.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +14,19 @@
 
 from pepperusher.net import clock
 
-# What was written over loopback is given so long to come, in real seconds, before the clock skips.
-CROSSING = 0.001
+# Real seconds that data written over loopback gets to arrive before the clock skips.
+DELIVERY_S = 0.001
 T = TypeVar("T")
 
 
-class _Selector(selectors.DefaultSelector):
+class _SkippingSelector(selectors.DefaultSelector):
     loop: SkippingLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if ready or timeout is not None and timeout <= 0:
             return ready
-        ready = super().select(CROSSING if timeout is not None else None)
+        ready = super().select(DELIVERY_S if timeout is not None else None)
         if not ready and timeout is not None:
             self.loop.now += timeout
         return ready
@@ -34,7 +35,7 @@
 class SkippingLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
         self.now = 1000.0  # seconds
-        selector = _Selector()
+        selector = _SkippingSelector()
         selector.loop = self
         super().__init__(selector)
 
@@ -42,10 +43,10 @@
         return self.now
 
 
-def run(what: Coroutine[Any, Any, T]) -> T:
-    """`what` to its end, with the proxy's clock as the loop's."""
+def run(coroutine: Coroutine[Any, Any, T]) -> T:
+    """Runs `coroutine` to its end, with the proxy's clock set to the loop's time."""
     with asyncio.Runner(loop_factory=SkippingLoop) as runner:
         loop = runner.get_loop()
-        began = clock.now()
-        with mock.patch.object(clock, "now", lambda: began + round((loop.time() - 1000.0) * 1e6)):
-            return runner.run(what)
+        started_at = clock.now()
+        with mock.patch.object(clock, "now", lambda: started_at + round((loop.time() - 1000.0) * 1e6)):
+            return runner.run(coroutine)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,8 @@
-"""A process with 128 descriptors, clients that sit on them, and discovery away, back and away again.
+"""A process with 128 descriptors, clients that hold descriptors without using them, and a discovery that goes away,
+comes back and goes away again.
 
-Run as a program it prints what each kind of sitting client did to the useful ones: `python -m tests.test_descriptors`.
+Run as a program, this module prints the effect of each kind of idle client on the regular ones: `python -m
+tests.test_descriptors`.
 """
 
 from __future__ import annotations
@@ -16,17 +18,17 @@
 from typing import NamedTuple
 from unittest import mock
 
-from tests.leavers import Ground, request
+from tests.leavers import ProxyProcess, request
 from tests.test_crossings import Crossing
 
 DESCRIPTORS = 128
-SITTING = 200
-SPELL = 3.0
-READY = b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n"
+IDLE_CLIENTS = 200
+OUTAGE_S = 3.0
+READY_REQUEST = b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n"
 KINDS = ("silent", "asked once", "sent once", "half a head", "come again at once")
 
 
-def few() -> None:
+def limit_process_descriptors() -> None:
     resource.setrlimit(resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
 
 
@@ -36,38 +38,43 @@
         return int(free.getsockname()[1])
 
 
-class Found(NamedTuple):
-    asked: Counter[str]  # how useful requests ended
-    slowest: float  # the answer that took longest, in seconds
-    console: Counter[str]
-    console_slowest: float
-    called: list[float]  # each time discovery came back, how long until it was called
-    most: int  # descriptors at the most
-    said: list[str]
-    counts: str  # the proxy's own, by outcome; "moot" is one for which no descriptor was left
+class Result(NamedTuple):
+    statuses: Counter[str]  # how requests of regular clients ended
+    slowest_s: float  # the slowest answer, in seconds
+    console_statuses: Counter[str]
+    console_slowest_s: float
+    call_delays: list[float]  # time until discovery was called, each time it came back
+    most_descriptors: int  # most descriptors in use
+    error_lines: list[str]
+    counts: str  # the proxy's own counts by outcome; "moot" counts attempts for which no descriptor was left
 
 
-class Scarce(Ground):
-    """Its discovery can be away, and it has a console."""
+class ScarceProxyProcess(ProxyProcess):
+    """A proxy with few descriptors and a console, whose discovery can go away."""
 
     def __init__(self, kind: str) -> None:
         self.kind, self.console_port = kind, free_port()
-        self.watchers: list[asyncio.StreamWriter] = []
-        self.called_at = 0.0
-        super().__init__(6, before=few, limits={"sockets": DESCRIPTORS}, console=f"127.0.0.1:{self.console_port}")
+        self.watch_writers: list[asyncio.StreamWriter] = []
+        self.last_call_at = 0.0
+        super().__init__(
+            6,
+            before_start=limit_process_descriptors,
+            limits={"sockets": DESCRIPTORS},
+            console=f"127.0.0.1:{self.console_port}",
+        )
 
     async def _watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.called_at = time.monotonic()
-        self.watchers.append(writer)
+        self.last_call_at = time.monotonic()
+        self.watch_writers.append(writer)
         await super()._watched(reader, writer)
 
-    async def away(self) -> None:
+    async def stop_discovery(self) -> None:
         self.discovery.close()
-        for writer in self.watchers:
+        for writer in self.watch_writers:
             writer.transport.abort()
-        self.watchers.clear()
+        self.watch_writers.clear()
 
-    async def back(self, port: int) -> None:
+    async def restart_discovery(self, port: int) -> None:
         self.discovery = await asyncio.start_server(self._watched, "127.0.0.1", port)
 
     @property
@@ -75,210 +82,221 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
-async def ask(port: int, sent: bytes, within: float = 6.0) -> tuple[str, float]:
-    """One request on a connection of its own; the status it had, or what came in place of that, and how long it took."""
+async def ask(port: int, request: bytes, timeout_s: float = 6.0) -> tuple[str, float]:
+    """Sends one request on a connection of its own. Returns the status (or what happened instead) and how long it took."""
     began, writer = time.monotonic(), None
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.write(sent)
-            said = (await reader.readuntil(b"\r\n")).split()[1].decode()
+            writer.write(request)
+            result = (await reader.readuntil(b"\r\n")).split()[1].decode()
     except TimeoutError:
-        said = "nothing"
+        result = "nothing"
     except (OSError, asyncio.IncompleteReadError) as error:
-        said = type(error).__name__
+        result = type(error).__name__
     finally:
         if writer is not None:
             writer.close()
-    return said, time.monotonic() - began
+    return result, time.monotonic() - began
 
 
-async def play(kind: str, spell: float = SPELL) -> Found:
-    asked, console, called, said = Counter[str](), Counter[str](), list[float](), list[str]()
-    slowest = console_slowest = 0.0
-    most, number = 0, 0
-    async with Scarce(kind) as ground:
-        for one in ground.backends:
-            await one.open()
-        discovery = ground.discovery.sockets[0].getsockname()[1]
+async def run_scenario(kind: str, outage_s: float = OUTAGE_S) -> Result:
+    statuses, console_statuses, call_delays, error_lines = Counter[str](), Counter[str](), list[float](), list[str]()
+    slowest_s = console_slowest_s = 0.0
+    most_descriptors, request_number = 0, 0
+    async with ScarceProxyProcess(kind) as proxy_process:
+        for backend in proxy_process.backends:
+            await backend.open()
+        discovery_port = proxy_process.discovery.sockets[0].getsockname()[1]
 
-        async def sit(which: int) -> None:
-            turn = 0
+        async def hold_connection(client_number: int) -> None:
+            attempt_number = 0
             while True:
-                turn += 1
+                attempt_number += 1
                 writer = None
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    reader, writer = await asyncio.open_connection("127.0.0.1", ground.port)
+                    reader, writer = await asyncio.open_connection("127.0.0.1", proxy_process.port)
                     if kind == "asked once":
-                        writer.write(READY)
+                        writer.write(READY_REQUEST)
                     elif kind == "sent once":
-                        writer.write(request("look", f"s{which}-{turn}"))
+                        writer.write(request("look", f"s{client_number}-{attempt_number}"))
                     elif kind == "half a head":
                         writer.write(b"GET /look/page HTTP/1.1\r\nHost: p\r\n")
                     while await reader.read(4096):
                         pass
                 if writer is not None:
                     writer.close()
-                # Whoever is closed comes again, the most eager at once, and those that ask later: they are no flood.
+                # Closed clients connect again, the eager ones at once, and those that send requests later, so that they
+                # do not flood the proxy.
                 await asyncio.sleep({"come again at once": 0.01, "sent once": 3.0}.get(kind, 0.5))
 
-        async def usual(which: int) -> None:
-            nonlocal slowest, number
+        async def send_requests(client_number: int) -> None:
+            nonlocal slowest_s, request_number
             while True:
-                number += 1
-                status, took = await ask(ground.port, request("look", f"u{number}"))
-                asked[status] += 1
-                slowest = max(slowest, took)
+                request_number += 1
+                status, duration = await ask(proxy_process.port, request("look", f"u{request_number}"))
+                statuses[status] += 1
+                slowest_s = max(slowest_s, duration)
                 await asyncio.sleep(0.1)
 
-        async def operates() -> None:
-            nonlocal console_slowest, most
+        async def poll_console() -> None:
+            nonlocal console_slowest_s, most_descriptors
             while True:
-                status, took = await ask(ground.console_port, READY)
-                console[status] += 1
-                console_slowest = max(console_slowest, took)
-                most = max(most, ground.descriptors)
+                status, duration = await ask(proxy_process.console_port, READY_REQUEST)
+                console_statuses[status] += 1
+                console_slowest_s = max(console_slowest_s, duration)
+                most_descriptors = max(most_descriptors, proxy_process.descriptors)
                 await asyncio.sleep(0.05)
 
-        await ground.away()
-        working = [
-            asyncio.create_task(one)
-            for one in (*(sit(which) for which in range(SITTING)), *(usual(which) for which in range(5)), operates())
+        await proxy_process.stop_discovery()
+        tasks = [
+            asyncio.create_task(backend)
+            for backend in (
+                *(hold_connection(client_number) for client_number in range(IDLE_CLIENTS)),
+                *(send_requests(client_number) for client_number in range(5)),
+                poll_console(),
+            )
         ]
         for _ in range(2):
-            await asyncio.sleep(spell)
-            came = time.monotonic()
-            await ground.back(discovery)
+            await asyncio.sleep(outage_s)
+            back_at = time.monotonic()
+            await proxy_process.restart_discovery(discovery_port)
             with contextlib.suppress(TimeoutError):
-                await ground.until(lambda: ground.called_at > came, 12.0)
-            called.append(ground.called_at - came if ground.called_at > came else float("inf"))
+                await proxy_process.wait_until(lambda: proxy_process.last_call_at > back_at, 12.0)
+            call_delays.append(
+                proxy_process.last_call_at - back_at if proxy_process.last_call_at > back_at else float("inf")
+            )
             await asyncio.sleep(1.0)
-            await ground.away()
-        await asyncio.sleep(spell / 2)
-        for task in working:
+            await proxy_process.stop_discovery()
+        await asyncio.sleep(outage_s / 2)
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*working, return_exceptions=True)
-        # Its last line but those of its end counts what became of tickets.
-        ground.process.terminate()
-        await asyncio.wait_for(ground.process.wait(), 20)
-        await ground.reading
-        counts = next(line for line in ground.said if "since the start" in line)
-        said = [
+        await asyncio.gather(*tasks, return_exceptions=True)
+        # Of the lines at the end, this one counts the outcomes of tickets.
+        proxy_process.process.terminate()
+        await asyncio.wait_for(proxy_process.process.wait(), 20)
+        await proxy_process.log_reader
+        counts = next(line for line in proxy_process.log_lines if "since the start" in line)
+        error_lines = [
             line
-            for line in ground.said
+            for line in proxy_process.log_lines
             if "accept failed" in line or "loop:" in line or "Too many" in line or "connection was not taken" in line
         ]
-    return Found(asked, slowest, console, console_slowest, called, most, said, counts)
+    return Result(
+        statuses, slowest_s, console_statuses, console_slowest_s, call_delays, most_descriptors, error_lines, counts
+    )
 
 
 class Whole(unittest.IsolatedAsyncioTestCase):
-    async def found(self, kind: str) -> Found:
+    async def run_and_check(self, kind: str) -> Result:
         asyncio.get_running_loop().set_debug(False)
         async with asyncio.timeout(60):
-            found = await play(kind, 1.0)
-        self.assertEqual([], found.said)
-        self.assertLessEqual(found.most, DESCRIPTORS)
-        self.assertNotIn("moot", found.counts)
-        # Each time discovery came back it was called, and the console was there all the while.
-        self.assertEqual(2, sum(one < 12 for one in found.called))
-        self.assertEqual({"404"}, set(found.console))
-        return found
+            result = await run_scenario(kind, 1.0)
+        self.assertEqual([], result.error_lines)
+        self.assertLessEqual(result.most_descriptors, DESCRIPTORS)
+        self.assertNotIn("moot", result.counts)
+        # Discovery was called each time it came back, and the console answered all the time.
+        self.assertEqual(2, sum(value < 12 for value in result.call_delays))
+        self.assertEqual({"404"}, set(result.console_statuses))
+        return result
 
     async def test_silent_clients_keep_nobody_out_while_discovery_is_away(self) -> None:
-        found = await self.found("silent")
-        self.assertGreater(found.asked["200"], 10)
-        self.assertNotIn("nothing", found.asked)
+        result = await self.run_and_check("silent")
+        self.assertGreater(result.statuses["200"], 10)
+        self.assertNotIn("nothing", result.statuses)
 
     async def test_clients_that_stop_half_way_keep_nobody_out(self) -> None:
-        """They kept their places for 2.4 s each: of the useful none was answered within 6 s."""
-        found = await self.found("half a head")
-        self.assertGreater(found.asked["200"], 10)
-        self.assertNotIn("nothing", found.asked)
+        """Such clients kept their descriptors for 2.4 s each, and no regular request was answered within 6 s."""
+        result = await self.run_and_check("half a head")
+        self.assertGreater(result.statuses["200"], 10)
+        self.assertNotIn("nothing", result.statuses)
 
 
 class Room(Crossing):
-    @mock.patch("pepperusher.net.callers.SHY", 60_000_000)
-    @mock.patch("pepperusher.net.callers.JUST_NOW", 0)
+    @mock.patch("pepperusher.net.callers.NEW_CONNECTION_GRACE_US", 60_000_000)
+    @mock.patch("pepperusher.net.callers.MIN_IDLE_US", 0)
     async def test_tickets_in_hand_have_room_before_those_that_are_new(self) -> None:
-        """Fifty at once, and more room to make than the reserve bears in one turn of the loop: they were bounced for want of
-        a descriptor, beside silent clients that kept theirs."""
+        """Fifty tickets at once need more descriptors than the reserve covers in one loop iteration: they were bounced
+        for want of a descriptor, while silent clients kept theirs.
+        """
         asyncio.get_running_loop().set_debug(False)
         names = [f"{letter}1" for letter in "abcdefghij"]
         await self.open(*names, limits={"sockets": DESCRIPTORS})
         budget = self.proxy._budget
-        usual = [await self.connect() for _ in range(50)]
-        # No strangers to their backends, which give those few at once; and no connection of that time is left.
-        for round_ in range(1, 5):
-            for number, (reader, writer) in enumerate(usual):
-                writer.write(self.request("look", 100 * round_ + number))
+        regular = [await self.connect() for _ in range(50)]
+        # Makes the backends known, because a new backend gets few tickets at once; the connections of this phase are
+        # closed.
+        for round_number in range(1, 5):
+            for number, (reader, writer) in enumerate(regular):
+                writer.write(self.request("look", 100 * round_number + number))
                 if number % 10 == 9:
-                    for one, _ in usual[number - 9 : number + 1]:
-                        await self.hear(one)
+                    for stream, _ in regular[number - 9 : number + 1]:
+                        await self.hear(stream)
         for door in self.proxy._backends._doors.values():
             self.proxy._backends._close_idle(door)
-        # One fewer than are let in: a place is kept for the next.
-        silent = [await self.connect() for _ in range(21)]
+        # One fewer than may be accepted: a descriptor is reserved for the next connection.
+        silent_clients = [await self.connect() for _ in range(21)]
         await self.until(lambda: self.proxy._callers.open == 71)
         await self.until(lambda: budget.open == 72)
-        self.assertGreater(50 + self.proxy._callers.open - budget.most * 0.95, budget._reserve // 2)
-        # All that they send is with the kernel before the loop comes round.
-        for number, (_, writer) in enumerate(usual):
+        self.assertGreater(50 + self.proxy._callers.open - budget.limit * 0.95, budget._reserve // 2)
+        # All requests are in the kernel before the event loop runs again.
+        for number, (_, writer) in enumerate(regular):
             writer.write(self.request("look", number))
-        said = [(await self.hear(reader))[:3] for reader, _ in usual]
-        # On a busy machine some run out of patience; for want of a descriptor none is refused.
-        self.assertEqual(set(), set(said) - {"200", "503", "504"})
+        answers = [(await self.hear(reader))[:3] for reader, _ in regular]
+        # On a busy machine some requests time out, but none is refused for want of a descriptor.
+        self.assertEqual(set(), set(answers) - {"200", "503", "504"})
         self.assertNotIn("moot", self.proxy._counts)
-        self.assertLessEqual(budget.open, budget.most)
-        for _, writer in silent:
+        self.assertLessEqual(budget.open, budget.limit)
+        for _, writer in silent_clients:
             writer.close()
 
     async def test_whoever_stopped_half_way_is_answered_and_makes_room(self) -> None:
-        """The oldest first, and none that goes on."""
+        """The oldest is closed first, and none whose client still sends."""
         asyncio.get_running_loop().set_debug(False)
         await self.open("a1", limits={"sockets": 64})
-        going = await self.connect()
-        going[1].write(b"GET /look/page HTTP/1.1\r\nHost: p\r\n")
-        half = [await self.connect() for _ in range(40)]
-        for _, writer in half:
+        sending = await self.connect()
+        sending[1].write(b"GET /look/page HTTP/1.1\r\nHost: p\r\n")
+        stalled = [await self.connect() for _ in range(40)]
+        for _, writer in stalled:
             writer.write(b"GET /look/page HTTP/1.1\r\nHost: p\r\n")
 
-        async def goes_on() -> None:
+        async def keep_sending() -> None:
             while True:
-                going[1].write(b"x")
+                sending[1].write(b"x")
                 await asyncio.sleep(0.1)
 
-        going[1].write(b"X-Long: ")
-        dripping = asyncio.create_task(goes_on())
+        sending[1].write(b"X-Long: ")
+        sending_task = asyncio.create_task(keep_sending())
         began = time.monotonic()
         await self.ask("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertLess(time.monotonic() - began, 2.0)
-        self.assertIn("408", await self.hear(half[0][0]))
-        dripping.cancel()
-        going[1].write(b"\r\nRequest-Id: 2\r\n\r\n")
-        self.assertIn("200", await self.hear(going[0]))
-        for _, writer in half:
+        self.assertIn("408", await self.hear(stalled[0][0]))
+        sending_task.cancel()
+        sending[1].write(b"\r\nRequest-Id: 2\r\n\r\n")
+        self.assertIn("200", await self.hear(sending[0]))
+        for _, writer in stalled:
             writer.close()
 
     async def test_of_those_told_to_close_the_oldest_goes_first(self) -> None:
         await self.open("a1")
-        lines = [mock.Mock(**{"transport.is_closing.return_value": False}) for _ in range(3)]
+        connections = [mock.Mock(**{"transport.is_closing.return_value": False}) for _ in range(3)]
         callers = self.proxy._callers
-        for line in lines:
-            callers._ending[mock.Mock(line=line)] = None
-        self.assertTrue(callers._close_oldest())
-        self.assertEqual([1, 0, 0], [line.abort.call_count for line in lines])
-        callers._ending.clear()
+        for connection in connections:
+            callers._closing_connections[mock.Mock(connection=connection)] = None
+        self.assertTrue(callers._close_one())
+        self.assertEqual([1, 0, 0], [connection.abort.call_count for connection in connections])
+        callers._closing_connections.clear()
 
 
 def main() -> None:
     for kind in KINDS:
-        found = asyncio.run(play(kind))
+        result = asyncio.run(run_scenario(kind))
         print(
-            f"{kind}: useful {dict(found.asked)}, slowest {found.slowest:.3f} s; console {dict(found.console)}, slowest"
-            f" {found.console_slowest:.3f} s; discovery called after {', '.join(f'{one:.2f}' for one in found.called)} s;"
-            f" descriptors {found.most}; {len(found.said)} lines {found.said[:2]};"
-            f" {found.counts.split('since the start: ')[1].strip()}",
+            f"{kind}: useful {dict(result.statuses)}, slowest {result.slowest_s:.3f} s; console {dict(result.console_statuses)}, slowest"
+            f" {result.console_slowest_s:.3f} s; discovery called after {', '.join(f'{value:.2f}' for value in result.call_delays)} s;"
+            f" descriptors {result.most_descriptors}; {len(result.error_lines)} lines {result.error_lines[:2]};"
+            f" {result.counts.split('since the start: ')[1].strip()}",
             flush=True,
         )
 
--- a/tests/test_no_request_lost.py
+++ b/tests/test_no_request_lost.py
@@ -1,4 +1,4 @@
-"""Each request has one final answer while its client still waits, however its backend's answer stops on the way."""
+"""Each request gets one final answer while its client still waits, even if its backend's answer stops midway."""
 
 from __future__ import annotations
 
@@ -9,93 +9,98 @@
 
 from tests.scene import SETTINGS, ProxyTestCase
 
-KINDS = ("look", "book", "pay")
-# One of the proxy's own, whichever: on a busy machine the time may be over before it is sent on.
-FINAL = "-> 50[234] '(scrapped|bounced)'"
-# A new connection may take so long here that silence alone ends nothing before a test is over.
-FAR = {**SETTINGS, "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 20_000.0}}
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n"
-CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+USE_CASES = ("look", "book", "pay")
+# Any answer of the proxy itself: on a busy machine the time may be over before the request is sent.
+FINAL_ANSWER = "-> 50[234] '(scrapped|bounced)'"
+# A connect timeout so long that no silence timeout ends an attempt within the test.
+LONG_CONNECT_TIMEOUT_SETTINGS = {
+    **SETTINGS,
+    "policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 20_000.0},
+}
+ANSWER_HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 class AnswersThatStopShort(ProxyTestCase):
     async def asyncSetUp(self) -> None:
-        await self.open("a1", settings=FAR)
-        self.writes, self.drips = HEAD, b""
-        self.fake_backends["a1"].answer = self.stops
+        await self.open("a1", settings=LONG_CONNECT_TIMEOUT_SETTINGS)
+        self.answer_start, self.repeated_part = ANSWER_HEAD, b""
+        self.fake_backends["a1"].answer = self.answer_partly
 
-    async def stops(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Its answer begins and never ends."""
+    async def answer_partly(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """A backend whose answer begins and never ends."""
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(self.writes)
+        writer.write(self.answer_start)
         with contextlib.suppress(OSError):
-            while self.drips and not reader.at_eof():
-                writer.write(self.drips)
+            while self.repeated_part and not reader.at_eof():
+                writer.write(self.repeated_part)
                 await asyncio.sleep(0.01)
             await reader.read()
         return False
 
-    async def told(self, use: str, number: int) -> str:
-        """What a client of 300 ms hears: well before anything else would end its request."""
+    async def ask_with_deadline(self, use_case: str, number: int) -> str:
+        """What a client that waits 300 ms receives: well before anything else would end its request."""
         async with asyncio.timeout(10):
-            await self.ask(use, self.request(use, number, left=300))
-        return next(line for line in reversed(self.lines) if line.startswith(f"{use} -> "))
+            await self.ask(use_case, self.request(use_case, number, left=300))
+        return next(line for line in reversed(self.lines) if line.startswith(f"{use_case} -> "))
 
     async def test_one_that_stops_short_is_answered_within_its_client_s_time(self) -> None:
-        """Silence of half a second ended it, and a client of less time left with no answer: five in 1,000 on a simulated day."""
+        """Only a silence of half a second ended such an answer, so a client with less time left got no answer: five in
+        1,000 on a simulated day.
+        """
         number = 0
-        for writes in (
-            HEAD,
-            HEAD + b"half",
-            CHUNKED,
-            CHUNKED + b"4\r\nhalf\r\n",
+        for answer_start in (
+            ANSWER_HEAD,
+            ANSWER_HEAD + b"half",
+            CHUNKED_HEAD,
+            CHUNKED_HEAD + b"4\r\nhalf\r\n",
             b"HTTP/1.1 200 OK\r\nConte",
             b"HTTP/1.1 500 No\r\nContent-Length: 40\r\n\r\nhalf",
         ):
-            self.writes = writes
-            for use in KINDS:
+            self.answer_start = answer_start
+            for use_case in USE_CASES:
                 number += 1
-                # Each for itself: what the ones before told of the backend is another matter.
+                # The cases are independent: the backend's failures in previous cases are reset.
                 backend = self.proxy._facade._backends["a1"]
                 backend.failures, backend.run_failed = 0, 0
                 backend.results.clear()
-                self.assertRegex(await self.told(use, number), FINAL, (writes, use))
+                self.assertRegex(await self.ask_with_deadline(use_case, number), FINAL_ANSWER, (answer_start, use_case))
 
     async def test_one_that_drips_without_end_is_answered_within_its_client_s_time(self) -> None:
-        """Each part began the silence anew."""
-        self.writes, self.drips = CHUNKED, b"1\r\nx\r\n"
-        for number, use in enumerate(KINDS, 1):
-            self.assertRegex(await self.told(use, number), FINAL, use)
+        """Each part of the answer restarted the silence timer."""
+        self.answer_start, self.repeated_part = CHUNKED_HEAD, b"1\r\nx\r\n"
+        for number, use_case in enumerate(USE_CASES, 1):
+            self.assertRegex(await self.ask_with_deadline(use_case, number), FINAL_ANSWER, use_case)
 
 
 class TimeWhileABodyComes(ProxyTestCase):
     async def test_it_stands_until_the_body_s_last_byte(self) -> None:
-        """Its backend answers before it has the whole body, after longer than the client waits once it has sent all."""
-        await self.open("a1", settings=FAR)
-        half, rest = asyncio.Event(), asyncio.Event()
+        """The backend answers before it has the whole body, later than the client waits once it has sent everything."""
+        await self.open("a1", settings=LONG_CONNECT_TIMEOUT_SETTINGS)
+        may_begin, may_finish = asyncio.Event(), asyncio.Event()
 
-        async def early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        async def answer_early(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             await reader.readuntil(b"\r\n\r\n")
-            await half.wait()
+            await may_begin.wait()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nab")
-            await rest.wait()
+            await may_finish.wait()
             writer.write(b"cd")
             with contextlib.suppress(OSError):
                 while await reader.read(65536):
                     pass
             return False
 
-        self.fake_backends["a1"].answer = early
+        self.fake_backends["a1"].answer = answer_early
         body = "x" * 4 * MAX_HELD_BODY_BYTES
-        sent = self.request("book", 1, body, left=1000)
+        request = self.request("book", 1, body, left=1000)
         reader, writer = await self.connect()
-        writer.write(sent[:-MAX_HELD_BODY_BYTES])
-        await asyncio.sleep(1.1)  # past its time, which begins with its last byte
-        half.set()
-        await asyncio.sleep(0.1)  # the answer's head waits at the proxy; were it late, it would come behind the body
-        writer.write(sent[-MAX_HELD_BODY_BYTES:])
-        await asyncio.sleep(0.1)  # and is read with the body's next part; were it not, the answer is whole all the same
-        rest.set()
+        writer.write(request[:-MAX_HELD_BODY_BYTES])
+        await asyncio.sleep(1.1)  # longer than the client's time, which starts with its last byte
+        may_begin.set()
+        await asyncio.sleep(0.1)  # the answer's head waits at the proxy; if it were late, it would follow the body
+        writer.write(request[-MAX_HELD_BODY_BYTES:])
+        await asyncio.sleep(0.1)  # and is read with the next part of the body; if not, the answer is still complete
+        may_finish.set()
         async with asyncio.timeout(10):
             self.assertIn("200 'abcd'", await self.hear(reader))
         writer.close()
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,6 @@
-"""Load reports: what answers tell, what is made of it, and that a spoilt one is worth no less than none."""
+"""Load reports: how answers carry them, how they affect decisions, and that an invalid report has the same effect as
+none.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +15,8 @@
 
 from tests.scene import SECOND, SETTINGS, TraceTestCase, BalancerTestCase, ProxyTestCase
 
-ORCA = "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active={}\r\nContent-Length: 2\r\n\r\nok"
-SPOILT = ("nan", "inf", "-5", "many", "", "1e400")
+ORCA_ANSWER = "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active={}\r\nContent-Length: 2\r\n\r\nok"
+INVALID_VALUES = ("nan", "inf", "-5", "many", "", "1e400")
 
 
 class Read(TraceTestCase):
@@ -34,9 +36,9 @@
             "active=3",
             "",
         ):
-            told = parse_load_report(load_reports.pairs_of([(b"Endpoint-Load-Metrics", text.encode())]))
+            metrics = parse_load_report(load_reports.reported_metrics([(b"Endpoint-Load-Metrics", text.encode())]))
             self.lines.append(
-                f"{text or 'nothing'} -> held {told.get(terms.LOAD_ACTIVE)}, waiting {told.get(terms.LOAD_WAITING)}"
+                f"{text or 'nothing'} -> held {metrics.get(terms.LOAD_ACTIVE)}, waiting {metrics.get(terms.LOAD_WAITING)}"
             )
         self.compare_trace("reports_read")
 
@@ -58,61 +60,65 @@
             {"reporting": {}},
         ):
             try:
-                made = read_settings(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
-                said = f"asked {made.polls_list}, beside its client {made.is_sidecar}, reported by {made.reported_by}"
+                policy_settings = read_settings(json.loads(json.dumps({**copy.deepcopy(SETTINGS), **changes})), 5)
+                result = f"asked {policy_settings.polls_list}, beside its client {policy_settings.is_sidecar}, reported by {policy_settings.reported_by}"
             except SettingsError as error:
-                said = f"turned down: {error}"
-            self.lines.append(f"{json.dumps(changes)}: {said}")
+                result = f"turned down: {error}"
+            self.lines.append(f"{json.dumps(changes)}: {result}")
         self.compare_trace("reports_settings")
 
 
 class Decided(BalancerTestCase):
-    def sent(self, reports_of: dict[str, str], age: float = 0.1, **changes: object) -> str:
-        """Forty tickets of 0.1 s, one each 0.1 s, with what backends say of themselves ahead of each."""
+    def count_choices(self, reports_of: dict[str, str], age_s: float = 0.1, **changes: object) -> str:
+        """Sends forty tickets of 0.1 s each, one every 0.1 s, with a load report of each backend before each ticket.
+        Returns the counts per backend.
+        """
         self.open("a1", "b1", "c1", "d1", **changes)
         counts = dict.fromkeys(self.backends, 0)
-        refused = 0
+        refused_count = 0
         for _ in range(40):
             for name, text in reports_of.items():
                 self.balancer.record_load_report(
-                    self.backends[name], parse_load_report([("active", text)]), self.now - int(age * SECOND)
+                    self.backends[name], parse_load_report([("active", text)]), self.now - int(age_s * SECOND)
                 )
             ticket = self.ticket()
-            picked = self.where(ticket, True)
-            if isinstance(picked, Backend):
-                counts[picked.address] += 1
+            choice = self.where(ticket, True)
+            if isinstance(choice, Backend):
+                counts[choice.address] += 1
                 self.after(ticket, DONE, 0.1, quiet=True)
             else:
-                refused += 1
-        return ", ".join(f"{name} {count}" for name, count in counts.items()) + f", refused {refused}"
+                refused_count += 1
+        return ", ".join(f"{name} {count}" for name, count in counts.items()) + f", refused {refused_count}"
 
     def test_a_crowded_backend_is_passed_over_and_an_old_or_spoilt_report_is_none(self) -> None:
-        lines = [f"no report: {self.sent({})}"]
-        none = lines[0].partition(": ")[2]
-        lines.append(f"a1 holds 30, the others 1: {self.sent({'a1': '30', 'b1': '1', 'c1': '1', 'd1': '1'})}")
-        old = self.sent({"a1": "30", "b1": "1", "c1": "1", "d1": "1"}, age=2.5)
-        lines.append(f"the same, told 2.5 s ago: {old}")
-        self.assertEqual(old, none)
-        for text in SPOILT:
-            spoilt = self.sent({"a1": text})
-            lines.append(f"a1 tells {text!r}: {spoilt}")
-            self.assertEqual(spoilt, none)
-        lines.append(f"a1 alone tells, of 1e8: {self.sent({'a1': '1e8'})}")
+        lines = [f"no report: {self.count_choices({})}"]
+        without_report = lines[0].partition(": ")[2]
+        lines.append(f"a1 holds 30, the others 1: {self.count_choices({'a1': '30', 'b1': '1', 'c1': '1', 'd1': '1'})}")
+        with_old_report = self.count_choices({"a1": "30", "b1": "1", "c1": "1", "d1": "1"}, age_s=2.5)
+        lines.append(f"the same, told 2.5 s ago: {with_old_report}")
+        self.assertEqual(with_old_report, without_report)
+        for text in INVALID_VALUES:
+            with_invalid_report = self.count_choices({"a1": text})
+            lines.append(f"a1 tells {text!r}: {with_invalid_report}")
+            self.assertEqual(with_invalid_report, without_report)
+        lines.append(f"a1 alone tells, of 1e8: {self.count_choices({'a1': '1e8'})}")
         self.lines = lines
         self.compare_trace("reports_decided")
 
     def test_one_backend_that_lies_shuts_nobody_out(self) -> None:
-        """The floor of the prediction goes by the median: with the mean, one figure of 1e8 took the floor from all."""
-        told = {"a1": "1e8", "b1": "1", "c1": "1", "d1": "1"}
-        self.assertTrue(self.sent(told).endswith("refused 0"))
+        """The floor of the prediction uses the median: with the mean, one figure of 1e8 removed the floor from all
+        backends.
+        """
+        reports = {"a1": "1e8", "b1": "1", "c1": "1", "d1": "1"}
+        self.assertTrue(self.count_choices(reports).endswith("refused 0"))
 
 
 class OnSockets(ProxyTestCase):
     async def test_answers_tell_and_their_header_goes_no_further(self) -> None:
         settings = {**SETTINGS, "reporting": {"how": "piggyback", "names": ["active", "cpu"]}}
         await self.open("a1", "b1", settings=settings)
-        self.fake_backends["a1"].does = [ORCA.format(9)] * 8
-        self.fake_backends["b1"].does = [ORCA.format(0)] * 8
+        self.fake_backends["a1"].does = [ORCA_ANSWER.format(9)] * 8
+        self.fake_backends["b1"].does = [ORCA_ANSWER.format(0)] * 8
         reader, writer = await self.connect()
         heads = []
         for number in range(8):
@@ -120,44 +126,44 @@
             heads.append((await reader.readuntil(b"\r\n\r\n")).lower())
             await reader.readexactly(2)
         writer.close()
-        told = {one.address: one.told for one in self.proxy._facade._backends.values()}
-        self.assertEqual(told, {"a1": 9.0, "b1": 0.0})
+        reported = {one.address: one.told for one in self.proxy._facade._backends.values()}
+        self.assertEqual(reported, {"a1": 9.0, "b1": 0.0})
         self.assertFalse([head for head in heads if b"load-metrics" in head])
 
     async def test_new_settings_turn_reports_on_and_off_and_a_file_cut_short_is_turned_down(self) -> None:
-        def given(reporting: dict[str, object] | None) -> None:
+        def write_configuration(reporting: dict[str, object] | None) -> None:
             settings = {**SETTINGS, "family": "mesh", "reporting": reporting}
             if reporting is None:
                 del settings["reporting"]
             self.given = json.dumps({**json.loads(self.given), "settings": settings})
 
         await self.open("a1")
-        given({"how": "piggyback", "names": ["active"]})
-        on = self.read_again()
+        write_configuration({"how": "piggyback", "names": ["active"]})
+        with_reports = self.read_again()
         facade = self.proxy._facade
-        told = []
-        facade.reconfigure(on.policy_settings, SECOND)
+        reported = []
+        facade.reconfigure(with_reports.policy_settings, SECOND)
         facade.record_load_report("a1", {terms.LOAD_ACTIVE: 7.0}, SECOND)
-        told.append(facade._backends["a1"].told)
-        given({"how": "silent", "names": []})
-        facade.reconfigure(self.read_again(on).policy_settings, SECOND)
+        reported.append(facade._backends["a1"].told)
+        write_configuration({"how": "silent", "names": []})
+        facade.reconfigure(self.read_again(with_reports).policy_settings, SECOND)
         facade.record_load_report("a1", {terms.LOAD_ACTIVE: 3.0}, SECOND)
-        told.append(facade._backends["a1"].told)
-        self.assertEqual(told, [7.0, 7.0])
-        for reporting, said in (
+        reported.append(facade._backends["a1"].told)
+        self.assertEqual(reported, [7.0, 7.0])
+        for reporting, message in (
             (None, "settings: reporting: missing"),
             ({"how": "silent"}, "settings: reporting: names: missing"),
             ({"how": "loud", "names": []}, "settings: reporting: how: 'loud' is not one of"),
         ):
-            given(reporting)
-            with self.assertRaisesRegex(BootstrapError, said):
-                self.read_again(on)
+            write_configuration(reporting)
+            with self.assertRaisesRegex(BootstrapError, message):
+                self.read_again(with_reports)
 
     async def test_a_spoilt_report_ends_no_ticket_and_an_unasked_one_counts_for_nothing(self) -> None:
         await self.open("a1")
-        self.fake_backends["a1"].does = [ORCA.format(text) for text in SPOILT] + [ORCA.format(4)]
+        self.fake_backends["a1"].does = [ORCA_ANSWER.format(text) for text in INVALID_VALUES] + [ORCA_ANSWER.format(4)]
         reader, writer = await self.connect()
-        for number in range(len(SPOILT) + 1):
+        for number in range(len(INVALID_VALUES) + 1):
             writer.write(self.request("look", number))
             self.assertEqual(await self.hear(reader), "200 'ok'")
         writer.close()
