--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -99,7 +99,7 @@
 class Call:
     """One request from a caller. `on_leave` is called if its client leaves before the answer.
 
-    `ticket` is set once the request is a valid ticket, so neither `bad` nor a question about the proxy itself.
+    `ticket` is set once the request is a valid ticket: it is then neither `bad` nor a question about the proxy itself.
     `has_left` checks, also in the kernel, whether the client has left: docs/crossings.md defines what counts as
     leaving.
     """
@@ -190,12 +190,12 @@
     """Accepts the callers' connections, serves their requests, and closes idle connections where descriptors run short."""
 
     def __init__(
-        self, handle: Callable[[Call], Awaitable[Answer]], budget: Budget, pool: Pool, log: Log, longest_wait: int
+        self, handle: Callable[[Call], Awaitable[Answer]], budget: Budget, pool: Pool, log: Log, max_client_wait: int
     ) -> None:
         self._handle = handle
         # The longest time that any client waits for an answer. A client that takes longer to read its answer or to send
         # the next request is assumed to have left.
-        self._longest_wait = longest_wait
+        self._max_client_wait = max_client_wait
         self._budget = budget
         self._pool = pool
         self._log = log
@@ -210,11 +210,11 @@
         self._closing = False
         self._listener: socket.socket | None = None
         self._disconnect_watcher = DisconnectWatcher(pool.max_bytes // READ_AHEAD_DIVISOR)
-        self._accepting: asyncio.Task[None]
+        self._accept_task: asyncio.Task[None]
         budget.register_idle_closer(self._close_one)
 
-    def reconfigure(self, longest_wait: int) -> None:
-        self._longest_wait = longest_wait
+    def reconfigure(self, max_client_wait: int) -> None:
+        self._max_client_wait = max_client_wait
 
     @property
     def open(self) -> int:
@@ -224,7 +224,7 @@
     def listen(self, address: tuple[str, int], shared: bool = False) -> int:
         """Starts to listen and returns the port."""
         self._listener = open_listener(address, shared)
-        self._accepting = asyncio.get_running_loop().create_task(self._accept(self._listener))
+        self._accept_task = asyncio.get_running_loop().create_task(self._accept(self._listener))
         port: int = self._listener.getsockname()[1]
         return port
 
@@ -243,7 +243,7 @@
         if self._listener is None:
             return False
         # The task waits between two accepts, so no accepted connection is lost by cancelling it.
-        self._accepting.cancel()
+        self._accept_task.cancel()
         was_queued = False
         while (accepted := _accept_one(self._listener)) is not None:
             # This may exceed the limit, but only once per connection: left in the queue, the connection would be reset.
@@ -306,7 +306,7 @@
         except Exception as error:  # ends only this connection
             accepted.close()
             self._budget.release()
-            self._log.say(f"a connection was not taken: {error}")
+            self._log.say(f"an accepted connection could not be set up: {error}")
             return
         connection.call_when_lost(self._budget.release)
         connection.disconnect_watcher = self._disconnect_watcher
@@ -541,7 +541,7 @@
         idle_most = (
             FIRST_BYTE_TIMEOUT_US
             if self._budget.is_above(CLOSE_WITHOUT_TICKET_SHARE)
-            else max(FIRST_BYTE_TIMEOUT_US, self._longest_wait)
+            else max(FIRST_BYTE_TIMEOUT_US, self._max_client_wait)
         )
         for caller in list(self._callers):
             since = caller.waiting_since
@@ -550,7 +550,7 @@
             idle = caller in self._idle
             reading_answer = caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE)
             if reading_answer:
-                limit = self._longest_wait
+                limit = self._max_client_wait
             elif idle:
                 limit = idle_most if caller.answered else FIRST_BYTE_TIMEOUT_US
             else:
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -51,7 +51,7 @@
         if figures:
             line = f"{line}: " + ", ".join(f"{name} {value}" for name, value in figures.items())
         if dropped_lines:
-            line = f"{line} ({dropped_lines} lines kept back before this)"
+            line = f"{line} ({dropped_lines} lines suppressed by the rate limit before this)"
         self._print(f"{now // 1000 / 1000:.3f} {self._name}: {line[:MAX_LINE_CHARACTERS]}", MAX_LINE_CHARACTERS + 200)
 
     @staticmethod
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -122,7 +122,7 @@
         self.port = 0
         self._process_pause = ProcessPause(
             lambda: self._discovery.has_unread_data,
-            lambda: self._tell("woke", lambda extension: extension.process_resumed()),
+            lambda: self._tell("process resumed", lambda extension: extension.process_resumed()),
         )
         self._counts: dict[str, int] = {}  # keyed by outcomes and texts in the code, so its size is bounded by the code
 
@@ -167,7 +167,7 @@
             return text_answer(error.status, str(error))
         except Exception as error:  # ends only this ticket, which gets an answer
             self._count("exceptions")
-            self._log.say(f"a ticket ended by {type(error).__name__}: {error}")
+            self._log.say(f"a ticket failed with {type(error).__name__}: {error}")
             return INTERNAL_ERROR_ANSWER
 
     async def _serve_ticket(self, call: Call, proxy_headers: dict[bytes, bytes]) -> Answer | None:
@@ -221,12 +221,12 @@
         if admission is not None:
             self._facade.limit_attempts(ticket, admission.terms.max_attempts)
         # Attempts under an idempotency key count across tickets and restarts, where the request store records them.
-        shelf = self._gate.request_store if self._gate is not None and retry_class == REFERENCED else None
-        idempotency_key = proxy_headers[b"idempotency-key"].decode("latin-1") if shelf is not None else ""
-        if shelf is not None and shelf.enabled:
-            for past in shelf.attempts_of(use_case, idempotency_key):
+        request_store = self._gate.request_store if self._gate is not None and retry_class == REFERENCED else None
+        idempotency_key = proxy_headers[b"idempotency-key"].decode("latin-1") if request_store is not None else ""
+        if request_store is not None and request_store.enabled:
+            for past in request_store.attempts_of(use_case, idempotency_key):
                 self._facade.restore_attempt(ticket, past.backend, past.cell, past.sent, past.ran)
-        elif shelf is not None and any(header == b"client-retry" for header, _ in headers):
+        elif request_store is not None and any(header == b"client-retry" for header, _ in headers):
             # Without the store there is no record of how often this request was sent: a retry gets one attempt.
             self._facade.limit_attempts(ticket, 1)
         forwarded_headers = [pair for pair in end_to_end_headers(headers) if pair[0] != b"request-timeout"]
@@ -292,8 +292,8 @@
                     step = self._facade.report(ticket, outcome, clock.now(), False)
                     continue
                 record = None
-                if shelf is not None and shelf.enabled:
-                    record = await shelf.record_attempt(
+                if request_store is not None and request_store.enabled:
+                    record = await request_store.record_attempt(
                         use_case,
                         idempotency_key,
                         step.backend,
@@ -304,15 +304,15 @@
                     if record is None or not context.may_still_send():
                         outcome = "moot"
                         if record is not None:
-                            shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                            request_store.record_outcome(use_case, idempotency_key, record, outcome)
                         step = self._facade.report(ticket, outcome, clock.now(), False)
                         continue
                 if self._discovery.confirmation.expired:
                     self._discovery.confirmation.request_refused(request_id)
                     self._count("list expired")
                     outcome = "moot"
-                    if shelf is not None and record is not None:
-                        shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                    if request_store is not None and record is not None:
+                        request_store.record_outcome(use_case, idempotency_key, record, outcome)
                     step = self._facade.report(ticket, outcome, clock.now(), False)
                     continue
                 if attempts:
@@ -334,8 +334,8 @@
                 self._count(outcome)
                 if answer is not None:
                     answer = strip_load_report(answer)
-                if shelf is not None and record is not None:
-                    shelf.record_outcome(use_case, idempotency_key, record, outcome)
+                if request_store is not None and record is not None:
+                    request_store.record_outcome(use_case, idempotency_key, record, outcome)
                 retry_allowed = admission is None or self._gate is None or self._gate.retry_allowed(admission, outcome)
                 # The part of the body that was already read is gone, so another attempt would send an incomplete body.
                 retry_allowed = retry_allowed and (rest is None or not rest.started)
@@ -376,8 +376,8 @@
             return Answer(answer.status, end_to_end_headers(answer.headers), answer.body, length)
         if step.action == BOUNCE:
             self._count("bounces")
-            advice = [(b"retry-after", f"{step.wait / 1e6:.3f}".encode())] if step.wait > 0 else []
-            return text_answer(503, "bounced", *advice)
+            retry_after = [(b"retry-after", f"{step.wait / 1e6:.3f}".encode())] if step.wait > 0 else []
+            return text_answer(503, "bounced", *retry_after)
         if step.action == SCRAP:
             self._count("scraps")
             return text_answer(504 if outcome == "timed out" else 502, "scrapped")
@@ -425,17 +425,17 @@
     def limit_descriptors(self, share: float) -> None:
         """Limits this process to a share of the descriptors, since two processes of one proxy share them."""
         self._budget.set_share(share)
-        self._log.say(f"keeps to {self._budget.limit} connections")
+        self._log.say(f"limited to {self._budget.limit} connections")
 
     def handover_state(self) -> HandoverState:
         """The state that the next process takes over."""
-        endpoints, told_by_source = self._discovery.handover_list()
+        endpoints, received_from_source = self._discovery.handover_list()
         deadline = self._discovery.confirmation.hard_deadline
         return HandoverState(
             self._discovery.source,
             endpoints,
             self._facade.export_learned(clock.now()),
-            told_by_source,
+            received_from_source,
             None if deadline is None else round(deadline * 1e6),
         )
 
@@ -453,7 +453,7 @@
             if state.learned is not None:
                 self._facade.import_learned(state.learned, clock.now())
         except ValueError as error:
-            self._log.say(f"what the process before passed on is not taken: {error}")
+            self._log.say(f"state handed over by the previous process rejected: {error}")
 
     def _configured_discovery(self) -> str:
         """The discovery address in the configuration file, which may have been replaced since this process started."""
@@ -465,12 +465,12 @@
     def has_backend(self, backend: str) -> bool:
         return self._facade.has_backend(backend)
 
-    def reapply_filters(self, by: Extension, lines: list[Endpoint]) -> None:
+    def reapply_filters(self, source: Extension, endpoints: list[Endpoint]) -> None:
         """Applies `endpoints` as the extension `source` has filtered them; extensions behind it in the order filter
         them as well.
         """
-        before = [one for one in self._extensions if one.filter_endpoints is not None]
-        self._discovery.publish(lines, False, before.index(by) + 1)
+        filtering = [extension for extension in self._extensions if extension.filter_endpoints is not None]
+        self._discovery.publish(endpoints, False, filtering.index(source) + 1)
 
     @property
     def policy_settings(self) -> PolicySettings:
@@ -501,8 +501,8 @@
         return self._callers.steer(to)
 
     def send_away(self, on: bool) -> None:
-        """Redirects clients elsewhere or ends that: new ones are not accepted as ready, and present ones are closed
-        with the answer to their next request, or while they are idle.
+        """Redirects clients elsewhere, or ends that: /ready answers that clients must not come, and present connections
+        are closed with the answer to their next request, or while they are idle.
 
         While the proxy stops it redirects clients by itself, and this call cannot bring them back.
         """
@@ -562,7 +562,7 @@
         self._log_counts()
 
     def stop(self) -> None:
-        """Begins the stop; `serve` drains and returns."""
+        """Begins to stop the proxy: `serve` then drains it and returns."""
         if not self._stopping.is_set():
             self._has_successor = any(extension.has_successor for extension in self._extensions)
         self._stopping.set()
@@ -579,17 +579,17 @@
             return
         old = self._bootstrap
         self._log.say(
-            f"configuration read anew, discovery at {format_address(new.discovery)},"
+            f"configuration reloaded, discovery at {format_address(new.discovery)},"
             f" use cases {', '.join(use_case.name for use_case in new.policy_settings.use_cases)}"
         )
         if deferred := [name for name in RESTART_ONLY_SETTINGS if getattr(new, name) != getattr(old, name)]:
-            self._log.say(f"not before the next start: {', '.join(deferred)}")
+            self._log.say(f"takes effect only at the next start: {', '.join(deferred)}")
         self._bootstrap = new
         self._facade.reconfigure(new.policy_settings, clock.now())
         self._backends.reconfigure(new.connect_timeout, new.idle_timeout)
         self._callers.reconfigure(new.policy_settings.max_outer_limit)
         self._discovery.configuration_changed(new.discovery, self._process_pause.seconds_since_check)
-        self._tell("told anew", lambda one: one.settings_changed(new.policy_settings))
+        self._tell("settings changed", lambda extension: extension.settings_changed(new.policy_settings))
 
     async def _drain(self) -> None:
         """Serves until the last ticket is answered or the process has to exit. Connections are accepted to the end,
@@ -603,11 +603,11 @@
         kill_after = min(self._bootstrap.policy_settings.max_outer_limit / 1e6, MAX_GRACE_S) + GRACE_MARGIN_S
         self._log.say(
             f"stopping, {self._facade.open_tickets} tickets in hand"
-            + (", another process serves on" if self._has_successor else "")
+            + (", another process takes over" if self._has_successor else "")
         )
         give_up_after = kill_after - GIVE_UP_MARGIN_S
         self._facade.limit_deadlines(clock.now() + round(give_up_after * 1e6))
-        self._tell("leaving", lambda extension: extension.drain_started(clock.now() + round(give_up_after * 1e6)))
+        self._tell("drain started", lambda extension: extension.drain_started(clock.now() + round(give_up_after * 1e6)))
         loop.call_later(give_up_after, self._backends.give_up_all, "timed out")
         if self._has_successor:
             # New connections go to the next process, and those here close with their answers.
@@ -639,12 +639,12 @@
                 self._budget.trim()
                 self._tell("sweep", lambda extension: extension.sweep())
             except Exception as error:  # nothing else closes these connections, so the loop has to go on
-                self._log.say(f"a sweep ended by {type(error).__name__}: {error}")
+                self._log.say(f"a sweep failed with {type(error).__name__}: {error}")
             if round_number % SWEEPS_PER_COUNTS_LINE == 0:
                 self._log_counts()
 
     def _log_counts(self) -> None:
-        counts = ", ".join(f"{what} {count}" for what, count in sorted(self._counts.items()))
+        counts = ", ".join(f"{event} {count}" for event, count in sorted(self._counts.items()))
         self._log.say(
             f"since the start: {counts or 'nothing yet'}; {self._callers.open} callers,"
             f" {self._facade.open_tickets} tickets in hand, {self._budget.open} connections,"
@@ -652,8 +652,8 @@
             + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
         )
         self._log.say(self._discovery.metrics.line())
-        for what, times in invariants.broken.items():
-            self._log.say(f"did not hold {times} times: {what}")
+        for invariant, times in invariants.broken.items():
+            self._log.say(f"invariant violated {times} times: {invariant}")
 
 
 def run(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -180,7 +180,10 @@
         error_lines = [
             line
             for line in proxy_process.log_lines
-            if "accept failed" in line or "loop:" in line or "Too many" in line or "connection was not taken" in line
+            if "accept failed" in line
+            or "loop:" in line
+            or "Too many" in line
+            or "connection could not be set up" in line
         ]
     return Result(
         statuses, slowest_s, console_statuses, console_slowest_s, call_delays, most_descriptors, error_lines, counts
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -475,7 +475,7 @@
         ):
             await self.open("a1")
             callers = self.proxy._callers
-            callers._longest_wait = 600_000
+            callers._max_client_wait = 600_000
             streams = {kind: await self.connect() for kind in ("silent", "dripping", "asked once")}
             sent = self.request("look", 1)
             streams["dripping"][1].write(sent[:1])
@@ -768,7 +768,13 @@
             lines_before = len(self.logged)
             os.kill(os.getpid(), signal.SIGHUP)
             await self.until(
-                lambda: len(self.watches) == watches and any("new" in line for line in self.logged[lines_before:])
+                lambda: (
+                    len(self.watches) == watches
+                    and any(
+                        "the new configuration" in line or "configuration reloaded" in line
+                        for line in self.logged[lines_before:]
+                    )
+                )
             )
         second_watch, old_watch = self.heard[1], self.heard[0]
         for version, watch in ((5, 0), (6, 1)):
