--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -57,15 +57,15 @@
 
     def __init__(
         self,
-        house: ConfigurationManager,
+        manager: ConfigurationManager,
         members: Members | None,
         say: Callable[..., None],
         shared: Shared | None = None,
     ) -> None:
-        self._manager = house
+        self._manager = manager
         self._shared = shared
         self._members = members
-        control = house.active_configuration.version.read.own.control
+        control = manager.active_configuration.version.read.own.control
         assert control.socket is not None
         self._control = Control(control.socket, control.connections, control.within / 1e6, self.answer, say)
         self._host: ExtensionHost
@@ -118,20 +118,20 @@
                 yield {**part, **group}
 
     async def _apply_change(self, command: str, arguments: dict[str, Any]) -> Change:
-        house, who, why = self._manager, arguments.get("who") or "ctl", arguments.get("why") or "none given"
+        manager, who, why = self._manager, arguments.get("who") or "ctl", arguments.get("why") or "none given"
         if command == "confirm":
-            return await house.confirm(arguments.get("number"), who, why)
+            return await manager.confirm(arguments.get("number"), who, why)
         if command == "undo":
-            return await house.undo(arguments.get("number"), who, why)
+            return await manager.undo(arguments.get("number"), who, why)
         if command == "propose":
             text = arguments.get("text")
-            return await (house.propose_file(who, why) if text is None else house.propose_text(text, who, why))
-        return await house.drain(arguments.get("id") or "", bool(arguments.get("undo")), who, why)
+            return await (manager.propose_file(who, why) if text is None else manager.propose_text(text, who, why))
+        return await manager.drain(arguments.get("id") or "", bool(arguments.get("undo")), who, why)
 
     def _read_state(self, command: str) -> Iterable[dict[str, Any]]:
-        house, facade = self._manager, self._host.facade
+        manager, facade = self._manager, self._host.facade
         if command == "status":
-            active = house.active_configuration
+            active = manager.active_configuration
             change = active.ledger.open
             yield {
                 "ok": True,
@@ -142,7 +142,7 @@
                 "in_hand": facade.open_tickets,
                 "stopping": self._host.stopping,
                 "open_change": None if change is None else _change(change),
-                "kept_out": dict(house.kept_out),
+                "kept_out": dict(manager.kept_out),
                 "limits": active.gates(),
                 "distribution": None if self._shared is None else self._shared.status(),
                 "since_change": {
@@ -152,7 +152,7 @@
                 },
             }
         elif command == "history":
-            yield from _rows("changes", map(_change, house.active_configuration.ledger.history))
+            yield from _rows("changes", map(_change, manager.active_configuration.ledger.history))
         elif command == "tickets":
             yield from _rows("tickets", facade.tickets(clock.now()))
         elif command == "backends":
--- a/pepperusher/net/buffers.py
+++ b/pepperusher/net/buffers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# Up to this much of a body is buffered, in buffers of the second size. Most bodies fit one buffer. With buffers of 64
+# Up to MAX_HELD_BODY_BYTES of a body are buffered, in buffers of BUFFER_BYTES. Most bodies fit one buffer. With buffers of 64
 # KiB, a few hundred callers that send only a part took half of a small proxy's memory.
 MAX_HELD_BODY_BYTES = 64 * 1024
 BUFFER_BYTES = 4 * 1024
@@ -25,6 +25,7 @@
         return self.length > MAX_HELD_BODY_BYTES or self.length > BUFFER_BYTES and self._pool.exhausted
 
     def add(self, data: bytes) -> None:
+        """Appends data, in buffers from the pool."""
         while data:
             offset = self.length % BUFFER_BYTES
             if not offset:
--- a/pepperusher/net/load_reports.py
+++ b/pepperusher/net/load_reports.py
@@ -33,6 +33,7 @@
 
 
 def _parse_header(text: str) -> Iterator[tuple[str, Any]]:
+    """The pairs in one header's value, in text or JSON form; nothing if it cannot be read."""
     form, _, content = text.strip().partition(" ")
     if form == "TEXT":
         for item in content.split(","):
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -8,9 +8,9 @@
 
 from pepperusher.net import clock
 
-LINES_PER_SECOND = 5  # lines per second on average
-BURST_LINES = 40  # lines in one burst
-MAX_LINE_CHARACTERS = 400  # characters per line
+LINES_PER_SECOND = 5  # on average
+BURST_LINES = 40  # allowed at once after a quiet time
+MAX_LINE_CHARACTERS = 400
 MAX_STRUCTURED_CHARACTERS = 4000
 
 
@@ -26,6 +26,7 @@
         self._formatter: Callable[[dict[str, Any]], str] | None = None
 
     def set_formatter(self, formatter: Callable[[dict[str, Any]], str]) -> None:
+        """Sets the formatter for lines in another form than plain text."""
         self._formatter = formatter
 
     def write_event(self, event: str, **figures: Any) -> None:
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -45,7 +45,7 @@
         self.status = status
 
 
-class Rest(Protocol):
+class StreamedBody(Protocol):
     """The part of a body that is not buffered but read while it is sent on. Once `started`, data that was read is gone;
     `error` holds why the body was incomplete or invalid, and the status of the answer to it.
     """
@@ -63,7 +63,7 @@
     target: bytes
     headers: Headers
     body: memoryview | bytes  # as much of it as is buffered
-    rest: Rest | None = None  # the part of the body behind `body`
+    rest: StreamedBody | None = None  # the part of the body behind `body`
     length: int | None = None  # of the whole body, if there is a rest and the head has a Content-Length
 
 
--- a/pepperusher/net/process_pause.py
+++ b/pepperusher/net/process_pause.py
@@ -26,8 +26,8 @@
 
 
 class ProcessPause:
-    """`has_unread` says whether data of discovery waits on its connections; `on_pause` is called once for each pause of
-    the process.
+    """Detects pauses of the process. `has_unread` says whether data of discovery waits on its connections; `on_pause` is
+    called once for each pause.
     """
 
     def __init__(self, has_unread: Callable[[], bool], on_pause: Callable[[], None]) -> None:
@@ -71,6 +71,7 @@
             self.lateness_us = max(self._checked_at - due, self.lateness_us - self.lateness_us // LATENESS_DECAY)
 
     def _record_pause(self) -> None:
+        """Counts the pause, reports it, and starts to catch up on pending data."""
         self._checked_at = clock.now()
         self.count += 1
         self._on_pause()
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -54,7 +54,7 @@
 # Load balancers in front notice within this time (microseconds) that operators redirect clients; idle connections are
 # closed after it.
 REDIRECT_CLOSE_DELAY_US = 600_000
-SWEEPS_PER_COUNTS_LINE = 240
+SWEEPS_PER_COUNTS_LINE = 240  # one line a minute
 # Held bodies take at most this fraction of the memory that the process may use. The program itself takes the first
 # part, and each connection has buffers besides.
 BODY_MEMORY_DIVISOR = 8
@@ -62,6 +62,7 @@
 RESTART_ONLY_SETTINGS = ("name", "listen", "sockets", "memory", "console")
 # Outcomes of an attempt that say how long the work takes.
 OUTCOMES_THAT_MEASURE_WORK = ("done", "error", "timed out", "reset")
+# What a ticket that no backend answered counts as.
 FINAL_OUTCOMES = {BOUNCE: "bounced", SCRAP: "scrapped"}
 
 # Builds the proxy's extensions from the configuration it is started with.
--- a/pepperusher/net/request_headers.py
+++ b/pepperusher/net/request_headers.py
@@ -8,7 +8,7 @@
 
 # Longest timeout that a client may give, in microseconds; a longer one is rejected as invalid.
 MAX_TIMEOUT_US = 3600 * 1_000_000
-MICROSECONDS_OF = {b"m": 1000, b"u": 1}
+MICROSECONDS_PER_UNIT = {b"m": 1000, b"u": 1}
 DECIMAL_NUMBER = re.compile(rb"[0-9]{1,16}(\.[0-9]{1,16})?")
 PROXY_HEADERS = frozenset(
     (b"host", b"request-id", b"request-class", b"tenant", b"request-timeout", b"work-hint", b"idempotency-key")
@@ -25,24 +25,24 @@
 
 def read_headers(headers: Headers) -> dict[bytes, bytes]:
     """Returns the headers that the proxy itself uses, by name. Raises BadRequest."""
-    read: dict[bytes, bytes] = {}
+    values: dict[bytes, bytes] = {}
     for name, value in headers:
         if name in PROXY_HEADERS:
             # A backend may use the other one of two.
-            if name in read:
+            if name in values:
                 raise BadRequest(f"two of {name.decode()}")
-            read[name] = value
+            values[name] = value
         elif name == b"connection":
             # Headers that Connection names are removed: without its Idempotency-Key the request would reach the backend
             # unprotected against repeats.
             if any(part.strip().lower() in PROXY_HEADERS for part in value.split(b",")):
                 raise BadRequest("Connection names a header of the ticket")
-    return read
+    return values
 
 
 def duration_of(name: str, text: bytes, unit_us: int, expected_form: str) -> int:
-    """A duration in a header as microseconds; `unit` is the value of 1 in microseconds, `expected_form` is for the
-    error text. Raises BadRequest.
+    """A duration in a header as microseconds; `unit_us` is what the number 1 stands for, `expected_form` is for the error
+    text. Raises BadRequest.
     """
     # float() alone would also accept 1e3, 1_0 and nan.
     if not DECIMAL_NUMBER.fullmatch(text):
@@ -56,7 +56,7 @@
 def timeout_of(value: bytes) -> int:
     """The value of Request-Timeout in microseconds. Raises BadRequest."""
     expected_form = "a number and m or u"
-    unit_us = MICROSECONDS_OF.get(value[-1:])
+    unit_us = MICROSECONDS_PER_UNIT.get(value[-1:])
     if unit_us is None:
         raise BadRequest(f"Request-Timeout is not {expected_form}")
     return duration_of("Request-Timeout", value[:-1], unit_us, expected_form)
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -1,7 +1,7 @@
 """Crowds of clients that leave while they wait, around a whole proxy in a process of its own.
 
 Stand-in backends record when the first byte of each attempt arrives; clients record when they left. An attempt that
-begins more than `SLACK` seconds after that was sent although nobody waits for it. Run as a program, this module prints
+begins more than `SLACK_S` seconds after that was sent although nobody waits for it. Run as a program, this module prints
 the cases by kind: `python -m tests.leavers [rounds]`.
 """
 
@@ -36,7 +36,7 @@
 
 
 class Backend:
-    """Records each attempt and answers it according to `plan`: a status, or "reset", after so many seconds."""
+    """Records each attempt and answers it according to `behaviour_plan`: a status, or "reset", after so many seconds."""
 
     def __init__(
         self, attempt_times: dict[str, list[float]], behaviour_plan: dict[str, list[tuple[float, str]]]
@@ -45,7 +45,7 @@
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.port: int = self.listener.getsockname()[1]
-        self.filling_sockets: list[socket.socket] = []
+        self._filling_sockets: list[socket.socket] = []
         self.server: asyncio.Server | None = None
 
     async def open(self) -> None:
@@ -59,10 +59,10 @@
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(("127.0.0.1", self.port))
-            self.filling_sockets.append(filler)
+            self._filling_sockets.append(filler)
 
     def close(self) -> None:
-        for filler in self.filling_sockets:
+        for filler in self._filling_sockets:
             filler.close()
         if self.server is not None:
             self.server.close()
@@ -102,7 +102,7 @@
         before_start: Callable[[], None] | None = None,
         **bootstrap_changes: Any,
     ) -> None:
-        """`before` runs in the proxy's process before its program starts."""
+        """`before_start` runs in the proxy's process before its program starts."""
         self.before_start = before_start
         self.attempt_times: dict[str, list[float]] = defaultdict(list)
         self.behaviour_plan: dict[str, list[tuple[float, str]]] = {}
@@ -219,7 +219,7 @@
                 await asyncio.sleep(0.002)
 
     def late_attempts(self) -> dict[str, list[float]]:
-        """By kind of case, the delays of the attempts that began more than SLACK seconds after their client left."""
+        """By kind of case, the delays of the attempts that began more than SLACK_S seconds after their client left."""
         delays: dict[str, list[float]] = {case: [] for case, _ in self.left_at.values()}
         for name, (case, left_at) in self.left_at.items():
             delay = max(self.attempt_times.get(name, [left_at]), default=left_at) - left_at
@@ -240,14 +240,18 @@
 
 
 class LeavingClients:
+    """Starts clients that leave at various times; each method is one kind of case."""
+
     def __init__(self) -> None:
         self.count = 0
 
     def next_id(self) -> str:
+        """A request id that was not used before."""
         self.count += 1
         return f"{self.count}"
 
     def pipelined_requests(self, size: int) -> bytes:
+        """Valid requests of at least `size` bytes in all."""
         requests = b""
         while len(requests) < size:
             requests += request("pay", self.next_id(), "x" * 3000)
@@ -359,6 +363,7 @@
 
 
 async def run_cases(rounds: int) -> dict[str, tuple[int, list[float]]]:
+    """Runs all cases. Returns, by kind, how many there were and the delays of those that were late."""
     results: dict[str, tuple[int, list[float]]] = {}
 
     def add_results(proxy_process: ProxyProcess) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -36,6 +36,8 @@
 
 
 class Crossing(ProxyTestCase):
+    """Helpers for tests of races."""
+
     def connect_socket(self) -> socket.socket:
         """A client's socket outside the event loop: what it sends is in the kernel before the loop runs again."""
         client = socket.create_connection(("127.0.0.1", self.proxy.port), timeout=10)
@@ -57,10 +59,11 @@
         """
         for number in range(len(self.fake_backends)):
             await self.ask("look", self.request("look", 90 + number))
-        await self.until(lambda: all(door.idle for door in self.proxy._backends._doors.values()))
+        await self.until(lambda: all(connections.idle for connections in self.proxy._backends._doors.values()))
         self.proxy._counts.clear()
 
     def backends_reached_by(self, number: int | str = "") -> list[str]:
+        """The backends that received the request with this number, in order."""
         return [line.split()[0] for line in self.lines if " gets " in line and f"id {number}" in line]
 
     async def wait_for_backend_close(self) -> None:
@@ -103,22 +106,22 @@
         """
         await self.open("a1", "b1", settings=NO_CANCEL_SETTINGS)
         pending_leavers: list[socket.socket] = []
-        for toy in self.fake_backends.values():
+        for fake_backend in self.fake_backends.values():
 
             async def answer_and_leave(
-                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = fake_backend.answer
             ) -> bool:
-                goes_on = await answer(reader, writer)
+                keeps_open = await answer(reader, writer)
                 if pending_leavers:
                     pending_leavers.pop().shutdown(socket.SHUT_WR)
-                return goes_on
+                return keeps_open
 
-            toy.answer = answer_and_leave
+            fake_backend.answer = answer_and_leave
         await self.open_idle_connections()
         for use_case, status in (("look", "503"), ("book", "502"), ("pay", "502")):
             client = self.connect_socket()
-            for toy in self.fake_backends.values():
-                toy.does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
+            for fake_backend in self.fake_backends.values():
+                fake_backend.does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
             del self.lines[:]
             pending_leavers.append(client)
             client.sendall(self.request(use_case, 7))
@@ -265,14 +268,16 @@
         await self.open("a1", "b1")
 
         async def close_backend_side() -> None:
-            toy = next(toy for toy in self.fake_backends.values() if toy.connections)
-            toy.writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
+            fake_backend = next(
+                fake_backend for fake_backend in self.fake_backends.values() if fake_backend.connections
+            )
+            fake_backend.writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
 
         for number, use_case in enumerate(USE_CASES, 1):
-            for toy in self.fake_backends.values():
-                toy.connections = 0
-            for door in self.proxy._backends._doors.values():
-                self.proxy._backends._close_idle(door)
+            for fake_backend in self.fake_backends.values():
+                fake_backend.connections = 0
+            for connections in self.proxy._backends._doors.values():
+                self.proxy._backends._close_idle(connections)
             await self.run_before_first_byte(close_backend_side)
             await self.ask(use_case, self.request(use_case, number))
             self.assertIn("-> 200", self.lines[-1])
@@ -284,8 +289,8 @@
         """
         await self.open("a1")
         for number, use_case in enumerate(USE_CASES, 1):
-            for door in self.proxy._backends._doors.values():
-                self.proxy._backends._close_idle(door)
+            for connections in self.proxy._backends._doors.values():
+                self.proxy._backends._close_idle(connections)
             await self.run_before_first_byte(
                 lambda: (
                     self.proxy._backends.give_up_all("timed out"),
@@ -306,8 +311,8 @@
             await self.run_before_first_byte(lambda: client.shutdown(socket.SHUT_WR))
             client.sendall(self.request("look", number))
             self.assertEqual("503 end", await self.read_to_end(client))
-            for door in self.proxy._backends._doors.values():
-                self.proxy._backends._close_idle(door)
+            for connections in self.proxy._backends._doors.values():
+                self.proxy._backends._close_idle(connections)
         self.assertEqual([], self.backends_reached_by())
         self.assertEqual(["closed"], [one["state"] for one in self.proxy._facade.backends()])
 
@@ -329,8 +334,8 @@
         await self.ask("look 2", self.request("look", 2))
         self.assertEqual(["z1"], self.backends_reached_by(2))
         # Moves it back while a connection is being set up.
-        for door in self.proxy._backends._doors.values():
-            self.proxy._backends._close_idle(door)
+        for connections in self.proxy._backends._doors.values():
+            self.proxy._backends._close_idle(connections)
 
         async def move_back() -> None:
             self.endpoint_update(4, self.line("a1"))
@@ -444,7 +449,7 @@
         """
         await self.open("a1")
         self.proxy._backends._settles = 60_000_000
-        toy, previous_answer = self.fake_backends["a1"], b""
+        fake_backend, previous_answer = self.fake_backends["a1"], b""
 
         async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             nonlocal previous_answer
@@ -457,26 +462,26 @@
             return True
 
         answer_twice.reader = None
-        toy.answer = answer_twice
+        fake_backend.answer = answer_twice
         for number in (11, 12, 13):
             await self.ask(f"pay {number}", self.request("pay", number))
             self.assertIn(f"-> 200 '{number}'", self.lines[-1])
-        self.assertEqual(3, toy.connections)
+        self.assertEqual(3, fake_backend.connections)
         # A connection is reused once its settle time is over.
         self.proxy._backends._settles = 0
-        toy.__dict__.pop("answer")
+        fake_backend.__dict__.pop("answer")
         await self.ask("pay 14", self.request("pay", 14))
-        self.assertEqual(3, toy.connections)
+        self.assertEqual(3, fake_backend.connections)
 
     @mock.patch("pepperusher.net.backends.MAX_SETTLE_TIME_US", 60_000_000)
     async def test_how_late_a_second_answer_comes_is_learned(self) -> None:
         await self.open("a1")
         await self.ask("look 1", self.request("look", 1))
-        door = self.proxy._backends._doors["a1"]
-        await self.until(lambda: door.idle)
-        door.idle[0].idle_since -= 80_000
+        connections = self.proxy._backends._doors["a1"]
+        await self.until(lambda: connections.idle)
+        connections.idle[0].idle_since -= 80_000
         self.fake_backends["a1"].writers[-1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        await self.until(lambda: not door.idle)
+        await self.until(lambda: not connections.idle)
         self.assertGreaterEqual(self.proxy._backends._settles, 160_000)
 
 
@@ -618,19 +623,19 @@
         """Both orders are tested: otherwise the attempt would be counted twice, or would stay in flight for ever."""
         for behaviour in ("ok", "break", "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"):
             await self.open("a1")
-            toy = self.fake_backends["a1"]
+            fake_backend = self.fake_backends["a1"]
             pending_leavers: list[socket.socket] = []
 
             async def answer_and_leave(
-                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = toy.answer
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answer: object = fake_backend.answer
             ) -> bool:
-                goes_on = await answer(reader, writer)
+                keeps_open = await answer(reader, writer)
                 pending_leavers.pop().shutdown(socket.SHUT_WR)
-                return goes_on
+                return keeps_open
 
-            toy.answer = answer_and_leave
+            fake_backend.answer = answer_and_leave
             for number, use_case in enumerate(USE_CASES):
-                toy.does = [behaviour]
+                fake_backend.does = [behaviour]
                 client = self.connect_socket()
                 pending_leavers.append(client)
                 client.sendall(self.request(use_case, number))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -101,6 +101,7 @@
 
 
 async def run_scenario(kind: str, outage_s: float = OUTAGE_S) -> Result:
+    """Runs idle clients of one kind, regular clients and console calls through three outages of discovery."""
     statuses, console_statuses, call_delays, error_lines = Counter[str](), Counter[str](), list[float](), list[str]()
     slowest_s = console_slowest_s = 0.0
     most_descriptors, request_number = 0, 0
@@ -150,8 +151,8 @@
 
         await proxy_process.stop_discovery()
         tasks = [
-            asyncio.create_task(backend)
-            for backend in (
+            asyncio.create_task(coroutine)
+            for coroutine in (
                 *(hold_connection(client_number) for client_number in range(IDLE_CLIENTS)),
                 *(send_requests(client_number) for client_number in range(5)),
                 poll_console(),
@@ -235,8 +236,8 @@
                 if number % 10 == 9:
                     for stream, _ in regular[number - 9 : number + 1]:
                         await self.hear(stream)
-        for door in self.proxy._backends._doors.values():
-            self.proxy._backends._close_idle(door)
+        for connections in self.proxy._backends._doors.values():
+            self.proxy._backends._close_idle(connections)
         # One fewer than may be accepted: a descriptor is reserved for the next connection.
         silent_clients = [await self.connect() for _ in range(21)]
         await self.until(lambda: self.proxy._callers.open == 71)
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -135,7 +135,7 @@
                 await self.until(lambda: self.proxy._counts.get("done") == 41)
                 self.assertEqual(
                     [f"{number}" for number in range(1, 42)],
-                    [caller.split(" id ")[1].split()[0] for caller in self.lines if " id " in caller],
+                    [line.split(" id ")[1].split()[0] for line in self.lines if " id " in line],
                 )
                 watcher = self.proxy._callers._disconnect_watcher
                 self.assertEqual(
@@ -151,18 +151,18 @@
                 await self.open("a1", "b1", "c1")
                 watcher = self.proxy._callers._disconnect_watcher
                 watcher._max_bytes = 500_000
-                for toy in self.fake_backends.values():
-                    toy.does = ["silent"] * 3
+                for fake_backend in self.fake_backends.values():
+                    fake_backend.does = ["silent"] * 3
                 clients = [self.connect_socket() for _ in range(3)]
                 for number, client in enumerate(clients):
                     client.sendall(self.request("look", number, left=30_000))
                 await self.until(lambda: len(self.backends_reached_by()) == 3)
                 most_held = 0
-                lines = [caller.connection for caller in self.proxy._callers._callers]
+                connections = [caller.connection for caller in self.proxy._callers._callers]
                 async with asyncio.timeout(20):
                     for client in clients:
                         client.setblocking(False)
-                    while any(connection.transport.is_reading() for connection in lines):
+                    while any(connection.transport.is_reading() for connection in connections):
                         for client in clients:
                             try:
                                 client.send(b"GET /look/ahead HTTP/1.1\r\n" + b"x" * 8000)
@@ -170,9 +170,11 @@
                                 pass
                         await asyncio.sleep(0)
                         most_held = max(most_held, watcher.read_ahead_bytes)
-                self.assertEqual(watcher.read_ahead_bytes, sum(len(connection._read_ahead) for connection in lines))
+                self.assertEqual(
+                    watcher.read_ahead_bytes, sum(len(connection._read_ahead) for connection in connections)
+                )
                 # The limit may be exceeded by at most what the loop reads at once.
-                self.assertLess(max(len(connection._read_ahead) for connection in lines), 300_000 + 256 * 1024)
+                self.assertLess(max(len(connection._read_ahead) for connection in connections), 300_000 + 256 * 1024)
                 self.assertLess(most_held, 500_000 + 2 * 256 * 1024)
                 for client in clients:
                     if way == "resets":
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -118,8 +118,8 @@
         await self.open("a1", "b1")
         for number in (1, 2):
             await self.ask(f"look {number}", self.request("look", number))
-        for toy in self.fake_backends.values():
-            toy.does = ["garble"]
+        for fake_backend in self.fake_backends.values():
+            fake_backend.does = ["garble"]
         reader, writer = await self.connect()
         writer.write(self.request("look", 3))
         await self.hear(reader)
@@ -185,8 +185,8 @@
         ):
             self.fake_backends["a1"].does = [behaviour, "ok"]
             frozen_now.return_value += 1
-            for link in backends._doors["a1"].idle:
-                link.idle_since -= idle_ms * 1000
+            for connection in backends._doors["a1"].idle:
+                connection.idle_since -= idle_ms * 1000
             connections_before = self.fake_backends["a1"].connections
             await self.ask("look 1", self.request("look", 1))
             self.lines[-2:] = []
@@ -214,8 +214,10 @@
         moment only, and are retried.
         """
         await self.open("a1", "b1")
-        for toy in self.fake_backends.values():
-            toy.does = [f"HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nno" for status in ("404 None", "429 Many")]
+        for fake_backend in self.fake_backends.values():
+            fake_backend.does = [
+                f"HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nno" for status in ("404 None", "429 Many")
+            ]
         for number in range(3):
             await self.ask(f"look {number}", self.request("look", number))
         self.lines.append(
@@ -318,15 +320,15 @@
 
     async def test_an_answer_already_read_counts_though_the_timer_is_late(self) -> None:
         await self.open("a1")
-        toy = self.fake_backends["a1"]
-        original_answer = toy.answer
+        fake_backend = self.fake_backends["a1"]
+        original_answer = fake_backend.answer
 
         async def answer_and_block(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
             goes_on = await original_answer(reader, writer)
             time.sleep(0.35)  # blocks the whole event loop, including the proxy's timer
             return goes_on
 
-        toy.answer = answer_and_block
+        fake_backend.answer = answer_and_block
         await self.ask("pay 1", self.request("pay", 1, left=300))
         self.compare_trace("net_late_timer")
 
@@ -433,7 +435,7 @@
         """
         await self.open("a1")
         sent = Request(b"GET", b"/", [], b"")
-        how, _ = await self.proxy._backends.attempt(
+        outcome, _ = await self.proxy._backends.attempt(
             "a1",
             sent,
             Attempt(),
@@ -449,7 +451,7 @@
                 lambda: False,
             ),
         )
-        self.lines.append(how)
+        self.lines.append(outcome)
         self.compare_trace("net_unframed")
 
     async def test_an_exception_ends_its_ticket_alone(self) -> None:
@@ -506,11 +508,11 @@
         callers = self.proxy._callers._callers
         await self.until(
             lambda: [
-                one
-                for one in callers
-                if one.waiting_since is not None
-                and one.connection.bytes_received == len(first_bytes)
-                and not one.connection.unread_bytes
+                caller
+                for caller in callers
+                if caller.waiting_since is not None
+                and caller.connection.bytes_received == len(first_bytes)
+                and not caller.connection.unread_bytes
             ]
         )
         return client, next(iter(callers)).connection
@@ -543,7 +545,7 @@
             self.assertEqual((1, True), (self.proxy._callers.open, connection.closing))
             client.close()
             await self.until(lambda: not self.proxy._callers.open)
-        self.assertEqual([], [connection for connection in self.logged if "serving" not in connection])
+        self.assertEqual([], [line for line in self.logged if "serving" not in line])
         self.compare_trace("net_late")
 
     async def test_what_is_read_on_behind_such_an_answer_has_a_bound(self) -> None:
@@ -683,8 +685,8 @@
         """Connections to backends were limited to half of all descriptors, which included those of callers."""
         await self.open("a1", "b1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
         self.left = LONG_TIMEOUT_MS
-        for toy in self.fake_backends.values():
-            toy.does = ["slow"] * 40
+        for fake_backend in self.fake_backends.values():
+            fake_backend.does = ["slow"] * 40
         streams = [await self.connect() for _ in range(20)]
         for number, (_, writer) in enumerate(streams):
             writer.write(self.request("pay", number))
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -29,8 +29,8 @@
 
 
 async def read_head_of(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
-    first, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
-    return first, {name.lower(): value for name, value in (line.split(": ", 1) for line in rest)}
+    start_line, *header_lines = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
+    return start_line, {name.lower(): value for name, value in (line.split(": ", 1) for line in header_lines)}
 
 
 async def read_body_of(reader: asyncio.StreamReader, fields: dict[str, str], pause: float = 0.0) -> tuple[int, str]:
@@ -43,13 +43,13 @@
             await reader.readline()
         while (await reader.readline()).strip():
             pass
-    left = int(fields.get("content-length", 0)) if "content-length" in fields else None
-    while left or left is None and "transfer-encoding" not in fields:
-        part = await reader.read(min(CHUNK_BYTES, left or CHUNK_BYTES))
+    bytes_left = int(fields.get("content-length", 0)) if "content-length" in fields else None
+    while bytes_left or bytes_left is None and "transfer-encoding" not in fields:
+        part = await reader.read(min(CHUNK_BYTES, bytes_left or CHUNK_BYTES))
         if not part:
             break
         length, _ = length + len(part), digest.update(part)
-        left = None if left is None else left - len(part)
+        bytes_left = None if bytes_left is None else bytes_left - len(part)
         if pause:
             await asyncio.sleep(pause)
     return length, digest.hexdigest()[:8]
@@ -61,7 +61,7 @@
         settings: dict[str, object] = SETTINGS,
         **handlers: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[object]],
     ) -> None:
-        """Starts a Street whose backends handle each connection with the given functions."""
+        """Starts a proxy and backends that handle each connection with the given functions."""
         await self.open(*handlers, settings=settings)
         for name, fake_backend in self.fake_backends.items():
             fake_backend.server.close()
@@ -71,13 +71,13 @@
         """A backend that reads each request's body and answers with its length and digest."""
         try:
             while True:
-                first, fields = await read_head_of(reader)
+                start_line, fields = await read_head_of(reader)
                 if "transfer-encoding" not in fields:
                     fields.setdefault("content-length", "0")  # a request without either header has no body
                 length, digest = await read_body_of(reader, fields)
                 framing = "chunked" if "transfer-encoding" in fields else "with a length"
                 self.lines.append(
-                    f"    a backend gets {first.split('?')[0]} {framing}, {length} bytes {digest}"
+                    f"    a backend gets {start_line.split('?')[0]} {framing}, {length} bytes {digest}"
                     + (f", {name}" if (name := fields.get("x-trailer")) else "")
                 )
                 text = f"{length} {digest}".encode()
@@ -261,7 +261,7 @@
                 reader, writer = await self.connect()
                 writer.write(self.request("look", len(self.lines)).replace(b"1.1", version.encode(), 1))
                 try:
-                    first, fields = await read_head_of(reader)
+                    start_line, fields = await read_head_of(reader)
                     length, digest = await read_body_of(reader, fields)
                     framing = "length" if "content-length" in fields else fields.get("transfer-encoding", "its end")
                     result = f"{length} bytes, {'the same' if digest == hashlib.sha256(body).hexdigest()[:8] else 'others'}, by {framing}"
@@ -311,15 +311,15 @@
         async def send_bodiless(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while True:
                 try:
-                    first, _ = await read_head_of(reader)
+                    start_line, _ = await read_head_of(reader)
                 except asyncio.IncompleteReadError:
                     return
-                self.lines.append(f"    a backend gets {first}")
+                self.lines.append(f"    a backend gets {start_line}")
                 status = (
                     "204 None"
-                    if "none" in first
+                    if "none" in start_line
                     else "304 Same"
-                    if "same" in first
+                    if "same" in start_line
                     else "200 OK\r\nContent-Length: 12345"
                 )
                 writer.write(f"HTTP/1.1 {status}\r\n\r\n".encode())
@@ -330,10 +330,10 @@
             streams[1].write(
                 self.request("look", len(self.lines)).replace(b"GET /look/page?q=1", f"{method} {target}".encode())
             )
-            first, fields = await read_head_of(streams[0])
-            if first.split()[1] in ("502", "503"):
+            start_line, fields = await read_head_of(streams[0])
+            if start_line.split()[1] in ("502", "503"):
                 await read_body_of(streams[0], fields)
-            self.lines.append(f"{method} {target} -> {first}, length {fields.get('content-length')}")
+            self.lines.append(f"{method} {target} -> {start_line}, length {fields.get('content-length')}")
         self.lines = [line for line in self.lines if "discovery" not in line]
         self.compare_trace("streams_bodiless")
 
@@ -409,11 +409,11 @@
                             await writer.drain()
                             if part % 8 == 0:
                                 await asyncio.sleep(0.005)
-                        first, fields = await read_head_of(reader)
+                        start_line, fields = await read_head_of(reader)
                         received, _ = await read_body_of(reader, fields, 0.005 if length < 4 * 1024 * 1024 else 0.0)
                         writer.close()
-                        if " 503" not in first:
-                            return f"{first.split()[1]} {received == length}"
+                        if " 503" not in start_line:
+                            return f"{start_line.split()[1]} {received == length}"
                         number += 100
 
                 async with asyncio.timeout(30):
