--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -81,6 +81,7 @@
         self._control.close()
 
     async def answer(self, command: str, arguments: dict[str, Any]) -> AsyncIterator[dict[str, Any]]:
+        """Answers one command, in one or several parts."""
         try:
             if command in ("propose", "confirm", "undo", "drain"):
                 yield {"ok": True, "change": _change(await self._apply_change(command, arguments))}
@@ -103,6 +104,7 @@
             yield part
 
     def _group_answers(self, command: str, arguments: dict[str, Any]) -> Iterable[dict[str, Any]]:
+        """Answers commands about the group of proxies."""
         group = self._members.members() if self._members is not None else None
         if group is None or self._members is None:
             yield {"ok": False, "why": "this proxy is in no group" + ("" if self._members is None else " yet")}
@@ -118,6 +120,7 @@
                 yield {**part, **group}
 
     async def _apply_change(self, command: str, arguments: dict[str, Any]) -> Change:
+        """Carries out a command that changes the configuration."""
         manager, who, why = self._manager, arguments.get("who") or "ctl", arguments.get("why") or "none given"
         if command == "confirm":
             return await manager.confirm(arguments.get("number"), who, why)
@@ -129,6 +132,7 @@
         return await manager.drain(arguments.get("id") or "", bool(arguments.get("undo")), who, why)
 
     def _read_state(self, command: str) -> Iterable[dict[str, Any]]:
+        """Answers commands that only read the proxy's state."""
         manager, facade = self._manager, self._host.facade
         if command == "status":
             active = manager.active_configuration
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -70,6 +70,7 @@
         budget.register_idle_closer(self._close_oldest)
 
     def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
+        """Applies a changed configuration."""
         self._connect_timeout, self._idle_timeout = connect_timeout / 1e6, idle_timeout // 2
         self._max_idle_us = min(self._max_idle_us, self._idle_timeout)
 
@@ -104,6 +105,7 @@
                 self._forget_if_unused(name, connections)
 
     def _forget_if_unused(self, backend: str, connections: BackendConnections) -> None:
+        """Drops a backend that is off the list and has no attempts under way."""
         if not connections.listed and not connections.attempts:
             self._doors.pop(backend, None)
 
@@ -116,11 +118,13 @@
     # --- idle connections -------------------------------------------------------------------------
 
     def _close_idle(self, connections: BackendConnections) -> None:
+        """Closes all idle connections to a backend."""
         while connections.idle:
             self._drop(connections, connections.idle[-1])
 
     @staticmethod
     def _drop(connections: BackendConnections, connection: BackendConnection) -> None:
+        """Closes one connection, and removes it from the idle ones."""
         if connection in connections.idle:
             connections.idle.remove(connection)
         connection.stream.abort()
@@ -138,11 +142,13 @@
         return True
 
     def sweep(self, now: int) -> None:
+        """Closes connections that have been idle for too long."""
         for connections in self._doors.values():
             while connections.idle and now - connections.idle[0].idle_since >= self._max_idle_us:
                 self._drop(connections, connections.idle[0])
 
     def _add_idle(self, connections: BackendConnections, connection: BackendConnection) -> None:
+        """Keeps a connection as idle and watches it for unexpected events."""
         if connection.parser.our_state is h11.DONE:
             connection.parser.start_next_cycle()
         connection.idle_since = clock.now()
@@ -171,6 +177,7 @@
         return True
 
     def _take_idle_connection(self, connections: BackendConnections) -> BackendConnection | None:
+        """Takes the connection that was used last and can be reused, if there is one."""
         now = clock.now()
         for index in range(len(connections.idle) - 1, -1, -1):
             connection = connections.idle[index]
@@ -201,6 +208,9 @@
     async def _connect(
         self, connections: BackendConnections, attempt: Attempt, timeout_s: float
     ) -> BackendConnection | str:
+        """Opens a connection, or returns the outcome of the attempt: `moot` without a descriptor, `unreached`
+        otherwise.
+        """
         for turns_left in range(CONNECT_LOOP_TURNS, -1, -1):
             if self._budget.acquire(BACKEND_SHARE, True):
                 break
@@ -272,6 +282,7 @@
         context: AttemptContext,
         forwarder: ResponseForwarder | None,
     ) -> tuple[str, Answer | None]:
+        """Makes the attempt on an idle or a new connection."""
         deadline = clock.now() + timeout_us
         connection = self._take_idle_connection(connections)
         idle_time = None if connection is None else clock.now() - connection.idle_since
--- a/pepperusher/net/budget.py
+++ b/pepperusher/net/budget.py
@@ -49,6 +49,7 @@
         self._idle_closers.append(close_one)
 
     def _close_idle_connection(self, needed: bool) -> bool:
+        """Closes an idle connection of any side; spared ones only if `needed`."""
         return (
             any(close_one(False) for close_one in self._idle_closers)
             or needed
--- a/pepperusher/net/buffers.py
+++ b/pepperusher/net/buffers.py
@@ -79,6 +79,7 @@
         return self._lent >= self._max_buffers
 
     def take(self) -> bytearray:
+        """Lends a buffer, a spare one if there is any."""
         self._lent += 1
         return self._spare.pop() if self._spare else bytearray(BUFFER_BYTES)
 
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -87,6 +87,7 @@
 
 
 async def _wait_readable(listening: socket.socket) -> None:
+    """Waits until the listener has a connection to accept."""
     loop = asyncio.get_running_loop()
     ready = loop.create_future()
     loop.add_reader(listening, lambda: ready.done() or ready.set_result(None))
@@ -165,17 +166,17 @@
         self.bytes_before = 0  # bytes received before the current request began
         self.waited_us = 0  # how long the proxy waited for parts of the current request so far
 
-    def set_waiting(self, on: bool) -> None:
+    def set_waiting(self, waiting: bool) -> None:
         """Records whether the proxy waits for the caller, within a request that is under way."""
         now = clock.now()
-        if on:
+        if waiting:
             self.waiting_since = now - self.waited_us
         elif self.waiting_since is not None:
             self.waited_us, self.waiting_since = now - self.waiting_since, None
 
-    def set_waiting_for_reader(self, on: bool) -> None:
+    def set_waiting_for_reader(self, waiting: bool) -> None:
         """Records whether the proxy waits for the caller to read a part of its answer."""
-        self.waiting_since = clock.now() if on else None
+        self.waiting_since = clock.now() if waiting else None
 
     @property
     def request_timeout(self) -> int:
@@ -214,6 +215,7 @@
         budget.register_idle_closer(self._close_one)
 
     def reconfigure(self, max_client_wait: int) -> None:
+        """Applies a changed configuration."""
         self._max_client_wait = max_client_wait
 
     @property
@@ -284,6 +286,7 @@
             self._start_serving(accepted)
 
     def _start_serving(self, accepted: socket.socket) -> None:
+        """Starts the task that serves an accepted connection."""
         # The task is not awaited: under load one loop iteration takes long, and only one connection would be accepted
         # in each.
         task = asyncio.get_running_loop().create_task(self._serve(accepted))
@@ -301,6 +304,7 @@
     # --- one connection ---------------------------------------------------------------------------
 
     async def _serve(self, accepted: socket.socket) -> None:
+        """Serves one connection until it ends."""
         try:
             connection = await wrap_socket(accepted)
         except Exception as error:  # ends only this connection
@@ -431,6 +435,7 @@
         return close or not call.ticket and not caller.sent_ticket and self._budget.is_above(CLOSE_WITHOUT_TICKET_SHARE)
 
     async def _reject(self, caller: Caller, error: BadMessage) -> None:
+        """Answers a message that is invalid or too late, and ends the connection."""
         connection = caller.connection
         if caller.parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -584,4 +589,5 @@
                 self._close_unless_pending(caller)
 
     def close_watcher(self) -> None:
+        """Releases the disconnect watcher's descriptor."""
         self._disconnect_watcher.close()
--- a/pepperusher/net/connection.py
+++ b/pepperusher/net/connection.py
@@ -132,11 +132,13 @@
                 self._stop_watching()
 
     def _remove_read_ahead(self, size: int) -> None:
+        """Removes bytes that were read ahead, here and from the watcher's sum."""
         del self._read_ahead[:size]
         if self.disconnect_watcher is not None:
             self.disconnect_watcher.read_ahead_bytes -= size
 
     def _stop_watching(self) -> None:
+        """Ends the watch for the peer's end."""
         if self._watched and self.disconnect_watcher is not None:
             self._watched = False
             self.disconnect_watcher.unwatch(self)
@@ -183,6 +185,7 @@
             self._on_lost = callback
 
     def _report_end(self) -> None:
+        """Calls `on_peer_end` once."""
         if not self.peer_ended:
             self.peer_ended = True
             if self.on_peer_end is not None:
@@ -265,6 +268,7 @@
         return not self._write_pending
 
     def send_end(self) -> None:
+        """Closes the sending direction."""
         if not self.transport.is_closing() and self.transport.can_write_eof():
             self.transport.write_eof()
 
@@ -297,6 +301,7 @@
             await asyncio.wait((self._discard_done,), timeout=timeout_s)
 
     def _finish_discarding(self) -> None:
+        """Ends the wait of `discard_until_closed`."""
         if self._discard_done is not None and not self._discard_done.done():
             self._discard_done.set_result(None)
 
--- a/pepperusher/net/disconnect_watcher.py
+++ b/pepperusher/net/disconnect_watcher.py
@@ -64,6 +64,7 @@
             self._poll.unregister(descriptor)
 
     def _handle_ended(self) -> None:
+        """Reports the connections whose end epoll has found."""
         assert self._poll is not None
         for descriptor, _ in self._poll.poll(0):
             if (connection := self._watched.get(descriptor)) is not None:
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -246,6 +246,7 @@
     # --- the answer -------------------------------------------------------------------------------
 
     async def _receive(self, forwarder: ResponseForwarder | None) -> tuple[str, Answer | None]:
+        """Receives the answer, and streams it to the client if it is long or slow."""
         head = self._head or await read_head(self._parser, self._connection, self._restart_silence_timer)
         if head is None:
             return self._attempt.outcome or ("reset" if self._attempt.written else "unreached"), None
@@ -287,6 +288,7 @@
     async def _forward(
         self, outcome: str, answer: Answer, length: int | None, forwarder: ResponseForwarder
     ) -> tuple[str, Answer | None]:
+        """Streams an answer to the client as it arrives."""
         for timer in (self._timeout_timer, self._silence_timer):
             if timer is not None:
                 timer.cancel()
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -57,6 +57,7 @@
 
     @staticmethod
     def _print(line: str, max_characters: int) -> None:
+        """Prints one line to standard error."""
         # The text may contain outside input: non-printable characters are replaced, so that one line stays one line.
         line = "".join(character if character.isprintable() else "?" for character in line[:max_characters])
         try:
--- a/pepperusher/net/message.py
+++ b/pepperusher/net/message.py
@@ -210,6 +210,7 @@
 def _encode(
     parser: h11.Connection, head: h11.Request | h11.Response, body: memoryview | bytes, whole: bool = True
 ) -> bytes:
+    """Encodes a head with its body; `whole` ends the message."""
     parts = [parser.send(head)]
     if body:
         parts.append(parser.send(h11.Data(data=body)))
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -234,6 +234,7 @@
         attempt: Attempt | None = None
 
         def cancel_attempt() -> None:
+            """Called when the client leaves while its ticket is in hand."""
             may_cancel = self._facade.caller_disconnected(ticket, clock.now()) or call.answer_started
             # Attempts under way continue where the settings forbid cancelling. A request that is not completely written
             # has not run and would only run later, after its client has left, so it is always cancelled.
@@ -385,6 +386,7 @@
         return None
 
     def _count(self, event: str) -> None:
+        """Counts an event for the line of counts in the log."""
         self._counts[event] = self._counts.get(event, 0) + 1
 
     # --- operations ---------------------------------------------------------------------------------
@@ -421,6 +423,7 @@
         return self._has_successor
 
     def sent_away(self) -> bool:
+        """Whether operators redirect clients elsewhere."""
         return self._sent_away_at is not None
 
     def limit_descriptors(self, share: float) -> None:
@@ -483,19 +486,23 @@
 
     @property
     def list_version(self) -> int:
+        """The version of the list in use."""
         return self._discovery.version
 
     @property
     def needs_list(self) -> bool:
+        """Whether the proxy has no list at all."""
         return self._discovery.needs_list and not self._stopping.is_set()
 
     def list_for_peers(self) -> tuple[int, dict[str, Any]] | None:
+        """The own list and when discovery last confirmed it, for other proxies of the group; None without a valid one."""
         if self._discovery.confirmation.expired:
             return None
         listed, confirmed_at = self._discovery.own_list(), self._discovery.confirmed_at
         return (confirmed_at, listed) if listed is not None and confirmed_at is not None and listed["servers"] else None
 
     def borrow_list(self, listed: dict[str, Any], confirmed_at: int) -> None:
+        """Uses the list of another proxy until discovery sends one."""
         self._discovery.borrow_list(parse_endpoint_update(listed), confirmed_at)
 
     def steer_connections(self, to: int | None) -> bool:
@@ -645,6 +652,7 @@
                 self._log_counts()
 
     def _log_counts(self) -> None:
+        """Logs what happened since the start, and broken invariants."""
         counts = ", ".join(f"{event} {count}" for event, count in sorted(self._counts.items()))
         self._log.say(
             f"since the start: {counts or 'nothing yet'}; {self._callers.open} callers,"
--- a/tests/leavers.py
+++ b/tests/leavers.py
@@ -186,6 +186,7 @@
         self.folder.cleanup()
 
     def connect(self) -> socket.socket:
+        """Opens a client's connection to the proxy."""
         client = socket.create_connection(("127.0.0.1", self.port), timeout=10)
         client.setblocking(False)
         # The kernel takes everything that is written, however much: a client that has left cannot write the rest.
@@ -214,6 +215,7 @@
         client.close()
 
     async def wait_until(self, condition: Callable[[], object], timeout_s: float = 10.0) -> None:
+        """Waits until the condition holds."""
         async with asyncio.timeout(timeout_s):
             while not condition():
                 await asyncio.sleep(0.002)
@@ -229,6 +231,7 @@
 
 
 def request(use_case: str, request_id: str, body: str = "", timeout_ms: int = 5000) -> bytes:
+    """A request as ProxyTestCase sends it."""
     return ProxyTestCase.request(None, use_case, request_id, body, timeout_ms)  # type: ignore[arg-type]
 
 
--- a/tests/skipping.py
+++ b/tests/skipping.py
@@ -33,6 +33,8 @@
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
+    """The loop whose clock skips to the next timer."""
+
     def __init__(self) -> None:
         self.now = 1000.0  # seconds
         selector = _SkippingSelector()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -67,6 +67,7 @@
         return [line.split()[0] for line in self.lines if " gets " in line and f"id {number}" in line]
 
     async def wait_for_backend_close(self) -> None:
+        """Waits until a backend sees its connection closed."""
         await self.until(lambda: any("connection is closed" in line for line in self.lines))
 
 
@@ -741,9 +742,11 @@
         return int(json.loads(self.given)["discovery"].split(":")[1])
 
     def send_on_watch(self, text: bytes, watch: int = -1) -> None:
+        """Sends text on a watch of discovery, by default the last one."""
         self.watches[watch].write(b"%x\r\n%s\r\n" % (len(text), text))
 
     def ready_backends(self) -> list[str]:
+        """The backends that the proxy knows as ready."""
         return sorted(one["id"] for one in self.proxy._facade.backends() if one["ready"])
 
     async def test_a_silence_is_over_in_time_wherever_it_begins(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -39,6 +39,8 @@
 
 
 class Result(NamedTuple):
+    """What one run of the scenario measured."""
+
     statuses: Counter[str]  # how requests of regular clients ended
     slowest_s: float  # the slowest answer, in seconds
     console_statuses: Counter[str]
@@ -69,6 +71,7 @@
         await super()._watched(reader, writer)
 
     async def stop_discovery(self) -> None:
+        """Makes discovery unreachable and ends its watches."""
         self.discovery.close()
         for writer in self.watch_writers:
             writer.transport.abort()
@@ -111,6 +114,7 @@
         discovery_port = proxy_process.discovery.sockets[0].getsockname()[1]
 
         async def hold_connection(client_number: int) -> None:
+            """One idle client that holds a connection, and connects again when it is closed."""
             attempt_number = 0
             while True:
                 attempt_number += 1
@@ -132,6 +136,7 @@
                 await asyncio.sleep({"come again at once": 0.01, "sent once": 3.0}.get(kind, 0.5))
 
         async def send_requests(client_number: int) -> None:
+            """One regular client."""
             nonlocal slowest_s, request_number
             while True:
                 request_number += 1
@@ -141,6 +146,7 @@
                 await asyncio.sleep(0.1)
 
         async def poll_console() -> None:
+            """Calls the console all the time."""
             nonlocal console_slowest_s, most_descriptors
             while True:
                 status, duration = await ask(proxy_process.console_port, READY_REQUEST)
@@ -193,6 +199,7 @@
 
 class Whole(unittest.IsolatedAsyncioTestCase):
     async def run_and_check(self, kind: str) -> Result:
+        """Runs a short scenario and checks what has to hold for every kind of client."""
         asyncio.get_running_loop().set_debug(False)
         async with asyncio.timeout(60):
             result = await run_scenario(kind, 1.0)
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -27,6 +27,7 @@
         asyncio.get_running_loop().set_debug(False)  # debug mode would distort the times that the tests check
 
     def assert_none_late(self, proxy_process: ProxyProcess, cases: int) -> None:
+        """Checks the number of cases, and that no attempt began after its client had left."""
         self.assertEqual(cases, len(proxy_process.left_at))
         self.assertEqual({case: [] for case, _ in proxy_process.left_at.values()}, proxy_process.late_attempts())
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,6 +94,7 @@
         self.compare_trace("net_outcomes")
 
     async def ask_and_discard(self, use_case: str, number: int) -> None:
+        """Sends a request whose lines are left out of the trace."""
         reader, writer = await self.connect()
         lines_before = len(self.lines)
         writer.write(self.request(use_case, number))
@@ -324,9 +325,9 @@
         original_answer = fake_backend.answer
 
         async def answer_and_block(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-            goes_on = await original_answer(reader, writer)
+            keeps_open = await original_answer(reader, writer)
             time.sleep(0.35)  # blocks the whole event loop, including the proxy's timer
-            return goes_on
+            return keeps_open
 
         fake_backend.answer = answer_and_block
         await self.ask("pay 1", self.request("pay", 1, left=300))
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -35,6 +35,7 @@
         time.sleep(PAUSE_S)
 
     async def assert_drained(self) -> None:
+        """Checks that all requests are answered, and none was sent to a1."""
         for reader, _ in self.open_streams:
             self.assertIn("200", await self.hear(reader))
         self.assertEqual([], [line for line in self.lines if "    a1 gets" in line])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -29,6 +29,7 @@
 
 
 async def read_head_of(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    """Reads a message's head: its start line, and its fields in lower case."""
     start_line, *header_lines = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     return start_line, {name.lower(): value for name, value in (line.split(": ", 1) for line in header_lines)}
 
@@ -87,6 +88,7 @@
             writer.close()
 
     def long_request(self, number: int, length: int, framing: str | None = None, left: int = 900) -> bytes:
+        """The head of a request with a long body, by default with a Content-Length."""
         framing_header = framing or f"Content-Length: {length}"
         return (
             f"POST /book/page?q=1 HTTP/1.1\r\nHost: h\r\nRequest-Id: {number}\r\nRequest-Timeout: {left}m\r\n"
@@ -400,6 +402,7 @@
             try:
 
                 async def peer(number: int, length: int) -> str:
+                    """Sends one long request and reads its answer; says whether all of it came."""
                     # a bounced request is sent again: fifty at once exceed what backends without history are given
                     while True:
                         reader, writer = await asyncio.open_connection(host, int(port), limit=CHUNK_BYTES)
