--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -21,8 +21,9 @@
 MIN_REUSE_IDLE_US = 10_000
 # Loop iterations that a connection needs to be set up once the kernel has it, with some to spare.
 CONNECT_LOOP_TURNS = 10
-# A connection is not reused for so long after its last answer: some backends send a second answer a little later, which
-# would be taken for the answer to the next ticket. If one comes later still, the time is raised, up to the maximum.
+# A connection is not reused for this long after its last answer: some backends send a second answer a little later,
+# which would be taken for the answer to the next ticket. If one comes later still, the time is raised, up to the
+# maximum.
 SETTLE_TIME_US = 20_000
 MAX_SETTLE_TIME_US = 200_000
 
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -30,22 +30,22 @@
     buffer_body,
 )
 
-# So many connections are accepted in a row before other tasks get a turn.
+# Connections accepted in a row before other tasks get a turn.
 ACCEPT_BATCH = 16
-# A connection that has sent nothing for so long after it was opened is closed.
+# A connection that has sent nothing for this long after it was opened is closed.
 FIRST_BYTE_TIMEOUT_US = 2_000_000
 # A request must be complete this long after its first byte, plus one second for every MIN_BYTES_PER_SECOND bytes
 # received. The limit does not run from the last byte, because a client that trickles bytes would keep its connection
 # for good. Legitimate clients take up to 2 s for a head and send 64 kB/s.
 REQUEST_TIMEOUT_US = 2_400_000
 MIN_BYTES_PER_SECOND = 32_000
-# Where descriptors run out, or while the proxy stops, a new connection that has sent nothing for so long is closed: a
+# Where descriptors run out, or while the proxy stops, a new connection that has sent nothing for this long is closed: a
 # client that opens one in order to send does so at once.
 NEW_CONNECTION_GRACE_US = 250_000
 # Where a ticket in hand would otherwise be refused, connections of this age are closed too; a younger one may have its
 # request on the way.
 MIN_IDLE_US = 50_000
-# Where descriptors run out, a request that has begun and then stalled for so long is answered with a timeout.
+# Where descriptors run out, a request that has begun and then stalled for this long is answered with a timeout.
 STALLED_REQUEST_US = 500_000
 # Callers get at most this share of all descriptors. A ticket in hand takes one for its caller and one for its backend;
 # a crowd of silent clients otherwise left none for the second, and tickets in hand were bounced.
--- a/pepperusher/net/disconnect_watcher.py
+++ b/pepperusher/net/disconnect_watcher.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-# At most so many bytes are read ahead on one connection.
+# The most that is read ahead on one connection.
 MAX_READ_AHEAD_BYTES = 1024 * 1024
 
 
--- a/pepperusher/net/exchange.py
+++ b/pepperusher/net/exchange.py
@@ -24,15 +24,15 @@
     read_head,
 )
 
-# An answer that has begun no longer waits for the backend's work but for the network. After a silence of so many times
-# the connect timeout, or of the minimum if that is longer, it counts as broken; the client's deadline may end it
-# sooner. Some answers never end.
+# An answer that has begun no longer waits for the backend's work but for the network. After a silence of SILENCE_FACTOR
+# connect timeouts, or of the minimum if that is longer, it counts as broken; the client's deadline may end it sooner.
+# Some answers never end.
 SILENCE_FACTOR = 2
 MIN_SILENCE_TIMEOUT_S = 0.5
-# An answer that is incomplete so many seconds after its head is streamed to the client: held back longer, it might miss
-# the client's deadline.
+# An answer that is still incomplete this many seconds after its head is streamed to the client: held back longer, it
+# might miss the client's deadline.
 HOLD_TIMEOUT_S = 1.0
-# While an answer or a request body is streamed, a backend that neither sends nor reads for so many seconds counts as
+# While an answer or a request body is streamed, a backend that neither sends nor reads for this many seconds counts as
 # gone.
 STALL_TIMEOUT_S = 5.0
 # Statuses of answers that report completed work.
--- a/pepperusher/net/process_pause.py
+++ b/pepperusher/net/process_pause.py
@@ -13,11 +13,11 @@
 
 # Microseconds between two checks of the clock.
 CHECK_INTERVAL_US = 50_000
-# If timers did not run for so many microseconds, the process was stopped or had no CPU.
+# If timers did not run for this many microseconds, the process was stopped or had no CPU.
 PAUSE_THRESHOLD_US = 300_000
-# After a pause nothing is sent before the event loop has run so many iterations, since sockets are read in one
+# After a pause nothing is sent until the event loop has run READ_ITERATIONS times, since sockets are read in one
 # iteration and their data is handled in the following ones, and until discovery's connections have no unread data, for
-# at most so many seconds.
+# at most READ_TIMEOUT_S.
 READ_ITERATIONS = 5
 READ_TIMEOUT_S = 0.1
 # With each check the recorded lateness of timers drops by one part in this many, which halves it in 7 s. That is a few
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -37,17 +37,17 @@
 CLIENT_LEFT_ANSWER = text_answer(503, "its client left before it was sent on")
 CLIENT_LEFT_AFTER_SEND_ANSWER = text_answer(502, "its client left")
 NOT_READY_ANSWER = text_answer(503, "no backends known, clients sent away, or about to stop")
-# For so many seconds after SIGTERM new connections still arrive, until the load balancer in front has noticed the stop.
+# Seconds for which new connections still arrive after SIGTERM, until the load balancer in front has noticed the stop.
 ACCEPT_AFTER_SIGTERM_S = 0.55
 # SIGKILL follows SIGTERM no sooner than the longest time a client waits (or this figure, if that is shorter) plus a
 # margin, in seconds.
 MAX_GRACE_S = 3.0
 GRACE_MARGIN_S = 0.7
-# So many seconds before SIGKILL the last attempts are given up, so that their tickets still get answers, and so many
-# seconds before it the process exits.
+# Seconds before SIGKILL at which the last attempts are given up, so that their tickets still get answers, and at which
+# the process exits.
 GIVE_UP_MARGIN_S = 0.45
 EXIT_MARGIN_S = 0.25
-# So many seconds before the last attempts are given up, connections start to close with their answers, so that the
+# Seconds before the last attempts are given up at which connections start to close with their answers, so that the
 # connections of the tickets given up do so as well.
 CLOSE_MARGIN_S = 0.1
 SWEEP_INTERVAL_S = 0.25
@@ -60,7 +60,7 @@
 BODY_MEMORY_DIVISOR = 8
 # Settings that a running process cannot change when its configuration is reloaded.
 RESTART_ONLY_SETTINGS = ("name", "listen", "sockets", "memory", "console")
-# Outcomes of an attempt that say how long the work takes.
+# Outcomes of an attempt whose duration shows how long the work takes.
 OUTCOMES_THAT_MEASURE_WORK = ("done", "error", "timed out", "reset")
 # What a ticket that no backend answered counts as.
 FINAL_OUTCOMES = {BOUNCE: "bounced", SCRAP: "scrapped"}
@@ -399,8 +399,8 @@
 
     @property
     def _takes_clients(self) -> bool:
-        """Whether clients may come: this process serves, or another process of this proxy that answers at the same
-        address.
+        """Whether /ready invites clients: this process serves them, or another process of this proxy at the same
+        address does.
         """
         return (
             self._backends.known and self._sent_away_at is None and (not self._stopping.is_set() or self._has_successor)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -610,15 +610,15 @@
         await self.open("a1")
         sweep, swept = self.proxy._callers.sweep, []
 
-        def fails_once(now: int) -> None:
+        def fail_once(now: int) -> None:
             swept.append(now)
             sweep(now if len(swept) > 1 else None)
 
-        self.proxy._callers.sweep = fails_once
-        at = await self.connect()
+        self.proxy._callers.sweep = fail_once
+        streams = await self.connect()
         await self.until(lambda: len(swept) == 3)
         self.lines = [line.partition(":")[0] for line in self.logged if "sweep" in line]
-        at[1].close()
+        streams[1].close()
         self.compare_trace("net_sweep")
 
     async def test_words_out_of_turn_end_a_connection_to_a_backend(self) -> None:
@@ -629,9 +629,11 @@
         self.fake_backends["a1"].does = ["stray"]
         await self.ask("look 1", self.request("look", 1))
         await self.ask("pay 2", self.request("pay", 2))
-        kept = self.proxy._backends._doors["a1"].idle[0]
+        idle_connection = self.proxy._backends._doors["a1"].idle[0]
         self.fake_backends["a1"].writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
-        self.lines.append(f"its end is in the kernel, the loop has not come round: quiet {kept.stream.quiet()}")
+        self.lines.append(
+            f"its end is in the kernel, the loop has not come round: quiet {idle_connection.stream.quiet()}"
+        )
         await self.ask("pay 3", self.request("pay", 3))
         self.lines.append(f"connections at a1: {self.fake_backends['a1'].connections}")
         self.compare_trace("net_stray")
@@ -827,14 +829,14 @@
         await self.open("a1", "b1")
         connect = self.proxy._backends._connect
 
-        async def drains_meanwhile(*args: object) -> object:
+        async def connect_and_drain(*args: object) -> object:
             connected = await connect(*args)
             version = self.proxy._discovery._source.version + 1
             self.endpoint_update(version, self.line("a1", "draining"), self.line("b1"))
             await self.until(lambda: self.proxy._discovery._source.version == version)
             return connected
 
-        self.proxy._backends._connect = drains_meanwhile
+        self.proxy._backends._connect = connect_and_drain
         for number in range(2):
             await self.ask(f"pay {number}", self.request("pay", number))
         self.compare_trace("net_drained_meanwhile")
