--- a/pepperusher/capacity/control_play.py
+++ b/pepperusher/capacity/control_play.py
@@ -383,7 +383,7 @@
             made.update(_without_beats(before, await fleet.read(), made))
             if proxies and fleet.some == proxies:
                 keep = Path(folder) / "kept"
-                one: Resource = fleet.clients[0]._lasting[CONFIG, NAME]
+                one: Resource = fleet.clients[0]._confirmed[CONFIG, NAME]
                 wrong = resource_cache.write(keep, [one], int(time.time() * 1e6))
                 if wrong:
                     raise ProcessError(wrong)
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -149,9 +149,9 @@
         upstreams = [f"10.0.0.{number}:7300" for number in range(MACHINES)]
         one = Subscriber("proxy", 1, "r0", "r0z0", upstreams, [(CONFIG, NAME)], [], Random(seed), NOW)
         made = make_resource(CONFIG, NAME, Version(1, 1), body_of(routes))
-        one._take(made, "", NOW)
+        one._enqueue(made, "", NOW)
         one.applied(made, None, NOW)
-        assert one.held[CONFIG, NAME] is made and mark_of(made).version > NO_VERSION
-        return one, made, dict(one.held)
+        assert one.resources[CONFIG, NAME] is made and mark_of(made).version > NO_VERSION
+        return one, made, dict(one.resources)
 
     return held_by(makes)
--- a/pepperusher/distribution/admission.py
+++ b/pepperusher/distribution/admission.py
@@ -1,55 +1,58 @@
-"""When a control machine serves whoever greeted it: at a rate, the others in a bounded line; free of I/O.
+"""Admission control of a control machine: clients that sent their hello message are served at a limited rate, and the
+others wait in a bounded queue; free of I/O.
 
-Connections are taken far faster than they are served: one that has only been taken costs little, and whoever was
-taken and told so waits here, and does not go round the other machines. What is not taken looks from outside like a
-machine that is cut off.
+Connections are accepted much faster than they are served. A connection that was only accepted costs little, and a
+client that was accepted and told so waits here and does not try the other machines. A connection that was not accepted
+makes the machine look unreachable.
 """
 
 from __future__ import annotations
 
-# Served a second in the long run, and at once: a greeting may cost several whole bodies.
+# The rate and burst of admissions: serving a hello message may cost several whole bodies.
 ADMISSION_RATE_PER_S = 800.0
 ADMISSION_BURST = 400.0
 
 
 class Admission:
-    """The line of those that have greeted and are not served yet, in order, `most` at the most; by connection."""
+    """The queue of connections that sent their hello message and are not served yet, in order of arrival and by
+    connection id; at most `capacity`.
+    """
 
-    def __init__(self, most: int, now: int) -> None:
-        self._most = most
-        self._line: dict[int, None] = {}
-        self._allowance, self._at = ADMISSION_BURST, now
+    def __init__(self, capacity: int, now: int) -> None:
+        self._capacity = capacity
+        self._queue: dict[int, None] = {}
+        self._tokens, self._tokens_at = ADMISSION_BURST, now
 
     def __len__(self) -> int:
-        return len(self._line)
+        return len(self._queue)
 
     def __contains__(self, id: int) -> bool:
-        return id in self._line
+        return id in self._queue
 
-    def came(self, id: int) -> bool:
-        """It stands at the end of the line; False where that is full."""
-        if len(self._line) >= self._most:
+    def enqueue(self, id: int) -> bool:
+        """Appends a connection to the queue; returns False if the queue is full."""
+        if len(self._queue) >= self._capacity:
             return False
-        self._line[id] = None
+        self._queue[id] = None
         return True
 
-    def gone(self, id: int) -> None:
-        """One that ended, in the line or not."""
-        self._line.pop(id, None)
-
-    def due(self, now: int) -> list[int]:
-        """Who is served now, first come first; off the line with that. `now` in us."""
-        self._allowance = min(ADMISSION_BURST, self._allowance + ADMISSION_RATE_PER_S * (now - self._at) / 1e6)
-        self._at = now
-        many = min(len(self._line), int(self._allowance))
-        self._allowance -= many
-        those = [id for id, _ in zip(self._line, range(many))]
-        for id in those:
-            del self._line[id]
-        return those
-
-    def again_in(self) -> float | None:
-        """Seconds until the next of the line is due; None where it is empty."""
-        if not self._line:
+    def discard(self, id: int) -> None:
+        """Removes a connection that ended, if it is in the queue."""
+        self._queue.pop(id, None)
+
+    def take_due(self, now: int) -> list[int]:
+        """Removes and returns the connections to be served now, in order of arrival. `now` is in us."""
+        self._tokens = min(ADMISSION_BURST, self._tokens + ADMISSION_RATE_PER_S * (now - self._tokens_at) / 1e6)
+        self._tokens_at = now
+        count = min(len(self._queue), int(self._tokens))
+        self._tokens -= count
+        admitted = [id for id, _ in zip(self._queue, range(count))]
+        for id in admitted:
+            del self._queue[id]
+        return admitted
+
+    def next_due_in(self) -> float | None:
+        """Seconds until the next connection is due; None if the queue is empty."""
+        if not self._queue:
             return None
-        return max(0.0, 1.0 - self._allowance) / ADMISSION_RATE_PER_S
+        return max(0.0, 1.0 - self._tokens) / ADMISSION_RATE_PER_S
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -1,7 +1,7 @@
-"""A proxy's side of distribution under asyncio: the same for a whole proxy and for a hollow one.
+"""The proxy's client of the control machines under asyncio, used by whole proxies and by hollow ones.
 
-Never on a ticket's path: with all control machines gone, what is in force stays so, and what was kept is
-taken at a start.
+Tickets never wait for it. Without any control machine the resources in force stay in force, and cached ones are applied
+at a start.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from random import Random
 
 from pepperusher.distribution import resource_cache, wire
-from pepperusher.distribution.link import Calls, Link
-from pepperusher.distribution.subscriber import Apply, Close, Connect, Say, Send, Subscriber
+from pepperusher.distribution.link import OutgoingConnections, Link
+from pepperusher.distribution.subscriber import Apply, Close, Connect, LogEvent, Send, Subscriber
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
-    LONGEST_MESSAGE,
+    MAX_MESSAGE_BYTES,
     Heartbeat,
     Key,
     Message,
@@ -32,22 +32,24 @@
 from pepperusher.net import clock
 from pepperusher.packet_authentication import BadPacket
 
-# When a control machine last confirmed what is held is written down so often.
-TOUCH_EVERY = 10_000_000
+# How often the time of the last confirmation is written to the cache file, as its modification time.
+CONFIRMATION_WRITE_US = 10_000_000
 
 
-def _unheard(what: str, **figures: object) -> None:
+def _discard_log(event: str, **fields: object) -> None:
     pass
 
 
 class Client:
-    """`upstreams` are all control machines, each with its region where that is known: those of this proxy's own
-    are used before others. `names` are the resources that this proxy uses; nothing else is sent to it. `apply` takes one whole: None for in force, a text for refused with this reason; it may be a
-    coroutine function. What `keep` holds is taken by it at the start. Its connections come from
-    `local`; "" for whichever address leads there.
+    """Subscribes to resources and applies each new version.
 
-    With `provisional` what is in force is kept only once `confirm` says that it lasts; `undone` says that it
-    did not. `words` hears what control machines say of how old facts are.
+    `upstreams` are the addresses of all control machines, each with its region if known; those in this proxy's region
+    are preferred. `names` are the subscribed resources. `apply` applies a whole resource and returns None, or the
+    reason for rejecting it; it may be a coroutine function. Resources cached in the file `cache_path` are applied first
+    at a start. Connections are made from `local_address`, or from any address if that is empty.
+
+    With `provisional`, a version in force is cached only after `confirm` was called; `revert` reports that it was
+    rolled back. `on_freshness` is called with the freshness of facts as control machines report it.
     """
 
     def __init__(
@@ -63,114 +65,119 @@
         seed: int,
         cache_path: Path | None = None,
         local_address: str = "127.0.0.1",
-        say: Callable[..., None] = _unheard,
+        say: Callable[..., None] = _discard_log,
         provisional: bool = False,
         on_freshness: Callable[[Sequence[FreshnessReport]], None] | None = None,
     ) -> None:
-        self._addresses = {f"{one[0]}:{one[1]}": (one[0], one[1]) for one in upstreams}
-        self._near = [f"{one[0]}:{one[1]}" for one in upstreams if region and one[2:] == (region,)]
-        self._names, self._apply, self._key, self._say = list(names), apply, key, say
+        self._addresses = {f"{upstream[0]}:{upstream[1]}": (upstream[0], upstream[1]) for upstream in upstreams}
+        self._near = [f"{upstream[0]}:{upstream[1]}" for upstream in upstreams if region and upstream[2:] == (region,)]
+        self._keys, self._apply, self._key, self._say = list(names), apply, key, say
         self._name, self._region, self._zone = name, region, zone
-        self._chance = Random(seed)
-        self._keep = cache_path
+        self._random = Random(seed)
+        self._cache_path = cache_path
         self.counts: Counter[str] = Counter()
         self.in_force: dict[Key, Version] = {}
-        self._calls = Calls(self._addresses, local_address)
-        self._applying: set[asyncio.Task[None]] = set()  # one a resource at the most
-        self._writing: asyncio.Task[None] | None = None
-        self._unwritten = False
-        self._touched_at = 0
+        self._outgoing = OutgoingConnections(self._addresses, local_address)
+        self._apply_tasks: set[asyncio.Task[None]] = set()  # at most one for each resource
+        self._write_task: asyncio.Task[None] | None = None
+        self._cache_outdated = False
+        self._confirmation_written_at = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._beginning: asyncio.Task[None] | None = None
-        self._gone = False
+        self._start_task: asyncio.Task[None] | None = None
+        self._stopped = False
         self._subscriber: Subscriber | None = None
-        self._kept_at: int | None = None
+        self._cached_confirmed_at: int | None = None
         self._provisional = provisional
-        self._words = on_freshness
-        self._lasting: dict[Key, Resource] = {}  # as many as there are names
+        self._on_freshness = on_freshness
+        self._confirmed: dict[Key, Resource] = {}  # bounded by the subscriptions
 
     # --- start and end ------------------------------------------------------------------------------
 
     def start(self) -> None:
-        """At once; what was kept is taken before anything else is."""
-        self._beginning = asyncio.get_running_loop().create_task(self._begin())
-
-    async def _begin(self) -> None:
-        held: list[Resource] = []
-        if self._keep is not None:
-            kept, self._kept_at, why = resource_cache.read(self._keep, set(self._names))
-            if why:
-                self._say("what was kept of distribution can't be read", why=why)
-            for one in kept:
-                reason = await self._made(one)
+        """Starts in the background; cached resources are applied before any others."""
+        self._start_task = asyncio.get_running_loop().create_task(self._load_cache())
+
+    async def _load_cache(self) -> None:
+        """Applies the cached resources, then starts to connect."""
+        applied: list[Resource] = []
+        if self._cache_path is not None:
+            cached, self._cached_confirmed_at, error = resource_cache.read(self._cache_path, set(self._keys))
+            if error:
+                self._say("the cache of distributed resources can't be read", why=error)
+            for resource in cached:
+                reason = await self._apply_resource(resource)
                 if reason is None:
-                    held.append(one)
-                    self.in_force[one.key] = one.version
-                    self._lasting[one.key] = one
+                    applied.append(resource)
+                    self.in_force[resource.key] = resource.version
+                    self._confirmed[resource.key] = resource
                 else:
                     self._say(
-                        "what was kept is not taken", resource="/".join(one.key), version=str(one.version), why=reason
+                        "a cached resource is rejected",
+                        resource="/".join(resource.key),
+                        version=str(resource.version),
+                        why=reason,
                     )
         now = clock.now()
         self._subscriber = Subscriber(
             self._name, int.from_bytes(os.urandom(8)) >> 1, self._region, self._zone, list(self._addresses),
-            self._names, held, self._chance, now, near=self._near,
+            self._keys, applied, self._random, now, near=self._near,
         )  # fmt: skip
-        self._subscriber.confirmed_at = self._kept_at
+        self._subscriber.confirmed_at = self._cached_confirmed_at
         self._wake()
 
     async def stop(self) -> None:
-        """What is in force is on disk, and the control machines see the connections end."""
-        links = list(self._calls.links.values())
-        self._end()
+        """Ends the connections in order and writes the versions in force to the cache."""
+        links = list(self._outgoing.links.values())
+        self._shut_down()
         for link in links:
             link.close()
-        if self._writing is not None:
-            await asyncio.wait([self._writing])
-        if self._keep is not None and self._unwritten:
-            await self._write()
+        if self._write_task is not None:
+            await asyncio.wait([self._write_task])
+        if self._cache_path is not None and self._cache_outdated:
+            await self._write_cache()
 
     def kill(self) -> None:
-        """Gone without a word, as a process that is killed."""
-        links = list(self._calls.links.values())
-        self._end()
+        """Ends abruptly, as a killed process would."""
+        links = list(self._outgoing.links.values())
+        self._shut_down()
         for link in links:
             link.abort("killed")
 
-    def _end(self) -> None:
-        self._gone = True
+    def _shut_down(self) -> None:
+        self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._beginning is not None:
-            self._beginning.cancel()
-        self._calls.cancel()
-        for task in self._applying:
+        if self._start_task is not None:
+            self._start_task.cancel()
+        self._outgoing.cancel()
+        for task in self._apply_tasks:
             task.cancel()
-        self._calls.links.clear()
+        self._outgoing.links.clear()
 
     def age(self, now_us: int) -> int | None:
-        """us since the origin's word last reached here by a control machine whose versions this has; over a
-        restart too. None where none ever did.
+        """us since the origin's last confirmation reached this proxy through a control machine whose versions it has;
+        it survives a restart. None without one.
         """
         if self._subscriber is None:
-            return None if self._kept_at is None else max(0, now_us - self._kept_at)
+            return None if self._cached_confirmed_at is None else max(0, now_us - self._cached_confirmed_at)
         return self._subscriber.age(now_us)
 
     @property
     def upstreams(self) -> list[str]:
-        """Those that it is connected to."""
-        return [] if self._subscriber is None else self._subscriber.up
+        """The control machines that it is connected to."""
+        return [] if self._subscriber is None else self._subscriber.connected_upstreams
 
     @property
     def refused(self) -> dict[Key, tuple[Version, str]]:
+        """Rejected versions with the reason, by resource."""
         if self._subscriber is None:
             return {}
-        return {key: (mark.version, why) for key, (mark, why) in self._subscriber.refused.items()}
+        return {key: (mark.version, reason) for key, (mark, reason) in self._subscriber.refused.items()}
 
     # --- the subscriber's effects -------------------------------------------------------------------
 
     def _wake(self) -> None:
-        if self._gone or self._subscriber is None:
+        if self._stopped or self._subscriber is None:
             return
         if self._timer is not None:
             self._timer.cancel()
@@ -178,131 +185,140 @@
         due = self._subscriber.wake(now)
         self._perform_effects()
         self._timer = asyncio.get_running_loop().call_later(max(0.001, (due - now) / 1e6), self._wake)
-        if self._keep is not None and now - self._touched_at >= TOUCH_EVERY and not self._unwritten:
-            self._touched_at = now
+        if (
+            self._cache_path is not None
+            and now - self._confirmation_written_at >= CONFIRMATION_WRITE_US
+            and not self._cache_outdated
+        ):
+            self._confirmation_written_at = now
             if self._subscriber.confirmed_at is not None:
-                resource_cache.touch(self._keep, self._subscriber.confirmed_at)
+                resource_cache.touch(self._cache_path, self._subscriber.confirmed_at)
 
     def _perform_effects(self) -> None:
+        """Performs the effects of the subscriber."""
         subscriber = self._subscriber
         assert subscriber is not None
-        while subscriber.effects and not self._gone:
-            out, subscriber.effects = subscriber.effects, []
-            for effect in out:
+        while subscriber.effects and not self._stopped:
+            effects, subscriber.effects = subscriber.effects, []
+            for effect in effects:
                 if isinstance(effect, Send):
-                    link = self._calls.links.get(effect.upstream)
+                    link = self._outgoing.links.get(effect.upstream)
                     if link is not None:
                         link.send(wire.encode(effect.message))
                 elif isinstance(effect, Connect):
                     self._connect(effect.upstream)
                 elif isinstance(effect, Close):
-                    self._calls.close(effect.upstream)
+                    self._outgoing.close(effect.upstream)
                 elif isinstance(effect, Apply):
-                    self._take(effect.resource)
-                elif isinstance(effect, Say):
-                    self._say(effect.what, **effect.figures)
-        for what in ("connects", "snapshots", "deltas", "wants", "refused"):
-            self.counts[what] = subscriber.counts[what]
+                    self._start_applying(effect.resource)
+                elif isinstance(effect, LogEvent):
+                    self._say(effect.message, **effect.fields)
+        for counter in ("connects", "snapshots", "deltas", "wants", "refused"):
+            self.counts[counter] = subscriber.counts[counter]
 
     def _connect(self, upstream: str) -> None:
         link = Link(
-            Session(self._key, True, LONGEST_MESSAGE), partial(self._opened, upstream),
-            partial(self._message_received, upstream), partial(self._ended, upstream), self.counts,
+            Session(self._key, True, MAX_MESSAGE_BYTES), partial(self._link_opened, upstream),
+            partial(self._message_received, upstream), partial(self._link_ended, upstream), self.counts,
         )  # fmt: skip
-        self._calls.connect(upstream, link)
+        self._outgoing.connect(upstream, link)
 
-    def _opened(self, upstream: str, link: Link) -> None:
-        if self._calls.links.get(upstream) is link and self._subscriber is not None:
+    def _link_opened(self, upstream: str, link: Link) -> None:
+        if self._outgoing.links.get(upstream) is link and self._subscriber is not None:
             self._subscriber.connected(upstream, clock.now())
-            self._later()
+            self._effects_pending()
 
     def _message_received(self, upstream: str, link: Link, message: Message) -> None:
-        if self._calls.links.get(upstream) is link and self._subscriber is not None:
+        if self._outgoing.links.get(upstream) is link and self._subscriber is not None:
             self._subscriber.received(upstream, message, clock.now())
-            if self._words is not None and isinstance(message, Heartbeat) and message.words:
-                self._words(message.words)
-            # By far the most are beats, and nothing is due sooner for them.
+            if self._on_freshness is not None and isinstance(message, Heartbeat) and message.freshness:
+                self._on_freshness(message.freshness)
+            # Most messages are heartbeats, which make nothing due sooner.
             if self._subscriber.effects or not isinstance(message, Heartbeat):
-                self._later()
+                self._effects_pending()
 
-    def _ended(self, upstream: str, link: Link, why: str) -> None:
-        if self._calls.links.get(upstream) is not link or self._subscriber is None:
+    def _link_ended(self, upstream: str, link: Link, reason: str) -> None:
+        """Handles the end of a connection, and logs it if the other side is no valid control machine."""
+        if self._outgoing.links.get(upstream) is not link or self._subscriber is None:
             return
-        del self._calls.links[upstream]
-        if why.startswith(("not of", "of form", "with a wrong", "sound, but", "a frame", "a message")):
-            self._say("a control machine is not believed", upstream=upstream, why=why)
-        self._subscriber.lost(upstream, clock.now())
+        del self._outgoing.links[upstream]
+        if reason.startswith(("not of", "of form", "with a wrong", "authentic, but", "a frame", "a message")):
+            self._say("a control machine sent invalid data", upstream=upstream, why=reason)
+        self._subscriber.disconnected(upstream, clock.now())
         self._wake()
 
-    def _later(self) -> None:
-        """Effects now; and the timer anew, since something may be due sooner."""
+    def _effects_pending(self) -> None:
+        """Performs the pending effects and restarts the timer, since something may be due sooner."""
         self._perform_effects()
         self._wake()
 
-    # --- taking -------------------------------------------------------------------------------------
+    # --- applying resources -------------------------------------------------------------------------
 
-    def _take(self, one: Resource) -> None:
-        task = asyncio.get_running_loop().create_task(self._taken(one))
-        self._applying.add(task)
-        task.add_done_callback(self._applying.discard)
+    def _start_applying(self, resource: Resource) -> None:
+        task = asyncio.get_running_loop().create_task(self._apply_and_report(resource))
+        self._apply_tasks.add(task)
+        task.add_done_callback(self._apply_tasks.discard)
 
-    async def _made(self, one: Resource) -> str | None:
+    async def _apply_resource(self, resource: Resource) -> str | None:
+        """Applies a resource. Returns None, or the reason for rejecting it."""
         try:
-            made = self._apply(one)
-            if inspect.isawaitable(made):
-                made = await made
-            return made if made is None else one_line(made) or "no reason given"
-        except Exception as error:  # a fault of ours in taking it is a refusal, and the old stands
+            result = self._apply(resource)
+            if inspect.isawaitable(result):
+                result = await result
+            return result if result is None else one_line(result) or "no reason given"
+        except Exception as error:  # an error while applying is a rejection; the old version stays in force
             return one_line(f"{type(error).__name__}: {error}")
 
-    async def _taken(self, one: Resource) -> None:
-        reason = await self._made(one)
-        if self._gone or self._subscriber is None:
+    async def _apply_and_report(self, resource: Resource) -> None:
+        """Applies a resource and reports the outcome to the control machines."""
+        reason = await self._apply_resource(resource)
+        if self._stopped or self._subscriber is None:
             return
         if reason is None:
-            self.in_force[one.key] = one.version
-        self._subscriber.applied(one, reason, clock.now())
-        self._later()
+            self.in_force[resource.key] = resource.version
+        self._subscriber.applied(resource, reason, clock.now())
+        self._effects_pending()
         if reason is None and not self._provisional:
-            self.confirm(one.key)
+            self.confirm(resource.key)
 
     def confirm(self, key: Key) -> None:
-        """What is in force lasts, and is kept."""
-        if self._gone or self._subscriber is None or key not in self._subscriber.held:
+        """The version in force is confirmed, and is written to the cache."""
+        if self._stopped or self._subscriber is None or key not in self._subscriber.resources:
             return
-        self._lasting[key] = self._subscriber.held[key]
-        if self._keep is not None:
-            self._unwritten = True
-            if self._writing is None:
-                self._writing = asyncio.get_running_loop().create_task(self._keeping())
+        self._confirmed[key] = self._subscriber.resources[key]
+        if self._cache_path is not None:
+            self._cache_outdated = True
+            if self._write_task is None:
+                self._write_task = asyncio.get_running_loop().create_task(self._write_loop())
 
     def revert(self, key: Key, reason: str) -> None:
-        """What lasted before is in force again; the one undone counts as refused."""
-        if self._gone or self._subscriber is None:
+        """The last confirmed version is in force again; the one that was rolled back counts as rejected."""
+        if self._stopped or self._subscriber is None:
             return
-        before = self._lasting.get(key)
-        self._subscriber.undone(key, before, reason)
-        if before is None:
+        confirmed = self._confirmed.get(key)
+        self._subscriber.reverted(key, confirmed, reason)
+        if confirmed is None:
             self.in_force.pop(key, None)
         else:
-            self.in_force[key] = before.version
-        self._later()
+            self.in_force[key] = confirmed.version
+        self._effects_pending()
 
-    async def _keeping(self) -> None:
+    async def _write_loop(self) -> None:
+        """Writes the cache until it is up to date."""
         try:
-            while self._unwritten and not self._gone:
-                await self._write()
+            while self._cache_outdated and not self._stopped:
+                await self._write_cache()
         finally:
-            self._writing = None
+            self._write_task = None
 
-    async def _write(self) -> None:
-        assert self._keep is not None and self._subscriber is not None
-        self._unwritten = False
-        held = list(self._lasting.values())
+    async def _write_cache(self) -> None:
+        assert self._cache_path is not None and self._subscriber is not None
+        self._cache_outdated = False
+        resources = list(self._confirmed.values())
         confirmed_at = self._subscriber.confirmed_at or clock.now()
-        why = await asyncio.to_thread(resource_cache.write, self._keep, held, confirmed_at)
-        if why:
-            self._say("what is in force can't be kept", why=why)
+        error = await asyncio.to_thread(resource_cache.write, self._cache_path, resources, confirmed_at)
+        if error:
+            self._say("the cache of distributed resources can't be written", why=error)
 
 
 __all__ = ["BadPacket", "Client"]
--- a/pepperusher/distribution/control_file.py
+++ b/pepperusher/distribution/control_file.py
@@ -1,4 +1,4 @@
-"""A control machine's own file: typed, read whole, all that is wrong said at once, a line each."""
+"""The configuration file of a control machine: validated as a whole, with all errors reported at once, one a line."""
 
 from __future__ import annotations
 
@@ -17,82 +17,89 @@
 from pepperusher.configuration.validation import address_of
 from pepperusher.configuration.tables import Table
 
-SHORTEST_KEY, LONGEST_KEY = 16, 4096
-MOST_PEERS = 63
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 4096
+MAX_PEERS = 63
 
 
-def _said(text: str) -> Meta:
+def _description(text: str) -> Meta:
     return Meta(description=text)
 
 
 class RelayTable(Table, kw_only=True, frozen=True):
-    """Which list of backends it watches at discovery, and writes as a fact of its region."""
+    """The list of backends that this machine watches at discovery and publishes as a fact of its region."""
 
-    discovery: Annotated[str, _said("where discovery answers, address:port; as the proxies' configuration has it")]
-    endpoints: Annotated[str, _said("the fact's name, region/name")]
+    discovery: Annotated[str, _description("the address of discovery, address:port, as in the proxies' configuration")]
+    endpoints: Annotated[str, _description("the name of the fact, region/name")]
 
 
 class ControlFile(Table, kw_only=True, frozen=True):
     """The file of `pepperusher control`."""
 
-    name: Annotated[str, _said("what the others, logs and ctl call it")]
-    listen: Annotated[str, _said("where proxies, the other control machines and operators connect, address:port")]
-    key_file: Annotated[str, _said("a file with the key that all have, 16 characters or more")]
-    state_dir: Annotated[str, _said("a folder that lasts, for what it holds")]
-    region: Annotated[str, _said("where it stands")]
-    zone: Annotated[str, _said("where in its region")] = ""
-    peers: Annotated[list[str], _said("the other control machines, address:port each")] = msgspec.field(
+    name: Annotated[str, _description("its name in logs, in `ctl` and for other control machines")]
+    listen: Annotated[str, _description("the address for proxies, other control machines and operators, address:port")]
+    key_file: Annotated[str, _description("a file with the shared key, 16 characters or more")]
+    state_dir: Annotated[str, _description("a persistent folder for its resources")]
+    region: Annotated[str, _description("its region")]
+    zone: Annotated[str, _description("its zone in the region")] = ""
+    peers: Annotated[list[str], _description("the other control machines, address:port each")] = msgspec.field(
         default_factory=list
     )
-    local: Annotated[str, _said("the address that its own connections come from; the kernel's choice if left out")] = ""
-    origin: Annotated[bool, _said("whether it is the one that writes configuration")] = False
-    epoch: Annotated[int, _said("raised by hand whenever another becomes the origin, or it lost its disk")] = 1
-    owns_facts: Annotated[bool, _said("whether it is the one that writes its region's facts")] = False
-    relay: Annotated[RelayTable | None, _said("the list that it hands on from discovery; none if left out")] = None
-    subscribers: Annotated[int, _said("how many proxies may be connected at once")] = 4_000
-    log: Annotated[Literal["plain", "text", "json"], _said("the form of its lines")] = "json"
+    local: Annotated[
+        str, _description("the source address of its own connections; chosen by the kernel if left out")
+    ] = ""
+    origin: Annotated[bool, _description("whether it is the origin, the one machine that writes configuration")] = False
+    epoch: Annotated[
+        int, _description("raised by hand when another machine becomes the origin or the origin lost its disk")
+    ] = 1
+    owns_facts: Annotated[bool, _description("whether it is the one machine that writes its region's facts")] = False
+    relay: Annotated[RelayTable | None, _description("the list that it relays from discovery; none if left out")] = None
+    subscribers: Annotated[int, _description("how many proxies may be connected at once")] = 4_000
+    log: Annotated[Literal["plain", "text", "json"], _description("the format of its log")] = "json"
+
+
+class LoadedControlFile(NamedTuple):
+    """A valid file and the key that it names."""
 
-
-class Read(NamedTuple):
     file: ControlFile
     key: bytes
 
 
 def read_key(path: str | Path) -> bytes:
-    """Raises ValueError, in one line."""
+    """Reads the shared key. Raises ValueError with one line."""
     try:
         with open(path, "rb") as file:
-            data = file.read(LONGEST_KEY + 1)
+            data = file.read(MAX_KEY_BYTES + 1)
     except OSError as error:
         raise ValueError(f"{path}: {error.strerror or error}") from None
     key = data.strip()
-    if not SHORTEST_KEY <= len(key) <= LONGEST_KEY:
-        raise ValueError(f"{path}: a key of {len(key)} bytes, and it needs {SHORTEST_KEY} to {LONGEST_KEY}")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise ValueError(f"{path}: the key has {len(key)} bytes, expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES}")
     return key
 
 
-def _relay(said: RelayTable, file: ControlFile, tell: Callable[[str, str, str], None]) -> None:
+def _relay(table: RelayTable, file: ControlFile, report: Callable[[str, str, str], None]) -> None:
+    """Validates the relay table."""
     try:
-        if address_of(said.discovery)[1] == 0:
-            tell("relay.discovery", "form", f"{said.discovery} has no port")
+        if address_of(table.discovery)[1] == 0:
+            report("relay.discovery", "form", f"{table.discovery} has no port")
     except ValueError as error:
-        tell("relay.discovery", "form", str(error))
+        report("relay.discovery", "form", str(error))
     if not file.owns_facts:
-        tell("relay", "one owner", "is for the machine that owns its region's facts (owns_facts)")
+        report("relay", "one owner", "is for the machine that owns its region's facts (owns_facts)")
     if (
-        not said.endpoints.startswith(f"{file.region}/")
-        or not 1 < len(said.endpoints) <= 100
-        or not said.endpoints.isprintable()
+        not table.endpoints.startswith(f"{file.region}/")
+        or not 1 < len(table.endpoints) <= 100
+        or not table.endpoints.isprintable()
     ):
-        tell(
+        report(
             "relay.endpoints",
             "form",
-            f"{said.endpoints[:100]!r} is no name of a fact of {file.region}, as {file.region}/NAME",
+            f"{table.endpoints[:100]!r} is not a fact of {file.region}: expected {file.region}/NAME",
         )
 
 
-def read(path: str | Path) -> Read:
-    """Raises ConfigurationError with all that is wrong."""
+def read(path: str | Path) -> LoadedControlFile:
+    """Raises ConfigurationError with all faults."""
     source = str(path)
     try:
         with open(path, "rb") as file:
@@ -110,45 +117,49 @@
     except RecursionError:
         raise ConfigurationError([Fault(source, 0, "", "form", "is nested too deep")]) from None
     lines = KeyLocations(text)
-    file_, wrong = table_conversion.converted(raw, ControlFile)
+    control_file, errors = table_conversion.converted(raw, ControlFile)
     faults = [
-        Fault(source, lines.at(one.key), one.key, "known key" if one.unknown else "form", one.what) for one in wrong
+        Fault(source, lines.at(fault.key), fault.key, "known key" if fault.unknown else "form", fault.what)
+        for fault in errors
     ]
     key = b""
-    if file_ is not None:
-
-        def tell(where: str, rule: str, what: str) -> None:
-            faults.append(Fault(source, lines.at(where), where, rule, what))
-
-        if not file_.name or len(file_.name) > 100 or not file_.name.isprintable():
-            tell("name", "form", f"{file_.name[:100]!r} is no name")
-        if len(file_.region) > 100 or "/" in file_.region or not file_.region.isprintable():
-            tell("region", "form", f"{file_.region[:100]!r} is no region")
-        for at, address in [("listen", file_.listen), *((f"peers[{n}]", one) for n, one in enumerate(file_.peers))]:
+    if control_file is not None:
+
+        def report(setting: str, rule: str, problem: str) -> None:
+            faults.append(Fault(source, lines.at(setting), setting, rule, problem))
+
+        if not control_file.name or len(control_file.name) > 100 or not control_file.name.isprintable():
+            report("name", "form", f"{control_file.name[:100]!r} is not a valid name")
+        if len(control_file.region) > 100 or "/" in control_file.region or not control_file.region.isprintable():
+            report("region", "form", f"{control_file.region[:100]!r} is not a valid region")
+        for setting, address in [
+            ("listen", control_file.listen),
+            *((f"peers[{index}]", peer) for index, peer in enumerate(control_file.peers)),
+        ]:
             try:
                 port = address_of(address)[1]
             except ValueError as error:
-                tell(at, "form", str(error))
+                report(setting, "form", str(error))
             else:
-                if port == 0 and at != "listen":
-                    tell(at, "form", f"{address} has no port")
-        if len(file_.peers) > MOST_PEERS:
-            tell("peers", "form", f"{len(file_.peers)}, and {MOST_PEERS} are the most")
-        if len(set(file_.peers)) < len(file_.peers):
-            tell("peers", "one of a name", "an address stands twice")
-        if not 1 <= file_.epoch <= 2**53:
-            tell("epoch", "form", f"{file_.epoch} is not from 1 up")
-        if not 1 <= file_.subscribers <= 50_000:
-            tell("subscribers", "sound limits", f"{file_.subscribers} is not from 1 to 50000")
-        if file_.owns_facts and not file_.region:
-            tell("owns_facts", "form", "there is no region whose facts it could own")
-        if file_.relay is not None:
-            _relay(file_.relay, file_, tell)
+                if port == 0 and setting != "listen":
+                    report(setting, "form", f"{address} has no port")
+        if len(control_file.peers) > MAX_PEERS:
+            report("peers", "form", f"{len(control_file.peers)} peers exceed the limit of {MAX_PEERS}")
+        if len(set(control_file.peers)) < len(control_file.peers):
+            report("peers", "one of a name", "an address is listed twice")
+        if not 1 <= control_file.epoch <= 2**53:
+            report("epoch", "form", f"{control_file.epoch} is not from 1 to 2**53")
+        if not 1 <= control_file.subscribers <= 50_000:
+            report("subscribers", "sound limits", f"{control_file.subscribers} is not from 1 to 50000")
+        if control_file.owns_facts and not control_file.region:
+            report("owns_facts", "form", "is set without a region")
+        if control_file.relay is not None:
+            _relay(control_file.relay, control_file, report)
         try:
-            key = read_key(file_.key_file)
+            key = read_key(control_file.key_file)
         except ValueError as error:
-            tell("key_file", "form", str(error))
+            report("key_file", "form", str(error))
     if faults:
-        raise ConfigurationError(sorted(faults, key=lambda one: (one.line, one.key)))
-    assert file_ is not None
-    return Read(file_, key)
+        raise ConfigurationError(sorted(faults, key=lambda fault: (fault.line, fault.key)))
+    assert control_file is not None
+    return LoadedControlFile(control_file, key)
--- a/pepperusher/distribution/endpoint_source.py
+++ b/pepperusher/distribution/endpoint_source.py
@@ -1,14 +1,15 @@
-"""Whether a proxy goes by the list that control machines tell, or asks discovery itself; free of I/O.
-
-The term in force: a change counts as told 6 s after discovery had it and could be reached. A watch of one's own that
-falls silent is left after 2.5 to 3 s (`net.call_schedule.SILENT`, `SPREAD`), so that a second call may go out before 6 s
-are over. The same is held to here, by discovery's own word and not by the control machine's: a list of which
-discovery last spoke 2.5 to 3 s ago is left for discovery, however many machines between say that they are there.
-What an owner missed is so asked for no later than what a watch missed; not counted, here and there, is what a word
-was on the way.
-
-Back to the control machines only by a word that is fresh, of the list held, and later than what discovery told here,
-with a list that is no older than that.
+"""Decides whether a proxy uses the list of endpoints that control machines relay, or watches discovery itself; free of
+I/O.
+
+The limit to be met: a change takes effect within 6 s after discovery had it, if discovery was reachable. A proxy's own
+watch that falls silent is dropped after 2.5 to 3 s (`net.call_schedule.WATCH_SILENCE_TIMEOUT_S`, `SPREAD`), so that a
+second call can be made before the 6 s are over. The same applies here, measured by discovery's last confirmation and
+not by the control machine's: a relayed list that discovery last confirmed 2.5 to 3 s ago is given up for a watch of
+discovery, however many control machines are still alive. So what the owner of the list missed is asked for no later
+than what an own watch missed. In both cases the transit time of the last confirmation is not counted.
+
+The proxy returns to the control machines only after a fresh confirmation of the relayed list that is later than what
+discovery itself told the proxy, and only if the relayed list is not older than that.
 """
 
 from __future__ import annotations
@@ -18,28 +19,30 @@
 
 from pepperusher.distribution.messages import NO_VERSION, Version
 
-# Without a word of discovery's for so long, and a spread that is drawn each time, since the words of all stop at
-# one moment: those of `net.call_schedule` for a watch.
-LEAVE_AFTER = 2_500_000
-LEAVE_SPREAD = 500_000
-# At a start control machines have so long, and a spread that is as wide as a start's at discovery: the last ask 3.5 s
-# after it, and 2.5 s are left for the answer.
+# The time without a confirmation by discovery after which the relayed list is given up, plus a random spread, since the
+# confirmations stop for all proxies at the same moment. Both are those of `net.call_schedule` for a watch.
+STALE_AFTER_US = 2_500_000
+STALE_SPREAD_US = 500_000
+# How long a starting proxy waits for control machines, plus a random spread that is as wide as that of a start with
+# discovery. The last proxy asks discovery after 3.5 s, which leaves 2.5 s for the answer.
 START_WAIT_US = 1_500_000
-START_SPREAD = 2_000_000
-# A watch that stands is given up so long after control machines are fresh again, drawn up to twice that: it costs
-# discovery little, and whoever came because one owner was lost need not go while that one comes and goes. Doubled
-# where it was left again within AGAIN_WITHIN.
-STAY = 5_000_000
-STAY_MOST = 30_000_000
-AGAIN_WITHIN = 60_000_000
-LOOK_EVERY = 250_000
+START_SPREAD_US = 2_000_000
+# How long an own watch is kept after control machines are fresh again, drawn up to twice that. A watch costs discovery
+# little, and a proxy need not follow an owner that is lost and returns repeatedly. The time is doubled if the proxy
+# switched to discovery again within REPEAT_WINDOW_US.
+MIN_WATCH_US = 5_000_000
+MAX_MIN_WATCH_US = 30_000_000
+REPEAT_WINDOW_US = 60_000_000
+STEP_INTERVAL_US = 250_000
 
 UNDECIDED, CONTROL, DISCOVERY = range(3)
 SOURCE_NAMES = ("nobody yet", "control machines", "discovery")
 
 
 class Step(NamedTuple):
-    """`take`: the list that is held is to be put in force. `ask`: discovery is to be watched here."""
+    """`apply_relayed_list`: the relayed list is to be put in force. `watch_discovery`: this proxy is to watch discovery
+    itself. `wake_at`: when to call `step` again.
+    """
 
     apply_relayed_list: bool
     watch_discovery: bool
@@ -47,123 +50,145 @@
 
 
 class EndpointSource:
-    """`told` is discovery's number of the list in force at the start, None without one. `patience` is for how long
-    control machines are waited for then.
+    """The state of the decision. `discovery_version` is that of the list in force at the start, None without one.
+    `start_wait` is how long control machines are waited for at the start.
     """
 
-    def __init__(self, now: int, chance: Random, told: int | None, patience: int = START_WAIT_US) -> None:
-        self._chance = chance
+    def __init__(
+        self, now: int, random: Random, discovery_version: int | None, start_wait: int = START_WAIT_US
+    ) -> None:
+        self._random = random
         self.active, self.since = UNDECIDED, now
         self.switches_to_discovery = self.switches_to_control = 0
-        self._ask_at = now + (patience + chance.randrange(START_SPREAD) if patience > 0 else 0)
-        # What the subscription holds: its version there, and discovery's number of it, None where it is of another
-        # discovery.
-        self._held: tuple[Version, int | None] = (NO_VERSION, None)
-        self._taken = NO_VERSION  # the last of them that was put in force
-        self._number: int | None = told  # discovery's, of what is in force
-        # The newest word: of which version, and when discovery spoke, by the clock here.
-        self._word: tuple[Version, int] | None = None
-        self._spoke_at: int | None = None  # when discovery last spoke of what control machines had in force here
-        self._limit = self._drawn_limit()
-        # What discovery told here since a list of control machines was put in force, and when.
-        self._told, self._told_at = told, -1
-        self._back_at: int | None = None
+        self._watch_at = now + (start_wait + random.randrange(START_SPREAD_US) if start_wait > 0 else 0)
+        # The newest relayed list: its version as a resource, and discovery's version of it, None if it comes from
+        # another discovery than this proxy would ask.
+        self._relayed: tuple[Version, int | None] = (NO_VERSION, None)
+        self._applied = NO_VERSION  # the relayed version put in force last
+        self._discovery_version: int | None = discovery_version  # discovery's version of the list in force
+        # The newest confirmation: the resource version it refers to, and its time by the local clock.
+        self._confirmation: tuple[Version, int] | None = None
+        self._last_confirmed_at: int | None = None  # when discovery last confirmed the relayed list that was in force
+        self._stale_after = self._random_stale_after()
+        # What discovery itself told this proxy since a relayed list was put in force, and when.
+        self._own_version, self._own_version_at = discovery_version, -1
+        self._return_at: int | None = None
         self._returned_at: int | None = None
-        self._stay = STAY
+        self._min_watch = MIN_WATCH_US
 
-    # --- what is heard ------------------------------------------------------------------------------
+    # --- inputs -------------------------------------------------------------------------------------
 
-    def set_relayed_version(self, version: Version, number: int | None) -> None:
-        if version > self._held[0]:
-            self._held = version, number
+    def set_relayed_version(self, version: Version, discovery_version: int | None) -> None:
+        """Records a newer relayed list: its version as a resource, and discovery's version of it."""
+        if version > self._relayed[0]:
+            self._relayed = version, discovery_version
 
-    def set_relayed_discovery_version(self, number: int | None) -> None:
-        """Of the list held: which discovery is meant here may change."""
-        self._held = self._held[0], number
+    def set_relayed_discovery_version(self, discovery_version: int | None) -> None:
+        """Sets discovery's version of the relayed list, which depends on which discovery this proxy is
+        configured with.
+        """
+        self._relayed = self._relayed[0], discovery_version
 
-    def confirm_relayed_version(self, version: Version, spoke_at: int) -> None:
-        if self._word is None or (version, spoke_at) > self._word:
-            self._word = version, spoke_at
+    def confirm_relayed_version(self, version: Version, confirmed_at: int) -> None:
+        """Records that discovery confirmed this version at this time of the local clock."""
+        if self._confirmation is None or (version, confirmed_at) > self._confirmation:
+            self._confirmation = version, confirmed_at
 
-    def set_discovery_version(self, number: int, now: int) -> None:
-        """Discovery told a list of this number here."""
-        self._number = self._told = number
-        self._told_at = now
+    def set_discovery_version(self, discovery_version: int, now: int) -> None:
+        """Records that discovery itself told this proxy a list with this version."""
+        self._discovery_version = self._own_version = discovery_version
+        self._own_version_at = now
 
     def age(self, now: int) -> int | None:
-        """Of discovery's last word as control machines told it, of the list held; None without one."""
-        spoke_at = self._confirmed()
-        return None if spoke_at is None else now - spoke_at
-
-    # --- what follows -------------------------------------------------------------------------------
-
-    def _drawn_limit(self) -> int:
-        return LEAVE_AFTER + self._chance.randrange(LEAVE_SPREAD)
-
-    def _confirmed(self) -> int | None:
-        """When discovery last spoke of the list held; nothing where the newest word is of another one."""
-        return self._word[1] if self._word is not None and self._word[0] == self._held[0] else None
-
-    def _sound(self) -> bool:
-        """Whether the list held may stand in for what discovery told here."""
-        number, spoke_at = self._held[1], self._confirmed()
-        if number is None or spoke_at is None:
+        """us since discovery confirmed the relayed list; None without a confirmation."""
+        confirmed_at = self._confirmed_at()
+        return None if confirmed_at is None else now - confirmed_at
+
+    # --- decisions ----------------------------------------------------------------------------------
+
+    def _random_stale_after(self) -> int:
+        return STALE_AFTER_US + self._random.randrange(STALE_SPREAD_US)
+
+    def _confirmed_at(self) -> int | None:
+        """When discovery last confirmed the relayed list; None if the newest confirmation refers to another version."""
+        return (
+            self._confirmation[1]
+            if self._confirmation is not None and self._confirmation[0] == self._relayed[0]
+            else None
+        )
+
+    def _relayed_list_is_current(self) -> bool:
+        """Whether the relayed list is at least as new as what discovery itself told this proxy."""
+        discovery_version, confirmed_at = self._relayed[1], self._confirmed_at()
+        if discovery_version is None or confirmed_at is None:
             return False
-        return self._told is None or (number >= self._told and spoke_at >= self._told_at)
+        return self._own_version is None or (
+            discovery_version >= self._own_version and confirmed_at >= self._own_version_at
+        )
 
-    def _take(self) -> bool:
-        """Whether there is something to be taken; from then on it is what is in force."""
-        news = self._held[0] != self._taken or self._told is not None
-        self._taken, self._told, self._number = self._held[0], None, self._held[1]
-        return news
+    def _apply_relayed(self) -> bool:
+        """Marks the relayed list as the one in force. Returns whether that is a change."""
+        changed = self._relayed[0] != self._applied or self._own_version is not None
+        self._applied, self._own_version, self._discovery_version = self._relayed[0], None, self._relayed[1]
+        return changed
 
     def step(self, now: int, watched: bool) -> Step:
-        """`watched`: a watch of discovery has spoken here, and stands."""
+        """Decides what to do now. `watched` says that this proxy's watch of discovery is established and has received a
+        message.
+        """
         if self.active == CONTROL:
-            return self._relayed(now)
-        spoke_at = self._confirmed()
-        sound = self._sound()
-        if sound and spoke_at is not None and now - spoke_at < LEAVE_AFTER:
-            if self._back_at is None:
-                self._back_at = now + (self._stay + self._chance.randrange(self._stay) if watched else 0)
-            if not watched or now >= self._back_at:
-                # A start is no coming back.
+            return self._step_with_control(now)
+        confirmed_at = self._confirmed_at()
+        current = self._relayed_list_is_current()
+        if current and confirmed_at is not None and now - confirmed_at < STALE_AFTER_US:
+            if self._return_at is None:
+                self._return_at = now + (self._min_watch + self._random.randrange(self._min_watch) if watched else 0)
+            if not watched or now >= self._return_at:
+                # The first choice after a start does not count as a return.
                 self._returned_at = now if self.active == DISCOVERY else None
-                self.active, self.since, self._spoke_at = CONTROL, now, spoke_at
-                self._limit, self._back_at = self._drawn_limit(), None
+                self.active, self.since, self._last_confirmed_at = CONTROL, now, confirmed_at
+                self._stale_after, self._return_at = self._random_stale_after(), None
                 self.switches_to_control += 1
-                # Taken in any case: whoever was told that the list is lost is told that it is not.
-                self._taken = NO_VERSION
-                return self._relayed(now)
+                # The list is applied in any case, to end the state in which the list counts as lost.
+                self._applied = NO_VERSION
+                return self._step_with_control(now)
         else:
-            self._back_at = None
-        # Old as it is, it is newer than what stands here, and nobody else tells any.
-        take = sound and not watched and self._held[0] != self._taken and self._take()
+            self._return_at = None
+        # The relayed list is not fresh, but it is newer than the one in force, and there is no other source.
+        apply_relayed_list = current and not watched and self._relayed[0] != self._applied and self._apply_relayed()
         if self.active == UNDECIDED:
-            if now < self._ask_at:
-                return Step(take, False, self._ask_at)
-            self._leave(now)
-        return Step(take, True, now + LOOK_EVERY if self._back_at is None else max(self._back_at, now + 1))
-
-    def _leave(self, now: int) -> None:
-        if self._returned_at is not None and now - self._returned_at < AGAIN_WITHIN:
-            self._stay = min(2 * self._stay, STAY_MOST)
+            if now < self._watch_at:
+                return Step(apply_relayed_list, False, self._watch_at)
+            self._switch_to_discovery(now)
+        return Step(
+            apply_relayed_list,
+            True,
+            now + STEP_INTERVAL_US if self._return_at is None else max(self._return_at, now + 1),
+        )
+
+    def _switch_to_discovery(self, now: int) -> None:
+        """Gives up the relayed list for an own watch of discovery."""
+        if self._returned_at is not None and now - self._returned_at < REPEAT_WINDOW_US:
+            self._min_watch = min(2 * self._min_watch, MAX_MIN_WATCH_US)
         else:
-            self._stay = STAY
+            self._min_watch = MIN_WATCH_US
         self.active, self.since = DISCOVERY, now
         self.switches_to_discovery += 1
 
-    def _relayed(self, now: int) -> Step:
-        number, spoke_at = self._held[1], self._confirmed()
-        # A greater number is taken before its word comes. Without a word a lower one may be of an old disk; with one,
-        # discovery began anew.
-        sure = spoke_at is not None or (number is not None and number >= (self._number or 0))
-        take = number is not None and sure and self._take()
-        if spoke_at is not None:
-            self._spoke_at = max(spoke_at, self._spoke_at or spoke_at)
-        assert self._spoke_at is not None, "went over to control machines without a word of theirs"
-        due = self._spoke_at + self._limit
-        if number is None or now >= due:
-            self._leave(now)
-            return Step(take, True, now + LOOK_EVERY)
-        return Step(take, False, due)
+    def _step_with_control(self, now: int) -> Step:
+        """Decides while the relayed list is in use: whether to apply a new one, and whether it is stale."""
+        discovery_version, confirmed_at = self._relayed[1], self._confirmed_at()
+        # A greater version is applied before its confirmation arrives. A lower one without a confirmation may come from
+        # an outdated disk; with one, discovery has restarted its numbering.
+        acceptable = confirmed_at is not None or (
+            discovery_version is not None and discovery_version >= (self._discovery_version or 0)
+        )
+        apply_relayed_list = discovery_version is not None and acceptable and self._apply_relayed()
+        if confirmed_at is not None:
+            self._last_confirmed_at = max(confirmed_at, self._last_confirmed_at or confirmed_at)
+        assert self._last_confirmed_at is not None, "switched to control machines without a confirmation"
+        stale_at = self._last_confirmed_at + self._stale_after
+        if discovery_version is None or now >= stale_at:
+            self._switch_to_discovery(now)
+            return Step(apply_relayed_list, True, now + STEP_INTERVAL_US)
+        return Step(apply_relayed_list, False, stale_at)
--- a/pepperusher/distribution/freshness.py
+++ b/pepperusher/distribution/freshness.py
@@ -1,8 +1,8 @@
-"""How old the owner's word of each fact is, as it goes from machine to machine; free of I/O.
+"""How fresh each fact is: the owner's last confirmation as control machines pass it on; free of I/O.
 
-A fact that does not change and one whose owner is cut off look alike by their versions. So the owner says `ConsoleCall`:
-of this version, and of this moment in its own time, so long ago. Each passes it on with the age grown by what it
-lay there, so no clocks are compared.
+A fact that does not change and a fact whose owner is cut off have the same version for a long time. So the owner sends
+reports that its source confirmed this version at a given time of its own clock, and how long ago that was. Each machine
+that passes a report on adds the time for which it held it, so that no clocks are compared.
 """
 
 from __future__ import annotations
@@ -10,62 +10,70 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from pepperusher.distribution.messages import MOST_RESOURCES, Version, FreshnessReport
+from pepperusher.distribution.messages import MAX_RESOURCES, Version, FreshnessReport
 
-# A word that nobody has said anything newer than for so long is of use to nobody.
-KEPT = 60_000_000
+# A record without a newer confirmation is of no use after this time and is removed.
+RETENTION_US = 60_000_000
 
 
 class FreshnessRecord(NamedTuple):
-    """`stamp` is the owner's time and orders its words; `told_at` is when that was, by the clock here."""
+    """The newest confirmation of a fact. `stamp` is its time by the owner's clock, which orders confirmations;
+    `confirmed_at` is the same moment by the local clock.
+    """
 
     version: Version
     stamp: int
     confirmed_at: int
-    heard_at: int
+    received_at: int
 
 
 class Freshness:
+    """The newest confirmation of each fact."""
+
     def __init__(self) -> None:
-        # By a fact's name, the newest word of it: MOST_RESOURCES at the most, emptied KEPT after it was heard.
-        self._heard: dict[str, FreshnessRecord] = {}
+        # By the name of the fact. MAX_RESOURCES at most, removed RETENTION_US after the report was received.
+        self._records: dict[str, FreshnessRecord] = {}
 
-    def record(self, word: FreshnessReport, now: int) -> bool:
-        """Whether it is newer than what was heard. Of one moment the first hearing counts: passed round among
-        machines a word would else get younger with each, by the time that it was on the way.
+    def record(self, report: FreshnessReport, now: int) -> bool:
+        """Records a report and returns whether it is newer than the recorded one. Of one confirmation only the first
+        report counts: a report that circulates among machines would otherwise seem younger each time, by its transit
+        time.
         """
-        version = Version(word.epoch, word.number)
-        last = self._heard.get(word.name)
-        if last is not None and (version, word.stamp) <= (last.version, last.stamp):
+        version = Version(report.epoch, report.number)
+        last = self._records.get(report.name)
+        if last is not None and (version, report.stamp) <= (last.version, last.stamp):
             return False
-        if last is None and len(self._heard) >= MOST_RESOURCES:
+        if last is None and len(self._records) >= MAX_RESOURCES:
             return False
-        self._heard[word.name] = FreshnessRecord(version, word.stamp, now - word.age, now)
+        self._records[report.name] = FreshnessRecord(version, report.stamp, now - report.age_us, now)
         return True
 
-    def own(self, name: str, version: Version, told_at: int, now: int) -> None:
-        """The owner's own: of a later moment than all before it, also where its clock was set back."""
-        last = self._heard.get(name)
+    def record_own(self, name: str, version: Version, confirmed_at: int, now: int) -> None:
+        """Records a confirmation by the owner itself. Its stamp is later than all earlier ones, even if the owner's
+        clock was set back.
+        """
+        last = self._records.get(name)
         if last is not None and version < last.version:
             return
-        stamp = max(told_at, last.stamp + 1 if last is not None else 0)
-        self._heard[name] = FreshnessRecord(version, stamp, told_at, now)
+        stamp = max(confirmed_at, last.stamp + 1 if last is not None else 0)
+        self._records[name] = FreshnessRecord(version, stamp, confirmed_at, now)
 
-    def of(self, names: Iterable[str], now: int) -> list[FreshnessReport]:
-        """To be passed on."""
+    def reports_for(self, names: Iterable[str], now: int) -> list[FreshnessReport]:
+        """The reports to be passed on."""
         return [
-            FreshnessReport(name, *one.version, one.stamp, max(0, now - one.confirmed_at))
+            FreshnessReport(name, *record.version, record.stamp, max(0, now - record.confirmed_at))
             for name in names
-            if (one := self._heard.get(name)) is not None
+            if (record := self._records.get(name)) is not None
         ]
 
     def get(self, name: str) -> FreshnessRecord | None:
-        return self._heard.get(name)
+        return self._records.get(name)
 
     @property
     def names(self) -> list[str]:
-        return list(self._heard)
+        return list(self._records)
 
-    def forget(self, now: int) -> None:
-        for name in [name for name, one in self._heard.items() if now - one.heard_at >= KEPT]:
-            del self._heard[name]
+    def remove_expired(self, now: int) -> None:
+        """Removes facts without a recent confirmation."""
+        for name in [name for name, record in self._records.items() if now - record.received_at >= RETENTION_US]:
+            del self._records[name]
--- a/pepperusher/distribution/link.py
+++ b/pepperusher/distribution/link.py
@@ -1,6 +1,8 @@
-"""One connection under asyncio, either side of it: messages in, and out as fast as the other side takes them.
+"""One connection under asyncio, of a client or of a control machine: decodes messages, and writes messages as fast as
+the other side reads them.
 
-Nothing here waits: what can't be written yet is not made yet. A buffer holds one part of one message.
+It never blocks. A message that cannot be written yet is not encoded yet, and the write buffer holds one frame of one
+message.
 """
 
 from __future__ import annotations
@@ -13,34 +15,35 @@
 from pepperusher.distribution.messages import Message
 from pepperusher.packet_authentication import BadPacket
 
-# Small words that wait behind one that is being written: beats and the like, which their makers bound.
-MOST_WAITING = 1024
-MOST_WAITING_BYTES = 8 * 1024 * 1024
+# Limits of the short messages that wait behind the one being written, such as heartbeats, whose senders limit their
+# rate.
+MAX_QUEUED_SENDS = 1024
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
 
 
 class Link(asyncio.Protocol):
-    """`opened` once the other side has shown its chance bytes, `came` for each message, `ended` once, with
-    why; `ready` is asked for the next message when there is room, and says None where there is none.
+    """`on_open` is called when the handshake is complete, `on_message` for each message, and `on_end` once, with the
+    reason. `next_message` is called for the next message when there is room, and returns None if there is none.
     """
 
     def __init__(
         self,
         session: Session,
-        opened: Callable[[Link], None],
-        came: Callable[[Link, Message], None],
-        ended: Callable[[Link, str], None],
+        on_open: Callable[[Link], None],
+        on_message: Callable[[Link, Message], None],
+        on_end: Callable[[Link, str], None],
         counts: Counter[str],
-        ready: Callable[[Link], bytes | None] | None = None,
+        next_message: Callable[[Link], bytes | None] | None = None,
     ) -> None:
         self._session = session
-        self._opened, self._came, self._ended, self._ready = opened, came, ended, ready
+        self._on_open, self._on_message, self._on_end, self._next_message = on_open, on_message, on_end, next_message
         self._counts = counts
         self._transport: asyncio.Transport | None = None
-        self._waiting: deque[bytes] = deque()
+        self._queue: deque[bytes] = deque()
         self._message: bytes | None = None
-        self._at = 0
-        self._full = False
-        self._over = False
+        self._offset = 0
+        self._write_paused = False
+        self._finished = False
         self._closing = False
         self.peer = ""
 
@@ -48,127 +51,132 @@
     def session(self) -> Session:
         return self._session
 
-    # --- the transport's calls ----------------------------------------------------------------------
+    # --- called by the transport --------------------------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        if self._over:
+        if self._finished:
             transport.abort()
             return
         self._transport = transport
-        name = transport.get_extra_info("peername")
-        self.peer = f"{name[0]}:{name[1]}" if isinstance(name, tuple) and len(name) >= 2 else "?"
+        address = transport.get_extra_info("peername")
+        self.peer = f"{address[0]}:{address[1]}" if isinstance(address, tuple) and len(address) >= 2 else "?"
         transport.set_write_buffer_limits(high=1)
         transport.write(self._session.handshake())
 
     def data_received(self, data: bytes) -> None:
         self._counts["bytes in"] += len(data)
         try:
-            before = self._session.open
+            was_open = self._session.open
             for message in self._session.feed(data):
-                if not before:
-                    before = True
-                    self._opened(self)
+                if not was_open:
+                    was_open = True
+                    self._on_open(self)
                 self._counts["messages in"] += 1
-                if self._over:
+                if self._finished:
                     return
-                self._came(self, message)
-            if not before and self._session.open and not self._over:
-                self._opened(self)
-        except BadPacket as bad:
-            self.abort(str(bad))
-        except Exception as error:  # a fault of ours in reading it ends this connection and nothing else
+                self._on_message(self, message)
+            if not was_open and self._session.open and not self._finished:
+                self._on_open(self)
+        except BadPacket as error:
+            self.abort(str(error))
+        except Exception as error:  # an error in this program ends this connection and nothing else
             self.abort(f"{type(error).__name__}: {error}")
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._end("lost" if exc is None else f"lost: {exc}")
+        self._finish("lost" if exc is None else f"lost: {exc}")
 
     def pause_writing(self) -> None:
-        self._full = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        self._full = False
+        self._write_paused = False
         self.pump()
 
-    # --- the owner's --------------------------------------------------------------------------------
+    # --- called by the owner ------------------------------------------------------------------------
 
     @property
     def idle(self) -> bool:
-        """Whether everything said has left this process."""
-        return self._message is None and not self._waiting and not self._full
+        """Whether all messages have left this process."""
+        return self._message is None and not self._queue and not self._write_paused
 
     def send(self, message: bytes) -> None:
-        """Behind what is being written. More than waits is for one that does not read: it is ended."""
-        if self._over or self._transport is None:
+        """Queues a message behind the one being written. A connection whose queue is full is aborted, since its peer
+        does not read.
+        """
+        if self._finished or self._transport is None:
             return
-        if len(self._waiting) >= MOST_WAITING or sum(map(len, self._waiting)) > MOST_WAITING_BYTES:
+        if len(self._queue) >= MAX_QUEUED_SENDS or sum(map(len, self._queue)) > MAX_QUEUED_BYTES:
             self.abort("does not read")
             return
-        self._waiting.append(message)
+        self._queue.append(message)
         self.pump()
 
     def pump(self) -> None:
         """Writes while there is room."""
-        while not self._full and not self._over and self._transport is not None and self._session.open:
+        while not self._write_paused and not self._finished and self._transport is not None and self._session.open:
             if self._message is None:
-                if self._waiting:
-                    self._message = self._waiting.popleft()
-                elif self._ready is not None and not self._closing:
-                    self._message = self._ready(self)
-                self._at = 0
+                if self._queue:
+                    self._message = self._queue.popleft()
+                elif self._next_message is not None and not self._closing:
+                    self._message = self._next_message(self)
+                self._offset = 0
                 if self._message is None:
                     if self._closing:
                         self._transport.close()
                     return
                 self._counts["messages out"] += 1
-            frame, self._at = self._session.next_frame(self._message, self._at)
-            if self._at >= len(self._message):
+            frame, self._offset = self._session.next_frame(self._message, self._offset)
+            if self._offset >= len(self._message):
                 self._message = None
             self._counts["bytes out"] += len(frame)
             self._transport.write(frame)
 
     def close(self) -> None:
-        """Once what was said is written."""
+        """Closes the connection when all queued messages are written."""
         self._closing = True
         if not self._session.open and self._transport is not None:
             self._transport.close()
         self.pump()
 
-    def abort(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
+        """Ends the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
-        self._end(why)
+        self._finish(reason)
 
-    def _end(self, why: str) -> None:
-        if not self._over:
-            self._over = True
+    def _finish(self, reason: str) -> None:
+        if not self._finished:
+            self._finished = True
             self._message = None
-            self._waiting.clear()
-            self._ended(self, why)
+            self._queue.clear()
+            self._on_end(self, reason)
 
 
-class Calls:
-    """The connections that one side makes, by upstream: those under way, and those that are there. `local` is the
-    address that they come from; "" for whichever leads there.
+class OutgoingConnections:
+    """The outgoing connections of a client by upstream, both established and in progress. They are made from
+    `local_address`, or from any address if that is empty.
     """
 
-    def __init__(self, addresses: dict[str, tuple[str, int]], local: str) -> None:
-        self._addresses, self._local = addresses, local
-        self.links: dict[str, Link] = {}  # as many as there are upstreams
-        self._tasks: dict[str, asyncio.Task[None]] = {}  # emptied as they end
+    def __init__(self, addresses: dict[str, tuple[str, int]], local_address: str) -> None:
+        self._addresses, self._local_address = addresses, local_address
+        self.links: dict[str, Link] = {}  # bounded by the number of upstreams
+        self._tasks: dict[str, asyncio.Task[None]] = {}  # removed when they end
 
     def connect(self, upstream: str, link: Link) -> None:
-        """What comes of it the link says."""
+        """Starts connecting. The link reports the outcome."""
         self.links[upstream] = link
         self._tasks[upstream] = asyncio.get_running_loop().create_task(self._connect(upstream, link))
 
     async def _connect(self, upstream: str, link: Link) -> None:
         try:
             await asyncio.get_running_loop().create_connection(
-                lambda: link, *self._addresses[upstream], local_addr=(self._local, 0) if self._local else None
+                lambda: link,
+                *self._addresses[upstream],
+                local_addr=(self._local_address, 0) if self._local_address else None,
             )
         except OSError as error:
             link.abort(error.strerror or str(error))
@@ -180,6 +188,7 @@
                 del self._tasks[upstream]
 
     def close(self, upstream: str) -> None:
+        """Closes the connection to an upstream, or stops connecting."""
         task = self._tasks.pop(upstream, None)
         if task is not None:
             task.cancel()
@@ -188,6 +197,6 @@
             link.abort("closed")
 
     def cancel(self) -> None:
-        """All that is under way."""
+        """Cancels all attempts in progress."""
         for task in self._tasks.values():
             task.cancel()
--- a/pepperusher/distribution/messages.py
+++ b/pepperusher/distribution/messages.py
@@ -1,8 +1,8 @@
-"""What control machines, their relays, proxies and operators say to each other, typed; free of I/O.
+"""The typed messages between control machines, proxies and operators; free of I/O.
 
-Decisions (configuration) have one order, made by the one origin; facts have one owner, a region, and may be
-stale elsewhere. Which of the two a kind is stands here and nowhere else, so that nothing treats one as the
-other.
+There are two kinds of resources. Configuration is a decision: its versions are totally ordered by one origin. Facts,
+such as lists of endpoints, have one owner, a region, and may be stale elsewhere. KIND_IS_FACT is the only place that
+says which is which, so that no code confuses the two.
 """
 
 from __future__ import annotations
@@ -14,33 +14,33 @@
 from msgspec import Meta
 
 CONFIG, ENDPOINTS = "config", "endpoints"
-# Whether it is a fact.
-KINDS = {CONFIG: False, ENDPOINTS: True}
-
-# A body at the most, as the own file's; a message is that and its frame's words.
-LONGEST_BODY = 4 * 1024 * 1024
-LONGEST_MESSAGE = LONGEST_BODY + 64 * 1024
-# All rows of a rollout.
-LONGEST_ANSWER = 16 * 1024 * 1024
-# What one that is no control machine and no operator may say at once.
-LONGEST_WORD = 128 * 1024
-# A control machine's greeting, with what it has.
-LONGEST_HELLO = 2 * 1024 * 1024
-# How much one proxy may subscribe to, and how much there is for a control machine to keep.
-MOST_NAMES = 256
-MOST_RESOURCES = 8_000
-LONGEST_REASON = 300
+# By kind of resource: whether it is a fact.
+KIND_IS_FACT = {CONFIG: False, ENDPOINTS: True}
+
+# The longest body is that of a proxy's own file; a message is a body and its envelope.
+MAX_BODY_BYTES = 4 * 1024 * 1024
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 64 * 1024
+# Holds all rows of a rollout.
+MAX_REPLY_BYTES = 16 * 1024 * 1024
+# The longest message of a proxy, and of a connection that waits for admission.
+MAX_PROXY_MESSAGE_BYTES = 128 * 1024
+# The hello message of a control machine lists all its versions.
+MAX_HELLO_BYTES = 2 * 1024 * 1024
+# How many resources one proxy may subscribe to, and how many a control machine stores.
+MAX_SUBSCRIPTIONS = 256
+MAX_RESOURCES = 8_000
+MAX_REASON_CHARS = 300
 
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
-Reason = Annotated[str, Meta(max_length=LONGEST_REASON)]
+Reason = Annotated[str, Meta(max_length=MAX_REASON_CHARS)]
 Digest = Annotated[str, Meta(min_length=32, max_length=32)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Key = tuple[str, str]
 
 
 class Version(NamedTuple):
-    """The epoch is raised by hand with each new origin; the number by the origin with each change, to the time
-    in ms or by one. They order the versions of one resource, and say nothing across resources.
+    """The version of one resource; versions of different resources cannot be compared. The epoch is raised by hand with
+    each new origin. The origin raises the number with each change: to the time in ms, or by one if that is greater.
     """
 
     epoch: int
@@ -54,6 +54,8 @@
 
 
 class Resource(NamedTuple):
+    """One version of a resource with its body."""
+
     kind: str
     name: str
     version: Version
@@ -71,20 +73,21 @@
 
 
 def make_resource(kind: str, name: str, version: Version, body: bytes) -> Resource:
-    """Raises KeyError for a kind that there is not."""
-    return Resource(kind, name, version, digest_of(body), body, KINDS[kind])
+    """Raises KeyError for an unknown kind."""
+    return Resource(kind, name, version, digest_of(body), body, KIND_IS_FACT[kind])
 
 
 def one_line(reason: str) -> str:
-    return " ".join(reason.split())[:LONGEST_REASON]
+    """The reason in one line, cut to the length that a message may hold."""
+    return " ".join(reason.split())[:MAX_REASON_CHARS]
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Fields that a later release puts at the end are read over."""
+    """The base of all messages. Fields that a later release appends are ignored when decoding."""
 
 
 class Mark(NamedTuple):
-    """A version and its content, without the body."""
+    """A version and the digest of its content, without the body."""
 
     epoch: Count
     number: Count
@@ -95,8 +98,8 @@
         return Version(self.epoch, self.number)
 
 
-def mark_of(one: Resource) -> Mark:
-    return Mark(*one.version, one.digest)
+def mark_of(resource: Resource) -> Mark:
+    return Mark(*resource.version, resource.digest)
 
 
 PROXY, RELAY, OPERATOR = range(3)
@@ -104,7 +107,7 @@
 
 
 class Ack(_Message, tag=2):
-    """In force, or refused with a reason: an ACK or NACK of this version."""
+    """Acknowledges a version: in force, or rejected with a reason (ACK or NACK)."""
 
     kind: Name
     name: Name
@@ -122,6 +125,8 @@
 
 
 class HaveVersion(_Message, tag=15):
+    """Reports a version that a client already has."""
+
     kind: Name
     name: Name
     mark: Mark
@@ -132,29 +137,29 @@
 
 
 class Hello(_Message, tag=1):
-    """First on a connection. `life` tells two processes under one name apart. A relay subscribes to all, and
-    names nothing.
+    """The first message of a client. `instance_id` distinguishes two processes with one name. `names` are the resources
+    that a proxy subscribes to; a relay subscribes to all and lists none.
     """
 
     role: Annotated[int, Meta(ge=0, le=OPERATOR)]
     name: Name
-    life: Annotated[int, Meta(ge=0, le=2**63 - 1)]
+    instance_id: Annotated[int, Meta(ge=0, le=2**63 - 1)]
     region: Annotated[str, Meta(max_length=100)]
     zone: Annotated[str, Meta(max_length=100)]
-    bodies: bool
-    names: Annotated[list[tuple[Name, Name]], Meta(max_length=MOST_NAMES)]
-    have: Annotated[list[HaveVersion], Meta(max_length=MOST_RESOURCES)]
-    refused: Annotated[list[Ack], Meta(max_length=MOST_NAMES)]
+    send_bodies: bool
+    names: Annotated[list[tuple[Name, Name]], Meta(max_length=MAX_SUBSCRIPTIONS)]
+    have: Annotated[list[HaveVersion], Meta(max_length=MAX_RESOURCES)]
+    refused: Annotated[list[Ack], Meta(max_length=MAX_SUBSCRIPTIONS)]
 
 
 class BodyRequest(_Message, tag=3):
-    """The body: what came does not fit what is there, or this one was only offered it. `base` is what a delta
-    may be made from; without one it comes whole.
+    """Requests a body, because an update did not apply or the version was only offered. `base` is a version from which
+    a delta may be computed; without one a snapshot is sent.
     """
 
     kind: Name
     name: Name
-    steady: bool = False
+    stable: bool = False
     base: Mark | None = None
 
     @property
@@ -163,45 +168,45 @@
 
 
 class BodiesSwitch(_Message, tag=4):
-    """From now on bodies, or offers alone: of a proxy's two upstreams one sends bodies."""
+    """Tells an upstream to send bodies, or offers only: one of a proxy's two upstreams sends bodies."""
 
-    on: bool
+    enabled: bool
 
 
 class FreshnessReport(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Of the fact `endpoints/name`: its owner's own source last spoke at `stamp`, in the owner's time, `age` us
-    before this is sent, and then this version was all that it had told.
+    """How fresh the fact `endpoints/name` is: `age_us` before this message was sent, the owner's source confirmed that
+    this version was the newest. `stamp` is the time of that by the owner's clock.
     """
 
     name: Name
     epoch: Count
     number: Count
     stamp: Count
-    age: Count
+    age_us: Count
 
 
 class Heartbeat(_Message, tag=5):
-    """The sender is there. From a control machine: when the origin last spoke, in the origin's time, and how
-    long ago in us that reached the sender; and words of the facts that the other side subscribes to.
+    """Shows that the sender is alive. From a control machine also the origin's last confirmation: its epoch, its time
+    by the origin's clock and its age in us; and the freshness of the facts that the receiver subscribes to.
     """
 
     epoch: Count = 0
     stamp: Count = 0
-    age: Count = 0
-    words: list[FreshnessReport] = []
+    age_us: Count = 0
+    freshness: list[FreshnessReport] = []
 
 
 class Offer(_Message, tag=6):
-    """The version there is, without its body. To relays also whether it was halted, which version those are given
-    that have none, and of how many waves this machine has heard.
+    """The newest version without its body. Relays also receive the reason if it was halted, the stable version that new
+    proxies are given, and how many waves of the rollout are completed on the sender.
     """
 
     kind: Name
     name: Name
     mark: Mark
     halted: Reason = ""
-    steady: Mark | None = None
-    heard: int = 0
+    stable: Mark | None = None
+    waves_completed: int = 0
 
     @property
     def key(self) -> Key:
@@ -209,11 +214,13 @@
 
 
 class Snapshot(_Message, tag=7):
+    """A version with its whole body."""
+
     kind: Name
     name: Name
     mark: Mark
-    body: Annotated[bytes, Meta(max_length=LONGEST_BODY)]
-    steady: bool = False
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
+    stable: bool = False
 
     @property
     def key(self) -> Key:
@@ -221,7 +228,7 @@
 
 
 class Delta(_Message, tag=8):
-    """From one version to another; `ops` as `distribution.delta` has them."""
+    """An update from one version to another. `ops` are those of `distribution.delta`."""
 
     kind: Name
     name: Name
@@ -235,31 +242,35 @@
 
 
 class Publish(_Message, tag=9):
+    """Asks the origin, or the owner of a fact, to write a change."""
+
     kind: Name
     name: Name
-    body: Annotated[bytes, Meta(max_length=LONGEST_BODY)]
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
 
 
 class Published(_Message, tag=10):
-    """The version it became, or why it did not."""
+    """The version assigned to a published change, or why it was rejected."""
 
     epoch: Count
     number: Count
-    why: Reason = ""
+    reason: Reason = ""
 
 
 class RolloutRequest(_Message, tag=11):
-    """`wide`: of all control machines, and not of the one that is asked alone. `number` is for the answer."""
+    """Asks for the progress of a rollout on one control machine, or with `all_machines` on all of them. The answer
+    repeats `request_id`.
+    """
 
-    number: Count
+    request_id: Count
     kind: Name
     name: Name
-    wide: bool
+    all_machines: bool
 
 
 class Row(NamedTuple):
-    """One proxy: what is in force there, what it refused and why, whether it is connected, and when it was
-    last heard, in us before now.
+    """The state of one proxy: the version in force, the version it rejected and why, whether it is connected, and how
+    long ago it was last heard from, in us.
     """
 
     proxy: Name
@@ -268,13 +279,15 @@
     refused: tuple[Count, Count]
     reason: str
     connected: bool
-    heard: Count
+    heard_us_ago: Count
 
 
 class Rows(_Message, tag=12):
-    """Of one control machine, or of all; `silent` are those that did not answer in time."""
+    """The rollout progress as one control machine, or all of them, know it. `silent` are machines that did not answer
+    in time.
+    """
 
-    number: Count
+    request_id: Count
     version: tuple[Count, Count]
     digest: str
     halted: Reason
@@ -283,22 +296,37 @@
 
 
 class Refused(_Message, tag=13):
-    """Why this connection ends."""
+    """Tells the client why its connection is closed."""
 
-    why: Reason
+    reason: Reason
 
 
 class FiguresRequest(_Message, tag=14):
+    """Asks a control machine for its counters."""
+
     pass
 
 
 class Figures(_Message, tag=16):
-    """A control machine's counts by name."""
+    """The counters of a control machine by name."""
 
     counts: dict[str, int | str]
 
 
 Message = (
-    Hello | Ack | BodyRequest | BodiesSwitch | Heartbeat | Offer | Snapshot | Delta | Publish | Published | RolloutRequest | Rows
-    | Refused | FiguresRequest | Figures
-)  # fmt: skip
+    Hello
+    | Ack
+    | BodyRequest
+    | BodiesSwitch
+    | Heartbeat
+    | Offer
+    | Snapshot
+    | Delta
+    | Publish
+    | Published
+    | RolloutRequest
+    | Rows
+    | Refused
+    | FiguresRequest
+    | Figures
+)
--- a/pepperusher/distribution/relay.py
+++ b/pepperusher/distribution/relay.py
@@ -1,8 +1,8 @@
-"""A control machine's watch of discovery: what discovery tells becomes a fact, and each word of the watch a word of
-how old that is.
+"""A control machine's watch of discovery: the list from discovery is published as a fact, and each message of the watch
+confirms how fresh the fact is.
 
-Loaded only where the control machine's file names discovery. Reading and watching are a proxy's
-(`net.discovery`); what stands in here for a proxy's decisions only says when to ask again.
+Loaded only if the control machine's file names discovery. The watch itself is that of a proxy (`net.discovery`); the
+class that replaces the proxy's decisions here only schedules retries.
 """
 
 from __future__ import annotations
@@ -12,43 +12,43 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from pepperusher.distribution.messages import LONGEST_BODY, Version
+from pepperusher.distribution.messages import MAX_BODY_BYTES, Version
 from pepperusher.endpoint import Endpoint
 from pepperusher.net import clock
 from pepperusher.net.discovery import Discovery
 from pepperusher.net.log import Log
 
-# After a call that failed: few ask in this way, their proxies are told by them, and while these are not, each of them
-# may ask too: at a discovery that turns most calls away the few have to come in among thousands. Doubled up to the
-# most, and drawn from the half of it to all.
-PAUSE_LEAST = 50_000
-PAUSE_MOST = 100_000
+# The exponential backoff after a failed call, drawn from the upper half. It is short because few machines call
+# discovery in this way, and while they fail each of their proxies may call it as well: at a discovery that rejects most
+# calls, these few must succeed among thousands.
+RETRY_MIN_US = 50_000
+RETRY_MAX_US = 100_000
 
 
-class _Asking:
-    """In the place of a proxy's decisions: when discovery is asked again."""
+class _RetrySchedule:
+    """Schedules the calls to discovery, in place of a proxy's decisions."""
 
-    def __init__(self, chance: Random) -> None:
-        self._chance = chance
-        self._pause, self._ask_at = 0, 0
-        self.told = False  # since the start
-        self.changed = False  # since it was written last
+    def __init__(self, random: Random) -> None:
+        self._random = random
+        self._delay, self._retry_at = 0, 0
+        self.list_received = False  # since the start
+        self.list_changed = False  # since the list was written last
 
     def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
         if whole or any(True for _ in entries):
-            self.told = self.changed = True
-        self._pause = 0
+            self.list_received = self.list_changed = True
+        self._delay = 0
 
     def endpoint_request_failed(self, now: int) -> None:
-        self._pause = min(PAUSE_MOST, 2 * self._pause or PAUSE_LEAST)
-        self._ask_at = now + self._chance.randrange(self._pause // 2, self._pause + 1)
+        self._delay = min(RETRY_MAX_US, 2 * self._delay or RETRY_MIN_US)
+        self._retry_at = now + self._random.randrange(self._delay // 2, self._delay + 1)
 
     def endpoint_request_delay(self, now: int) -> int:
-        return max(0, self._ask_at - now)
+        return max(0, self._retry_at - now)
 
 
 class _NoBackends:
-    """Nobody here connects to those listed."""
+    """A control machine connects to none of the listed backends."""
 
     def reached_at(self, name: str, address: tuple[str, int], ready: bool) -> None:
         pass
@@ -57,43 +57,43 @@
         pass
 
 
-class _Lines(Log):
-    """Discovery's lines among the machine's own, held to their rate."""
+class _DiscoveryLog(Log):
+    """Forwards discovery's log lines to the machine's log, which limits their rate."""
 
     def __init__(self, say: Callable[..., None]) -> None:
         super().__init__("")
-        self._tell = say
+        self._log = say
 
     def say(self, line: str, figures: dict[str, object] | None = None) -> None:
-        self._tell("discovery", said=line, **(figures or {}))
+        self._log("discovery", said=line, **(figures or {}))
 
 
 class Relay:
-    """`write` makes a body the newest of the fact and gives its version, None where that can't be now; `word` says
-    that discovery spoke at this time, and then this version was all that it had told; False where that is no longer
-    the newest.
+    """Publishes discovery's list as a fact. `write_fact` makes a body the newest version of the fact and returns the
+    version, or None if that is not possible now. `report_confirmation` records that discovery confirmed this version at
+    this time, and returns False if it is no longer the newest.
     """
 
     def __init__(
         self,
         address: tuple[str, int],
         name: str,
-        write: Callable[[str, bytes], Version | None],
-        word: Callable[[str, Version, int], bool],
+        write_fact: Callable[[str, bytes], Version | None],
+        report_confirmation: Callable[[str, Version, int], bool],
         say: Callable[..., None],
         seed: int,
     ) -> None:
-        self._name, self._write, self._word, self._say = name, write, word, say
-        self._asking = _Asking(Random(seed))
-        self._discovery = Discovery(address, self._asking, _NoBackends(), _Lines(say), (), seed)
+        self._name, self._write_fact, self._report_confirmation, self._say = name, write_fact, report_confirmation, say
+        self._schedule = _RetrySchedule(Random(seed))
+        self._discovery = Discovery(address, self._schedule, _NoBackends(), _DiscoveryLog(say), (), seed)
         self._discovery.on_word = self._discovery_confirmed
-        self._spoke_at: int | None = None  # and it has not been said yet
-        self._last_at: int | None = None
-        self._coming = False
-        self._number: int | None = None  # discovery's, of the list that is written
+        self._unreported_at: int | None = None  # confirmed, and not reported yet
+        self._last_confirmed_at: int | None = None
+        self._publish_scheduled = False
+        self._discovery_version: int | None = None  # discovery's version of the list that was written
         self._version: Version | None = None
-        self._too_long = False
-        self.words = 0
+        self._too_large = False
+        self.confirmations = 0
 
     def start(self) -> None:
         self._discovery.start()
@@ -102,44 +102,52 @@
         self._discovery.stop()
 
     def _discovery_confirmed(self) -> None:
-        """Lines that come in one turn of the loop make one version."""
-        self._spoke_at = self._last_at = clock.now()
-        if not self._coming:
-            self._coming = True
+        """Lines received in one turn of the event loop make one version."""
+        self._unreported_at = self._last_confirmed_at = clock.now()
+        if not self._publish_scheduled:
+            self._publish_scheduled = True
             asyncio.get_running_loop().call_soon(self.publish_pending)
 
     def publish_pending(self) -> None:
-        """Also now and then: what could not be written is tried again."""
-        self._coming = False
-        if self._spoke_at is None or not self._asking.told:
+        """Writes the list if it changed and reports the confirmation. Also called periodically, to retry a write that
+        failed.
+        """
+        self._publish_scheduled = False
+        if self._unreported_at is None or not self._schedule.list_received:
             return
-        if self._version is None or self._asking.changed or self._number != self._discovery.version:
-            listed = self._discovery.listed()
-            body = json.dumps({**(listed or {}), "discovery": self._discovery.source}).encode()
-            if len(body) > LONGEST_BODY:
-                if not self._too_long:
-                    self._say("the list is too long to be handed on", bytes=len(body), most=LONGEST_BODY)
-                self._too_long = True
+        if self._version is None or self._schedule.list_changed or self._discovery_version != self._discovery.version:
+            endpoint_list = self._discovery.listed()
+            body = json.dumps({**(endpoint_list or {}), "discovery": self._discovery.source}).encode()
+            if len(body) > MAX_BODY_BYTES:
+                if not self._too_large:
+                    self._say("the list of backends is too large to be published", bytes=len(body), most=MAX_BODY_BYTES)
+                self._too_large = True
                 return
-            self._too_long = False
-            version = self._write(self._name, body)
+            self._too_large = False
+            version = self._write_fact(self._name, body)
             if version is None:
                 return
-            self._number, self._version, self._asking.changed = self._discovery.version, version, False
-        spoke_at, self._spoke_at = self._spoke_at, None
-        self.words += 1
-        if not self._word(self._name, self._version, spoke_at):
-            # Another's is in its place, of this machine's life before or of one that it was compared with since: written
-            # over at the next look, before proxies hold this word for missing.
-            self._asking.changed, self._spoke_at = True, spoke_at
-
-    def figures(self) -> dict[str, int | str]:
+            self._discovery_version, self._version, self._schedule.list_changed = (
+                self._discovery.version,
+                version,
+                False,
+            )
+        confirmed_at, self._unreported_at = self._unreported_at, None
+        self.confirmations += 1
+        if not self._report_confirmation(self._name, self._version, confirmed_at):
+            # The newest version is another one, from an earlier run of this machine or from a machine that it has
+            # compared with since. It is overwritten at the next call, before proxies miss this confirmation.
+            self._schedule.list_changed, self._unreported_at = True, confirmed_at
+
+    def counters(self) -> dict[str, int | str]:
         return {
             "relay list": f"endpoints/{self._name}",
             "relay version": str(self._version or "not yet written"),
-            "relay discovery version": self._number or 0,
+            "relay discovery version": self._discovery_version or 0,
             "relay watch": "stands" if self._discovery.watched else "lost",
-            "relay word age us": -1 if self._last_at is None else max(0, clock.now() - self._last_at),
-            "relay words": self.words,
+            "relay word age us": -1
+            if self._last_confirmed_at is None
+            else max(0, clock.now() - self._last_confirmed_at),
+            "relay words": self.confirmations,
             "relay calls": self._discovery.metrics.calls,
         }
--- a/pepperusher/distribution/resource_cache.py
+++ b/pepperusher/distribution/resource_cache.py
@@ -1,5 +1,5 @@
-"""What a proxy has in force, in one file that is replaced whole; its time of change is when a control machine
-last confirmed it.
+"""The cache of the resources that a proxy has in force: one file that is replaced atomically. Its modification time is
+when a control machine last confirmed them.
 """
 
 from __future__ import annotations
@@ -10,73 +10,93 @@
 import msgspec
 
 from pepperusher.distribution.messages import (
-    KINDS, LONGEST_BODY, MOST_NAMES, Key, Mark, Resource, digest_of, mark_of,
+    KIND_IS_FACT, MAX_BODY_BYTES, MAX_SUBSCRIPTIONS, Key, Mark, Resource, digest_of, mark_of,
 )  # fmt: skip
 
-FORM = "pepperusher distribution 1"
-LONGEST = MOST_NAMES * LONGEST_BODY
+FORMAT = "pepperusher distribution 1"
+MAX_FILE_BYTES = MAX_SUBSCRIPTIONS * MAX_BODY_BYTES
 
 
-class _One(msgspec.Struct, frozen=True, array_like=True):
+class _CachedResource(msgspec.Struct, frozen=True, array_like=True):
+    """One resource in the file."""
+
     kind: str
     name: str
     mark: Mark
     body: bytes
 
 
-class _Kept(msgspec.Struct, frozen=True, array_like=True):
-    form: str
-    resources: list[_One]
+class _CacheFile(msgspec.Struct, frozen=True, array_like=True):
+    """The content of the file."""
+
+    format: str
+    resources: list[_CachedResource]
 
 
-_decode = msgspec.msgpack.Decoder(_Kept).decode
+_decode = msgspec.msgpack.Decoder(_CacheFile).decode
 
 
 def read(path: Path, names: set[Key]) -> tuple[list[Resource], int | None, str]:
-    """What is whole of what is wanted, when it was last confirmed (us, Unix time), and what is wrong."""
+    """Returns the undamaged resources among `names`, when they were last confirmed (us, Unix time), and an error or an
+    empty text.
+    """
     try:
         with open(path, "rb") as file:
-            data = file.read(LONGEST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
             confirmed_at = os.fstat(file.fileno()).st_mtime_ns // 1000
-        kept = _decode(data)
+        cached_file = _decode(data)
     except FileNotFoundError:
         return [], None, ""
     except OSError as error:
         return [], None, error.strerror or str(error)
     except (msgspec.MsgspecError, RecursionError):
         return [], None, "it is damaged"
-    if kept.form != FORM:
-        return [], None, f"it is of form {kept.form[:40]!r}"
-    made, wrong = [], ""
-    for one in kept.resources:
-        if (one.kind, one.name) not in names or one.kind not in KINDS:
+    if cached_file.format != FORMAT:
+        return [], None, f"it has the unknown format {cached_file.format[:40]!r}"
+    resources, problem = [], ""
+    for cached in cached_file.resources:
+        if (cached.kind, cached.name) not in names or cached.kind not in KIND_IS_FACT:
             continue
-        if digest_of(one.body) != one.mark.digest:
-            wrong = f"{one.kind}/{one.name} is damaged"
+        if digest_of(cached.body) != cached.mark.digest:
+            problem = f"{cached.kind}/{cached.name} is damaged"
             continue
-        made.append(Resource(one.kind, one.name, one.mark.version, one.mark.digest, one.body, KINDS[one.kind]))
-    return made, confirmed_at, wrong
-
-
-def write(path: Path, held: list[Resource], confirmed_at: int) -> str:
-    """Whole or not at all; what is wrong, or nothing. Blocks."""
-    data = msgspec.msgpack.encode(_Kept(FORM, [_One(one.kind, one.name, mark_of(one), one.body) for one in held]))
-    beside = path.with_name(f"{path.name}.new")
+        resources.append(
+            Resource(
+                cached.kind,
+                cached.name,
+                cached.mark.version,
+                cached.mark.digest,
+                cached.body,
+                KIND_IS_FACT[cached.kind],
+            )
+        )
+    return resources, confirmed_at, problem
+
+
+def write(path: Path, resources: list[Resource], confirmed_at: int) -> str:
+    """Writes the file atomically. Returns an error or an empty text. Blocks."""
+    data = msgspec.msgpack.encode(
+        _CacheFile(
+            FORMAT,
+            [_CachedResource(resource.kind, resource.name, mark_of(resource), resource.body) for resource in resources],
+        )
+    )
+    temporary = path.with_name(f"{path.name}.new")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fdatasync(file.fileno())
-        os.utime(beside, ns=(confirmed_at * 1000, confirmed_at * 1000))
-        os.replace(beside, path)
+        os.utime(temporary, ns=(confirmed_at * 1000, confirmed_at * 1000))
+        os.replace(temporary, path)
     except OSError as error:
         return error.strerror or str(error)
     return ""
 
 
 def touch(path: Path, confirmed_at: int) -> None:
-    """It was confirmed again."""
+    """Sets the time of the last confirmation."""
     try:
         os.utime(path, ns=(confirmed_at * 1000, confirmed_at * 1000))
     except OSError:
-        pass  # it is written soon, or can't be, which was said
+        pass  # the file is missing until the next write, or writing failed and was logged
--- a/pepperusher/distribution/version_records.py
+++ b/pepperusher/distribution/version_records.py
@@ -1,7 +1,7 @@
-"""What a control machine keeps on its disk: one file a resource, replaced whole.
+"""The resources that a control machine keeps on its disk: one file for each resource, replaced atomically.
 
-A machine that comes back with an old disk has older versions in it, and takes the newer from others; nothing
-here can make anybody older.
+A machine restored from an outdated disk starts with older versions and receives the newer ones from other machines; it
+cannot cause any machine or proxy to return to an older version.
 """
 
 from __future__ import annotations
@@ -10,65 +10,74 @@
 
 import msgspec
 
-from pepperusher.distribution.messages import KINDS, Mark, Resource, digest_of, mark_of
+from pepperusher.distribution.messages import KIND_IS_FACT, Mark, Resource, digest_of, mark_of
 from pepperusher.store.disk import Disk
 
-FORM = "pepperusher control 1"
+FORMAT = "pepperusher control 1"
 SUFFIX = ".resource"
 
 
-class _Kept(msgspec.Struct, frozen=True, array_like=True):
-    form: str
+class _ResourceFile(msgspec.Struct, frozen=True, array_like=True):
+    """The content of one file."""
+
+    format: str
     kind: str
     name: str
     newest: Mark
     body: bytes
     halted: str
-    steady: Mark | None
-    steady_body: bytes
+    stable: Mark | None
+    stable_body: bytes
 
 
-_decode = msgspec.msgpack.Decoder(_Kept).decode
+_decode = msgspec.msgpack.Decoder(_ResourceFile).decode
 
 
-def _file(kind: str, name: str) -> str:
+def _file_name(kind: str, name: str) -> str:
+    """The name of the file that holds a resource."""
     return hashlib.blake2b(f"{kind} {name}".encode(), digest_size=16).hexdigest() + SUFFIX
 
 
 def read(disk: Disk) -> tuple[list[tuple[Resource, Resource | None, str]], list[str]]:
-    """All that is whole, and what is wrong with the rest. Raises OSError."""
-    made, wrong = [], []
-    for file in disk.names():
-        if not file.endswith(SUFFIX):
+    """Returns all undamaged resources as (newest, stable, halt reason), and the errors of the others.
+    Raises OSError.
+    """
+    resources, errors = [], []
+    for file_name in disk.names():
+        if not file_name.endswith(SUFFIX):
             continue
         try:
-            kept = _decode(disk.read(file))
+            stored = _decode(disk.read(file_name))
         except (msgspec.MsgspecError, RecursionError):
-            wrong.append(f"{file}: damaged")
+            errors.append(f"{file_name}: damaged")
             continue
-        sound = kept.form == FORM and kept.kind in KINDS and digest_of(kept.body) == kept.newest.digest
-        if not sound or (kept.steady is not None and digest_of(kept.steady_body) != kept.steady.digest):
-            wrong.append(f"{file}: damaged")
+        intact = (
+            stored.format == FORMAT and stored.kind in KIND_IS_FACT and digest_of(stored.body) == stored.newest.digest
+        )
+        if not intact or (stored.stable is not None and digest_of(stored.stable_body) != stored.stable.digest):
+            errors.append(f"{file_name}: damaged")
             continue
-        fact = KINDS[kept.kind]
-        newest = Resource(kept.kind, kept.name, kept.newest.version, kept.newest.digest, kept.body, fact)
-        steady = None
-        if kept.steady is not None:
-            steady = Resource(kept.kind, kept.name, kept.steady.version, kept.steady.digest, kept.steady_body, fact)
-        made.append((newest, steady, kept.halted))
-    return made, wrong
-
-
-def write(disk: Disk, newest: Resource, steady: Resource | None, halted: str) -> None:
-    """Whole and lasting, or not at all. Raises OSError. Blocks."""
+        fact = KIND_IS_FACT[stored.kind]
+        newest = Resource(stored.kind, stored.name, stored.newest.version, stored.newest.digest, stored.body, fact)
+        stable = None
+        if stored.stable is not None:
+            stable = Resource(
+                stored.kind, stored.name, stored.stable.version, stored.stable.digest, stored.stable_body, fact
+            )
+        resources.append((newest, stable, stored.halted))
+    return resources, errors
+
+
+def write(disk: Disk, newest: Resource, stable: Resource | None, halted: str) -> None:
+    """Writes a resource durably and atomically. Raises OSError. Blocks."""
     data = msgspec.msgpack.encode(
-        _Kept(FORM, newest.kind, newest.name, mark_of(newest), newest.body, halted,
-              steady and mark_of(steady), steady.body if steady else b"")
+        _ResourceFile(FORMAT, newest.kind, newest.name, mark_of(newest), newest.body, halted,
+              stable and mark_of(stable), stable.body if stable else b"")
     )  # fmt: skip
-    file = _file(newest.kind, newest.name)
-    beside = f"{file}.new"
-    disk.cut(beside, 0)
-    disk.write(beside, 0, data)
-    disk.sync(beside)
-    disk.rename(beside, file)
+    file_name = _file_name(newest.kind, newest.name)
+    temporary = f"{file_name}.new"
+    disk.cut(temporary, 0)
+    disk.write(temporary, 0, data)
+    disk.sync(temporary)
+    disk.rename(temporary, file_name)
     disk.sync_folder()
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -1,5 +1,5 @@
-"""Control machines as processes of their own, proxies' clients against them over loopback: killed, stopped,
-with old and failing disks, cut off, and with bad input.
+"""Control machines in processes of their own, and clients of proxies against them over loopback: killed, stopped, with
+outdated and failing disks, cut off, and with bad input.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from pepperusher.distribution import admission, resource_cache, operator_client, publish, rollout, wire
 from pepperusher.distribution.client import Client
 from pepperusher.distribution.operator_client import NoAnswerError
-from pepperusher.distribution.server import HELLO_WITHIN, SILENT_AFTER, Server, ServerSettings
+from pepperusher.distribution.server import HELLO_TIMEOUT_S, SILENCE_TIMEOUT_US, Server, ServerSettings
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
     CONFIG,
     ENDPOINTS,
-    MOST_NAMES,
+    MAX_SUBSCRIPTIONS,
     PROXY,
     Heartbeat,
     Hello,
@@ -49,46 +49,46 @@
 
 SECRET = b"a key for the tests alone"
 KEY: Key = (CONFIG, "shop")
-# An address of its own for each run: a port that the kernel gave and that is free a moment later is taken there by
-# nobody's outgoing connection meanwhile.
+# Each run uses its own loopback address: another process's outgoing connection could otherwise take a port that the
+# kernel assigned and that is free again for a moment.
 HOST = f"127.{os.getpid() % 199 + 20}.{os.getpid() // 199 % 250 + 1}.1"
-LOCAL = "127.0.0.1"
-# For what must come: what it takes on a busy machine is no verdict. The target's 12 s are held to in the time of
-# test_distribution.py's plays.
-WITHIN = 60.0
-
-
-def free_ports(many: int) -> list[int]:
-    taken = [socket.socket() for _ in range(many)]
-    for one in taken:
-        one.bind((HOST, 0))
-    ports = [one.getsockname()[1] for one in taken]
-    for one in taken:
-        one.close()
+LOCAL_ADDRESS = "127.0.0.1"
+# The timeout for what must happen eventually; a busy machine may take longer than the 12 s of the target. The target
+# itself is tested in the simulated time of test_distribution.py.
+TIMEOUT_S = 60.0
+
+
+def free_ports(count: int) -> list[int]:
+    sockets = [socket.socket() for _ in range(count)]
+    for bound in sockets:
+        bound.bind((HOST, 0))
+    ports = [bound.getsockname()[1] for bound in sockets]
+    for bound in sockets:
+        bound.close()
     return ports
 
 
-async def until(true: Callable[[], bool], within: float = WITHIN, what: str = "") -> float:
-    """How long it took in s. Raises AssertionError."""
-    begun = asyncio.get_running_loop().time()
-    while not true():
-        if asyncio.get_running_loop().time() - begun > within:
-            raise AssertionError(f"not within {within} s: {what}")
+async def until(condition: Callable[[], bool], timeout: float = TIMEOUT_S, description: str = "") -> float:
+    """Waits and returns the time it took in s. Raises AssertionError."""
+    started = asyncio.get_running_loop().time()
+    while not condition():
+        if asyncio.get_running_loop().time() - started > timeout:
+            raise AssertionError(f"not within {timeout} s: {description}")
         await asyncio.sleep(0.02)
-    return asyncio.get_running_loop().time() - begun
+    return asyncio.get_running_loop().time() - started
 
 
 class Machine:
-    """One control machine, a process."""
+    """One control machine in its own process."""
 
-    def __init__(self, folder: Path, number: int, port: int, peers: list[int], **more: Any) -> None:
+    def __init__(self, folder: Path, number: int, port: int, peers: list[int], **settings: Any) -> None:
         self.folder, self.port = folder, port
         self.state = folder / f"state{number}"
         self.file = folder / f"c{number}.toml"
         rows = {
             "name": f"c{number}", "listen": f"{HOST}:{port}", "key_file": str(folder / "key"),
             "state_dir": str(self.state), "region": "east" if number % 2 == 0 else "west",
-            "peers": [f"{HOST}:{one}" for one in peers], "origin": number == 0, "local": LOCAL, **more,
+            "peers": [f"{HOST}:{peer}" for peer in peers], "origin": number == 0, "local": LOCAL_ADDRESS, **settings,
         }  # fmt: skip
         self.file.write_text("".join(f"{name} = {json.dumps(value)}\n" for name, value in rows.items()))
         self.errors = folder / f"c{number}.err"
@@ -101,21 +101,21 @@
                 stdout=asyncio.subprocess.PIPE, stderr=errors,
             )  # fmt: skip
         assert self.process.stdout is not None
-        line = json.loads(await self.process.stdout.readline())
-        assert (line["event"], line["port"]) == ("listening", self.port), line
+        event = json.loads(await self.process.stdout.readline())
+        assert (event["event"], event["port"]) == ("listening", self.port), event
 
-    async def end(self, how: int = signal.SIGKILL) -> int:
+    async def end(self, signal_number: int = signal.SIGKILL) -> int:
         assert self.process is not None
         if self.process.returncode is None:
-            self.process.send_signal(how)
+            self.process.send_signal(signal_number)
         return await self.process.wait()
 
     def lines(self) -> list[dict[str, Any]]:
         return [json.loads(line) for line in self.errors.read_text().splitlines()]
 
 
-async def ended(case: unittest.TestCase, machines: list[Machine]) -> None:
-    """All that run, those that stand still too; none may have said a traceback."""
+async def end_machines(case: unittest.TestCase, machines: list[Machine]) -> None:
+    """Ends all running machines, also stopped ones; none may have logged a traceback."""
     for machine in machines:
         if machine.process is not None:
             if machine.process.returncode is None:
@@ -133,187 +133,208 @@
         self.machines: list[Machine] = []
         self.clients: dict[str, Client] = {}
         self.bodies: dict[str, bytes] = {}
-        self.went: dict[str, list[Version]] = {}
-        self.refusing: set[str] = set()
+        self.applied: dict[str, list[Version]] = {}
+        self.rejecting: set[str] = set()
 
     async def asyncTearDown(self) -> None:
         await asyncio.gather(*(client.stop() for client in self.clients.values()))
-        await ended(self, self.machines)
+        await end_machines(self, self.machines)
         shutil.rmtree(self.folder)
 
-    async def begin(self, ports: list[int] | None = None, **more: Any) -> None:
+    async def start_all(self, ports: list[int] | None = None, **settings: Any) -> None:
         ports = ports or free_ports(self.MACHINES)
         for number, port in enumerate(ports):
-            self.machines.append(Machine(self.folder, number, port, [one for one in ports if one != port], **more))
-        await asyncio.gather(*(one.start() for one in self.machines))
+            self.machines.append(
+                Machine(self.folder, number, port, [peer for peer in ports if peer != port], **settings)
+            )
+        await asyncio.gather(*(machine.start() for machine in self.machines))
         for number in range(self.PROXIES):
             self.client(f"p{number}")
-        many = min(2, self.MACHINES)
-        await until(lambda: all(len(one.upstreams) == many for one in self.clients.values()), what="upstreams")
+        connections_expected = min(2, self.MACHINES)
+        await until(
+            lambda: all(len(client.upstreams) == connections_expected for client in self.clients.values()),
+            description="upstreams",
+        )
 
     def client(self, name: str, upstreams: list[tuple[str, int]] | None = None) -> Client:
-        """One proxy; whatever is taken is checked to be whole and newer than all before it, over restarts too."""
-        went = self.went.setdefault(name, [])
-        restarted = len(went)
-
-        def apply(one: Resource) -> str | None:
-            if name in self.refusing:
+        """Starts the client of one proxy. Each version that it applies must be complete and newer than all before, also
+        across restarts.
+        """
+        applied = self.applied.setdefault(name, [])
+        earlier_count = len(applied)
+
+        def apply(resource: Resource) -> str | None:
+            if name in self.rejecting:
                 return f"{name} can't"
-            self.bodies[name] = one.body
-            if not (restarted and len(went) == restarted and went[-1] == one.version):
-                self.assertGreater(one.version, went[-1] if went else Version(0, 0))
-            went.append(one.version)
+            self.bodies[name] = resource.body
+            if not (earlier_count and len(applied) == earlier_count and applied[-1] == resource.version):
+                self.assertGreater(resource.version, applied[-1] if applied else Version(0, 0))
+            applied.append(resource.version)
             return None
 
-        made = Client(
+        client = Client(
             upstreams or self.upstreams, [KEY], apply, key=SECRET, name=name, region="east", zone="east-1",
             seed=len(self.clients), cache_path=self.folder / f"{name}.kept",
         )  # fmt: skip
-        self.clients[name] = made
-        made.start()
-        return made
+        self.clients[name] = client
+        client.start()
+        return client
 
     @property
     def upstreams(self) -> list[tuple[str, int]]:
-        return [(HOST, one.port) for one in self.machines]
+        return [(HOST, machine.port) for machine in self.machines]
 
     async def publish(self, body: bytes) -> Version:
-        """As soon as the origin may write."""
-        async with asyncio.timeout(WITHIN):
+        """Publishes as soon as the origin accepts writes."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 try:
                     return await publish(self.upstreams[0], SECRET, *KEY, body)
-                except NoAnswerError as no:
-                    if "compared" not in str(no):
+                except NoAnswerError as error:
+                    if "compared" not in str(error):
                         raise
                     await asyncio.sleep(0.05)
 
-    def has(self, version: Version, but: set[str] = frozenset()) -> Callable[[], bool]:  # type: ignore[assignment]
-        return lambda: all(one.in_force.get(KEY) == version for name, one in self.clients.items() if name not in but)
+    def all_have(self, version: Version, but: set[str] = frozenset()) -> Callable[[], bool]:  # type: ignore[assignment]
+        return lambda: all(
+            client.in_force.get(KEY) == version for name, client in self.clients.items() if name not in but
+        )
 
 
 class Machines(Scene):
     async def test_killed_stopped_and_all_gone(self) -> None:
-        await self.begin()
-        await until(self.has(first := await self.publish(b"one\n" * 200)), what="the first")
-        # A machine that heard of it late, after the second, would send that as a snapshot.
+        await self.start_all()
+        await until(self.all_have(first := await self.publish(b"one\n" * 200)), description="the first")
+        # A machine that received the first version only after the second would send the second as a snapshot.
         await until(
-            lambda: all(list(one.state.glob("*.resource")) for one in self.machines), what="the first at each machine"
+            lambda: all(list(machine.state.glob("*.resource")) for machine in self.machines),
+            description="the first at each machine",
         )
-        # One is killed: its proxies go to the other two, resumed by version.
-        snapshots = sum(one.counts["snapshots"] for one in self.clients.values())
+        # One machine is killed: its proxies connect to the other two and resume from their versions.
+        snapshots = sum(client.counts["snapshots"] for client in self.clients.values())
         await self.machines[1].end()
-        await until(self.has(second := await self.publish(b"one\n" * 200 + b"two\n")), what="one killed")
-        await until(lambda: all(len(one.upstreams) == 2 for one in self.clients.values()), what="others instead")
-        self.assertEqual(snapshots, sum(one.counts["snapshots"] for one in self.clients.values()))
-        # One is stopped, and looks alive to the kernel.
+        await until(self.all_have(second := await self.publish(b"one\n" * 200 + b"two\n")), description="one killed")
+        await until(
+            lambda: all(len(client.upstreams) == 2 for client in self.clients.values()), description="others instead"
+        )
+        self.assertEqual(snapshots, sum(client.counts["snapshots"] for client in self.clients.values()))
+        # One machine is stopped (SIGSTOP); its connections stay open in the kernel.
         await self.machines[1].start()
         self.machines[2].process.send_signal(signal.SIGSTOP)  # type: ignore[union-attr]
-        await until(self.has(third := await self.publish(b"one\n" * 200 + b"three\n")), what="one stopped")
+        await until(self.all_have(third := await self.publish(b"one\n" * 200 + b"three\n")), description="one stopped")
         self.machines[2].process.send_signal(signal.SIGCONT)  # type: ignore[union-attr]
-        # All gone: what is in force stays, also over a restart, and says how old it is.
+        # All machines are gone: the version in force stays, also after a restart, and its age is reported.
         for machine in self.machines:
             await machine.end()
-        await until(lambda: not any(one.upstreams for one in self.clients.values()), what="all gone")
-        self.assertTrue(self.has(third)())
-        # What is in force is written by a thread of its own; killed before that, a proxy has the one before.
+        await until(lambda: not any(client.upstreams for client in self.clients.values()), description="all gone")
+        self.assertTrue(self.all_have(third)())
+        # A thread writes the version in force to the cache; a proxy killed before that has the previous one.
         await until(
-            lambda: [one.version for one in resource_cache.read(self.folder / "p0.kept", {KEY})[0]] == [third],
-            what="on disk",
+            lambda: (
+                [resource.version for resource in resource_cache.read(self.folder / "p0.kept", {KEY})[0]] == [third]
+            ),
+            description="on disk",
         )
         self.clients["p0"].kill()
         await self.clients["p1"].stop()
         for name in ("p0", "p1"):
-            again = self.client(name)
-            await until(lambda: again.in_force.get(KEY) == third, what="what was kept")
-            age = again.age(clock.now())
+            restarted = self.client(name)
+            await until(lambda: restarted.in_force.get(KEY) == third, description="what was kept")
+            age = restarted.age(clock.now())
             assert age is not None
             self.assertLess(0, age)
             self.assertEqual(b"one\n" * 200 + b"three\n", self.bodies[name])
-        # And back.
-        await asyncio.gather(*(one.start() for one in self.machines))
-        await until(self.has(fourth := await self.publish(b"four\n")), what="all back")
+        # All machines are started again.
+        await asyncio.gather(*(machine.start() for machine in self.machines))
+        await until(self.all_have(fourth := await self.publish(b"four\n")), description="all back")
         self.assertEqual(sorted({first, second, third, fourth}), [first, second, third, fourth])
-        told = await rollout(self.upstreams[1], SECRET, *KEY)
-        self.assertEqual((fourth, self.PROXIES, [], {}), (told.version, told.in_force, told.pending, told.refused))
+        progress = await rollout(self.upstreams[1], SECRET, *KEY)
+        self.assertEqual(
+            (fourth, self.PROXIES, [], {}), (progress.version, progress.in_force, progress.pending, progress.refused)
+        )
 
     async def test_old_disks_lower_nobody(self) -> None:
-        await self.begin()
-        await until(self.has(await self.publish(b"one\n")), what="the first")
-        await until(lambda: all(list(one.state.glob("*.resource")) for one in self.machines), what="on disk")
+        await self.start_all()
+        await until(self.all_have(await self.publish(b"one\n")), description="the first")
+        await until(
+            lambda: all(list(machine.state.glob("*.resource")) for machine in self.machines), description="on disk"
+        )
         for machine in self.machines:
             shutil.copytree(machine.state, f"{machine.state}.old")
-        await until(self.has(second := await self.publish(b"two\n")), what="the second")
+        await until(self.all_have(second := await self.publish(b"two\n")), description="the second")
         for number in (1, 0):
             machine = self.machines[number]
             await machine.end()
             shutil.rmtree(machine.state)
             shutil.move(f"{machine.state}.old", machine.state)
             await machine.start()
-            # A proxy that knows this machine alone is brought to the newest by way of the others.
-            alone = self.client(f"alone{number}", [(HOST, machine.port)])
-            await until(lambda: alone.in_force.get(KEY) == second, what="the newest from an old disk")
-            self.assertTrue(self.has(second)())
+            # A proxy that is connected to this machine only receives the newest version, which the machine fetched from
+            # the others.
+            single_upstream_client = self.client(f"alone{number}", [(HOST, machine.port)])
+            await until(
+                lambda: single_upstream_client.in_force.get(KEY) == second, description="the newest from an old disk"
+            )
+            self.assertTrue(self.all_have(second)())
         third = await self.publish(b"three\n")
         self.assertGreater(third, second)
-        await until(self.has(third), what="the third")
+        await until(self.all_have(third), description="the third")
 
     async def test_a_change_refused_by_many_stops(self) -> None:
         self.PROXIES = 40
-        await self.begin()
-        await until(self.has(first := await self.publish(b"one\n")), what="the first")
-        self.refusing = {f"p{number}" for number in range(0, 40, 2)}
+        await self.start_all()
+        await until(self.all_have(first := await self.publish(b"one\n")), description="the first")
+        self.rejecting = {f"p{number}" for number in range(0, 40, 2)}
         second = await self.publish(b"two\n")
-        told = await rollout(self.upstreams[2], SECRET, *KEY)
-        async with asyncio.timeout(WITHIN):
-            while not told.halted:
+        progress = await rollout(self.upstreams[2], SECRET, *KEY)
+        async with asyncio.timeout(TIMEOUT_S):
+            while not progress.halted:
                 await asyncio.sleep(0.05)
-                told = await rollout(self.upstreams[2], SECRET, *KEY)
-        self.assertEqual(second, told.version)
-        self.assertIn("can't", told.halted)
-        self.assertTrue(told.refused)
-        self.assertTrue(set(told.refused) <= self.refusing)
-        self.assertEqual({f"{name} can't" for name in told.refused}, set(told.refused.values()))
-        # Over all waves' time no further proxy is sent it.
-        had = [name for name, one in self.clients.items() if one.in_force[KEY] == second]
+                progress = await rollout(self.upstreams[2], SECRET, *KEY)
+        self.assertEqual(second, progress.version)
+        self.assertIn("can't", progress.halted)
+        self.assertTrue(progress.refused)
+        self.assertTrue(set(progress.refused) <= self.rejecting)
+        self.assertEqual({f"{name} can't" for name in progress.refused}, set(progress.refused.values()))
+        # During the time of all waves, no further proxy is sent the version.
+        reached_before = [name for name, client in self.clients.items() if client.in_force[KEY] == second]
         await asyncio.sleep(2.0)
-        now = [name for name, one in self.clients.items() if one.in_force[KEY] == second]
-        self.assertLessEqual(len(now), len(had) + self.MACHINES)
-        self.assertLess(len(now), 20)
-        self.assertTrue(all(one.in_force[KEY] in (first, second) for one in self.clients.values()))
-        self.refusing.clear()
-        await until(self.has(await self.publish(b"three\n")), what="the next")
+        reached_after = [name for name, client in self.clients.items() if client.in_force[KEY] == second]
+        self.assertLessEqual(len(reached_after), len(reached_before) + self.MACHINES)
+        self.assertLess(len(reached_after), 20)
+        self.assertTrue(all(client.in_force[KEY] in (first, second) for client in self.clients.values()))
+        self.rejecting.clear()
+        await until(self.all_have(await self.publish(b"three\n")), description="the next")
 
     async def test_a_failing_disk(self) -> None:
-        await self.begin()
-        await until(self.has(await self.publish(b"one\n")), what="the first")
-        # The relay goes on from memory; the origin takes nothing that it can't keep.
+        await self.start_all()
+        await until(self.all_have(await self.publish(b"one\n")), description="the first")
+        # The relay continues from memory; the origin rejects a change that it cannot write to disk.
         for number in (1, 0):
             machine = self.machines[number]
             machine.state.rename(f"{machine.state}.away")
             machine.state.write_bytes(b"")
             if number == 1:
                 second = await self.publish(b"two\n")
-                await until(self.has(second), what="with a relay's disk away")
-        with self.assertRaises(NoAnswerError) as refused:
+                await until(self.all_have(second), description="with a relay's disk away")
+        with self.assertRaises(NoAnswerError) as rejection:
             await self.publish(b"three\n")
-        self.assertIn("can't be written", str(refused.exception))
-        self.assertTrue(self.has(second)())
+        self.assertIn("can't be written", str(rejection.exception))
+        self.assertTrue(self.all_have(second)())
         for machine in self.machines[:2]:
             machine.state.unlink()
             Path(f"{machine.state}.away").rename(machine.state)
-        await until(self.has(await self.publish(b"three\n")), what="with disks back")
+        await until(self.all_have(await self.publish(b"three\n")), description="with disks back")
         await until(
             lambda: any(line["event"] == "the disk is written again" for line in self.machines[1].lines()),
-            what="the relay's disk",
+            description="the relay's disk",
         )
 
 
 class Cut:
-    """Passes connections on to a port, until it is cut: then nothing comes through and nothing ends, either."""
+    """Forwards connections to a port until it is cut: after that no data passes and no connection ends."""
 
-    def __init__(self, to: int) -> None:
-        self._to, self.cut = to, False
+    def __init__(self, port: int) -> None:
+        self._port, self.cut = port, False
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> int:
@@ -323,26 +344,26 @@
 
     async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            there = await asyncio.open_connection(HOST, self._to)
+            target = await asyncio.open_connection(HOST, self._port)
         except OSError:
             writer.transport.abort()
             return
-        for one in (self._pass(reader, there[1]), self._pass(there[0], writer)):
-            task = asyncio.create_task(one)
+        for forwarding in (self._pass(reader, target[1]), self._pass(target[0], writer)):
+            task = asyncio.create_task(forwarding)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        lost = False
+        was_cut = False
         try:
             while data := await reader.read(65536):
-                lost = lost or self.cut
-                if not lost:
+                was_cut = was_cut or self.cut
+                if not was_cut:
                     writer.write(data)
                     await writer.drain()
         except OSError:
             pass
-        if not lost:
+        if not was_cut:
             writer.transport.abort()
 
     async def stop(self) -> None:
@@ -356,57 +377,57 @@
 
     async def test_a_region_cut_off_serves_on_ages_and_catches_up(self) -> None:
         ports = free_ports(2)
-        cuts = [Cut(ports[0]), Cut(ports[1])]
-        seen = [await one.start() for one in cuts]
+        links = [Cut(ports[0]), Cut(ports[1])]
+        forwarded_ports = [await link.start() for link in links]
         self.machines = [
-            Machine(self.folder, 0, ports[0], [seen[1]]),
-            Machine(self.folder, 1, ports[1], [seen[0]], owns_facts=True),
+            Machine(self.folder, 0, ports[0], [forwarded_ports[1]]),
+            Machine(self.folder, 1, ports[1], [forwarded_ports[0]], owns_facts=True),
         ]
         for machine in self.machines:
             await machine.start()
-        there = self.client("there", [(HOST, ports[1]), (HOST, seen[0])])
-        here = self.client("here", [(HOST, ports[0])])
-        await until(self.has(first := await self.publish(b"one\n")), what="before the cut")
-        await until(lambda: (there.age(clock.now()) or 1 << 60) < 5_000_000, what="confirmed there")
-        for one in cuts:
-            one.cut = True
+        west_client = self.client("there", [(HOST, ports[1]), (HOST, forwarded_ports[0])])
+        east_client = self.client("here", [(HOST, ports[0])])
+        await until(self.all_have(first := await self.publish(b"one\n")), description="before the cut")
+        await until(lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed there")
+        for link in links:
+            link.cut = True
         second = await self.publish(b"two\n")
-        await until(lambda: here.in_force[KEY] == second, what="on the origin's side")
-        # What has one owner goes on within its region: facts, by who owns them.
+        await until(lambda: east_client.in_force[KEY] == second, description="on the origin's side")
+        # Facts have an owner in each region, which continues to write them.
         fact = await publish((HOST, ports[1]), SECRET, ENDPOINTS, "west/shop", b"[]")
         self.assertEqual(1, fact.epoch)
         with self.assertRaises(NoAnswerError):
             await publish((HOST, ports[1]), SECRET, *KEY, b"a decision of the region's own")
-        await until(lambda: (there.age(clock.now()) or 0) > 6_000_000, what="ages")
-        self.assertEqual(first, there.in_force[KEY])
-        for one in cuts:
-            one.cut = False
-        await until(self.has(second), what="healed")
-        await until(lambda: (there.age(clock.now()) or 1 << 60) < 5_000_000, what="confirmed again")
-        for one in cuts:
-            await one.stop()
+        await until(lambda: (west_client.age(clock.now()) or 0) > 6_000_000, description="ages")
+        self.assertEqual(first, west_client.in_force[KEY])
+        for link in links:
+            link.cut = False
+        await until(self.all_have(second), description="healed")
+        await until(lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed again")
+        for link in links:
+            await link.stop()
 
 
 class Badly(Scene):
     MACHINES, PROXIES = 1, 3
 
     async def test_bad_input_ends_its_connection_and_nothing_else(self) -> None:
-        await self.begin()
-        await until(self.has(await self.publish(b"one\n")), what="the first")
+        await self.start_all()
+        await until(self.all_have(await self.publish(b"one\n")), description="the first")
         port = self.machines[0].port
-        chance = Random(5)
+        random = Random(5)
         length = struct.Struct(">I")
 
-        async def told(data: list[Callable[[Session], bytes]], key: bytes = SECRET) -> bool:
-            """Says it behind a sound opening; whether the connection ended."""
+        async def connection_closed(data: list[Callable[[Session], bytes]], key: bytes = SECRET) -> bool:
+            """Sends the data after a valid handshake, and returns whether the connection was closed."""
             reader, writer = await asyncio.open_connection(HOST, port)
             try:
                 session = Session(key, True)
                 list(session.feed(await reader.readexactly(wire.HANDSHAKE_BYTES)))
                 writer.write(session.handshake())
-                for one in data:
-                    writer.write(one(session))
-                async with asyncio.timeout(4 * HELLO_WITHIN):
+                for make_frame in data:
+                    writer.write(make_frame(session))
+                async with asyncio.timeout(4 * HELLO_TIMEOUT_S):
                     while await reader.read(65536):
                         pass
                 return True
@@ -425,45 +446,45 @@
             frame[-1] ^= 1
             return bytes(frame)
 
-        greeting = wire.encode(Hello(PROXY, "bad", 1, "", "", True, [KEY], [], []))
-        everything = wire.encode(
-            Hello(PROXY, "bad", 1, "", "", True, [(CONFIG, f"n{n}") for n in range(MOST_NAMES + 1)], [], [])
+        hello = wire.encode(Hello(PROXY, "bad", 1, "", "", True, [KEY], [], []))
+        oversized_hello = wire.encode(
+            Hello(PROXY, "bad", 1, "", "", True, [(CONFIG, f"n{n}") for n in range(MAX_SUBSCRIPTIONS + 1)], [], [])
         )
-        again: list[bytes] = []
+        recorded_frames: list[bytes] = []
 
         def recorded(session: Session) -> bytes:
-            again.append(session.next_frame(wire.encode(Heartbeat()), 0)[0])
-            return again[-1]
+            recorded_frames.append(session.next_frame(wire.encode(Heartbeat()), 0)[0])
+            return recorded_frames[-1]
 
         cases: dict[str, list[Callable[[Session], bytes]]] = {
             "strange": [lambda _: b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"],
-            "noise": [lambda _: chance.randbytes(5_000)],
+            "noise": [lambda _: random.randbytes(5_000)],
             "too long": [lambda _: length.pack(1 << 30) + bytes(100_000)],
-            "damaged": [sealed(greeting), damaged],
-            "repeated": [sealed(greeting), recorded, lambda _: again[-1]],
-            "of another connection": [lambda _: again[-1]],
+            "damaged": [sealed(hello), damaged],
+            "repeated": [sealed(hello), recorded, lambda _: recorded_frames[-1]],
+            "of another connection": [lambda _: recorded_frames[-1]],
             "no greeting": [sealed(wire.encode(Heartbeat()))],
             "no message": [sealed(b"\xc1\xc1")],
-            "a greeting again": [sealed(greeting), sealed(greeting)],
-            "subscribes to everything": [sealed(everything)],
+            "a greeting again": [sealed(hello), sealed(hello)],
+            "subscribes to everything": [sealed(oversized_hello)],
             "floods": [
-                sealed(greeting),
+                sealed(hello),
                 lambda session: b"".join(sealed(wire.encode(Heartbeat()))(session) for _ in range(3_000)),
             ],
         }
-        silent: list[list[Callable[[Session], bytes]]] = [[], [lambda session: session.next_frame(greeting, 0)[0][:-5]]]
-        ending = asyncio.gather(*(told(said) for said in silent))
-        for what, said in cases.items():
-            with self.subTest(what):
-                self.assertTrue(await told(said), what)
-        self.assertTrue(await told([sealed(greeting)], b"another key, as long"))
-        self.assertEqual([True, True], await ending)
-        self.assertTrue(all(await asyncio.gather(*(told(cases["noise"]) for _ in range(200)))))
+        silent: list[list[Callable[[Session], bytes]]] = [[], [lambda session: session.next_frame(hello, 0)[0][:-5]]]
+        silent_connections = asyncio.gather(*(connection_closed(messages) for messages in silent))
+        for case, messages in cases.items():
+            with self.subTest(case):
+                self.assertTrue(await connection_closed(messages), case)
+        self.assertTrue(await connection_closed([sealed(hello)], b"another key, as long"))
+        self.assertEqual([True, True], await silent_connections)
+        self.assertTrue(all(await asyncio.gather(*(connection_closed(cases["noise"]) for _ in range(200)))))
         with self.assertRaises(NoAnswerError):
             await publish((HOST, port), b"another key, as long", *KEY, b"x")
         with self.assertRaises(NoAnswerError):
             await publish((HOST, port), SECRET, "no kind", "shop", b"x")
-        await until(self.has(await self.publish(b"two\n")), what="served on")
+        await until(self.all_have(await self.publish(b"two\n")), description="served on")
         lines = self.machines[0].lines()
         self.assertLess(len(lines), 100)
         self.assertTrue(any("another key" in str(line.get("why")) for line in lines))
@@ -474,7 +495,9 @@
 
 class Line(unittest.IsolatedAsyncioTestCase):
     async def test_who_waits_to_be_served_is_told_so_and_goes_nowhere_else(self) -> None:
-        """Forty proxies at once at three machines that serve two each and hardly anybody then, and go on."""
+        """Forty proxies connect at once to three machines that admit two each and then hardly any, until the rate is
+        raised.
+        """
         key = (ENDPOINTS, "east/shop")
         servers = []
         with (
@@ -484,48 +507,53 @@
             for name in "abc":
                 folder = Path(tempfile.mkdtemp())
                 self.addCleanup(shutil.rmtree, folder)
-                terms = ServerSettings(name, "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
-                servers.append(Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1))
-            ports = [await one.start() for one in servers]
+                settings = ServerSettings(name, "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
+                servers.append(Server(settings, SECRET, Disk(folder), lambda *_, **__: None, 1))
+            ports = [await server.start() for server in servers]
             versions = [await publish((HOST, port), SECRET, *key, b"one\n") for port in ports[:1]]
-            made = make_resource(*key, versions[0], b"one\n")
-            for one in servers[1:]:
-                self.assertIsNone(one.publisher.accept(made, clock.now()))
+            resource = make_resource(*key, versions[0], b"one\n")
+            for server in servers[1:]:
+                self.assertIsNone(server.publisher.accept(resource, clock.now()))
             upstreams = [(HOST, port) for port in ports]
             clients = [
-                Client(upstreams, [key], lambda _: None, key=SECRET, name=f"p{number}", region="east", zone="", seed=number)
+                Client(
+                    upstreams, [key], lambda _: None, key=SECRET, name=f"p{number}", region="east", zone="", seed=number
+                )
                 for number in range(40)
-            ]  # fmt: skip
+            ]
             for client in clients:
                 client.start()
             try:
-                await until(lambda: all(len(one.upstreams) == 2 for one in clients), what="connected")
-                # None is tried twice; the third by a few, where this process is slow to read its answers.
-                self.assertLessEqual(max(one.counts["connects"] for one in clients), 3)
-                self.assertGreaterEqual(sum(len(one._admission) for one in servers), 40)
+                await until(lambda: all(len(client.upstreams) == 2 for client in clients), description="connected")
+                # No machine is tried twice. A few proxies try the third one if this process is slow to read their
+                # answers.
+                self.assertLessEqual(max(client.counts["connects"] for client in clients), 3)
+                self.assertGreaterEqual(sum(len(server._admission) for server in servers), 40)
                 admission.ADMISSION_RATE_PER_S = 40.0
-                await until(lambda: all(one.in_force.get(key) == versions[0] for one in clients), what="served")
-                await until(lambda: not any(len(one._admission) for one in servers), what="an empty line")
-                # What they said while they waited was heard.
+                await until(
+                    lambda: all(client.in_force.get(key) == versions[0] for client in clients), description="served"
+                )
+                await until(lambda: not any(len(server._admission) for server in servers), description="an empty line")
+                # The messages that were queued during admission were handled.
                 await until(
                     lambda: [
-                        one.in_force.get(key) for server in servers for one in server.publisher.proxies.values()
-                        if one.connection is not None
+                        proxy.in_force.get(key) for server in servers for proxy in server.publisher.proxies.values()
+                        if proxy.connection is not None
                     ] == 80 * versions,
-                    what="told",
+                    description="told",
                 )  # fmt: skip
             finally:
                 for client in clients:
                     client.kill()
-                for one in servers:
-                    await one.stop()
+                for server in servers:
+                    await server.stop()
 
     async def test_one_that_is_slow_to_greet_is_waited_for(self) -> None:
-        """A process that starts two hundred proxies answers none of them for some seconds."""
+        """A process that starts two hundred proxies takes some seconds before it answers for any of them."""
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
-        terms = ServerSettings("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
-        server = Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1)
+        settings = ServerSettings("c", "east", "", (HOST, 0), [], None, True, 100, "127.0.0.1")
+        server = Server(settings, SECRET, Disk(folder), lambda *_, **__: None, 1)
         port = await server.start()
         try:
             reader, writer = await asyncio.open_connection(HOST, port)
@@ -534,7 +562,7 @@
             await asyncio.sleep(8.0)
             writer.write(session.handshake())
             writer.write(session.next_frame(wire.encode(Hello(PROXY, "late", 1, "", "", True, [KEY], [], [])), 0)[0])
-            async with asyncio.timeout(WITHIN):
+            async with asyncio.timeout(TIMEOUT_S):
                 self.assertEqual([Heartbeat()], list(session.feed(await reader.read(65536))))
             writer.transport.abort()
         finally:
@@ -543,7 +571,9 @@
 
 class Slow(unittest.IsolatedAsyncioTestCase):
     async def test_frozen_subscribers_delay_nobody_and_hold_little(self) -> None:
-        """Twenty that never read, while a dozen versions of 1 MB go out: facts, which go out in no waves."""
+        """Twenty subscribers never read while a dozen versions of 1 MB are sent, of a fact, which is sent without
+        waves.
+        """
         key = (ENDPOINTS, "east/shop")
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
@@ -562,7 +592,7 @@
             writer.write(session.next_frame(wire.encode(hello), 0)[0])
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             frozen.append((session, writer))
-        chance = Random(1)
+        random = Random(1)
         client = Client([(HOST, port)], [key], lambda _: None, key=SECRET, name="p", region="", zone="", seed=1)
         client.start()
         try:
@@ -570,20 +600,20 @@
             slowest = 0.0
             for _ in range(12):
                 for session, writer in frozen:
-                    writer.write(session.next_frame(wire.encode(Heartbeat()), 0)[0])  # they speak, and read nothing
-                version = await publish((HOST, port), SECRET, *key, chance.randbytes(1_000_000))
+                    writer.write(session.next_frame(wire.encode(Heartbeat()), 0)[0])  # they send and never read
+                version = await publish((HOST, port), SECRET, *key, random.randbytes(1_000_000))
                 if number == 0:
                     await until(lambda: client.in_force.get(key) == version)
-                    server.publisher.resources[key].steady = server.publisher.resources[key].newest
+                    server.publisher.resources[key].stable = server.publisher.resources[key].newest
                     continue
                 slowest = max(slowest, await until(lambda: client.in_force.get(key) == version, 8.0))
             buffered = [
-                one.link._transport.get_write_buffer_size()  # type: ignore[union-attr]
-                for one in server._connections.values()
+                connection.link._transport.get_write_buffer_size()  # type: ignore[union-attr]
+                for connection in server._connections.values()
             ]
-            self.assertLess(max(buffered), 2 * wire.PART)
-            for sub in server.publisher.subscribers.values():
-                self.assertLessEqual(len(sub.dirty), 1)
+            self.assertLess(max(buffered), 2 * wire.MAX_FRAME_PAYLOAD)
+            for subscriber in server.publisher.subscribers.values():
+                self.assertLessEqual(len(subscriber.dirty), 1)
         finally:
             client.kill()
             for _, writer in frozen:
@@ -591,7 +621,7 @@
             await server.stop()
 
     async def test_a_full_disk_is_said_and_nothing_is_half_written(self) -> None:
-        class Full(Disk):
+        class FullDisk(Disk):
             full = False
 
             def write(self, name: str, at: int, data: bytes) -> None:
@@ -602,27 +632,27 @@
 
         folder = Path(tempfile.mkdtemp())
         self.addCleanup(shutil.rmtree, folder)
-        terms = ServerSettings("c", "east", "", (HOST, 0), [], 1, False, 100, "127.0.0.1")
-        disk = Full(folder)
-        server = Server(terms, SECRET, disk, lambda *_, **__: None, 1)
+        settings = ServerSettings("c", "east", "", (HOST, 0), [], 1, False, 100, "127.0.0.1")
+        disk = FullDisk(folder)
+        server = Server(settings, SECRET, disk, lambda *_, **__: None, 1)
         port = await server.start()
         first = await publish((HOST, port), SECRET, *KEY, b"one\n" * 1_000)
         disk.full = True
-        with self.assertRaises(NoAnswerError) as refused:
+        with self.assertRaises(NoAnswerError) as rejection:
             await publish((HOST, port), SECRET, *KEY, b"two\n" * 1_000)
-        self.assertIn(os.strerror(errno.ENOSPC), str(refused.exception))
+        self.assertIn(os.strerror(errno.ENOSPC), str(rejection.exception))
         self.assertEqual(first, (await rollout((HOST, port), SECRET, *KEY)).version)
         await server.stop()
-        again = Server(terms, SECRET, Disk(folder), lambda *_, **__: None, 1)
-        await again.start()
+        restarted = Server(settings, SECRET, Disk(folder), lambda *_, **__: None, 1)
+        await restarted.start()
         self.assertEqual(
             (first, b"one\n" * 1_000),
-            (again.publisher.resources[KEY].newest.version, again.publisher.resources[KEY].newest.body),
+            (restarted.publisher.resources[KEY].newest.version, restarted.publisher.resources[KEY].newest.body),
         )
-        await again.stop()
+        await restarted.stop()
 
 
-OWN = """
+OWN_FILE = """
 [changes]
 watch = "1s"
 least = 1000
@@ -639,7 +669,7 @@
 name = "own"
 match = { path = "/own" }
 """
-SHARED = """[[routes]]
+SHARED_CONFIGURATION = """[[routes]]
 name = "shared"
 match = { path = "/look/{any*}" }
 attempts = %d
@@ -649,7 +679,7 @@
 
 
 class Whole(ProxyTestCase):
-    """A whole proxy, whose file names control machines."""
+    """A whole proxy whose own file names control machines."""
 
     async def asyncSetUp(self) -> None:
         self.folder = Path(tempfile.mkdtemp())
@@ -657,9 +687,12 @@
         (self.folder / "key").write_bytes(SECRET)
         self.machine = Machine(self.folder, 0, free_ports(1)[0], [])
         await self.machine.start()
-        self.at = HOST, self.machine.port
-        self.own = OWN.replace("HOST:PORT", f"{HOST}:{self.machine.port}").replace("HERE/../KEY", str(self.folder / "key")).replace(
-            "KEPT", str(self.folder / "kept"))  # fmt: skip
+        self.control_address = HOST, self.machine.port
+        self.own = (
+            OWN_FILE.replace("HOST:PORT", f"{HOST}:{self.machine.port}")
+            .replace("HERE/../KEY", str(self.folder / "key"))
+            .replace("KEPT", str(self.folder / "kept"))
+        )
 
     async def asyncTearDown(self) -> None:
         await super().asyncTearDown()
@@ -667,22 +700,24 @@
 
     @property
     def house(self) -> ConfigurationManager:
-        return next(one for one in self.proxy._extensions if isinstance(one, ConfigurationManager))
+        return next(extension for extension in self.proxy._extensions if isinstance(extension, ConfigurationManager))
 
     @property
     def distributed(self) -> DistributedConfiguration:
-        return next(one for one in self.proxy._extensions if isinstance(one, DistributedConfiguration))
+        return next(
+            extension for extension in self.proxy._extensions if isinstance(extension, DistributedConfiguration)
+        )
 
     def names(self) -> list[str]:
         return [route.name for route in self.house.own.routes]
 
-    async def ctl(self, *words: str) -> str:
-        made = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pepperusher", "ctl", *words, stdout=asyncio.subprocess.PIPE,
+    async def ctl(self, *arguments: str) -> str:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "pepperusher", "ctl", *arguments, stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )  # fmt: skip
-        async with asyncio.timeout(WITHIN):
-            return (await made.communicate())[0].decode()
+        async with asyncio.timeout(TIMEOUT_S):
+            return (await process.communicate())[0].decode()
 
     async def serve_again(self) -> None:
         self.proxy.stop()
@@ -690,100 +725,101 @@
         await self.open("a1", own=self.own)
 
     async def test_taken_as_a_change_refused_kept_and_told(self) -> None:
-        async with asyncio.timeout(2 * WITHIN):
+        async with asyncio.timeout(2 * TIMEOUT_S):
             await self.open("a1", own=self.own)
             self.assertEqual(["own"], self.names())
             self.assertEqual([f"{HOST}:{self.machine.port}"], self.distributed._client._near)
             machine = ("--machine", f"{HOST}:{self.machine.port}", "--key-file", str(self.folder / "key"))
-            (self.folder / "shop.toml").write_text(SHARED % 2)
-            said = await self.ctl("publish", "shop", str(self.folder / "shop.toml"), *machine)
-            self.assertRegex(said, r"^config/shop 1\.\d+ is written\n$")
-            await until(lambda: self.names() == ["own", "shared"], what="in force")
+            (self.folder / "shop.toml").write_text(SHARED_CONFIGURATION % 2)
+            output = await self.ctl("publish", "shop", str(self.folder / "shop.toml"), *machine)
+            self.assertRegex(output, r"^config/shop 1\.\d+ is written\n$")
+            await until(lambda: self.names() == ["own", "shared"], description="in force")
             first = self.distributed.said()["version"]
-            # Watched and confirmed as any other change.
-            await until(lambda: self.house.standing.ledger.open is None, what="confirmed")
+            # The change is watched and confirmed like any other change.
+            await until(lambda: self.house.standing.ledger.open is None, description="confirmed")
             self.assertEqual("a control machine", self.house.standing.ledger.history[-1].steps[0].who)
-            await until(lambda: (self.folder / "kept").exists(), what="kept")
-            said = await self.ctl("rollout", "shop", *machine)
-            self.assertIn("in force at 1, pending 0, refused 0", said)
-            # Not one that the rules refuse: three attempts are the most.
-            refused = await publish(self.at, SECRET, *KEY, (SHARED % 9).encode())
-            await until(lambda: bool(self.distributed.said()["refused"]), what="refused")
+            await until(lambda: (self.folder / "kept").exists(), description="kept")
+            output = await self.ctl("rollout", "shop", *machine)
+            self.assertIn("in force at 1, pending 0, refused 0", output)
+            # A change that violates the validation rules is rejected: at most three attempts are allowed.
+            rejected_version = await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 9).encode())
+            await until(lambda: bool(self.distributed.said()["refused"]), description="refused")
             self.assertEqual((["own", "shared"], 2), (self.names(), self.house.own.routes[1].attempts))
-            said = json.loads(await self.ctl("rollout", "shop", "--json", *machine))
-            self.assertEqual(list(refused), said["version"])
-            self.assertIn("three attempts", said["refused"]["p1"])
-            self.assertIn("refused by 1 of 1", said["halted"])
-            # Nor what is a proxy's own; the operator is told before it is sent.
+            output = json.loads(await self.ctl("rollout", "shop", "--json", *machine))
+            self.assertEqual(list(rejected_version), output["version"])
+            self.assertIn("three attempts", output["refused"]["p1"])
+            self.assertIn("refused by 1 of 1", output["halted"])
+            # A change of a section that belongs to the proxy's own file is rejected as well; `ctl publish` reports it
+            # before sending.
             (self.folder / "bad.toml").write_text('[control]\nsocket = "/elsewhere"\n')
-            said = await self.ctl("publish", "shop", str(self.folder / "bad.toml"), *machine)
-            self.assertIn("control is a proxy's own", said)
-            await publish(self.at, SECRET, *KEY, b'[control]\nsocket = "/elsewhere"\n')
-            await until(lambda: "control is" in (self.distributed.said()["refused"] or ""), what="refused too")
-            # What people do by hand stands beside it.
+            output = await self.ctl("publish", "shop", str(self.folder / "bad.toml"), *machine)
+            self.assertIn("control is a proxy's own", output)
+            await publish(self.control_address, SECRET, *KEY, b'[control]\nsocket = "/elsewhere"\n')
+            await until(lambda: "control is" in (self.distributed.said()["refused"] or ""), description="refused too")
+            # Changes made by hand are kept alongside the shared configuration.
             await self.house.drain("a1", False, "test", "by hand")
             self.assertEqual(["own", "shared"], self.names())
             self.assertIn("a1", self.house.standing.version.marks)
-            said = await self.ctl("--socket", self.house.own.control.socket or "", "status")
-            self.assertIn(f"config/shop {first}, confirmed", said)
-            # All control machines gone, and the proxy starts anew: by what it kept, from its first request on.
+            output = await self.ctl("--socket", self.house.own.control.socket or "", "status")
+            self.assertIn(f"config/shop {first}, confirmed", output)
+            # All control machines are gone and the proxy restarts: it uses its cache from the first request on.
             await self.machine.end()
             await self.serve_again()
             self.assertEqual(["own", "shared"], self.names())
-            await until(lambda: self.distributed.said()["version"] == first, what="from what was kept")
+            await until(lambda: self.distributed.said()["version"] == first, description="from what was kept")
             self.assertGreater(self.distributed.said()["confirmed_us_ago"], 0)
             await self.ask("served", self.request("look", 1))
             self.assertIn("served -> 200 'a1 1'", self.lines)
-            # And back: the next one is taken.
+            # The control machine returns, and the next change is applied.
             await self.machine.start()
-            await publish(self.at, SECRET, *KEY, (SHARED % 1).encode())
-            await until(lambda: self.house.own.routes[-1].attempts == 1, what="taken once it is back")
+            await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 1).encode())
+            await until(lambda: self.house.own.routes[-1].attempts == 1, description="taken once it is back")
 
     async def test_one_that_does_harm_is_undone_and_counts_as_refused(self) -> None:
-        async with asyncio.timeout(2 * WITHIN):
+        async with asyncio.timeout(2 * TIMEOUT_S):
             await self.open("a1", own=self.own)
-            first = await publish(self.at, SECRET, *KEY, (SHARED % 2).encode())
-            await until(lambda: self.distributed.said()["version"] == str(first), what="in force")
-            await until(lambda: (self.folder / "kept").exists(), what="kept")
-            await publish(self.at, SECRET, *KEY, (SHARED % 1).encode())
-            await until(lambda: self.house.own.routes[-1].attempts == 1, what="in force")
+            first = await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 2).encode())
+            await until(lambda: self.distributed.said()["version"] == str(first), description="in force")
+            await until(lambda: (self.folder / "kept").exists(), description="kept")
+            await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 1).encode())
+            await until(lambda: self.house.own.routes[-1].attempts == 1, description="in force")
             await self.house.undo(None, "test", "it does harm")
-            await until(lambda: bool(self.distributed.said()["refused"]), what="told")
+            await until(lambda: bool(self.distributed.said()["refused"]), description="told")
             self.assertEqual(str(first), self.distributed.said()["version"])
             self.assertEqual(2, self.house.own.routes[-1].attempts)
-            # What is changed by hand from here on stands beside what was confirmed, not beside what was undone.
+            # Later changes by hand are based on the confirmed configuration and not on the one that was rolled back.
             await self.house.drain("a1", False, "test", "by hand")
             self.assertEqual(2, self.house.own.routes[-1].attempts)
-            async with asyncio.timeout(WITHIN):
-                while not (told := await rollout(self.at, SECRET, *KEY)).refused:
+            async with asyncio.timeout(TIMEOUT_S):
+                while not (progress := await rollout(self.control_address, SECRET, *KEY)).refused:
                     await asyncio.sleep(0.05)
-            self.assertIn("it does harm", told.refused["p1"])
-            self.assertEqual(0, told.in_force)
+            self.assertIn("it does harm", progress.refused["p1"])
+            self.assertEqual(0, progress.in_force)
 
 
 class Light(unittest.TestCase):
     def test_serve_loads_nothing_of_it(self) -> None:
-        """Nor does a proxy with an own file that names no control machines."""
+        """Nor does a proxy load it if its own file names no control machines."""
         for code in (
             "import pepperusher.__main__; from pepperusher.net import proxy",
             "import pepperusher.extensions; from pepperusher.net import configuration_manager, node, answers",
         ):
-            said = subprocess.run(
+            result = subprocess.run(
                 [sys.executable, "-c", f"import sys; {code}; print([n for n in sys.modules if 'distribut' in n])"],
                 capture_output=True, text=True, check=True, timeout=60,
             )  # fmt: skip
-            self.assertEqual("[]\n", said.stdout)
+            self.assertEqual("[]\n", result.stdout)
 
 
 class File(unittest.IsolatedAsyncioTestCase):
-    async def run_(self, *words: str) -> tuple[int, str]:
-        made = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "pepperusher", "control", *words, stdout=asyncio.subprocess.PIPE,
+    async def run_(self, *arguments: str) -> tuple[int, str]:
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-m", "pepperusher", "control", *arguments, stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )  # fmt: skip
-        async with asyncio.timeout(WITHIN):
-            out, _ = await made.communicate()
-        return made.returncode or 0, out.decode()
+        async with asyncio.timeout(TIMEOUT_S):
+            out, _ = await process.communicate()
+        return process.returncode or 0, out.decode()
 
     async def test_all_that_is_wrong_with_a_file_a_line_each(self) -> None:
         folder = Path(tempfile.mkdtemp())
@@ -805,8 +841,8 @@
         self.assertIn("lissten: not known here; did you mean listen?", out)
 
     async def test_as_many_descriptors_as_its_subscribers_need_or_it_says_so(self) -> None:
-        """A shell's usual soft limit is 1,024, and 5,000 proxies bring 1,300 connections to one machine of nine."""
-        for hard, told in ((4_000, False), (100, True)):
+        """The usual soft limit of a shell is 1,024; 5,000 proxies open 1,300 connections to one of nine machines."""
+        for hard, limited in ((4_000, False), (100, True)):
             with self.subTest(hard=hard):
                 folder = Path(tempfile.mkdtemp())
                 self.addCleanup(shutil.rmtree, folder)
@@ -820,12 +856,12 @@
                     )  # fmt: skip
                 assert process.stdout is not None
                 try:
-                    async with asyncio.timeout(WITHIN):
+                    async with asyncio.timeout(TIMEOUT_S):
                         self.assertIn(b"listening", await process.stdout.readline())
                     soft, _ = prlimit(process.pid, RLIMIT_NOFILE)
                     self.assertEqual(min(hard, 1_500 + 2_048 + 64 + 32 + 64), soft)
-                    said = [line for line in machine.lines() if "descriptors" in str(line)]
-                    self.assertEqual(told, bool(said), machine.lines())
+                    warnings = [line for line in machine.lines() if "descriptors" in str(line)]
+                    self.assertEqual(limited, bool(warnings), machine.lines())
                 finally:
                     process.kill()
                     await process.wait()
