--- a/pepperusher/distribution/__init__.py
+++ b/pepperusher/distribution/__init__.py
@@ -1,7 +1,7 @@
-"""Configuration, and facts, from a few control machines to every proxy that uses them.
+"""Distributes configuration and facts from a few control machines to the proxies that subscribe to them.
 
-Loaded only by the control command and where a proxy's own file names it. `publish` and `rollout` are in
-`distribution.operator_client`.
+Loaded only by the control command and where a proxy's own file names control machines. `publish` and `rollout` are
+defined in `distribution.operator_client`.
 """
 
 from __future__ import annotations
--- a/pepperusher/distribution/link.py
+++ b/pepperusher/distribution/link.py
@@ -94,7 +94,7 @@
 
     def resume_writing(self) -> None:
         self._write_paused = False
-        self.pump()
+        self.write_pending()
 
     # --- called by the owner ------------------------------------------------------------------------
 
@@ -113,9 +113,9 @@
             self.abort("does not read")
             return
         self._queue.append(message)
-        self.pump()
+        self.write_pending()
 
-    def pump(self) -> None:
+    def write_pending(self) -> None:
         """Writes while there is room."""
         while not self._write_paused and not self._finished and self._transport is not None and self._session.open:
             if self._message is None:
@@ -140,7 +140,7 @@
         self._closing = True
         if not self._session.open and self._transport is not None:
             self._transport.close()
-        self.pump()
+        self.write_pending()
 
     def abort(self, reason: str) -> None:
         """Ends the connection immediately."""
--- a/pepperusher/distribution/publisher.py
+++ b/pepperusher/distribution/publisher.py
@@ -110,12 +110,12 @@
     def __init__(self, newest: Resource) -> None:
         self.newest = newest
         self.stable: Resource | None = None
-        self.halted = ""
+        self.halted = ""  # why the rollout was halted, or empty
         self.delta_bases: OrderedDict[Version, Resource] = OrderedDict()  # MAX_DELTA_BASES at most, by version
-        self.wave = 0
+        self.wave = 0  # index of the current wave
         self.wave_started_at = self.started_at = 0
         self.waves_completed = 0  # number of waves completed on this machine
-        self.wave_limit = 0.0
+        self.wave_limit = 0.0  # greatest wave position that the current wave reaches
         self.subscribers: set[int] = set()  # connection ids; removed when they disconnect
         # Encoded updates to the newest version by the version of their delta base, None for the snapshot; cleared when
         # the newest version changes.
@@ -194,6 +194,7 @@
         self.events: list[PublisherEvent] = []
         self.unsaved: dict[Key, None] = {}  # resources that have to be written to disk
         self.counts: Counter[str] = Counter()
+        # (epoch, stamp) of the origin's last confirmation, and when that was by the local clock.
         self.confirmed: tuple[int, int] = (epoch or 0, now if epoch is not None else 0)
         self.confirmed_at = now
         self._rolling_out: set[Key] = set()
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -65,11 +65,12 @@
 ACCEPT_BURST = 2048.0
 LISTEN_BACKLOG = 4096
 # A connection that has not authenticated itself with a hello message within HELLO_TIMEOUT_S is closed, and at most
-# MAX_UNGREETED connections may be in that state. While there is room, a proxy whose process is busy, as many are at a
-# start, need not connect again. Beyond MAX_UNGREETED, the oldest are closed if they have waited for UNGREETED_MIN_US.
+# MAX_AWAITING_HELLO connections may be in that state. While there is room, a proxy whose process is busy, as many are
+# at a start, need not connect again. Beyond the limit, the oldest connection is closed if it has waited for
+# AWAITING_HELLO_MIN_US.
 HELLO_TIMEOUT_S = 12.0
-MAX_UNGREETED = 2048
-UNGREETED_MIN_US = 1_500_000
+MAX_AWAITING_HELLO = 2048
+AWAITING_HELLO_MIN_US = 1_500_000
 # How many messages of a connection are queued while it waits to be served. They are handled right after its hello
 # message.
 MAX_QUEUED_MESSAGES = 256
@@ -116,7 +117,12 @@
     own.
     """
     return (
-        settings.max_subscribers + MAX_UNGREETED + MAX_RELAYS + MAX_OPERATORS + len(settings.peers) + OTHER_DESCRIPTORS
+        settings.max_subscribers
+        + MAX_AWAITING_HELLO
+        + MAX_RELAYS
+        + MAX_OPERATORS
+        + len(settings.peers)
+        + OTHER_DESCRIPTORS
     )
 
 
@@ -156,7 +162,7 @@
         self.counts: Counter[str] = Counter()
         self._ids = count(1)
         self._connections: dict[int, _SubscriberConnection] = {}  # by id, removed when they end
-        self._ungreeted: dict[int, None] = {}  # MAX_UNGREETED at most
+        self._awaiting_hello: dict[int, None] = {}  # MAX_AWAITING_HELLO at most
         self._admission = Admission(settings.max_subscribers, now)
         self._admit_timer: asyncio.TimerHandle | None = None
         self._role_counts: Counter[int] = Counter()
@@ -280,10 +286,10 @@
             if self._accept_tokens < 1.0:
                 await asyncio.sleep((1.0 - self._accept_tokens) / ACCEPT_RATE_PER_S + 0.01)
                 continue
-            if len(self._ungreeted) >= MAX_UNGREETED:
+            if len(self._awaiting_hello) >= MAX_AWAITING_HELLO:
                 # The oldest unauthenticated connection is closed: a client that has the key sends its hello soon.
-                oldest = self._connections[next(iter(self._ungreeted))]
-                if now - oldest.last_heard_at < UNGREETED_MIN_US:
+                oldest = self._connections[next(iter(self._awaiting_hello))]
+                if now - oldest.last_heard_at < AWAITING_HELLO_MIN_US:
                     await asyncio.sleep(TICK_S / 2)
                     continue
                 oldest.link.abort("sent no hello message, and too many connections wait")
@@ -306,7 +312,7 @@
             lambda _: self.publisher.next_message(id),
         )
         connection = self._connections[id] = _SubscriberConnection(link, clock.now())
-        self._ungreeted[id] = None
+        self._awaiting_hello[id] = None
         self.counts["accepted"] += 1
         connection.hello_timer = asyncio.get_running_loop().call_later(HELLO_TIMEOUT_S, self._hello_timed_out, id)
         return link
@@ -325,7 +331,7 @@
         self._admission.discard(id)
         self._freshness_due.pop(id, None)
         if connection.hello is None:
-            self._ungreeted.pop(id, None)
+            self._awaiting_hello.pop(id, None)
         else:
             self._role_counts[connection.hello.role] -= 1
             self.publisher.remove_subscriber(id, clock.now())
@@ -402,7 +408,7 @@
             return
         if connection.hello_timer is not None:
             connection.hello_timer.cancel()
-        self._ungreeted.pop(id, None)
+        self._awaiting_hello.pop(id, None)
         connection.pending_hello, connection.heartbeat_sent_at = hello, now
         connection.link.session.max_message_bytes = MAX_PROXY_MESSAGE_BYTES
         self._admit()
@@ -456,7 +462,7 @@
             return
         if connection.hello_timer is not None:
             connection.hello_timer.cancel()
-        self._ungreeted.pop(id, None)
+        self._awaiting_hello.pop(id, None)
         self._role_counts[hello.role] += 1
         connection.hello = hello
         connection.link.session.max_message_bytes = (
@@ -504,7 +510,7 @@
             pending.pop(id, None)
             connection = self._connections.get(id)
             if connection is not None:
-                connection.link.pump()
+                connection.link.write_pending()
         if pending:
             self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -193,7 +193,7 @@
         self.state_since = self.retry_at = self.last_heard_at = self.heartbeat_sent_at = now
         self.retry_delay = RECONNECT_MIN_US
         self.last_message_at: int | None = None  # since the connection was established
-        self.excused = 0
+        self.excused = 0  # us of pauses of this process by which its timeouts were extended
         # mark, time of the offer and halt reason; bounded by the subscriptions
         self.offers: dict[VersionSlot, tuple[Mark, int, str]] = {}
         self.sends_bodies = False
@@ -239,7 +239,7 @@
         # Versions in force here that others call stable, until a newer version is applied; bounded by the resources.
         self._stable_in_force: dict[Key, Resource] = {}
         self._needs_snapshot: set[Key] = set()  # to be requested as a snapshot, since a delta did not apply
-        self.confirmed: tuple[int, int] = (0, 0)
+        self.confirmed: tuple[int, int] = (0, 0)  # (epoch, stamp) of the origin's last confirmation
         self.confirmed_at: int | None = None
         self.counts: Counter[str] = Counter()
         self._next_attempt_at = now + random.randrange(FAILOVER_JITTER_US)
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -63,7 +63,7 @@
 from pepperusher.packet_authentication import BadPacket
 
 KEY: Key = (CONFIG, "shop")
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
 def body(number: int) -> bytes:
@@ -159,9 +159,9 @@
 
     def test_recorded_on_another_connection(self) -> None:
         recorded = self.client.handshake() + self.frames(self.client, hello("p"))[0]
-        again = Session(b"k" * 16, False)
+        other_session = Session(b"k" * 16, False)
         with self.assertRaises(BadPacket):
-            list(again.feed(recorded))
+            list(other_session.feed(recorded))
 
     def test_strange_and_too_long(self) -> None:
         for data in (b"GET / HTTP/1.1\r\n\r\n", b"\0" * 40, b"\xff" * 9, bytes(HANDSHAKE_BYTES)):
@@ -240,7 +240,7 @@
                     now = self.complete_waves(0)
                     self.accept_version(3, now)
                     self.assertIsNone(self.publisher.accept(version_of(2), now, "", True))
-                now = self.complete_waves(20 * SECOND)
+                now = self.complete_waves(20 * SECOND_US)
                 self.assertTrue(self.publisher.resources[KEY].fully_rolled_out)
                 self.publisher.add_subscriber(1, hello("p", [HaveVersion(*KEY, mark_of(version_of(2)))]), now)
                 (message,) = read(self.publisher, 1)
@@ -249,10 +249,10 @@
         # Delta bases are sorted by version, whenever each arrived: if the newest is halted, the last version before it
         # that was rolled out everywhere becomes stable again.
         self.assertEqual([Version(1, 2)], list(self.publisher.resources[KEY].delta_bases))
-        self.accept_version(6, 40 * SECOND)
-        self.assertIsNone(self.publisher.accept(version_of(5), 40 * SECOND, "", True))
-        self.accept_version(7, 40 * SECOND)
-        self.publisher.accept(version_of(4), 40 * SECOND, "", True)
+        self.accept_version(6, 40 * SECOND_US)
+        self.assertIsNone(self.publisher.accept(version_of(5), 40 * SECOND_US, "", True))
+        self.accept_version(7, 40 * SECOND_US)
+        self.publisher.accept(version_of(4), 40 * SECOND_US, "", True)
         self.assertEqual([Version(1, n) for n in (2, 3, 5, 6)], list(self.publisher.resources[KEY].delta_bases))
 
     def test_nothing_older_goes_to_one_that_has_newer(self) -> None:
@@ -338,11 +338,11 @@
         self.publisher.add_subscriber(1, hello("p"), 0)
         other = hello("p")
         other = type(other)(PROXY, "p", 2, "east", "", True, [KEY], [], [])
-        self.assertTrue(self.publisher.name_in_use(other, SECOND))
-        self.assertFalse(self.publisher.name_in_use(hello("p"), SECOND))  # the same process, on another connection
-        self.assertFalse(self.publisher.name_in_use(other, 10 * SECOND))  # silent for a long time: it was restarted
-        self.publisher.remove_subscriber(1, SECOND)
-        self.assertFalse(self.publisher.name_in_use(other, SECOND))
+        self.assertTrue(self.publisher.name_in_use(other, SECOND_US))
+        self.assertFalse(self.publisher.name_in_use(hello("p"), SECOND_US))  # the same process, on another connection
+        self.assertFalse(self.publisher.name_in_use(other, 10 * SECOND_US))  # silent for a long time: it was restarted
+        self.publisher.remove_subscriber(1, SECOND_US)
+        self.assertFalse(self.publisher.name_in_use(other, SECOND_US))
 
     def test_a_body_that_is_not_its_digests(self) -> None:
         self.assertIsNotNone(self.publisher.accept(version_of(1)._replace(body=b"x"), 0))
@@ -364,23 +364,23 @@
         self.complete_waves(0)
         self.add_proxies(500)
         self.assertEqual(set(), self.proxies_sent(500))
-        self.accept_version(2, 10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
         first_wave = self.proxies_sent(500)
         self.assertEqual({n for n in range(500) if wave_position(f"p{n}", Version(1, 2)) <= 0.02}, first_wave)
         self.assertGreater(len(first_wave), HALT_AT_ONCE)
         for number in first_wave:
-            self.publisher.ack(number, Ack(*KEY, 1, 2, "no route of that name"), 10 * SECOND)
-        self.complete_waves(10 * SECOND)
+            self.publisher.ack(number, Ack(*KEY, 1, 2, "no route of that name"), 10 * SECOND_US)
+        self.complete_waves(10 * SECOND_US)
         self.assertEqual(set(), self.proxies_sent(500))
         self.assertIn("no route of that name", self.publisher.resources[KEY].halted)
         # A new proxy is given the stable version.
-        self.publisher.add_subscriber(1_000, hello("new"), 20 * SECOND)
+        self.publisher.add_subscriber(1_000, hello("new"), 20 * SECOND_US)
         (message,) = read(self.publisher, 1_000)
         assert isinstance(message, Snapshot)
         self.assertEqual(Version(1, 1), message.mark.version)
         # The next change is rolled out.
-        self.accept_version(3, 20 * SECOND)
-        self.complete_waves(20 * SECOND)
+        self.accept_version(3, 20 * SECOND_US)
+        self.complete_waves(20 * SECOND_US)
         self.assertEqual(500, len(self.proxies_sent(500)))
 
     def test_a_change_refused_by_one_of_many_goes_on(self) -> None:
@@ -388,15 +388,15 @@
         self.complete_waves(0)
         self.add_proxies(500)
         self.proxies_sent(500)
-        self.accept_version(2, 10 * SECOND)
-        now, reached, rejecting = 10 * SECOND, set[int](), -1
+        self.accept_version(2, 10 * SECOND_US)
+        now, reached, rejecting = 10 * SECOND_US, set[int](), -1
         for _ in range(4):
             wave = self.proxies_sent(500)
             rejecting = min(wave) if not reached else rejecting
             reached |= wave
             for number in sorted(wave):
                 self.publisher.ack(number, Ack(*KEY, 1, 2, "no" if number == rejecting else ""), now)
-            now += SECOND // 10
+            now += SECOND_US // 10
             self.publisher.tick(now)
         self.assertEqual(500, len(reached))
         self.assertEqual("", self.publisher.resources[KEY].halted)
@@ -407,8 +407,8 @@
         self.accept_version(1)
         self.complete_waves(0)
         self.add_proxies(100)
-        self.accept_version(2, 10 * SECOND)
-        self.complete_waves(10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
+        self.complete_waves(10 * SECOND_US)
         self.assertEqual(100, len(self.proxies_sent(100)))
 
     def test_a_wave_goes_on_soon_where_nine_in_ten_answered_and_late_where_fewer_did(self) -> None:
@@ -419,7 +419,7 @@
         self.complete_waves(0)
         self.add_proxies(1000)
         for version, continues in ((2, True), (3, False)):
-            start = version * 100 * SECOND
+            start = version * 100 * SECOND_US
             self.proxies_sent(1000)  # what is left from before
             self.accept_version(version, start)
             first = self.proxies_sent(1000)
@@ -437,8 +437,8 @@
         self.accept_version(1)
         self.complete_waves(0)
         self.add_proxies(100)
-        self.accept_version(2, 10 * SECOND)
-        now, reached, frozen = 10 * SECOND, set(), set(range(0, 100, 2))
+        self.accept_version(2, 10 * SECOND_US)
+        now, reached, frozen = 10 * SECOND_US, set(), set(range(0, 100, 2))
         for number in frozen:
             self.publisher.pending.pop(number)  # a write to it is pending, but its socket accepts no data
         for _ in range(5):
@@ -448,7 +448,7 @@
                 if read(self.publisher, number):
                     reached.add(number)
                     self.publisher.ack(number, Ack(*KEY, 1, 2), now)
-            now += SECOND // 10
+            now += SECOND_US // 10
             self.publisher.tick(now)
         self.assertEqual(50, len(reached))
         self.assertTrue(self.publisher.resources[KEY].fully_rolled_out)
@@ -461,17 +461,17 @@
         self.complete_waves(0)
         self.add_proxies(100)
         self.proxies_sent(100)
-        self.accept_version(2, 10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
         first = min(range(100), key=lambda n: wave_position(f"p{n}", Version(1, 2)))
         self.assertTrue(read(self.publisher, first))
-        self.publisher.ack(first, Ack(*KEY, 1, 2), 10 * SECOND)
-        self.publisher.tick(10 * SECOND + SECOND // 10)
+        self.publisher.ack(first, Ack(*KEY, 1, 2), 10 * SECOND_US)
+        self.publisher.tick(10 * SECOND_US + SECOND_US // 10)
         self.assertEqual(1, self.publisher.resources[KEY].wave)
         asked = sorted(range(100), key=lambda n: wave_position(f"p{n}", Version(1, 2)))[1:10]
         for number in asked[:3]:
             self.assertTrue(read(self.publisher, number))
-            self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND)
-        self.publisher.tick(10 * SECOND + SECOND // 5)
+            self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND_US)
+        self.publisher.tick(10 * SECOND_US + SECOND_US // 5)
         self.assertEqual(
             1, self.publisher.resources[KEY].wave, "the other proxies of the wave have not been sent the version yet"
         )
@@ -494,7 +494,7 @@
         self.proxies_sent(100)
         self.publisher.peer_connected("b:1")
         self.publisher.peer_connected("c:1")
-        start = 10 * SECOND
+        start = 10 * SECOND_US
         self.accept_version(2, start)
         self.assertEqual(0, answer_all(2, start), "neither peer has the version yet")
         self.publisher.peer_offered("b:1", Offer(*KEY, mark_of(version_of(2)), waves_completed=1), start)
@@ -508,7 +508,7 @@
         )
         self.assertEqual(2, self.publisher.resources[KEY].wave, "immediately once the last peer has completed the wave")
         # A peer is not waited for longer than WAVE_TIMEOUT_US, and not at all once its connection is lost.
-        start = 20 * SECOND
+        start = 20 * SECOND_US
         self.accept_version(3, start)
         for upstream in ("b:1", "c:1"):
             self.publisher.peer_offered(upstream, Offer(*KEY, mark_of(version_of(3))), start)
@@ -532,12 +532,12 @@
         self.complete_waves(0)
         self.add_proxies(20)
         self.proxies_sent(20)
-        self.accept_version(2, 10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
         announcements = announced()
         for step in range(3):
             for number in self.proxies_sent(20):
-                self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND)
-            self.publisher.tick(10 * SECOND + step * SECOND // 10)
+                self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND_US)
+            self.publisher.tick(10 * SECOND_US + step * SECOND_US // 10)
             announcements += announced()
         self.assertEqual([0, 1, 2], announcements)
 
@@ -547,20 +547,22 @@
         """
         self.accept_version(1)
         self.complete_waves(0)
-        self.publisher.add_subscriber(900, hello("c2", [], RELAY), 10 * SECOND)
-        self.accept_version(2, 10 * SECOND)
+        self.publisher.add_subscriber(900, hello("c2", [], RELAY), 10 * SECOND_US)
+        self.accept_version(2, 10 * SECOND_US)
         names = [name for name in (f"p{n}" for n in range(100)) if wave_position(name, Version(1, 2)) > 0.02][:12]
         for number, name in enumerate(names):
-            self.publisher.add_subscriber(number, hello(name, [HaveVersion(*KEY, mark_of(version_of(1)))]), 10 * SECOND)
+            self.publisher.add_subscriber(
+                number, hello(name, [HaveVersion(*KEY, mark_of(version_of(1)))]), 10 * SECOND_US
+            )
         self.assertEqual(set(), self.proxies_sent(12))
-        self.publisher.tick(10 * SECOND + SECOND // 10)
+        self.publisher.tick(10 * SECOND_US + SECOND_US // 10)
         self.assertEqual(
             [0], [offer.waves_completed for offer in read(self.publisher, 900) if isinstance(offer, Offer)]
         )
         first = min(range(12), key=lambda n: wave_position(names[n], Version(1, 2)))
         self.assertEqual({first}, self.proxies_sent(12))
-        self.publisher.ack(first, Ack(*KEY, 1, 2), 10 * SECOND + SECOND // 10)
-        self.publisher.tick(10 * SECOND + SECOND // 5)
+        self.publisher.ack(first, Ack(*KEY, 1, 2), 10 * SECOND_US + SECOND_US // 10)
+        self.publisher.tick(10 * SECOND_US + SECOND_US // 5)
         self.assertEqual(1, self.publisher.resources[KEY].wave)
         self.assertEqual(
             [1], [offer.waves_completed for offer in read(self.publisher, 900) if isinstance(offer, Offer)]
@@ -575,9 +577,9 @@
         for number in offered:
             self.publisher.set_receives_bodies(number, False)
         self.proxies_sent(100)
-        self.accept_version(2, 10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
         reached: set[int] = set()
-        now = 10 * SECOND
+        now = 10 * SECOND_US
         for _ in range(4):
             wave = self.proxies_sent(100)
             if not reached:
@@ -585,7 +587,7 @@
             reached |= wave
             for number in wave:
                 self.publisher.ack(number, Ack(*KEY, 1, 2), now)
-            now += SECOND // 10
+            now += SECOND_US // 10
             self.publisher.tick(now)
         self.assertEqual(set(range(100)) - set(offered), reached)
         self.assertTrue(
@@ -593,11 +595,11 @@
             "no wave waits for proxies to which another machine sends the version",
         )
         # Their answers count as well once another machine has sent them the version.
-        self.accept_version(3, 20 * SECOND)
-        self.complete_waves(20 * SECOND)
+        self.accept_version(3, 20 * SECOND_US)
+        self.complete_waves(20 * SECOND_US)
         self.proxies_sent(100)
         for number in offered[:10]:
-            self.publisher.ack(number, Ack(*KEY, 1, 3, "no"), 30 * SECOND)
+            self.publisher.ack(number, Ack(*KEY, 1, 3, "no"), 30 * SECOND_US)
         self.assertTrue(self.publisher.resources[KEY].halted)
 
     def test_of_few_five_are_asked_before_all(self) -> None:
@@ -608,14 +610,14 @@
         self.complete_waves(0)
         self.add_proxies(13)
         self.proxies_sent(13)
-        self.accept_version(2, 10 * SECOND)
+        self.accept_version(2, 10 * SECOND_US)
         sent = []
         for step in range(3):
             wave = self.proxies_sent(13)
             sent.append(len(wave))
             for number in wave:
-                self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND)
-            self.publisher.tick(10 * SECOND + (step + 1) * SECOND // 10)
+                self.publisher.ack(number, Ack(*KEY, 1, 2), 10 * SECOND_US)
+            self.publisher.tick(10 * SECOND_US + (step + 1) * SECOND_US // 10)
         self.assertEqual((1, 13), (sent[0], sum(sent)))
         self.assertGreaterEqual(sent[0] + sent[1], 5)
 
@@ -656,7 +658,7 @@
                 self.publisher.add_subscriber(round_ * 1_000 + number, hello(f"p{round_}-{number}"), round_)
             for number in range(200):
                 self.publisher.remove_subscriber(round_ * 1_000 + number, round_)
-        self.publisher.remove_expired(700 * SECOND)
+        self.publisher.remove_expired(700 * SECOND_US)
         self.assertEqual(
             ({}, {}, {}, set()),
             (
@@ -671,7 +673,7 @@
 class Subscribing(unittest.TestCase):
     def setUp(self) -> None:
         self.subscriber = Subscriber("p", 1, "east", "", ["a:1", "b:1", "c:1"], [KEY], [], Random(1), 0)
-        self.now = SECOND
+        self.now = SECOND_US
         self.subscriber.wake(self.now)
         self.first, self.second = rendezvous_order("p", ["a:1", "b:1", "c:1"])[:2]
         self.assertEqual([Connect(self.first), Connect(self.second)], self.take_effects())
@@ -744,13 +746,13 @@
         self.take_effects()
         self.subscriber.received(self.second, Offer(*KEY, mark_of(version_of(1))), self.now)
         self.assertEqual([], self.take_effects())
-        self.subscriber.wake(self.now + 2 * SECOND)
+        self.subscriber.wake(self.now + 2 * SECOND_US)
         self.assertIn(Send(self.second, BodyRequest(*KEY)), self.take_effects())
 
     def test_a_silent_one_is_left_for_the_next_of_the_order(self) -> None:
         self.take_effects()
         for _ in range(8):
-            self.now += SECOND
+            self.now += SECOND_US
             self.subscriber.received(self.second, Heartbeat(1, self.now, 0), self.now)
             self.subscriber.wake(self.now)
         effects = self.take_effects()
@@ -760,10 +762,10 @@
 
     def test_not_confirmed_while_behind(self) -> None:
         self.subscriber.received(self.first, Heartbeat(1, 100, 5), self.now)
-        self.assertEqual(5 + SECOND, self.subscriber.age(self.now + SECOND))
+        self.assertEqual(5 + SECOND_US, self.subscriber.age(self.now + SECOND_US))
         self.subscriber.received(self.second, Offer(*KEY, mark_of(version_of(1))), self.now)
-        self.subscriber.received(self.second, Heartbeat(1, 200, 0), self.now + SECOND)
-        self.assertEqual(5 + SECOND, self.subscriber.age(self.now + SECOND))
+        self.subscriber.received(self.second, Heartbeat(1, 200, 0), self.now + SECOND_US)
+        self.assertEqual(5 + SECOND_US, self.subscriber.age(self.now + SECOND_US))
 
     def test_where_only_the_last_of_the_order_can_be_reached_it_is_found_in_time(self) -> None:
         """In a region that is cut off, connections succeed and nothing follows."""
@@ -781,8 +783,8 @@
                 for effect in effects:
                     if isinstance(effect, Connect) and effect.upstream == reachable:
                         subscriber.connected(reachable, now)
-            longest = max(longest, now / SECOND)
-        self.assertLess(longest + SILENCE_TIMEOUT_US / SECOND, 12)
+            longest = max(longest, now / SECOND_US)
+        self.assertLess(longest + SILENCE_TIMEOUT_US / SECOND_US, 12)
 
     def test_nothing_that_it_did_not_ask_for(self) -> None:
         self.take_effects()
@@ -836,7 +838,7 @@
         self.assertEqual([0, 2, 5], admission.take_due(0))
 
 
-class Storm:
+class ConnectionStorm:
     """Many proxies' subscribers and some machines in virtual time. Machines accept connections at one rate and serve
     them at another; machines in `down` refuse connections. Without `has_queue`, connections are accepted at the rate at
     which they are served.
@@ -895,7 +897,7 @@
             if self.current_attempts.get((number, name)) == attempt:
                 self.proxies[number].received(name, Heartbeat(), self.now)
         for number, subscriber in enumerate(self.proxies):
-            if self.now % (2 * SECOND) == number % 200 * 10_000:
+            if self.now % (2 * SECOND_US) == number % 200 * 10_000:
                 for name in subscriber.connected_upstreams:
                     subscriber.received(name, Heartbeat(), self.now)
             if subscriber.effects or self.now >= self.wake_at[number]:
@@ -913,9 +915,9 @@
         started = self.now
         while not condition():
             self.step()
-            if (self.now - started) / SECOND > timeout:
+            if (self.now - started) / SECOND_US > timeout:
                 return float("inf")
-        return (self.now - started) / SECOND
+        return (self.now - started) / SECOND_US
 
 
 class Storms(unittest.TestCase):
@@ -929,7 +931,7 @@
         """250 x 2 connections to 9 machines that each serve 4 a second take 14 s. Meanwhile no proxy may try other
         machines.
         """
-        storm = Storm(self.PROXIES, self.MACHINES, 160, 4)
+        storm = ConnectionStorm(self.PROXIES, self.MACHINES, 160, 4)
         elapsed = storm.run_until(
             lambda: all(len(subscriber.connected_upstreams) == 2 for subscriber in storm.proxies), 60
         )
@@ -939,14 +941,14 @@
         self.assertLessEqual(sum(storm.attempts) / self.PROXIES, 2.1)
         # For comparison: the same load where a proxy that waits cannot be distinguished from one that reaches no
         # machine.
-        storm = Storm(self.PROXIES, self.MACHINES, 160, 4, False)
+        storm = ConnectionStorm(self.PROXIES, self.MACHINES, 160, 4, False)
         storm.run_until(lambda: all(len(subscriber.connected_upstreams) == 2 for subscriber in storm.proxies), 60)
         self.assertGreater(sum(storm.attempts) / self.PROXIES, 3)
 
     def test_all_machines_away_and_back(self) -> None:
         for outage in (3, 6, 10):
             with self.subTest(outage):
-                storm = Storm(self.PROXIES, self.MACHINES, 160, 40)
+                storm = ConnectionStorm(self.PROXIES, self.MACHINES, 160, 40)
                 storm.run_until(
                     lambda: all(len(subscriber.connected_upstreams) == 2 for subscriber in storm.proxies), 60
                 )  # noqa: B023
@@ -955,7 +957,7 @@
                     storm.proxies[number].disconnected(name, storm.now)
                 storm.current_attempts.clear()
                 attempts_before, started = sum(storm.attempts), storm.now
-                while storm.now - started < outage * SECOND:
+                while storm.now - started < outage * SECOND_US:
                     storm.step()
                 storm.down = set()
                 elapsed = storm.run_until(
@@ -983,10 +985,10 @@
         self, subscriber: Subscriber, seconds: float, reachable: Sequence[str] = (), refuse: bool = False
     ) -> None:
         """Machines in `reachable` accept connections and send heartbeats; the others refuse or stay silent."""
-        end = self.now + seconds * SECOND
+        end = self.now + seconds * SECOND_US
         while self.now < end:
             self.now += 10_000
-            if self.now % SECOND == 0:
+            if self.now % SECOND_US == 0:
                 for name in subscriber.connected_upstreams:
                     if name in reachable:
                         subscriber.received(name, Heartbeat(1, self.now, 0), self.now)
@@ -994,7 +996,7 @@
             effects, subscriber.effects = subscriber.effects, []
             for effect in effects:
                 if isinstance(effect, Connect):
-                    self.tried.append((self.now / SECOND, effect.upstream))
+                    self.tried.append((self.now / SECOND_US, effect.upstream))
                     if effect.upstream in reachable:
                         subscriber.connected(effect.upstream, self.now)
                         subscriber.received(effect.upstream, Heartbeat(), self.now)
@@ -1074,13 +1076,13 @@
         for answers in (True, False):
             with self.subTest(first_answers=answers):
                 subscriber = self.new_subscriber()
-                self.now += SECOND
+                self.now += SECOND_US
                 subscriber.wake(self.now)
                 subscriber.connected(second, self.now)
                 if answers:
-                    subscriber.connected(first, self.now + SECOND // 2)
+                    subscriber.connected(first, self.now + SECOND_US // 2)
                 for _ in range(20):
-                    self.now += SECOND // 10
+                    self.now += SECOND_US // 10
                     subscriber.wake(self.now)
                 messages = [
                     (effect.upstream, effect.message) for effect in subscriber.effects if isinstance(effect, Send)
@@ -1099,7 +1101,7 @@
             with self.subTest(reachable=reachable):
                 subscriber, now, wakes = self.new_subscriber(), 0, 0
                 tried: dict[str, int] = {}
-                while now < 10 * SECOND:
+                while now < 10 * SECOND_US:
                     now = max(now + 1, subscriber.wake(now))
                     wakes += 1
                     effects, subscriber.effects = subscriber.effects, []
@@ -1114,7 +1116,7 @@
                 self.assertLess(wakes, 100)
                 if not reachable:
                     self.assertEqual(9, len(tried))
-                    self.assertLess(max(tried.values()) + SILENCE_TIMEOUT_US, 12 * SECOND)
+                    self.assertLess(max(tried.values()) + SILENCE_TIMEOUT_US, 12 * SECOND_US)
 
     def test_a_machine_before_those_in_use_is_gone_back_to_in_a_quiet_time(self) -> None:
         subscriber = self.new_subscriber()
@@ -1126,17 +1128,17 @@
         for number in range(1, 11):
             change = version_of(number)
             subscriber.received(second, Snapshot(*KEY, mark_of(change), change.body), self.now)
-            (apply,) = [effect for effect in subscriber.effects if isinstance(effect, Apply)]
-            subscriber.applied(apply.resource, None, self.now)
+            (apply_effect,) = [effect for effect in subscriber.effects if isinstance(effect, Apply)]
+            subscriber.applied(apply_effect.resource, None, self.now)
             self.run_for(subscriber, 4, self.machines)
         self.assertEqual([], self.tried)
-        self.run_for(subscriber, 2 * QUIET_PERIOD_US / SECOND, self.machines)
+        self.run_for(subscriber, 2 * QUIET_PERIOD_US / SECOND_US, self.machines)
         self.assertEqual([first, second], subscriber.connected_upstreams)
 
     def test_what_the_first_has_not_come_to_yet_is_not_asked_of_the_second(self) -> None:
         """The first upstream's waves may be some seconds behind; a silent upstream is not waited for."""
-        for speaks in (True, False):
-            with self.subTest(speaks=speaks):
+        for first_is_active in (True, False):
+            with self.subTest(first_is_active=first_is_active):
                 subscriber = self.new_subscriber()
                 first, second = rendezvous_order("p", self.machines)[:2]
                 self.run_for(subscriber, 5, [first, second])
@@ -1145,17 +1147,17 @@
                 requested_after = None
                 while requested_after is None:
                     self.now += 10_000
-                    if speaks and self.now % (2 * SECOND) == 0:
+                    if first_is_active and self.now % (2 * SECOND_US) == 0:
                         subscriber.received(first, Heartbeat(), self.now)
                     subscriber.wake(self.now)
                     if any(
                         isinstance(effect, Send) and isinstance(effect.message, BodyRequest)
                         for effect in subscriber.effects
                     ):
-                        requested_after = (self.now - started) / SECOND
+                        requested_after = (self.now - started) / SECOND_US
                     subscriber.effects.clear()
-                if speaks:
-                    self.assertGreater(requested_after, 2 * WAVE_QUORUM_US / SECOND)
+                if first_is_active:
+                    self.assertGreater(requested_after, 2 * WAVE_QUORUM_US / SECOND_US)
                     self.assertLess(requested_after, 4)
                 else:
                     self.assertLess(requested_after, 3)
@@ -1164,7 +1166,7 @@
         subscriber = self.new_subscriber()
         first, second = rendezvous_order("p", self.machines)[:2]
         self.run_for(subscriber, 5, [first, second])
-        self.now += 8 * SECOND
+        self.now += 8 * SECOND_US
         subscriber.wake(self.now)
         self.assertEqual([first, second], subscriber.connected_upstreams)
         self.assertFalse([effect for effect in subscriber.effects if isinstance(effect, (Close, Connect))])
@@ -1176,7 +1178,7 @@
         self.assertEqual([], subscriber.connected_upstreams)
         other = self.new_subscriber("q")
         self.run_for(other, 1)
-        self.now += 4 * SECOND
+        self.now += 4 * SECOND_US
         other.wake(self.now)
         self.assertEqual([], other.effects)
 
@@ -1186,16 +1188,16 @@
         self.run_for(subscriber, 5, [first, second])
         started = self.now
         while subscriber.connected_upstreams:
-            self.now += 4 * SECOND
+            self.now += 4 * SECOND_US
             subscriber.wake(self.now)
-        self.assertLess(self.now - started, 30 * SECOND)
+        self.assertLess(self.now - started, 30 * SECOND_US)
 
 
 class Relaying(unittest.TestCase):
     def setUp(self) -> None:
         self.peers = [f"c{number}:1" for number in range(8)]
         self.relay = Subscriber("r", 1, "east", "", self.peers, (), [], Random(1), 0, RELAY)
-        self.now = SECOND
+        self.now = SECOND_US
         self.relay.wake(self.now)
         for peer in self.peers:
             self.relay.connected(peer, self.now)
@@ -1283,7 +1285,7 @@
     """
 
     def __init__(self, seed: int, machines: int, proxies: int) -> None:
-        self.random, self.now = Random(seed), SECOND
+        self.random, self.now = Random(seed), SECOND_US
         self.names = [f"c{number}:1" for number in range(machines)]
         self.epoch = 1
         self.machines: dict[str, Publisher | None] = {}
@@ -1540,8 +1542,8 @@
             KEY not in (held := cluster.proxies[name].resources) or held[KEY].version != version for name in names
         ):
             cluster.step()
-            self.assertLess((cluster.now - started) / SECOND, 60, "not within a minute")
-        return (cluster.now - started) / SECOND
+            self.assertLess((cluster.now - started) / SECOND_US, 60, "not within a minute")
+        return (cluster.now - started) / SECOND_US
 
     def test_in_force_within_twelve_seconds_with_machines_lost_and_of_a_healing(self) -> None:
         """Of a change, of a change right after machines were killed, and of the end of a partition of
@@ -1580,7 +1582,7 @@
                         cluster.cut_links.add((near, far))
                 last = cluster.publish()
                 started = cluster.now
-                while cluster.now - started < 180 * SECOND:
+                while cluster.now - started < 180 * SECOND_US:
                     cluster.step()
                 self.assertEqual(
                     {last}, {cluster.proxies[name].resources[KEY].version for name in all_proxies - cut_off_proxies}
@@ -1588,7 +1590,9 @@
                 self.assertNotIn(last, {cluster.proxies[name].resources[KEY].version for name in cut_off_proxies})
                 for name in cut_off_proxies:
                     age = cluster.proxies[name].age(cluster.now)
-                    self.assertGreater(age or 0, 170 * SECOND, "the confirmation grows old in a region that is cut off")
+                    self.assertGreater(
+                        age or 0, 170 * SECOND_US, "the confirmation grows old in a region that is cut off"
+                    )
                 cluster.cut_links.clear()
                 measure("a healing", last, all_proxies)
         self.assertLess(max(longest_times.values()), 12, longest_times)
@@ -1635,7 +1639,7 @@
                 self.assertLess(len(victim_proxies), 60 / 3 * 1.5)
                 cluster.cut_links.clear()
                 self.time_until_in_force(cluster, third, set(cluster.proxies))
-                self.assertLess((cluster.now - started) / SECOND, 12)
+                self.assertLess((cluster.now - started) / SECOND_US, 12)
                 for name, proxy in cluster.proxies.items():
                     snapshots[name] += proxy.counts["snapshots"]
                 self.assertLessEqual(set(+snapshots), victim_proxies)
@@ -1685,7 +1689,7 @@
                 second = cluster.publish()
                 cluster.cut_links = {link for link in cluster.links if link[0] in cluster.rejecting}
                 started = cluster.now
-                while cluster.now - started < 2 * SECOND:
+                while cluster.now - started < 2 * SECOND_US:
                     cluster.step()
                 cluster.cut_links.clear()
                 for _ in range(200):
@@ -1722,7 +1726,7 @@
                     second = cluster.publish()
                     assert second is not None
                     elapsed = self.time_until_in_force(cluster, second, set(cluster.proxies) - frozen_proxies)
-                    self.assertLess(elapsed, 2 * WAVE_TIMEOUT_US / SECOND + (1.5 if frozen else 4.5))
+                    self.assertLess(elapsed, 2 * WAVE_TIMEOUT_US / SECOND_US + (1.5 if frozen else 4.5))
                     cluster.cut_links.clear()
                     self.time_until_in_force(cluster, second, set(cluster.proxies))
 
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -68,7 +68,7 @@
     return ports
 
 
-async def until(condition: Callable[[], bool], timeout: float = TIMEOUT_S, description: str = "") -> float:
+async def wait_until(condition: Callable[[], bool], timeout: float = TIMEOUT_S, description: str = "") -> float:
     """Waits and returns the time it took in s. Raises AssertionError."""
     started = asyncio.get_running_loop().time()
     while not condition():
@@ -151,9 +151,9 @@
         for number in range(self.PROXIES):
             self.client(f"p{number}")
         connections_expected = min(2, self.MACHINES)
-        await until(
+        await wait_until(
             lambda: all(len(client.upstreams) == connections_expected for client in self.clients.values()),
-            description="upstreams",
+            description="connections to upstreams",
         )
 
     def client(self, name: str, upstreams: list[tuple[str, int]] | None = None) -> Client:
@@ -195,58 +195,67 @@
                         raise
                     await asyncio.sleep(0.05)
 
-    def all_have(self, version: Version, but: set[str] = frozenset()) -> Callable[[], bool]:  # type: ignore[assignment]
+    def all_have(self, version: Version, excluded: set[str] = frozenset()) -> Callable[[], bool]:  # type: ignore[assignment]
         return lambda: all(
-            client.in_force.get(KEY) == version for name, client in self.clients.items() if name not in but
+            client.in_force.get(KEY) == version for name, client in self.clients.items() if name not in excluded
         )
 
 
 class Machines(Scene):
     async def test_killed_stopped_and_all_gone(self) -> None:
         await self.start_all()
-        await until(self.all_have(first := await self.publish(b"one\n" * 200)), description="the first")
+        await wait_until(self.all_have(first := await self.publish(b"one\n" * 200)), description="the first version")
         # A machine that received the first version only after the second would send the second as a snapshot.
-        await until(
+        await wait_until(
             lambda: all(list(machine.state.glob("*.resource")) for machine in self.machines),
-            description="the first at each machine",
+            description="the first version at each machine",
         )
         # One machine is killed: its proxies connect to the other two and resume from their versions.
         snapshots = sum(client.counts["snapshots"] for client in self.clients.values())
         await self.machines[1].end()
-        await until(self.all_have(second := await self.publish(b"one\n" * 200 + b"two\n")), description="one killed")
-        await until(
-            lambda: all(len(client.upstreams) == 2 for client in self.clients.values()), description="others instead"
+        await wait_until(
+            self.all_have(second := await self.publish(b"one\n" * 200 + b"two\n")),
+            description="the version with one machine killed",
+        )
+        await wait_until(
+            lambda: all(len(client.upstreams) == 2 for client in self.clients.values()),
+            description="two other upstreams",
         )
         self.assertEqual(snapshots, sum(client.counts["snapshots"] for client in self.clients.values()))
         # One machine is stopped (SIGSTOP); its connections stay open in the kernel.
         await self.machines[1].start()
         self.machines[2].process.send_signal(signal.SIGSTOP)  # type: ignore[union-attr]
-        await until(self.all_have(third := await self.publish(b"one\n" * 200 + b"three\n")), description="one stopped")
+        await wait_until(
+            self.all_have(third := await self.publish(b"one\n" * 200 + b"three\n")),
+            description="the version with one machine stopped",
+        )
         self.machines[2].process.send_signal(signal.SIGCONT)  # type: ignore[union-attr]
         # All machines are gone: the version in force stays, also after a restart, and its age is reported.
         for machine in self.machines:
             await machine.end()
-        await until(lambda: not any(client.upstreams for client in self.clients.values()), description="all gone")
+        await wait_until(
+            lambda: not any(client.upstreams for client in self.clients.values()), description="all machines gone"
+        )
         self.assertTrue(self.all_have(third)())
         # A thread writes the version in force to the cache; a proxy killed before that has the previous one.
-        await until(
+        await wait_until(
             lambda: (
                 [resource.version for resource in resource_cache.read(self.folder / "p0.kept", {KEY})[0]] == [third]
             ),
-            description="on disk",
+            description="the version on disk",
         )
         self.clients["p0"].kill()
         await self.clients["p1"].stop()
         for name in ("p0", "p1"):
             restarted = self.client(name)
-            await until(lambda: restarted.in_force.get(KEY) == third, description="what was kept")
+            await wait_until(lambda: restarted.in_force.get(KEY) == third, description="the cached version")
             age = restarted.age(clock.now())
             assert age is not None
             self.assertLess(0, age)
             self.assertEqual(b"one\n" * 200 + b"three\n", self.bodies[name])
         # All machines are started again.
         await asyncio.gather(*(machine.start() for machine in self.machines))
-        await until(self.all_have(fourth := await self.publish(b"four\n")), description="all back")
+        await wait_until(self.all_have(fourth := await self.publish(b"four\n")), description="all machines back")
         self.assertEqual(sorted({first, second, third, fourth}), [first, second, third, fourth])
         progress = await rollout(self.upstreams[1], SECRET, *KEY)
         self.assertEqual(
@@ -255,13 +264,14 @@
 
     async def test_old_disks_lower_nobody(self) -> None:
         await self.start_all()
-        await until(self.all_have(await self.publish(b"one\n")), description="the first")
-        await until(
-            lambda: all(list(machine.state.glob("*.resource")) for machine in self.machines), description="on disk"
+        await wait_until(self.all_have(await self.publish(b"one\n")), description="the first version")
+        await wait_until(
+            lambda: all(list(machine.state.glob("*.resource")) for machine in self.machines),
+            description="the version on disk",
         )
         for machine in self.machines:
             shutil.copytree(machine.state, f"{machine.state}.old")
-        await until(self.all_have(second := await self.publish(b"two\n")), description="the second")
+        await wait_until(self.all_have(second := await self.publish(b"two\n")), description="the second version")
         for number in (1, 0):
             machine = self.machines[number]
             await machine.end()
@@ -271,18 +281,19 @@
             # A proxy that is connected to this machine only receives the newest version, which the machine fetched from
             # the others.
             single_upstream_client = self.client(f"alone{number}", [(HOST, machine.port)])
-            await until(
-                lambda: single_upstream_client.in_force.get(KEY) == second, description="the newest from an old disk"
+            await wait_until(
+                lambda: single_upstream_client.in_force.get(KEY) == second,
+                description="the newest version from a machine with an outdated disk",
             )
             self.assertTrue(self.all_have(second)())
         third = await self.publish(b"three\n")
         self.assertGreater(third, second)
-        await until(self.all_have(third), description="the third")
+        await wait_until(self.all_have(third), description="the third version")
 
     async def test_a_change_refused_by_many_stops(self) -> None:
         self.PROXIES = 40
         await self.start_all()
-        await until(self.all_have(first := await self.publish(b"one\n")), description="the first")
+        await wait_until(self.all_have(first := await self.publish(b"one\n")), description="the first version")
         self.rejecting = {f"p{number}" for number in range(0, 40, 2)}
         second = await self.publish(b"two\n")
         progress = await rollout(self.upstreams[2], SECRET, *KEY)
@@ -303,11 +314,11 @@
         self.assertLess(len(reached_after), 20)
         self.assertTrue(all(client.in_force[KEY] in (first, second) for client in self.clients.values()))
         self.rejecting.clear()
-        await until(self.all_have(await self.publish(b"three\n")), description="the next")
+        await wait_until(self.all_have(await self.publish(b"three\n")), description="the next version")
 
     async def test_a_failing_disk(self) -> None:
         await self.start_all()
-        await until(self.all_have(await self.publish(b"one\n")), description="the first")
+        await wait_until(self.all_have(await self.publish(b"one\n")), description="the first version")
         # The relay continues from memory; the origin rejects a change that it cannot write to disk.
         for number in (1, 0):
             machine = self.machines[number]
@@ -315,7 +326,7 @@
             machine.state.write_bytes(b"")
             if number == 1:
                 second = await self.publish(b"two\n")
-                await until(self.all_have(second), description="with a relay's disk away")
+                await wait_until(self.all_have(second), description="the version while a relay's disk fails")
         with self.assertRaises(NoAnswerError) as rejection:
             await self.publish(b"three\n")
         self.assertIn("can't be written", str(rejection.exception))
@@ -323,14 +334,16 @@
         for machine in self.machines[:2]:
             machine.state.unlink()
             Path(f"{machine.state}.away").rename(machine.state)
-        await until(self.all_have(await self.publish(b"three\n")), description="with disks back")
-        await until(
+        await wait_until(
+            self.all_have(await self.publish(b"three\n")), description="the version after the disks returned"
+        )
+        await wait_until(
             lambda: any(line["event"] == "the disk is written again" for line in self.machines[1].lines()),
-            description="the relay's disk",
+            description="the log line about the relay's disk",
         )
 
 
-class Cut:
+class CuttableForwarder:
     """Forwards connections to a port until it is cut: after that no data passes and no connection ends."""
 
     def __init__(self, port: int) -> None:
@@ -377,7 +390,7 @@
 
     async def test_a_region_cut_off_serves_on_ages_and_catches_up(self) -> None:
         ports = free_ports(2)
-        links = [Cut(ports[0]), Cut(ports[1])]
+        links = [CuttableForwarder(ports[0]), CuttableForwarder(ports[1])]
         forwarded_ports = [await link.start() for link in links]
         self.machines = [
             Machine(self.folder, 0, ports[0], [forwarded_ports[1]]),
@@ -387,23 +400,31 @@
             await machine.start()
         west_client = self.client("there", [(HOST, ports[1]), (HOST, forwarded_ports[0])])
         east_client = self.client("here", [(HOST, ports[0])])
-        await until(self.all_have(first := await self.publish(b"one\n")), description="before the cut")
-        await until(lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed there")
+        await wait_until(
+            self.all_have(first := await self.publish(b"one\n")), description="the version from before the cut"
+        )
+        await wait_until(
+            lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed in the other region"
+        )
         for link in links:
             link.cut = True
         second = await self.publish(b"two\n")
-        await until(lambda: east_client.in_force[KEY] == second, description="on the origin's side")
+        await wait_until(lambda: east_client.in_force[KEY] == second, description="the version on the origin's side")
         # Facts have an owner in each region, which continues to write them.
         fact = await publish((HOST, ports[1]), SECRET, ENDPOINTS, "west/shop", b"[]")
         self.assertEqual(1, fact.epoch)
         with self.assertRaises(NoAnswerError):
             await publish((HOST, ports[1]), SECRET, *KEY, b"a decision of the region's own")
-        await until(lambda: (west_client.age(clock.now()) or 0) > 6_000_000, description="ages")
+        await wait_until(
+            lambda: (west_client.age(clock.now()) or 0) > 6_000_000, description="the confirmation grows old"
+        )
         self.assertEqual(first, west_client.in_force[KEY])
         for link in links:
             link.cut = False
-        await until(self.all_have(second), description="healed")
-        await until(lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed again")
+        await wait_until(self.all_have(second), description="the version after the cut")
+        await wait_until(
+            lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="the confirmation after the cut"
+        )
         for link in links:
             await link.stop()
 
@@ -413,7 +434,7 @@
 
     async def test_bad_input_ends_its_connection_and_nothing_else(self) -> None:
         await self.start_all()
-        await until(self.all_have(await self.publish(b"one\n")), description="the first")
+        await wait_until(self.all_have(await self.publish(b"one\n")), description="the first version")
         port = self.machines[0].port
         random = Random(5)
         length = struct.Struct(">I")
@@ -484,7 +505,7 @@
             await publish((HOST, port), b"another key, as long", *KEY, b"x")
         with self.assertRaises(NoAnswerError):
             await publish((HOST, port), SECRET, "no kind", "shop", b"x")
-        await until(self.all_have(await self.publish(b"two\n")), description="served on")
+        await wait_until(self.all_have(await self.publish(b"two\n")), description="the next version after bad input")
         lines = self.machines[0].lines()
         self.assertLess(len(lines), 100)
         self.assertTrue(any("another key" in str(line.get("why")) for line in lines))
@@ -524,23 +545,29 @@
             for client in clients:
                 client.start()
             try:
-                await until(lambda: all(len(client.upstreams) == 2 for client in clients), description="connected")
+                await wait_until(
+                    lambda: all(len(client.upstreams) == 2 for client in clients),
+                    description="connections to upstreams",
+                )
                 # No machine is tried twice. A few proxies try the third one if this process is slow to read their
                 # answers.
                 self.assertLessEqual(max(client.counts["connects"] for client in clients), 3)
                 self.assertGreaterEqual(sum(len(server._admission) for server in servers), 40)
                 admission.ADMISSION_RATE_PER_S = 40.0
-                await until(
-                    lambda: all(client.in_force.get(key) == versions[0] for client in clients), description="served"
+                await wait_until(
+                    lambda: all(client.in_force.get(key) == versions[0] for client in clients),
+                    description="the version at all clients",
+                )
+                await wait_until(
+                    lambda: not any(len(server._admission) for server in servers), description="empty admission queues"
                 )
-                await until(lambda: not any(len(server._admission) for server in servers), description="an empty line")
                 # The messages that were queued during admission were handled.
-                await until(
+                await wait_until(
                     lambda: [
                         proxy.in_force.get(key) for server in servers for proxy in server.publisher.proxies.values()
                         if proxy.connection is not None
                     ] == 80 * versions,
-                    description="told",
+                    description="the acknowledgements",
                 )  # fmt: skip
             finally:
                 for client in clients:
@@ -596,17 +623,17 @@
         client = Client([(HOST, port)], [key], lambda _: None, key=SECRET, name="p", region="", zone="", seed=1)
         client.start()
         try:
-            await until(lambda: len(client.upstreams) == 1 and len(server.publisher.subscribers) == 21)
+            await wait_until(lambda: len(client.upstreams) == 1 and len(server.publisher.subscribers) == 21)
             slowest = 0.0
             for _ in range(12):
                 for session, writer in frozen:
                     writer.write(session.next_frame(wire.encode(Heartbeat()), 0)[0])  # they send and never read
                 version = await publish((HOST, port), SECRET, *key, random.randbytes(1_000_000))
                 if number == 0:
-                    await until(lambda: client.in_force.get(key) == version)
+                    await wait_until(lambda: client.in_force.get(key) == version)
                     server.publisher.resources[key].stable = server.publisher.resources[key].newest
                     continue
-                slowest = max(slowest, await until(lambda: client.in_force.get(key) == version, 8.0))
+                slowest = max(slowest, await wait_until(lambda: client.in_force.get(key) == version, 8.0))
             buffered = [
                 connection.link._transport.get_write_buffer_size()  # type: ignore[union-attr]
                 for connection in server._connections.values()
@@ -699,7 +726,7 @@
         await self.machine.end()
 
     @property
-    def house(self) -> ConfigurationManager:
+    def configuration_manager(self) -> ConfigurationManager:
         return next(extension for extension in self.proxy._extensions if isinstance(extension, ConfigurationManager))
 
     @property
@@ -708,8 +735,8 @@
             extension for extension in self.proxy._extensions if isinstance(extension, DistributedConfiguration)
         )
 
-    def names(self) -> list[str]:
-        return [route.name for route in self.house.own.routes]
+    def route_names(self) -> list[str]:
+        return [route.name for route in self.configuration_manager.own.routes]
 
     async def ctl(self, *arguments: str) -> str:
         process = await asyncio.create_subprocess_exec(
@@ -719,7 +746,7 @@
         async with asyncio.timeout(TIMEOUT_S):
             return (await process.communicate())[0].decode()
 
-    async def serve_again(self) -> None:
+    async def restart_proxy(self) -> None:
         self.proxy.stop()
         await self.serving
         await self.open("a1", own=self.own)
@@ -727,24 +754,28 @@
     async def test_taken_as_a_change_refused_kept_and_told(self) -> None:
         async with asyncio.timeout(2 * TIMEOUT_S):
             await self.open("a1", own=self.own)
-            self.assertEqual(["own"], self.names())
+            self.assertEqual(["own"], self.route_names())
             self.assertEqual([f"{HOST}:{self.machine.port}"], self.distributed._client._near)
             machine = ("--machine", f"{HOST}:{self.machine.port}", "--key-file", str(self.folder / "key"))
             (self.folder / "shop.toml").write_text(SHARED_CONFIGURATION % 2)
             output = await self.ctl("publish", "shop", str(self.folder / "shop.toml"), *machine)
             self.assertRegex(output, r"^config/shop 1\.\d+ is written\n$")
-            await until(lambda: self.names() == ["own", "shared"], description="in force")
+            await wait_until(lambda: self.route_names() == ["own", "shared"], description="the configuration in force")
             first = self.distributed.said()["version"]
             # The change is watched and confirmed like any other change.
-            await until(lambda: self.house.standing.ledger.open is None, description="confirmed")
-            self.assertEqual("a control machine", self.house.standing.ledger.history[-1].steps[0].who)
-            await until(lambda: (self.folder / "kept").exists(), description="kept")
+            await wait_until(
+                lambda: self.configuration_manager.standing.ledger.open is None, description="the confirmation"
+            )
+            self.assertEqual("a control machine", self.configuration_manager.standing.ledger.history[-1].steps[0].who)
+            await wait_until(lambda: (self.folder / "kept").exists(), description="the cache file")
             output = await self.ctl("rollout", "shop", *machine)
             self.assertIn("in force at 1, pending 0, refused 0", output)
             # A change that violates the validation rules is rejected: at most three attempts are allowed.
             rejected_version = await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 9).encode())
-            await until(lambda: bool(self.distributed.said()["refused"]), description="refused")
-            self.assertEqual((["own", "shared"], 2), (self.names(), self.house.own.routes[1].attempts))
+            await wait_until(lambda: bool(self.distributed.said()["refused"]), description="the rejection")
+            self.assertEqual(
+                (["own", "shared"], 2), (self.route_names(), self.configuration_manager.own.routes[1].attempts)
+            )
             output = json.loads(await self.ctl("rollout", "shop", "--json", *machine))
             self.assertEqual(list(rejected_version), output["version"])
             self.assertIn("three attempts", output["refused"]["p1"])
@@ -755,41 +786,51 @@
             output = await self.ctl("publish", "shop", str(self.folder / "bad.toml"), *machine)
             self.assertIn("control is a proxy's own", output)
             await publish(self.control_address, SECRET, *KEY, b'[control]\nsocket = "/elsewhere"\n')
-            await until(lambda: "control is" in (self.distributed.said()["refused"] or ""), description="refused too")
+            await wait_until(
+                lambda: "control is" in (self.distributed.said()["refused"] or ""), description="the second rejection"
+            )
             # Changes made by hand are kept alongside the shared configuration.
-            await self.house.drain("a1", False, "test", "by hand")
-            self.assertEqual(["own", "shared"], self.names())
-            self.assertIn("a1", self.house.standing.version.marks)
-            output = await self.ctl("--socket", self.house.own.control.socket or "", "status")
+            await self.configuration_manager.drain("a1", False, "test", "by hand")
+            self.assertEqual(["own", "shared"], self.route_names())
+            self.assertIn("a1", self.configuration_manager.standing.version.marks)
+            output = await self.ctl("--socket", self.configuration_manager.own.control.socket or "", "status")
             self.assertIn(f"config/shop {first}, confirmed", output)
             # All control machines are gone and the proxy restarts: it uses its cache from the first request on.
             await self.machine.end()
-            await self.serve_again()
-            self.assertEqual(["own", "shared"], self.names())
-            await until(lambda: self.distributed.said()["version"] == first, description="from what was kept")
+            await self.restart_proxy()
+            self.assertEqual(["own", "shared"], self.route_names())
+            await wait_until(lambda: self.distributed.said()["version"] == first, description="the cached version")
             self.assertGreater(self.distributed.said()["confirmed_us_ago"], 0)
             await self.ask("served", self.request("look", 1))
             self.assertIn("served -> 200 'a1 1'", self.lines)
             # The control machine returns, and the next change is applied.
             await self.machine.start()
             await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 1).encode())
-            await until(lambda: self.house.own.routes[-1].attempts == 1, description="taken once it is back")
+            await wait_until(
+                lambda: self.configuration_manager.own.routes[-1].attempts == 1,
+                description="the change after the machine returned",
+            )
 
     async def test_one_that_does_harm_is_undone_and_counts_as_refused(self) -> None:
         async with asyncio.timeout(2 * TIMEOUT_S):
             await self.open("a1", own=self.own)
             first = await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 2).encode())
-            await until(lambda: self.distributed.said()["version"] == str(first), description="in force")
-            await until(lambda: (self.folder / "kept").exists(), description="kept")
+            await wait_until(
+                lambda: self.distributed.said()["version"] == str(first), description="the configuration in force"
+            )
+            await wait_until(lambda: (self.folder / "kept").exists(), description="the cache file")
             await publish(self.control_address, SECRET, *KEY, (SHARED_CONFIGURATION % 1).encode())
-            await until(lambda: self.house.own.routes[-1].attempts == 1, description="in force")
-            await self.house.undo(None, "test", "it does harm")
-            await until(lambda: bool(self.distributed.said()["refused"]), description="told")
+            await wait_until(
+                lambda: self.configuration_manager.own.routes[-1].attempts == 1,
+                description="the configuration in force",
+            )
+            await self.configuration_manager.undo(None, "test", "it does harm")
+            await wait_until(lambda: bool(self.distributed.said()["refused"]), description="the acknowledgements")
             self.assertEqual(str(first), self.distributed.said()["version"])
-            self.assertEqual(2, self.house.own.routes[-1].attempts)
+            self.assertEqual(2, self.configuration_manager.own.routes[-1].attempts)
             # Later changes by hand are based on the confirmed configuration and not on the one that was rolled back.
-            await self.house.drain("a1", False, "test", "by hand")
-            self.assertEqual(2, self.house.own.routes[-1].attempts)
+            await self.configuration_manager.drain("a1", False, "test", "by hand")
+            self.assertEqual(2, self.configuration_manager.own.routes[-1].attempts)
             async with asyncio.timeout(TIMEOUT_S):
                 while not (progress := await rollout(self.control_address, SECRET, *KEY)).refused:
                     await asyncio.sleep(0.05)
@@ -812,7 +853,7 @@
 
 
 class File(unittest.IsolatedAsyncioTestCase):
-    async def run_(self, *arguments: str) -> tuple[int, str]:
+    async def run_control(self, *arguments: str) -> tuple[int, str]:
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "pepperusher", "control", *arguments, stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
@@ -830,13 +871,13 @@
             f'name = ""\nlisten = "nowhere"\nkey_file = "{folder}/key"\nstate_dir = "{folder}/s"\nregion = "a/b"\n'
             'peers = ["127.0.0.1:0", "127.0.0.1:0"]\nepoch = 0\nsubscribers = 0\n'
         )
-        code, out = await self.run_("check", str(file))
+        code, out = await self.run_control("check", str(file))
         self.assertEqual(1, code)
         for key in ("name", "listen", "key_file", "region", "peers[0]", "peers", "epoch", "subscribers"):
             self.assertIn(f": {key}: ", out)
         self.assertNotIn("Traceback", out)
         file.write_text('name = "c"\nlissten = "127.0.0.1:0"\n')
-        code, out = await self.run_("--config", str(file))
+        code, out = await self.run_control("--config", str(file))
         self.assertEqual(1, code)
         self.assertIn("lissten: not known here; did you mean listen?", out)
 
@@ -872,7 +913,7 @@
         (folder / "key").write_bytes(SECRET)
         machine = Machine(folder, 0, free_ports(1)[0], [])
         await machine.start()
-        code, out = await self.run_("--config", str(machine.file))
+        code, out = await self.run_control("--config", str(machine.file))
         self.assertEqual(1, code)
         self.assertIn("another process has it open", out)
         self.assertEqual(0, await machine.end(signal.SIGTERM))
--- a/tests/test_endpoint_source.py
+++ b/tests/test_endpoint_source.py
@@ -128,14 +128,16 @@
         self.assertEqual((DISCOVERY, 1), (self.source.active, self.source.switches_to_discovery))
 
     def test_the_spread_is_drawn(self) -> None:
-        dues = set()
+        stale_times = set()
         for seed in range(50):
             source = EndpointSource(0, Random(seed), None)
             source.set_relayed_version(version(1), 1)
             source.confirm_relayed_version(version(1), 0)
-            dues.add(source.step(0, False).wake_at)
-        self.assertGreater(len(dues), 45)
-        self.assertTrue(all(STALE_AFTER_US <= due < STALE_AFTER_US + STALE_SPREAD_US for due in dues))
+            stale_times.add(source.step(0, False).wake_at)
+        self.assertGreater(len(stale_times), 45)
+        self.assertTrue(
+            all(STALE_AFTER_US <= stale_time < STALE_AFTER_US + STALE_SPREAD_US for stale_time in stale_times)
+        )
 
     def test_a_word_of_another_version_keeps_nothing_fresh(self) -> None:
         self.use_relayed_list(0)
--- a/tests/test_relay_processes.py
+++ b/tests/test_relay_processes.py
@@ -30,7 +30,7 @@
 from pepperusher.configuration.loader import Fault, ConfigurationError
 from pepperusher.store.disk import Disk
 from tests.scene import SETTINGS, LONG_TIMEOUT_SETTINGS, configuration, own_address
-from tests.test_distribution_processes import HOST, SECRET, TIMEOUT_S, Machine, end_machines, free_ports, until
+from tests.test_distribution_processes import HOST, SECRET, TIMEOUT_S, Machine, end_machines, free_ports, wait_until
 
 NAME = "east/web"
 TIME_LIMIT_S = 6.0
@@ -39,7 +39,7 @@
 PROXIES = 3
 
 
-def _pid_has(pid: int, port: int) -> bool:
+def _process_has_connection(process_id: int, port: int) -> bool:
     """Whether this process holds the end of a connection that has this port."""
     wanted = set()
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
@@ -47,7 +47,10 @@
         if int(parts[1].rpartition(":")[2], 16) == port:
             wanted.add(f"socket:[{parts[9]}]")
     try:
-        return any(os.readlink(f"/proc/{pid}/fd/{one}") in wanted for one in os.listdir(f"/proc/{pid}/fd"))
+        return any(
+            os.readlink(f"/proc/{process_id}/fd/{descriptor}") in wanted
+            for descriptor in os.listdir(f"/proc/{process_id}/fd")
+        )
     except OSError:
         return False
 
@@ -58,7 +61,7 @@
     """
 
     def __init__(self, names: list[str]) -> None:
-        self.number, self.states = 100, dict.fromkeys(names, "ready")
+        self.list_version, self.states = 100, dict.fromkeys(names, "ready")
         self.calls: list[float] = []
         self.owner = 0  # the process id that is distinguished from others
         self.muted = False  # the owner is sent nothing
@@ -67,7 +70,7 @@
         self._news = asyncio.Condition()
 
     async def start(self, port: int = 0) -> None:
-        self._server = await asyncio.start_server(self._asked, HOST, port)
+        self._server = await asyncio.start_server(self._handle_call, HOST, port)
         self.port: int = self._server.sockets[0].getsockname()[1]
 
     @property
@@ -76,15 +79,15 @@
 
     def list_line(self, full: bool, *names: str) -> bytes:
         servers = [
-            {"id": name, "addr": f"127.0.0.1:{9000 + place}", "zone": "here", "cell": place, "state": self.states[name],
+            {"id": name, "addr": f"127.0.0.1:{9000 + index}", "zone": "here", "cell": index, "state": self.states[name],
              "weight": 1.0, "started_ms": 0}
-            for place, name in enumerate(self.states) if full or name in names
+            for index, name in enumerate(self.states) if full or name in names
         ]  # fmt: skip
-        return json.dumps({"version": self.number, "full": full, "servers": servers}).encode() + b"\n"
+        return json.dumps({"version": self.list_version, "full": full, "servers": servers}).encode() + b"\n"
 
     def change_state(self, name: str, state: str) -> None:
         """Changes a state and sends it to all watches."""
-        self.number += 1
+        self.list_version += 1
         self.states[name] = state
         for writer, (process_id, _) in self._watches.items():
             if not self._silent(process_id):
@@ -97,7 +100,7 @@
     def _write(writer: asyncio.StreamWriter, text: bytes) -> None:
         writer.write(b"%x\r\n%s\r\n" % (len(text), text))
 
-    async def _asked(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _handle_call(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             await reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, OSError):
@@ -108,7 +111,7 @@
             writer.transport.abort()
             return
         port = writer.get_extra_info("peername")[1]
-        process_id = self.owner if self.owner and _pid_has(self.owner, port) else 0
+        process_id = self.owner if self.owner and _process_has_connection(self.owner, port) else 0
         heartbeat_task = asyncio.create_task(self._heartbeat(writer, process_id))
         self._watches[writer] = process_id, heartbeat_task
         if not self._silent(process_id):
@@ -253,7 +256,7 @@
             status = await proxy.endpoint_status()
             return status is not None and status["by"] == source and (source == "discovery" or not status["watched"])
 
-        return await self.wait_for_all(f"told by {source}", condition, timeout)
+        return await self.wait_for_all(f"source {source}", condition, timeout)
 
     async def wait_for_draining(self, *names: str, timeout: float = TIMEOUT_S) -> float:
         """Waits until exactly these backends are draining at every proxy."""
@@ -262,13 +265,13 @@
             states = await proxy.backend_states()
             return {name for name, ready in states.items() if not ready} == set(names) and len(states) == 6
 
-        return await self.wait_for_all(f"{names} drained", condition, timeout)
+        return await self.wait_for_all(f"draining {names}", condition, timeout)
 
     async def start_proxies(self) -> None:
         await asyncio.gather(*(proxy.start() for proxy in self.proxies))
-        await until(
+        await wait_until(
             lambda: all(Path(proxy.socket).exists() or proxy.ended for proxy in self.proxies),
-            description="control sockets",
+            description="the control sockets",
         )
         self.assertEqual([""] * PROXIES, [proxy.errors if proxy.ended else "" for proxy in self.proxies])
         await self.wait_for_source("control machines")
@@ -276,7 +279,7 @@
 
     async def wait_for_single_watch(self) -> None:
         """Waits until the only watch is that of the owner."""
-        await until(lambda: self.discovery.watches == 1, description="one watch")
+        await wait_until(lambda: self.discovery.watches == 1, description="a single watch")
 
     async def wait_until_quiet(self, seconds: float) -> None:
         """Waits until no proxy has switched away from control machines for this time: then no proxy watches discovery,
@@ -289,7 +292,7 @@
             statuses = [await proxy.endpoint_status() for proxy in self.proxies]
             state_now = sum(status["left"] for status in statuses), (await self.owner_counters())["relay calls"]
             if state_now != state or any(status["by"] != "control machines" for status in statuses):
-                self.assertLess(loop.time(), end, f"left again and again: {statuses}")
+                self.assertLess(loop.time(), end, f"switched again and again: {statuses}")
                 started, state = loop.time(), state_now
             self.assertEqual(
                 [], [status for status in statuses if status["by"] == "control machines" and status["watched"]]
@@ -363,7 +366,7 @@
 
     async def test_the_owner_killed_and_back_with_an_older_list(self) -> None:
         await self.start_proxies()
-        await until(lambda: bool(list(self.owner.state.glob("*.resource"))), description="on disk")
+        await wait_until(lambda: bool(list(self.owner.state.glob("*.resource"))), description="the list on disk")
         shutil.copytree(self.owner.state, f"{self.owner.state}.old")
         self.discovery.change_state("b1", "draining")
         await self.wait_for_draining("b1", timeout=TIME_LIMIT_S)
@@ -373,7 +376,7 @@
             await self.wait_for_draining("b1", "b2", timeout=TIME_LIMIT_S + MARGIN_S), TIME_LIMIT_S + MARGIN_S
         )
         await self.wait_for_source("discovery")
-        await until(lambda: self.discovery.watches == PROXIES, description="one watch each")
+        await wait_until(lambda: self.discovery.watches == PROXIES, description="a watch of each proxy")
         # Restarted from an outdated disk and cut off from discovery: it has no confirmation for the list that it
         # offers.
         shutil.rmtree(self.owner.state)
@@ -433,7 +436,7 @@
         self.discovery.close_watches()
         await self.wait_for_source("discovery")
         await self.wait_for_draining("b1", timeout=0.0)
-        self.discovery.down, self.discovery.number = False, 3
+        self.discovery.down, self.discovery.list_version = False, 3
         self.discovery.states["b4"] = "draining"
         self.assertLess(
             await self.wait_for_draining("b1", "b4", timeout=TIME_LIMIT_S + MARGIN_S), TIME_LIMIT_S + MARGIN_S
@@ -458,7 +461,7 @@
         await self.wait_for_single_watch()
         await self.check_call_counts()
 
-    async def write(self, body: bytes) -> Version:
+    async def publish_list(self, body: bytes) -> Version:
         """Publishes by hand, and repeats that if the owner wrote a version between the check and this write."""
         async with asyncio.timeout(TIMEOUT_S):
             while True:
@@ -472,7 +475,7 @@
         await self.start_proxies()
         address = HOST, self.owner.port
         for body in (b"no list", b'{"version": 900, "full": true, "servers": []}', b"[" * 100_000):
-            await self.write(body)
+            await self.publish_list(body)
             await self.wait_for_draining(timeout=TIME_LIMIT_S)
         # A well-formed list that discovery never sent: the owner overwrites it at discovery's next message. The one
         # with a lower version is not even applied, since it has no confirmation.
@@ -483,7 +486,7 @@
                 "servers": forged["servers"][1:],
                 "discovery": f"{HOST}:{self.discovery.port}",
             }
-            version = await self.write(json.dumps(forged).encode())
+            version = await self.publish_list(json.dumps(forged).encode())
             async with asyncio.timeout(TIMEOUT_S):
                 while (await rollout(address, SECRET, ENDPOINTS, NAME)).version <= version:
                     await asyncio.sleep(0.05)
@@ -527,12 +530,12 @@
         self.discovery.change_state("b1", "draining")
         self.assertLess(await self.wait_for_draining("b1", timeout=TIME_LIMIT_S + MARGIN_S), TIME_LIMIT_S + MARGIN_S)
         await self.wait_for_source("discovery")
-        await until(lambda: self.discovery.watches == PROXIES, description="one watch each")
+        await wait_until(lambda: self.discovery.watches == PROXIES, description="a watch of each proxy")
         # A start without control machines: discovery is called after a while.
         await self.proxies[0].end()
         Path(self.proxies[0].socket).unlink(missing_ok=True)
         await self.proxies[0].start()
-        await until(lambda: Path(self.proxies[0].socket).exists(), description="its socket")
+        await wait_until(lambda: Path(self.proxies[0].socket).exists(), description="the control socket")
         await self.wait_for_draining("b1")
 
 
@@ -550,7 +553,7 @@
             [(HOST, port)], [(ENDPOINTS, NAME)], lambda one: None, key=SECRET, name="p", region="east", zone="", seed=1
         )
         client.start()
-        await until(lambda: bool(client.upstreams), description="connected")
+        await wait_until(lambda: bool(client.upstreams), description="connections to upstreams")
         accepted = next(iter(server._connections.values())).link._transport
         assert accepted is not None
         self.assertTrue(accepted.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
