--- a/pepperusher/distribution/messages.py
+++ b/pepperusher/distribution/messages.py
@@ -102,6 +102,7 @@
     return Mark(*resource.version, resource.digest)
 
 
+# The role of a client. A relay is a control machine that subscribes to another one.
 PROXY, RELAY, OPERATOR = range(3)
 ROLES = ("proxy", "relay", "operator")
 
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -1620,8 +1620,8 @@
                     cluster.save(name)
                 for name in cluster.names:
                     cluster.kill(name)
-                # It connects to its proxies before it connects to other machines, and only after those have completed
-                # all waves.
+                # The restarted machine is cut off from the other machines until these have completed all waves, while its
+                # proxies can connect to it.
                 cluster.cut_links = {(victim, name) for name in others}
                 for name in cluster.names:
                     cluster.start(name)
