--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -114,7 +114,9 @@
         while len(self._buffer) >= FRAME_LENGTH.size:
             (length,) = FRAME_LENGTH.unpack_from(self._buffer)
             if length > MAX_FRAME_PAYLOAD + 64 or (self._receive_authenticator is None and length > HANDSHAKE_BYTES):
-                raise InvalidPacketError("a frame that is too long" if self._receive_authenticator else "not of this program")
+                raise InvalidPacketError(
+                    "a frame that is too long" if self._receive_authenticator else "not of this program"
+                )
             if len(self._buffer) < FRAME_LENGTH.size + length:
                 return
             frame = bytes(self._buffer[FRAME_LENGTH.size : FRAME_LENGTH.size + length])
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -764,9 +764,12 @@
             first = self.distributed.status()["version"]
             # The change is watched and confirmed like any other change.
             await wait_until(
-                lambda: self.configuration_manager.active_configuration.ledger.open is None, description="the confirmation"
+                lambda: self.configuration_manager.active_configuration.ledger.open is None,
+                description="the confirmation",
+            )
+            self.assertEqual(
+                "a control machine", self.configuration_manager.active_configuration.ledger.history[-1].steps[0].who
             )
-            self.assertEqual("a control machine", self.configuration_manager.active_configuration.ledger.history[-1].steps[0].who)
             await wait_until(lambda: (self.folder / "kept").exists(), description="the cache file")
             output = await self.ctl("rollout", "shop", *machine)
             self.assertIn("in force at 1, pending 0, refused 0", output)
