--- a/pepperusher/rehearsal/__init__.py
+++ b/pepperusher/rehearsal/__init__.py
@@ -1,2 +1,1 @@
-"""Rehearsals: a stand-in fleet, open-loop load, books on both sides and experiments. `serve` imports none of
-it."""
+"""Load tests (rehearsals): an emulated fleet, load generators, checks of the rules, and experiments. `serve` imports none of this."""
--- a/pepperusher/rehearsal/arrivals.py
+++ b/pepperusher/rehearsal/arrivals.py
@@ -1,9 +1,8 @@
-"""When which ticket is due: a plan worked out ahead from the script and its seed, free of I/O and of any
-clock.
+"""Plans when each ticket is due, from the script and its seed; does no I/O and reads no clock.
 
-The same script gives the same plan to the byte, in every process. Between two changes of rate the rate is a
-straight line, so each next arrival is found by solving for it and not by thinning: even arrivals and Poisson
-ones differ only in how far apart they are in the integral of the rate (Lewis and Shedler 1979, inversion).
+The same script gives exactly the same plan in every process. The rate is piecewise linear, so arrivals are computed by
+inversion of its integral rather than by thinning (Lewis and Shedler 1979). Even and Poisson arrivals differ only in the
+distances between arrivals in terms of that integral.
 """
 
 from __future__ import annotations
@@ -21,8 +20,11 @@
 
 
 class Arrival(NamedTuple):
-    """One first try: due `at` us after the start; `use` and `customer` are places in the script's lists
-    (customer -1 is none), `work` the work drawn in us on a core of speed 1, `order` its place in the plan."""
+    """The first attempt of one client request, due `at` us after the start.
+
+    `use` and `customer` are indices into the script's lists (customer -1 is none), `work` is the drawn work in us on a core of
+    speed 1, and `order` the index in the plan.
+    """
 
     at: int
     use: int
@@ -31,11 +33,11 @@
     order: int
 
 
-class _Stretch(NamedTuple):
-    """Part of a phase in which the rate is a line and the same surges act."""
+class _RateSegment(NamedTuple):
+    """Part of a phase in which the rate is linear and the same surges are active."""
 
-    begins: int
-    ends: int
+    start: int
+    end: int
     rate: float
     to: float
     arrivals: str
@@ -43,125 +45,134 @@
     surges: tuple[Surge, ...]
 
 
-def phases_of(script: Script) -> list[Phase]:
-    """The load's phases; a day's curve is laid over the whole span, straight between its figures."""
+def _phases_of_load(script: Script) -> list[Phase]:
+    """Returns the phases of the load; the rates of `load.day` become phases over the whole span, with linear interpolation."""
     day = script.load.day
     if not day:
         return script.load.phases
     if len(day) == 1:
         return [Phase(span=script.span, rate=day[0])]
-    part = script.span // (len(day) - 1)
-    return [Phase(span=Span(part), rate=rate, to=to) for rate, to in zip(day, day[1:])]
+    interval = script.span // (len(day) - 1)
+    return [Phase(span=Span(interval), rate=rate, to=to) for rate, to in zip(day, day[1:])]
 
 
-def _stretches(script: Script) -> Iterator[_Stretch]:
+def _rate_segments(script: Script) -> Iterator[_RateSegment]:
     surges = script.load.surges
-    edges = sorted({surge.at for surge in surges} | {surge.at + surge.span for surge in surges})
-    began = 0
-    for phase in phases_of(script):
-        ended = began + phase.span
+    surge_edges = sorted({surge.at for surge in surges} | {surge.at + surge.span for surge in surges})
+    phase_start = 0
+    for phase in _phases_of_load(script):
+        phase_end = phase_start + phase.span
         to = phase.rate if phase.to is None else phase.to
-        cuts = [began, *(edge for edge in edges if began < edge < ended), ended]
-        for begins, ends in zip(cuts, cuts[1:]):
-            if begins >= script.span:
+        boundaries = [phase_start, *(edge for edge in surge_edges if phase_start < edge < phase_end), phase_end]
+        for start, end in zip(boundaries, boundaries[1:]):
+            if start >= script.span:
                 return
-            acting = tuple(one for one in surges if one.at <= begins < one.at + one.span)
+            active_surges = tuple(surge for surge in surges if surge.at <= start < surge.at + surge.span)
             slope = (to - phase.rate) / phase.span
-            last = min(ends, script.span)
-            yield _Stretch(
-                begins,
-                last,
-                phase.rate + slope * (begins - began),
-                phase.rate + slope * (last - began),
+            segment_end = min(end, script.span)
+            yield _RateSegment(
+                start,
+                segment_end,
+                phase.rate + slope * (start - phase_start),
+                phase.rate + slope * (segment_end - phase_start),
                 phase.arrivals,
                 phase.burst,
-                acting,
+                active_surges,
             )
-        began = ended
+        phase_start = phase_end
 
 
 class Mix:
-    """Which use case and customer a ticket is of, by shares and the surges that act."""
+    """Draws the use case and the customer of a ticket, by their shares and the active surges.
+
+    `times` is the factor by which the surges raise the total rate.
+    """
 
     def __init__(self, script: Script, surges: tuple[Surge, ...] = ()) -> None:
         uses, customers = script.use_cases, script.customers
-        whole = sum(use.share for use in uses) * (sum(one.share for one in customers) or 1.0)
-        self._pairs: list[tuple[int, int]] = []
+        base_weight = sum(use.share for use in uses) * (sum(customer.share for customer in customers) or 1.0)
+        self._choices: list[tuple[int, int]] = []
         weights = []
-        for u, use in enumerate(uses):
-            for c in range(len(customers)) or [-1]:
-                weight = use.share * (customers[c].share if c >= 0 else 1.0)
+        for use_number, use in enumerate(uses):
+            for customer_number in range(len(customers)) or [-1]:
+                weight = use.share * (customers[customer_number].share if customer_number >= 0 else 1.0)
                 for surge in surges:
                     if surge.use_case in (None, use.name) and (
-                        surge.customer is None or c >= 0 and surge.customer == customers[c].name
+                        surge.customer is None
+                        or customer_number >= 0
+                        and surge.customer == customers[customer_number].name
                     ):
                         weight *= surge.times
-                self._pairs.append((u, c))
+                self._choices.append((use_number, customer_number))
                 weights.append(weight)
-        self._cuts = list(accumulate(weights))
-        self.times = self._cuts[-1] / whole if self._cuts else 0.0
+        self._cumulative_weights = list(accumulate(weights))
+        self.times = self._cumulative_weights[-1] / base_weight if self._cumulative_weights else 0.0
 
-    def draw(self, chance: Random) -> tuple[int, int]:
-        at = bisect(self._cuts, chance.random() * self._cuts[-1])
-        return self._pairs[min(at, len(self._pairs) - 1)]
+    def draw(self, rng: Random) -> tuple[int, int]:
+        index = bisect(self._cumulative_weights, rng.random() * self._cumulative_weights[-1])
+        return self._choices[min(index, len(self._choices) - 1)]
 
 
-def work_of(use: UseCase, chance: Random) -> int:
-    """A ticket's work in us, at least 1 where there is any."""
+def work_of(use: UseCase, rng: Random) -> int:
+    """Draws the work of a ticket in us; it is at least 1 unless the mean is 0."""
     mean = use.work.mean
     if not mean or use.work.spread == "fixed":
         return int(mean)
     if use.work.spread == "exponential":
-        return max(1, round(chance.expovariate(1.0) * mean))
-    spread = sqrt(log(1.0 + use.work.cv**2))
-    return max(1, round(mean * chance.lognormvariate(-spread * spread / 2, spread)))
-
-
-def _times(stretch: _Stretch, times: float, owed: float, chance: Random) -> Iterator[tuple[int, float]]:
-    """Instants within the stretch; `owed` is what the integral still has to gain to the next one. The last
-    pair has
-    -1 and what is owed after the stretch."""
-    size = stretch.burst if stretch.arrivals == "bursts" else 1
-    seconds = (stretch.ends - stretch.begins) / 1e6
-    rate, to = stretch.rate * times / size, stretch.to * times / size
+        return max(1, round(rng.expovariate(1.0) * mean))
+    sigma = sqrt(log(1.0 + use.work.cv**2))
+    return max(1, round(mean * rng.lognormvariate(-sigma * sigma / 2, sigma)))
+
+
+def _arrival_times(
+    segment: _RateSegment, multiplier: float, remaining: float, rng: Random
+) -> Iterator[tuple[int, float]]:
+    """Yields the arrival times within a segment, each with 0.0.
+
+    `remaining` is the increase of the rate's integral until the first arrival. The last pair is -1 and the increase that
+    remains for the next segment.
+    """
+    burst_size = segment.burst if segment.arrivals == "bursts" else 1
+    seconds = (segment.end - segment.start) / 1e6
+    rate, to = segment.rate * multiplier / burst_size, segment.to * multiplier / burst_size
     slope = (to - rate) / seconds if seconds else 0.0
-    whole = (rate + to) / 2 * seconds
-    passed = 0.0
-    while passed + owed < whole:
-        passed += owed
-        root = sqrt(max(0.0, rate * rate + 2 * slope * passed))
-        at = 2 * passed / (rate + root) if rate + root > 0 else 0.0
-        instant = min(stretch.ends - 1, stretch.begins + round(at * 1e6))
-        for _ in range(size):
+    total = (rate + to) / 2 * seconds
+    integral = 0.0
+    while integral + remaining < total:
+        integral += remaining
+        rate_then = sqrt(max(0.0, rate * rate + 2 * slope * integral))
+        seconds_in = 2 * integral / (rate + rate_then) if rate + rate_then > 0 else 0.0
+        instant = min(segment.end - 1, segment.start + round(seconds_in * 1e6))
+        for _ in range(burst_size):
             yield instant, 0.0
-        owed = 1.0 if stretch.arrivals == "even" else chance.expovariate(1.0)
-    yield -1, owed - (whole - passed)
+        remaining = 1.0 if segment.arrivals == "even" else rng.expovariate(1.0)
+    yield -1, remaining - (total - integral)
 
 
 def plan_arrivals(script: Script) -> list[Arrival]:
-    """Every first try of an open-loop script, in order. A trace is planned by `traces.planned` instead."""
-    chance = Random(f"{script.seed}:arrivals")
+    """Plans the first attempts of an open-loop script, in order. Traces are planned by `traces.plan_trace` instead."""
+    rng = Random(f"{script.seed}:arrivals")
     plan: list[Arrival] = []
-    mixes: dict[tuple[Surge, ...], Mix] = {}  # one for each set of surges in the script
-    owed: float | None = None
-    for stretch in _stretches(script):
-        mix = mixes.get(key := stretch.surges)
+    mixes: dict[tuple[Surge, ...], Mix] = {}  # by set of active surges
+    remaining: float | None = None
+    for segment in _rate_segments(script):
+        mix = mixes.get(key := segment.surges)
         if mix is None:
             mix = mixes[key] = Mix(script, key)
-        if owed is None:
-            owed = 0.5 if stretch.arrivals == "even" else chance.expovariate(1.0)
-        for at, left in _times(stretch, mix.times, owed, chance):
+        if remaining is None:
+            remaining = 0.5 if segment.arrivals == "even" else rng.expovariate(1.0)
+        for at, remainder in _arrival_times(segment, mix.times, remaining, rng):
             if at < 0:
-                owed = left
+                remaining = remainder
                 break
-            use, customer = mix.draw(chance)
-            plan.append(Arrival(at, use, customer, work_of(script.use_cases[use], chance), len(plan)))
+            use, customer = mix.draw(rng)
+            plan.append(Arrival(at, use, customer, work_of(script.use_cases[use], rng), len(plan)))
     return plan
 
 
 def digest(plan: list[Arrival]) -> str:
-    """The same for the same plan alone."""
-    check = 0
+    """Returns the length and a CRC-32 of a plan; equal plans have equal digests."""
+    checksum = 0
     for arrival in plan:
-        check = zlib.crc32(b"%d %d %d %d\n" % arrival[:4], check)
-    return f"{len(plan)}-{check:08x}"
+        checksum = zlib.crc32(b"%d %d %d %d\n" % arrival[:4], checksum)
+    return f"{len(plan)}-{checksum:08x}"
--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -11,21 +11,24 @@
 import click
 
 from pepperusher.rehearsal import results, script as scripts, text_report
-from pepperusher.rehearsal.run_controller import RehearsalError, rehearse as play
+from pepperusher.rehearsal.run_controller import RehearsalError, rehearse as run_rehearsal
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import ScriptError
 from pepperusher.durations import span as span_of
 
-RULE_BROKEN = 1
-FILE = click.argument("file", type=click.Path(path_type=Path))
+EXIT_RULE_BROKEN = 1
+FILE_ARGUMENT = click.argument("file", type=click.Path(path_type=Path))
 
 
 @contextmanager
-def one_line() -> Iterator[None]:
-    """What is wrong with a file or a play is one line, never a traceback. SIGTERM ends it as Ctrl-C does, with all that it
-    started; so does SIGINT where a shell that put it into the background has it ignored."""
+def errors_in_one_line() -> Iterator[None]:
+    """Reports errors in files and runs as one line without a traceback, and handles SIGINT and SIGTERM.
+
+    SIGTERM ends the command and all processes that it started, as Ctrl-C does. The handler for SIGINT is set explicitly, since
+    a shell that starts the command in the background makes it ignore SIGINT.
+    """
     signal.signal(signal.SIGINT, signal.default_int_handler)
-    # Not the same handler: asyncio turns SIGINT into a cancellation, and all that was started is ended in order.
+    # SIGTERM raises SIGINT rather than an exception: asyncio turns SIGINT into a cancellation, which ends all processes in order.
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     try:
         yield
@@ -37,19 +40,20 @@
 
 @contextmanager
 def progress(title: str, span: int) -> Iterator[Callable[[int], None] | None]:
-    """A bar on a terminal; nothing else where there is none."""
+    """Shows a progress bar if stderr is a terminal; else yields None."""
     if not sys.stderr.isatty():
         yield None
         return
     with click.progressbar(length=span, label=title[:40], file=sys.stderr) as bar:
 
-        def played(now: int) -> None:
+        def show_progress(now: int) -> None:
             bar.update(max(0, min(span, now) - bar.pos))
 
-        yield played
+        yield show_progress
 
 
-def _script(file: Path, seed: int | None, span: str | None) -> scripts.Script:
+def _read_script(file: Path, seed: int | None, span: str | None) -> scripts.Script:
+    """Reads a script and applies the options --seed and --span; faults after the new span are dropped."""
     script = scripts.read(file)
     if seed is not None:
         script.seed = seed
@@ -64,17 +68,17 @@
 
 
 @click.command()
-@FILE
-@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page with plots here.")
-@click.option("--out", type=click.Path(path_type=Path), help="Keep the result in this file (.rehearsal).")
+@FILE_ARGUMENT
+@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML report with plots to this file.")
+@click.option("--out", type=click.Path(path_type=Path), help="Write the result to this file (.rehearsal).")
 @click.option("--work", type=click.Path(path_type=Path), help="Keep logs and records in this folder.")
 @click.option(
     "--build",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
-    help="Play the proxy of this checkout in place of this one.",
+    help="Run the proxies of another checkout.",
 )
-@click.option("--seed", type=int, help="In place of the script's.")
-@click.option("--span", help="In place of the script's, such as 10s.")
+@click.option("--seed", type=int, help="Replaces the seed of the script.")
+@click.option("--span", help="Replaces the span of the script, such as 10s.")
 def rehearse(
     file: Path,
     report: Path | None,
@@ -84,14 +88,14 @@
     seed: int | None,
     span: str | None,
 ) -> None:
-    """Play the rehearsal in FILE: a stand-in fleet, real proxies and open-loop load on loopback.
+    """Run the rehearsal in FILE: an emulated fleet, real proxies and generated load on loopback.
 
-    Prints a summary. Ends with 1 if one of the four rules was broken, naming tickets, times and backends.
+    Prints a summary. Exits with status 1 if one of the four rules was broken, and lists tickets, times and backends.
     """
-    with one_line():
-        script = _script(file, seed, span)
-        with progress(script.title, script.span) as played:
-            result = play(script, build.resolve() if build else None, work, played)
+    with errors_in_one_line():
+        script = _read_script(file, seed, span)
+        with progress(script.title, script.span) as show_progress:
+            result = run_rehearsal(script, build.resolve() if build else None, work, show_progress)
         if out is not None:
             results.write(out, result)
         click.echo(text_report.summary(result))
@@ -101,111 +105,116 @@
             page.write(report, [result])
             click.echo(f"report: {report}")
     if not result.kept:
-        sys.exit(RULE_BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @click.command()
-@FILE
+@FILE_ARGUMENT
 @click.option(
     "--to",
     "targets",
     multiple=True,
     metavar="ADDRESS:PORT",
     required=True,
-    help="A proxy or a server to ask; several are asked in turn.",
+    help="The address of a proxy or server; several are used in turn.",
 )
-@click.option("--out", type=click.Path(path_type=Path), help="Keep the result in this file (.rehearsal).")
-@click.option("--seed", type=int, help="In place of the script's.")
-@click.option("--span", help="In place of the script's, such as 10s.")
+@click.option("--out", type=click.Path(path_type=Path), help="Write the result to this file (.rehearsal).")
+@click.option("--seed", type=int, help="Replaces the seed of the script.")
+@click.option("--span", help="Replaces the span of the script, such as 10s.")
 def load(file: Path, targets: tuple[str, ...], out: Path | None, seed: int | None, span: str | None) -> None:
-    """Play only the clients of the rehearsal in FILE, against servers that stand already.
+    """Run only the clients of the rehearsal in FILE, against servers that are already running.
 
-    Only addresses of this machine's loopback are asked.
+    Only loopback addresses are allowed.
     """
     from pepperusher.rehearsal import standalone
 
-    with one_line():
-        script = _script(file, seed, span)
-        with progress(script.title, script.span) as played:
-            result = standalone.load(script, [standalone.loopback(one) for one in targets], played)
+    with errors_in_one_line():
+        script = _read_script(file, seed, span)
+        with progress(script.title, script.span) as show_progress:
+            result = standalone.load(script, [standalone.loopback(target) for target in targets], show_progress)
         if out is not None:
             results.write(out, result)
         click.echo(text_report.load_summary(result))
 
 
 @click.command()
-@FILE
-@click.option("--proxies/--no-proxies", default=True, help="Whether real proxies stand before the fleet.")
-@click.option("--seed", type=int, help="In place of the script's.")
+@FILE_ARGUMENT
+@click.option("--proxies/--no-proxies", default=True, help="Whether to start real proxies in front of the fleet.")
+@click.option("--seed", type=int, help="Replaces the seed of the script.")
 def emulate(file: Path, proxies: bool, seed: int | None) -> None:
-    """Stand up the fleet of the rehearsal in FILE until Ctrl-C, with its troubles from the start on.
+    """Run the fleet of the rehearsal in FILE until Ctrl-C, with its faults but without load.
 
     Prints the addresses of proxies, backends and discovery.
     """
     from pepperusher.rehearsal import standalone
 
-    with one_line():
-        standalone.emulate(_script(file, seed, None), proxies, click.echo)
+    with errors_in_one_line():
+        standalone.emulate(_read_script(file, seed, None), proxies, click.echo)
 
 
 @click.command()
-@FILE
+@FILE_ARGUMENT
 @click.option(
     "--out",
     type=click.Path(path_type=Path),
     default=Path("results"),
     show_default=True,
-    help="Keep results in this folder; those that are there already are not played again.",
+    help="Write results to this directory; runs that have a result there are not repeated.",
 )
-@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML page with plots here.")
+@click.option("--report", type=click.Path(path_type=Path), help="Write an HTML report with plots to this file.")
 def experiment(file: Path, out: Path, report: Path | None) -> None:
-    """Play the experiment in FILE: rehearsals over parameters, seeds and builds, in turn, compared pair by
-    pair."""
+    """Run the experiment in FILE: rehearsals over parameters, seeds and builds, compared in pairs."""
     from pepperusher.rehearsal import experiments
 
-    with one_line():
-        wanted = experiments.read(file)
-        played = experiments.play(wanted, out, click.echo)
-        click.echo(experiments.spoken(wanted, played))
+    with errors_in_one_line():
+        definition = experiments.read(file)
+        results_by_run = experiments.run_experiment(definition, out, click.echo)
+        click.echo(experiments.format_comparison(definition, results_by_run))
         if report is not None:
             from pepperusher.rehearsal import page
 
-            page.write(report, [result for _, result in played], experiments.compare_arms(wanted, played))
+            page.write(
+                report, [result for _, result in results_by_run], experiments.compare_arms(definition, results_by_run)
+            )
             click.echo(f"report: {report}")
-    if not all(result.kept for _, result in played):
-        sys.exit(RULE_BROKEN)
+    if not all(result.kept for _, result in results_by_run):
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @click.command()
 @click.argument("files", type=click.Path(path_type=Path), nargs=-1, required=True)
-@click.option("--html", type=click.Path(path_type=Path), help="Write an HTML page with plots here.")
+@click.option("--html", type=click.Path(path_type=Path), help="Write an HTML report with plots to this file.")
 def report(files: tuple[Path, ...], html: Path | None) -> None:
-    """Show results that were kept: a summary of each, and with --html a page of all."""
-    with one_line():
-        read: list[Result] = [results.read(file) for file in files]
-        for result in read:
+    """Print a summary of each result file; with --html also write a report of all."""
+    with errors_in_one_line():
+        loaded: list[Result] = [results.read(file) for file in files]
+        for result in loaded:
             click.echo(text_report.summary(result))
         if html is not None:
             from pepperusher.rehearsal import page
 
-            page.write(html, read)
+            page.write(html, loaded)
             click.echo(f"report: {html}")
 
 
 @click.command("group-figures")
-@click.option("--sizes", default="10,40,100,300,1000", show_default=True, help="How many members, several by commas.")
-@click.option("--plays", default=5, show_default=True, help="Plays of each, by seed; of groups over 100 one.")
+@click.option(
+    "--sizes", default="10,40,100,300,1000", show_default=True, help="Numbers of members, separated by commas."
+)
+@click.option(
+    "--plays", default=5, show_default=True, help="Runs per size, each with its own seed; groups over 100 are run once."
+)
 def group_figures(sizes: str, plays: int) -> None:
-    """Measure a group of proxies in virtual time: detection, news, wrong suspicions, and what it costs."""
+    """Measure a group of proxies in virtual time: failure detection, dissemination, false suspicions and costs."""
     from pepperusher.rehearsal import group_figures
 
-    if not all(one.isdecimal() and 2 <= int(one) <= 2000 for one in sizes.split(",")) or plays < 1:
+    if not all(size.isdecimal() and 2 <= int(size) <= 2000 for size in sizes.split(",")) or plays < 1:
         raise click.ClickException("--sizes are whole numbers from 2 to 2000, and --plays is 1 or more")
-    with one_line():
-        made = list(
-            group_figures.rows([int(one) for one in sizes.split(",")], plays, lambda line: click.echo(line, err=True))
+    with errors_in_one_line():
+        rows = list(
+            group_figures.rows([int(size) for size in sizes.split(",")], plays, lambda line: click.echo(line, err=True))
         )
-        click.echo(group_figures.table(made))
+        click.echo(group_figures.table(rows))
 
 
 @click.command("askers")
@@ -214,18 +223,31 @@
     "scenes",
     default="down,refusing,silent,unreachable,watches-end,watches-silent",
     show_default=True,
-    help="Several by commas; start-slow, start-full and start-back time new processes.",
+    help="Scenes, separated by commas; start-slow, start-full and start-back measure the start of new processes.",
 )
-@click.option("--askers", "crowd", default=200, show_default=True, help="How many ask the one discovery.")
-@click.option("--whole", default=24, show_default=True, help="How many of these are processes, where starts are timed.")
-@click.option("--each", default=14.0, show_default=True, help="Milliseconds that discovery works on a call.")
 @click.option(
-    "--queue", default=1_000_000, help="Calls that may wait there; it answers 503 to those beyond.  [default: no end]"
+    "--askers", "crowd", default=200, show_default=True, help="Number of proxies that call the one discovery server."
+)
+@click.option(
+    "--whole",
+    default=24,
+    show_default=True,
+    help="How many of these are real processes in the scenes that measure starts.",
+)
+@click.option("--each", default=14.0, show_default=True, help="Milliseconds that discovery needs for a call.")
+@click.option(
+    "--queue",
+    default=1_000_000,
+    help="Calls that discovery queues; it answers 503 to further ones.  [default: unlimited]",
+)
+@click.option(
+    "--ask-within", default=10.0, show_default=True, help="The proxies' time-out for calls to discovery, in seconds."
+)
+@click.option(
+    "--trials", default=5, show_default=True, help="Outages per scene, each of a random length from 3 to 20 s."
 )
-@click.option("--ask-within", default=10.0, show_default=True, help="Seconds that the settings give for asking.")
-@click.option("--trials", default=5, show_default=True, help="Troubles in a scene, of 3 to 20 s by chance.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--json", "as_json", is_flag=True, help="One object a scene, in place of a table.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per scene instead of a table.")
 def askers(
     scenes: str,
     crowd: int,
@@ -237,74 +259,82 @@
     seed: int,
     as_json: bool,
 ) -> None:
-    """Measure a crowd of proxies at one discovery: how late they hear of a change after it is back, and the calls it took."""
+    """Measure many proxies at one discovery server: how late they learn of a change after an outage, and how many calls it took."""
     import json
 
-    from pepperusher.rehearsal import discovery_clients as crowds
+    from pepperusher.rehearsal import discovery_clients as discovery_scenes
 
-    wanted = scenes.split(",")
-    if strange := [one for one in wanted if one not in (*crowds.TROUBLES, *crowds.STARTS)]:
-        raise click.ClickException(f"--scene: there is no {strange[0]}")
+    scene_names = scenes.split(",")
+    if unknown := [name for name in scene_names if name not in (*discovery_scenes.TROUBLES, *discovery_scenes.STARTS)]:
+        raise click.ClickException(f"--scene: there is no {unknown[0]}")
     if not 1 <= crowd <= 220 or min(whole, trials, queue) < 0 or not 0 < each < 10_000:
-        raise click.ClickException("--askers is from 1 to 220, the others are above 0")
-    with one_line():
+        raise click.ClickException(
+            "--askers is from 1 to 220, the other numbers are not negative, and --each is over 0 and under 10000"
+        )
+    with errors_in_one_line():
         if not as_json:
-            click.echo(crowds.HEAD)
-        for made in crowds.run_scenes(wanted, crowd, whole, each / 1000, queue, trials, seed, ask_within):
-            click.echo(json.dumps(made._asdict()) if as_json else made.row())
+            click.echo(discovery_scenes.HEAD)
+        for measurement in discovery_scenes.run_scenes(
+            scene_names, crowd, whole, each / 1000, queue, trials, seed, ask_within
+        ):
+            click.echo(json.dumps(measurement._asdict()) if as_json else measurement.row())
 
 
 @click.command()
-@click.option("--seeds", default="1-50", show_default=True, help="One, or the first and the last with a - between.")
-@click.option("--span", default="20s", show_default=True, help="How long each run lasts.")
-@click.option("--work", type=click.Path(path_type=Path), help="Keep logs and records of runs that broke a rule here.")
-@click.option("--build", type=click.Path(path_type=Path), help="Another checkout, whose proxies are run.")
+@click.option("--seeds", default="1-50", show_default=True, help="One seed, or a range such as 1-50.")
+@click.option("--span", default="20s", show_default=True, help="The length of each run.")
+@click.option(
+    "--work",
+    type=click.Path(path_type=Path),
+    help="Keep the logs and records of runs that broke a rule in this directory.",
+)
+@click.option("--build", type=click.Path(path_type=Path), help="Run the proxies of another checkout.")
 def soak(seeds: str, span: str, work: Path | None, build: Path | None) -> None:
-    """Run a small fleet under trouble that is drawn from each seed, one run after another.
+    """Run a small fleet with random faults drawn from each seed, one run after another.
 
-    Ends with 1 if a rule was broken in one of them.
+    Exits with status 1 if a rule was broken in a run.
     """
-    from pepperusher.rehearsal import soak as soaking
+    from pepperusher.rehearsal import soak as soak_runs
 
     first, _, last = seeds.partition("-")
     last = last or first
     if not (first.isdecimal() and last.isdecimal() and int(first) <= int(last)):
-        raise click.ClickException("--seeds are such as 7, or 1-50")
-    with one_line():
+        raise click.ClickException("--seeds must be a number such as 7 or a range such as 1-50")
+    with errors_in_one_line():
         try:
-            lasts = span_of(span)
+            span_us = span_of(span)
         except ValueError as error:
             raise ScriptError(f"--span: {error}") from None
         kept = True
         for seed in range(int(first), int(last) + 1):
-            result = soaking.run(seed, lasts, work, build)
-            click.echo(soaking.line(result))
+            result = soak_runs.run(seed, span_us, work, build)
+            click.echo(soak_runs.line(result))
             kept = kept and result.kept
     if not kept:
-        sys.exit(RULE_BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
 
 
 @click.command("cold-figures")
-@click.option("--proxies", default=30, show_default=True, help="How many proxies.")
-@click.option("--seeds", default=2, show_default=True, help="Runs of each case, by seed.")
-@click.option("--deployment", "deployments", multiple=True, help="By name, once or more. All if none.")
+@click.option("--proxies", default=30, show_default=True, help="Number of proxies.")
+@click.option("--seeds", default=2, show_default=True, help="Runs per case, each with its own seed.")
+@click.option("--deployment", "deployments", multiple=True, help="Name of a deployment; may be repeated. Default: all.")
 def cold_figures(proxies: int, seeds: int, deployments: tuple[str, ...]) -> None:
-    """Read what all proxies together send to cold backends, in virtual time, against the rule's budget.
+    """Measure in virtual time what all proxies together send to cold backends, against the budget of the rule.
 
-    Ends with 1 if a window was over it.
+    Exits with status 1 if a window exceeded the budget.
     """
     from pepperusher.rehearsal import cold_backend_sum
 
-    names = [one.name for one in cold_backend_sum.DEPLOYMENTS]
-    if unknown := [one for one in deployments if one not in names]:
-        raise click.ClickException(f"--deployment {unknown[0]} is none of {', '.join(names)}")
+    names = [deployment.name for deployment in cold_backend_sum.DEPLOYMENTS]
+    if unknown := [name for name in deployments if name not in names]:
+        raise click.ClickException(f"--deployment {unknown[0]} is not one of {', '.join(names)}")
     if not 2 <= proxies <= 1000 or seeds < 1:
         raise click.ClickException("--proxies are 2 to 1000, and --seeds is 1 or more")
-    with one_line():
+    with errors_in_one_line():
         kept = True
         click.echo(cold_backend_sum.HEAD)
         for row in cold_backend_sum.rows(proxies, range(seeds), deployments or names):
             click.echo(cold_backend_sum.line(*row))
             kept = kept and not row[2].over
     if not kept:
-        sys.exit(RULE_BROKEN)
+        sys.exit(EXIT_RULE_BROKEN)
--- a/pepperusher/rehearsal/effective_changes.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -1,7 +1,8 @@
-"""Changes that count as told although discovery did not write them, by the operators' terms; free of I/O.
+"""Endpoint changes that a proxy is deemed to know, by the operators' requirements, even if discovery did not notify it.
 
-What discovery has counts as told RECONFIGURED_TERM after a SIGHUP, SILENT_TERM after a watch fell silent that missed it, and
-REACHED_TERM after discovery had it and could be reached, whether or not it came. A process that was started within a term is not held to it. Times are us.
+A change counts as told RECONFIGURED_TERM_US after a SIGHUP, SILENT_TERM_US after the start of a silent watch that missed it,
+and REACHABLE_TERM_US after discovery has the change and is reachable, whether or not a notification arrived. A proxy process
+that was started within a term is not held to it. Times are in us. Does no I/O.
 """
 
 from __future__ import annotations
@@ -15,65 +16,73 @@
 from pepperusher.rehearsal.script import Script
 from pepperusher.rehearsal.fault_schedule import Strike, timeline
 
-RECONFIGURED_TERM = 4_000_000
-REACHED_TERM = 6_000_000
-SILENT_TERM = 6_000_000
-# No watch that fell silent is replaced within the first figure: its last word may have come 2 s before, and silence is noticed
-# 2.5 s after that. Had discovery been out of reach within the second before, a proxy may have had no watch.
-MISSED_WITHIN = 500_000
-WATCHED_AFTER = 8_000_000
-# While one of these lasts discovery tells nobody of a change.
-UNREACHED = ("discovery-down", "discovery-full", "discovery-silent", "discovery-late")
+RECONFIGURED_TERM_US = 4_000_000
+REACHABLE_TERM_US = 6_000_000
+SILENT_TERM_US = 6_000_000
+# A proxy notices that a watch is silent 2.5 s after its last message, which may have come up to 2 s before the watch fell
+# silent. A silent watch is therefore not replaced within MISSED_WITHIN_US. If discovery was unreachable within
+# OUTAGE_RECOVERY_US before, a proxy may not have had a watch at all.
+MISSED_WITHIN_US = 500_000
+OUTAGE_RECOVERY_US = 8_000_000
+# The faults during which discovery does not notify any proxy of a change.
+DISCOVERY_OUTAGES = ("discovery-down", "discovery-full", "discovery-silent", "discovery-late")
 
 
 def effective_notifications(
-    script: Script, reconfigured: list[Reconfiguration], ran: list[ProxyRun]
+    script: Script, reconfigurations: list[Reconfiguration], runs: list[ProxyRun]
 ) -> list[StateNotification]:
-    """One record for each proxy and change to another state than ready."""
+    """Returns the deemed notifications: one for each proxy, each change to a state other than ready, and each term that applies."""
     plan = FleetPlan(script, 0)
-    line = timeline(script, plan)
-    stops = [one for one in changes(script, line) if one.notified_at >= 0 and one.state != READY]
-    unreached = [one for one in line.strikes if one.what in UNREACHED]
-    silences = [one.at for one in line.strikes if one.what == WATCHES_SILENT and _all_watched(one.at, unreached)]
-    signals: dict[int, list[int]] = defaultdict(list)
-    for one in sorted(reconfigured, key=lambda one: one.at):
-        signals[one.proxy].append(one.at)
-    made = []
-    for gate in plan.gates:
-        starts = [one.started for one in ran if one.proxy == gate.number]
-        for change in stops:
-            if plan.places[change.place].tier != gate.tier:
+    schedule = timeline(script, plan)
+    unready_changes = [
+        change for change in changes(script, schedule) if change.notified_at >= 0 and change.state != READY
+    ]
+    outages = [strike for strike in schedule.strikes if strike.what in DISCOVERY_OUTAGES]
+    silent_watches = [
+        strike.at
+        for strike in schedule.strikes
+        if strike.what == WATCHES_SILENT and _all_proxies_watched(strike.at, outages)
+    ]
+    signals_by_proxy: dict[int, list[int]] = defaultdict(list)
+    for reconfiguration in sorted(reconfigurations, key=lambda reconfiguration: reconfiguration.at):
+        signals_by_proxy[reconfiguration.proxy].append(reconfiguration.at)
+    notifications = []
+    for proxy in plan.gates:
+        starts = [run.started for run in runs if run.proxy == proxy.number]
+        for change in unready_changes:
+            if plan.places[change.place].tier != proxy.tier:
                 continue
-            made += [
-                StateNotification(gate.number, change.id, change.state, due)
-                for since, due in _terms(change, signals[gate.number], silences, unreached)
+            notifications += [
+                StateNotification(proxy.number, change.id, change.state, due)
+                for since, due in _notification_terms(change, signals_by_proxy[proxy.number], silent_watches, outages)
                 if not any(since < started <= due for started in starts)
             ]
-    return made
+    return notifications
 
 
-def _all_watched(at: int, unreached: list[Strike]) -> bool:
-    return not any(strike.at <= at and strike.until > at - WATCHED_AFTER for strike in unreached)
+def _all_proxies_watched(at: int, outages: list[Strike]) -> bool:
+    """Whether every proxy surely had a watch at `at`, since there was no recent outage of discovery."""
+    return not any(strike.at <= at and strike.until > at - OUTAGE_RECOVERY_US for strike in outages)
 
 
-def _terms(
-    change: Change, signals: list[int], silences: list[int], unreached: list[Strike]
+def _notification_terms(
+    change: Change, signals: list[int], silent_watches: list[int], outages: list[Strike]
 ) -> Iterator[tuple[int, int]]:
-    """When each term that ends with this change began, and its end."""
+    """Yields the start and the end of each term after which the proxy is deemed to know the change."""
     for signal, following in zip(signals, [*signals[1:], None]):
-        # Of a row the last counts.
-        if change.notified_at <= signal and (following is None or following - signal >= RECONFIGURED_TERM):
-            yield signal, signal + RECONFIGURED_TERM
-    for silence in silences:
-        if silence <= change.notified_at < silence + MISSED_WITHIN:
-            yield silence, silence + SILENT_TERM
-    reached = _reached_from(change.notified_at, unreached)
-    yield reached, reached + REACHED_TERM
+        # Of several signals in a row, each within a term of the one before, only the last one counts.
+        if change.notified_at <= signal and (following is None or following - signal >= RECONFIGURED_TERM_US):
+            yield signal, signal + RECONFIGURED_TERM_US
+    for silent_at in silent_watches:
+        if silent_at <= change.notified_at < silent_at + MISSED_WITHIN_US:
+            yield silent_at, silent_at + SILENT_TERM_US
+    reachable_at = _reachable_from(change.notified_at, outages)
+    yield reachable_at, reachable_at + REACHABLE_TERM_US
 
 
-def _reached_from(at: int, unreached: list[Strike]) -> int:
-    """The first moment from which discovery could be reached for a whole term."""
-    for strike in sorted(unreached, key=lambda one: one.at):
-        if strike.at < at + REACHED_TERM and strike.until > at:
+def _reachable_from(at: int, outages: list[Strike]) -> int:
+    """Returns the earliest time from `at` on from which discovery is reachable for a whole term."""
+    for strike in sorted(outages, key=lambda strike: strike.at):
+        if strike.at < at + REACHABLE_TERM_US and strike.until > at:
             at = strike.until
     return at
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -1,5 +1,4 @@
-"""Experiments: a file names rehearsals over parameters, seeds and builds; they are played in turn and
-compared."""
+"""Experiments: a file lists rehearsals, parameters, seeds and builds; all combinations are run in turn and compared."""
 
 from __future__ import annotations
 
@@ -19,11 +18,11 @@
 from pepperusher.rehearsal.results import Result, ResultError
 from pepperusher.rehearsal.script import Script, ScriptError, Table
 
-MOST = 1000
+MAX_RUNS = 1000
 
 
 class Arm(Table, kw_only=True):
-    """One of those compared: another build, other values in the script, or both."""
+    """One of the variants that are compared: another build, other values in the script, or both."""
 
     name: str
     build: str | None = None
@@ -31,8 +30,8 @@
 
 
 class Experiment(Table, kw_only=True):
-    """`vary` gives each key of the script its values, all of them with all others; keys are written as
-    "load.phases.0.rate". The first arm is what the others are compared with."""
+    """An experiment. `vary` maps keys of the script, such as "load.phases.0.rate", to lists of values; all combinations of
+    the values are run. The first arm is the baseline of the comparison."""
 
     title: str
     rehearsals: list[str]
@@ -45,7 +44,7 @@
 
 
 class PlannedRun(NamedTuple):
-    """One rehearsal to play; those of the same `pair` differ in their arm alone."""
+    """One rehearsal to run; runs with the same `pair` differ only in their arm."""
 
     arm: Arm
     pair: str
@@ -54,7 +53,7 @@
 
 
 def read(path: Path) -> Experiment:
-    """Raises ScriptError in one line."""
+    """Reads and validates an experiment file. Raises ScriptError, whose text is one line."""
     raw = scripts.load_toml(path)
     try:
         experiment: Experiment = scripts.convert(raw, Experiment)
@@ -66,112 +65,118 @@
 
 
 def _check(experiment: Experiment) -> None:
-    for key, given in (
+    for key, value in (
         ("rehearsals", experiment.rehearsals),
         ("seeds", experiment.seeds),
         ("arms", experiment.arms),
     ):
-        if not given:
-            raise ScriptError(f"{key}: there is none")
+        if not value:
+            raise ScriptError(f"{key}: is empty")
     names = [arm.name for arm in experiment.arms]
     for number, arm in enumerate(experiment.arms):
         if names.count(arm.name) > 1:
-            raise ScriptError(f"arms[{number}].name: {arm.name} stands twice")
+            raise ScriptError(f"arms[{number}].name: {arm.name} is listed twice")
         if arm.build is not None and not (Path(experiment.folder) / arm.build / "pepperusher").is_dir():
-            raise ScriptError(f"arms[{number}].build: {arm.build} is no checkout: it has no folder pepperusher")
+            raise ScriptError(f"arms[{number}].build: {arm.build} is not a checkout: it has no directory pepperusher")
     for key in experiment.vary:
         if not experiment.vary[key]:
             raise ScriptError(f"vary.{key}: has no values")
     for number, measure in enumerate(experiment.measures):
         if measure not in MEASURES:
-            raise ScriptError(f"measures[{number}]: {measure} is none of {', '.join(MEASURES)}")
-
-
-def _put(raw: dict[str, Any], key: str, value: Any, said: str) -> None:
-    """Sets one value deep in a script; a place that the script does not have names the key."""
-    at: Any = raw
-    *way, last = key.split(".")
-    for step in way:
-        if isinstance(at, list) and step.isdecimal() and int(step) < len(at):
-            at = at[int(step)]
-        elif isinstance(at, dict) and (step in at or step == way[-1]):
-            at = at.setdefault(step, {})
+            raise ScriptError(f"measures[{number}]: {measure} is not one of {', '.join(MEASURES)}")
+
+
+def _set_value(document: dict[str, Any], key: str, value: Any, setting: str) -> None:
+    """Sets one value deep in a script. Raises ScriptError that names `setting` if the script has no such place."""
+    container: Any = document
+    *path, last_key = key.split(".")
+    for part in path:
+        if isinstance(container, list) and part.isdecimal() and int(part) < len(container):
+            container = container[int(part)]
+        elif isinstance(container, dict) and (part in container or part == path[-1]):
+            container = container.setdefault(part, {})
         else:
-            raise ScriptError(f"{said}: the script has no {step} in {key}")
-    if isinstance(at, list) and last.isdecimal() and int(last) < len(at):
-        at[int(last)] = value
-    elif isinstance(at, dict):
-        at[last] = value
+            raise ScriptError(f"{setting}: the script has no {part} in {key}")
+    if isinstance(container, list) and last_key.isdecimal() and int(last_key) < len(container):
+        container[int(last_key)] = value
+    elif isinstance(container, dict):
+        container[last_key] = value
     else:
-        raise ScriptError(f"{said}: the script has no {last} in {key}")
+        raise ScriptError(f"{setting}: the script has no {last_key} in {key}")
 
 
-def planned(experiment: Experiment) -> list[PlannedRun]:
-    """Every play, interleaved: pairs in an order drawn from the seed, the arms of each one after another, and
-    which comes first drawn too, so that a machine that slows over time strikes all arms alike. Raises
-    ScriptError."""
-    plays: list[list[PlannedRun]] = []
+def plan_runs(experiment: Experiment) -> list[PlannedRun]:
+    """Returns all runs of an experiment in random order drawn from `order_seed`. Raises ScriptError.
+
+    The pairs are shuffled, and so are the arms within each pair, which run one after another. A machine that becomes slower
+    over time thus affects all arms alike.
+    """
+    pairs: list[list[PlannedRun]] = []
     keys = list(experiment.vary)
     for name in experiment.rehearsals:
         path = Path(experiment.folder) / name
-        raw = scripts.load_with_bases(path)
+        base_document = scripts.load_with_bases(path)
         for values in product(*(experiment.vary[key] for key in keys)):
             for seed in experiment.seeds:
                 pair = []
                 for number, arm in enumerate(experiment.arms):
-                    of = copy.deepcopy(raw)
+                    document = copy.deepcopy(base_document)
                     for key, value in zip(keys, values):
-                        _put(of, key, value, f"vary.{key}")
+                        _set_value(document, key, value, f"vary.{key}")
                     for key, value in arm.set.items():
-                        _put(of, key, value, f"arms[{number}].set")
-                    of["seed"] = seed
+                        _set_value(document, key, value, f"arms[{number}].set")
+                    document["seed"] = seed
                     try:
-                        script = scripts.build_script(of)
+                        script = scripts.build_script(document)
                     except ScriptError as error:
                         raise ScriptError(f"{name}, arm {arm.name}: {error}") from None
                     script.folder = str(path.resolve().parent)
                     parameters = {"rehearsal": name, "seed": seed, **dict(zip(keys, values))}
                     pair.append(PlannedRun(arm, json.dumps(parameters, sort_keys=True), script, parameters))
-                plays.append(pair)
-    if sum(map(len, plays)) > MOST:
-        raise ScriptError(f"seeds: {sum(map(len, plays))} rehearsals are over {MOST}")
-    chance = Random(f"{experiment.order_seed}:order")
-    chance.shuffle(plays)
-    for pair in plays:
-        chance.shuffle(pair)
-    return [play for pair in plays for play in pair]
-
-
-def _file(play: PlannedRun) -> str:
-    """A name that changes with anything that is asked."""
-    asked = scripts.encode(play.script) + f"{play.arm.name}\0{play.arm.build}\0{play.pair}".encode()
-    return f"{play.arm.name}-{hashlib.sha256(asked).hexdigest()[:12]}{results.SUFFIX}"
-
-
-def play(experiment: Experiment, out: Path, say: Callable[[str], None]) -> list[tuple[PlannedRun, Result]]:
-    """Plays what `out` does not hold yet, so one that was stopped goes on. Raises ScriptError and
-    RehearsalError."""
-    plays = planned(experiment)
+                pairs.append(pair)
+    if sum(map(len, pairs)) > MAX_RUNS:
+        raise ScriptError(f"seeds: {sum(map(len, pairs))} rehearsals are over {MAX_RUNS}")
+    order = Random(f"{experiment.order_seed}:order")
+    order.shuffle(pairs)
+    for pair in pairs:
+        order.shuffle(pair)
+    return [run for pair in pairs for run in pair]
+
+
+def _result_file_name(run: PlannedRun) -> str:
+    """Returns a file name with a hash of all inputs of the run."""
+    identity = scripts.encode(run.script) + f"{run.arm.name}\0{run.arm.build}\0{run.pair}".encode()
+    return f"{run.arm.name}-{hashlib.sha256(identity).hexdigest()[:12]}{results.SUFFIX}"
+
+
+def run_experiment(experiment: Experiment, out: Path, report: Callable[[str], None]) -> list[tuple[PlannedRun, Result]]:
+    """Runs the rehearsals that have no result in `out` yet, so that an interrupted experiment can be continued.
+
+    Raises ScriptError and RehearsalError.
+    """
+    runs = plan_runs(experiment)
     out.mkdir(parents=True, exist_ok=True)
     played = []
-    for number, one in enumerate(plays, 1):
-        path = out / _file(one)
-        result = _kept(path)
-        word = "kept"
+    for number, run in enumerate(runs, 1):
+        path = out / _result_file_name(run)
+        result = _read_result(path)
+        status = "kept"
         if result is None:
-            build = (Path(experiment.folder) / one.arm.build).resolve() if one.arm.build else None
-            result = run_controller.rehearse(one.script, build)
-            result.parameters = {**one.parameters, "arm": one.arm.name}
-            result.build = one.arm.name
+            build = (Path(experiment.folder) / run.arm.build).resolve() if run.arm.build else None
+            result = run_controller.rehearse(run.script, build)
+            result.parameters = {**run.parameters, "arm": run.arm.name}
+            result.build = run.arm.name
             results.write(path, result)
-            word = "played"
+            status = "played"
         rules = "" if result.kept else ", A RULE BROKEN"
-        say(f"{number} of {len(plays)} {word}: {one.arm.name}, {one.pair}: goodput {result.figures.goodput:.4f}{rules}")
-        played.append((one, result))
+        report(
+            f"{number} of {len(runs)} {status}: {run.arm.name}, {run.pair}: goodput {result.figures.goodput:.4f}{rules}"
+        )
+        played.append((run, result))
     return played
 
 
-def _kept(path: Path) -> Result | None:
+def _read_result(path: Path) -> Result | None:
     try:
         return results.read(path) if path.exists() else None
     except ResultError:
@@ -179,55 +184,55 @@
 
 
 class ArmComparison(NamedTuple):
-    """`other` against `base` where `where` was varied so; all seeds of it are its pairs."""
+    """The comparison of arm `other` with arm `base` under the same conditions, with one pair of runs per seed."""
 
     base: str
     other: str
-    where: str
+    conditions: str
     differences: list[Difference]
 
 
 def compare_arms(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
-    """Each arm after the first, for each rehearsal and each set of varied values on its own: a difference at
-    one rate is no difference at another."""
+    """Compares each arm with the first one, separately for each rehearsal and combination of varied values.
+
+    They are not pooled, since a difference at one rate says nothing about another rate.
+    """
     base = experiment.arms[0].name
-    by: dict[str, dict[str, dict[str, Result]]] = {}
-    for one, result in played:
-        where = ", ".join(f"{key} {value}" for key, value in one.parameters.items() if key != "seed")
-        by.setdefault(where, {}).setdefault(one.pair, {})[one.arm.name] = result
-    made = []
-    for where in sorted(by):
+    results_by_conditions: dict[str, dict[str, dict[str, Result]]] = {}
+    for run, result in played:
+        conditions = ", ".join(f"{key} {value}" for key, value in run.parameters.items() if key != "seed")
+        results_by_conditions.setdefault(conditions, {}).setdefault(run.pair, {})[run.arm.name] = result
+    comparisons = []
+    for conditions in sorted(results_by_conditions):
         for arm in experiment.arms[1:]:
             pairs = [
-                (those[base].figures, those[arm.name].figures)
-                for _, those in sorted(by[where].items())
-                if base in those and arm.name in those
+                (results_by_arm[base].figures, results_by_arm[arm.name].figures)
+                for _, results_by_arm in sorted(results_by_conditions[conditions].items())
+                if base in results_by_arm and arm.name in results_by_arm
             ]
             if pairs:
-                made.append(
+                comparisons.append(
                     ArmComparison(
                         base,
                         arm.name,
-                        where,
+                        conditions,
                         [compare.difference(measure, pairs) for measure in experiment.measures],
                     )
                 )
-    return made
+    return comparisons
 
 
-def spoken(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
+def format_comparison(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
     lines = [experiment.title]
-    for made in compare_arms(experiment, played):
-        pairs = made.differences[0].pairs if made.differences else 0
-        lines.append(f"  {made.other} against {made.base}, {pairs} pairs, {made.where}:")
-        for one in made.differences:
+    for comparison in compare_arms(experiment, played):
+        pairs = comparison.differences[0].pairs if comparison.differences else 0
+        lines.append(f"  {comparison.other} against {comparison.base}, {pairs} pairs, {comparison.conditions}:")
+        for difference in comparison.differences:
             lines.append(
-                f"    {one.measure:<16} {one.base:10.4f} {one.other:10.4f}  {one.mean:+10.4f}"
-                f"  [{one.low:+.4f}, {one.high:+.4f}]  {one.verdict}"
+                f"    {difference.measure:<16} {difference.base:10.4f} {difference.other:10.4f}  {difference.mean:+10.4f}"
+                f"  [{difference.low:+.4f}, {difference.high:+.4f}]  {difference.verdict}"
             )
     broken = sum(1 for _, result in played if not result.kept)
     marked = sum(1 for _, result in played if result.figures.marked)
-    lines.append(
-        f"  {len(played)} rehearsals, {broken} with a rule broken, {marked} in which the generator stood still"
-    )
+    lines.append(f"  {len(played)} rehearsals, {broken} with a rule broken, {marked} with a stall of the generator")
     return "\n".join(lines)
--- a/pepperusher/rehearsal/plots.py
+++ b/pepperusher/rehearsal/plots.py
@@ -1,4 +1,4 @@
-"""The plots of a report, as SVG to stand in a page."""
+"""The plots of a report, as SVG for embedding in an HTML page."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from matplotlib.figure import Figure  # noqa: E402
 
 from pepperusher.rehearsal.results import Result  # noqa: E402
-from pepperusher.rehearsal.tally import Group, histogram_of  # noqa: E402
+from pepperusher.rehearsal.tally import GroupStatistics, decode_histogram  # noqa: E402
 
-WIDE = (8.0, 2.8)
+FIGURE_SIZE_INCHES = (8.0, 2.8)
 COLOURS = {"closed": "#d9ead3", "open": "#cc4125"}
-MOST_ROWS = 40
+MAX_ROWS = 40
 
 
-def _svg(figure: Figure) -> str:
-    """Without what differs from one writing to the next, and without the XML head a page has no place for."""
+def _to_svg(figure: Figure) -> str:
+    """Returns the SVG of a figure, without the XML prolog, which HTML does not allow, and without the date, for reproducibility."""
     out = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": "rehearsal"}):
         figure.savefig(out, format="svg", metadata={"Date": None}, bbox_inches="tight")
@@ -29,28 +29,30 @@
     return text[text.index("<svg") :]
 
 
-def _axes(title: str, x: str, y: str, size: tuple[float, float] = WIDE) -> tuple[Figure, object]:
+def _new_axes(
+    title: str, x_label: str, y_label: str, size: tuple[float, float] = FIGURE_SIZE_INCHES
+) -> tuple[Figure, object]:
     figure = Figure(figsize=size)
     axes = figure.add_subplot()
     axes.set_title(title, fontsize=10, loc="left")
-    axes.set_xlabel(x, fontsize=8)
-    axes.set_ylabel(y, fontsize=8)
+    axes.set_xlabel(x_label, fontsize=8)
+    axes.set_ylabel(y_label, fontsize=8)
     axes.tick_params(labelsize=8)
     axes.grid(alpha=0.3)
     return figure, axes
 
 
-def percentiles(results: list[Result]) -> str:
-    """Time by percentile, the tail drawn out as 1 / (1 - p)."""
-    figure, axes = _axes("Time from the intended send, by percentile", "percentile", "ms")
+def latency_percentiles(results: list[Result]) -> str:
+    """Plots latency by percentile; the x axis is 1 / (1 - p), which stretches the tail."""
+    figure, axes = _new_axes("Time from the intended send, by percentile", "percentile", "ms")
     for result in results:
-        times = histogram_of(result.figures.intended)
-        if not times.get_total_count():
+        histogram = decode_histogram(result.figures.intended)
+        if not histogram.get_total_count():
             continue
-        parts = [1 - 10 ** (-step / 20) for step in range(0, 81)]
+        quantiles = [1 - 10 ** (-step / 20) for step in range(0, 81)]
         axes.plot(
-            [1 / (1 - part) for part in parts],
-            [times.get_value_at_percentile(100 * part) / 1000 for part in parts],
+            [1 / (1 - quantile) for quantile in quantiles],
+            [histogram.get_value_at_percentile(100 * quantile) / 1000 for quantile in quantiles],
             label=f"{result.title}, {result.build}, seed {result.seed}"[:60],
         )
     axes.set_xscale("log")
@@ -58,130 +60,137 @@
     axes.set_yscale("log")
     if results:
         axes.legend(fontsize=7)
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def over_time(result: Result) -> str:
+def latency_over_time(result: Result) -> str:
     seconds = result.figures.seconds
-    figure, axes = _axes("Time from the intended send, by second", "s", "ms")
-    at = [one.at for one in seconds]
-    axes.plot(at, [one.p50 / 1000 for one in seconds], label="p50")
-    axes.plot(at, [one.p99 / 1000 for one in seconds], label="p99")
-    for one in seconds:
-        if not one.trusted:
-            axes.axvspan(one.at, one.at + 1, color="#f6b26b", alpha=0.5)
+    figure, axes = _new_axes("Time from the intended send, by second", "s", "ms")
+    starts = [second.at for second in seconds]
+    axes.plot(starts, [second.p50 / 1000 for second in seconds], label="p50")
+    axes.plot(starts, [second.p99 / 1000 for second in seconds], label="p99")
+    for second in seconds:
+        if not second.trusted:
+            axes.axvspan(second.at, second.at + 1, color="#f6b26b", alpha=0.5)
     axes.legend(fontsize=7)
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def outcomes(result: Result) -> str:
+def request_outcomes(result: Result) -> str:
     seconds = result.figures.seconds
-    figure, axes = _axes("What became of the wishes, by second", "s", "wishes")
-    at = [one.at for one in seconds]
+    figure, axes = _new_axes("Outcomes of the requests, by second", "s", "requests")
+    starts = [second.at for second in seconds]
     axes.stackplot(
-        at,
-        [one.in_time for one in seconds],
-        [one.late for one in seconds],
-        [one.wishes - one.in_time - one.late for one in seconds],
+        starts,
+        [second.in_time for second in seconds],
+        [second.late for second in seconds],
+        [second.wishes - second.in_time - second.late for second in seconds],
         labels=["in time", "late", "failed"],
         colors=["#93c47d", "#ffd966", "#cc4125"],
     )
-    axes.plot(at, [one.tries for one in seconds], color="black", linewidth=0.8, label="tries")
+    axes.plot(starts, [second.tries for second in seconds], color="black", linewidth=0.8, label="client attempts")
     axes.legend(fontsize=7)
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def groups(title: str, those: list[Group]) -> str:
-    figure, axes = _axes(title, "goodput", "", (8.0, 0.6 + 0.28 * max(1, len(those))))
-    names = [one.name for one in those]
-    axes.barh(names, [one.goodput for one in those], color="#6fa8dc")
+def group_goodput(title: str, groups: list[GroupStatistics]) -> str:
+    figure, axes = _new_axes(title, "goodput", "", (8.0, 0.6 + 0.28 * max(1, len(groups))))
+    names = [group.name for group in groups]
+    axes.barh(names, [group.goodput for group in groups], color="#6fa8dc")
     axes.set_xlim(0, 1)
     axes.invert_yaxis()
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def bars(title: str, x: str, parts: Sequence[str], rows: Sequence[tuple[str, Sequence[float | None]]]) -> str:
-    """A row of bars for each name, one for each part; none where there is no figure."""
-    figure, axes = _axes(title, x, "", (8.0, 0.8 + 0.12 * max(1, len(rows)) * (len(parts) + 1)))
-    high = 0.9 / max(1, len(parts))
-    for place, part in enumerate(parts):
+def bars(title: str, x_label: str, series: Sequence[str], rows: Sequence[tuple[str, Sequence[float | None]]]) -> str:
+    """Plots a group of horizontal bars for each row, one bar per series; a missing value has no bar."""
+    figure, axes = _new_axes(title, x_label, "", (8.0, 0.8 + 0.12 * max(1, len(rows)) * (len(series) + 1)))
+    height = 0.9 / max(1, len(series))
+    for index, series_name in enumerate(series):
         axes.barh(
-            [row + (place - (len(parts) - 1) / 2) * high for row in range(len(rows))],
-            [values[place] or 0.0 for _, values in rows],
-            height=high,
-            label=part,
+            [row + (index - (len(series) - 1) / 2) * height for row in range(len(rows))],
+            [values[index] or 0.0 for _, values in rows],
+            height=height,
+            label=series_name,
         )
     axes.set_yticks(range(len(rows)), [name for name, _ in rows], fontsize=7)
     axes.invert_yaxis()
     axes.legend(fontsize=7)
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-def breakers(result: Result) -> str:
-    """Each backend's breakers over time, as the proxies' logs tell of them: the share that stands open."""
-    spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
+def open_breakers(result: Result) -> str:
+    """Plots for each backend when breakers of proxies were open, read from the proxies' logs."""
+    open_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
     opened: dict[tuple[int, str], int] = {}
-    for at, proxy, id, state in result.figures.turns:
+    for at, proxy, backend, state in result.figures.turns:
         if state == "open":
-            opened.setdefault((proxy, id), at)
-        elif (proxy, id) in opened:
-            began = opened.pop((proxy, id))
-            spans[id].append((began / 1e6, (at - began) / 1e6))
-    for (_, id), began in opened.items():
-        spans[id].append((began / 1e6, max(0, result.span - began) / 1e6))
-    rows = sorted(spans, key=lambda id: -sum(length for _, length in spans[id]))[:MOST_ROWS]
-    figure, axes = _axes(
-        f"Breakers open, darker where at more proxies ({len(spans)} backends had one)",
+            opened.setdefault((proxy, backend), at)
+        elif (proxy, backend) in opened:
+            opened_at = opened.pop((proxy, backend))
+            open_spans[backend].append((opened_at / 1e6, (at - opened_at) / 1e6))
+    for (_, backend), opened_at in opened.items():
+        open_spans[backend].append((opened_at / 1e6, max(0, result.span - opened_at) / 1e6))
+    rows = sorted(open_spans, key=lambda backend: -sum(duration for _, duration in open_spans[backend]))[:MAX_ROWS]
+    figure, axes = _new_axes(
+        f"Open breakers, darker for more proxies ({len(open_spans)} backends had one)",
         "s",
         "",
         (8.0, 0.8 + 0.2 * max(1, len(rows))),
     )
-    for row, id in enumerate(rows):
-        axes.broken_barh(spans[id], (row - 0.4, 0.8), color=COLOURS["open"], alpha=0.3, linewidth=0)
+    for row, backend in enumerate(rows):
+        axes.broken_barh(open_spans[backend], (row - 0.4, 0.8), color=COLOURS["open"], alpha=0.3, linewidth=0)
     axes.set_yticks(range(len(rows)), rows, fontsize=7)
     axes.set_xlim(0, result.span / 1e6)
     axes.invert_yaxis()
-    return _svg(figure)
+    return _to_svg(figure)
 
 
-# What a member is found to be from such a line on.
-FOUND = {"suspected": "suspected", "lost": "lost", "left": "gone", "clients sent away": "gone"}
-FOUND_COLOURS = {"suspected": "#ffd966", "lost": "#cc4125", "gone": "#6fa8dc"}
+# The state of a member after a belief that a proxy logged, by the text of the belief.
+MEMBER_STATES = {"suspected": "suspected", "lost": "lost", "left": "gone", "clients sent away": "gone"}
+MEMBER_STATE_COLOURS = {"suspected": "#ffd966", "lost": "#cc4125", "gone": "#6fa8dc"}
 
 
-def members(result: Result) -> str:
-    """For each proxy, as what the others found it over time, darker where more did."""
-    spans: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    since: dict[tuple[int, str], tuple[str, int]] = {}
+def member_states(result: Result) -> str:
+    """Plots for each proxy the state that the other members of its group believed it to be in, darker for more members."""
+    state_spans: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+    current_states: dict[tuple[int, str], tuple[str, int]] = {}
 
-    def end(by: int, of: str, at: int) -> None:
-        if (was := since.pop((by, of), None)) is not None:
-            spans[of, was[0]].append((was[1] / 1e6, max(0, at - was[1]) / 1e6))
+    def end_state(proxy: int, member: str, at: int) -> None:
+        if (previous := current_states.pop((proxy, member), None)) is not None:
+            state_spans[member, previous[0]].append((previous[1] / 1e6, max(0, at - previous[1]) / 1e6))
 
-    for at, proxy, what, of in result.figures.believed:
-        if of == result.proxies[proxy] or what.startswith(("reaches", "an order", "shares")):
+    for at, proxy, belief, member in result.figures.believed:
+        if member == result.proxies[proxy] or belief.startswith(("reaches", "an order", "shares")):
             continue
-        end(proxy, of, at)
-        if what in FOUND:
-            since[proxy, of] = FOUND[what], at
-    for proxy, of in list(since):
-        end(proxy, of, result.span)
-    names = [name for name in result.proxies if any(of == name for of, _ in spans)][:MOST_ROWS]
-    figure, axes = _axes(
-        "Members as the others find them, darker where more do", "s", "", (8.0, 0.8 + 0.2 * max(1, len(names)))
+        end_state(proxy, member, at)
+        if belief in MEMBER_STATES:
+            current_states[proxy, member] = MEMBER_STATES[belief], at
+    for proxy, member in list(current_states):
+        end_state(proxy, member, result.span)
+    names = [name for name in result.proxies if any(member == name for member, _ in state_spans)][:MAX_ROWS]
+    figure, axes = _new_axes(
+        "States of members as seen by the others, darker for more members",
+        "s",
+        "",
+        (8.0, 0.8 + 0.2 * max(1, len(names))),
     )
     for row, name in enumerate(names):
-        for what, colour in FOUND_COLOURS.items():
+        for state, colour in MEMBER_STATE_COLOURS.items():
             axes.broken_barh(
-                spans[name, what], (row - 0.4, 0.8), color=colour, alpha=min(1.0, 2 / len(result.proxies)), linewidth=0
+                state_spans[name, state],
+                (row - 0.4, 0.8),
+                color=colour,
+                alpha=min(1.0, 2 / len(result.proxies)),
+                linewidth=0,
             )
-        held = [
+        pauses = [
             (max(0, at) / 1e6, (until - at) / 1e6)
             for proxy, at, until in result.figures.held
             if result.proxies[proxy] == name
         ]
-        axes.broken_barh(held, (row - 0.1, 0.2), color="black", linewidth=0)
+        axes.broken_barh(pauses, (row - 0.1, 0.2), color="black", linewidth=0)
     axes.set_yticks(range(len(names)), names, fontsize=7)
     axes.set_xlim(0, result.span / 1e6)
     axes.invert_yaxis()
-    return _svg(figure)
+    return _to_svg(figure)
--- a/pepperusher/rehearsal/records.py
+++ b/pepperusher/rehearsal/records.py
@@ -1,7 +1,7 @@
-"""The records that the books are kept in: one for each try of a ticket, one for each attempt that came.
+"""The records of a rehearsal that the rule checker reads: the clients' attempts, the backends' attempts, and events.
 
-Times are us after the start of the rehearsal. Records go to files as MessagePack, each behind its length, so
-that what a killed process had written is read to its last whole record.
+Times are in us after the start of the rehearsal. Each record is written to a file as MessagePack with a length prefix, so
+that the file of a killed process can be read up to its last complete record.
 """
 
 from __future__ import annotations
@@ -13,22 +13,21 @@
 
 import msgspec
 
-LENGTH = struct.Struct(">I")
-# How a try ended for its client.
+LENGTH_PREFIX = struct.Struct(">I")
+# How a client's attempt ended.
 DONE, BOUNCED, SCRAPPED, LEFT = "done", "bounced", "scrapped", "left"
-# No whole answer: the connection ended (or a strange answer came), or never came up, or nobody was there to
-# ask.
+# Without a complete answer: the connection was lost, the answer was wrong, no connection could be established, or there was
+# no proxy to connect to.
 LOST, WRONG, UNREACHED, NOBODY = "lost", "wrong", "unreached", "nobody"
 
 
 class ClientAttempt(msgspec.Struct, array_like=True, gc=False):
-    """One ticket as a proxy sees it. Tries of one client's wish share `wish`; `nth` counts from 0.
+    """One attempt of a client, which is one ticket for the proxy. The attempts of one request share `wish`; `nth` counts from 0.
 
-    `parent` is the ticket whose work made this call, "" from outside. `intended` is when it should have been
-    sent, `sent` when it was (-1: never), `written` when the kernel had its last byte, `ended` when its end
-    was known. `limit` is how long its client told that it would wait (us, 0 where it did not). `crossed` is
-    when a kept connection ended under it with nothing said, and it was sent once more on a new one; -1 is
-    never.
+    `mark` is the idempotency key. `parent` is the ticket whose work made this call, "" for external clients. `intended` is when
+    it should have been sent, `sent` when it was (-1: never), `written` when the kernel had accepted its last byte, and `ended`
+    when the client knew its outcome. `limit` is the time limit that the client announced (us, 0 if none). `crossed` is when a
+    reused connection closed without an answer and the client sent the ticket again on a new one; -1 for never.
     """
 
     name: str
@@ -53,12 +52,12 @@
 
 
 class BackendAttempt(msgspec.Struct, array_like=True, gc=False):
-    """One attempt as its backend saw it; -1 stands for never.
+    """One attempt as the backend saw it; times of -1 stand for never.
 
-    `first` and `last` are when its first and its last byte came, `begun` when its work began, `ended` when it
-    was over here, `gone` when its sender closed before that. `effect` is when the work had been done whole.
-    `repeat` where the mark was known, `away` where it was turned away as never started, `worked` the work put
-    in.
+    `first` and `last` are when the first and the last byte arrived, `begun` when the work began, `ended` when the attempt was
+    over at the backend, and `gone` when the sender closed the connection before that. `effect` is when the work was complete
+    and took effect. `repeat` says that the idempotency key was already known, `away` that the backend rejected the attempt
+    without starting it; `worked` is the work that was done.
     """
 
     name: str
@@ -82,7 +81,7 @@
 
 
 class StateNotification(msgspec.Struct, array_like=True, gc=False):
-    """Discovery wrote to a proxy that `id` is in `state`."""
+    """Discovery notified a proxy that the backend `id` is in `state`."""
 
     proxy: int
     id: str
@@ -91,7 +90,7 @@
 
 
 class BackendLifetimeRecord(msgspec.Struct, array_like=True, gc=False):
-    """A backend's stay as it was: `fell` is when it was pushed over, -1 for never."""
+    """The lifetime of one backend process: from `born` to `ends`; `fell` is when overload pushed it over, -1 for never."""
 
     place: int
     id: str
@@ -101,8 +100,7 @@
 
 
 class ProxyRun(msgspec.Struct, array_like=True, gc=False):
-    """A proxy's process: when it was started, ready, told to stop (SIGTERM) and killed or ended; -1 for
-    never."""
+    """One process of a proxy: when it was started, became ready, got SIGTERM (`told`), was killed and ended; -1 for never."""
 
     proxy: int
     pid: int
@@ -115,7 +113,7 @@
 
 
 class Stall(msgspec.Struct, array_like=True, gc=False):
-    """A time in which a generator did not run: what was measured in it is not to be trusted."""
+    """A span in which a load generator did not run, so that what it measured then is unreliable."""
 
     process: int
     at: int
@@ -123,7 +121,7 @@
 
 
 class Sample(msgspec.Struct, array_like=True, gc=False):
-    """A proxy's process at a time: its CPU so far in us, its memory in KiB, its descriptors."""
+    """The resource use of a proxy's process at a time: total CPU time in us, memory in KiB, open descriptors."""
 
     proxy: int
     at: int
@@ -133,7 +131,7 @@
 
 
 class BreakerChange(msgspec.Struct, array_like=True, gc=False):
-    """A proxy's breaker for a backend changed, as its log says."""
+    """A change of a proxy's breaker for a backend, read from the proxy's log."""
 
     proxy: int
     at: int
@@ -142,7 +140,7 @@
 
 
 class ProxyPause(msgspec.Struct, array_like=True, gc=False):
-    """The rehearsal kept a proxy's process from running from one time to another."""
+    """A span in which the rehearsal paused a proxy's process."""
 
     proxy: int
     at: int
@@ -150,7 +148,7 @@
 
 
 class MembershipBelief(msgspec.Struct, array_like=True, gc=False):
-    """What a proxy says that it finds of a member of its group: `what` befell `of`, told by `by` where somebody did."""
+    """A proxy's belief about a member of its group, read from its log: `what` happened to `of`; `by` is the member that reported it, if any."""
 
     proxy: int
     at: int
@@ -160,36 +158,36 @@
 
 
 class Reconfiguration(msgspec.Struct, array_like=True, gc=False):
-    """A proxy's process got SIGHUP, with a configuration that was written anew."""
+    """A proxy's process got SIGHUP after its configuration had been rewritten."""
 
     proxy: int
     at: int
 
 
-KINDS: tuple[type[msgspec.Struct], ...] = (
+RECORD_TYPES: tuple[type[msgspec.Struct], ...] = (
     ClientAttempt, BackendAttempt, StateNotification, BackendLifetimeRecord, ProxyRun, Stall, Sample, BreakerChange, ProxyPause, MembershipBelief, Reconfiguration,
 )  # fmt: skip
-DECODERS = [msgspec.msgpack.Decoder(kind) for kind in KINDS]
-NUMBER = {kind: number for number, kind in enumerate(KINDS)}
+DECODERS_BY_NUMBER = [msgspec.msgpack.Decoder(record_type) for record_type in RECORD_TYPES]
+NUMBER_BY_TYPE = {record_type: number for number, record_type in enumerate(RECORD_TYPES)}
 
 
 class Writer:
-    """Appends records to a file; what waits is written by `flush`."""
+    """Appends records to a file; they are buffered until `flush`."""
 
     def __init__(self, path: Path) -> None:
         self._file: BinaryIO = open(path, "ab")
-        self._waiting: list[msgspec.Struct] = []  # emptied by flush
-        self._encode = msgspec.msgpack.Encoder(enc_hook=int).encode  # spans are whole numbers
+        self._buffered: list[msgspec.Struct] = []  # emptied by flush
+        self._encode_record = msgspec.msgpack.Encoder(enc_hook=int).encode  # a Span is an int
 
     def add(self, record: msgspec.Struct) -> None:
-        self._waiting.append(record)
+        self._buffered.append(record)
 
     def flush(self) -> None:
-        waiting, self._waiting = self._waiting, []
+        buffered, self._buffered = self._buffered, []
         parts = []
-        for record in waiting:
-            data = self._encode(record)
-            parts += (LENGTH.pack(len(data) + 1), bytes((NUMBER[type(record)],)), data)
+        for record in buffered:
+            data = self._encode_record(record)
+            parts += (LENGTH_PREFIX.pack(len(data) + 1), bytes((NUMBER_BY_TYPE[type(record)],)), data)
         if parts:
             self._file.write(b"".join(parts))
             self._file.flush()
@@ -200,13 +198,13 @@
 
 
 def read(path: Path) -> Iterator[msgspec.Struct]:
-    """The whole records of a file; a torn end is left out."""
+    """Yields the complete records of a file; a truncated record at its end is skipped."""
     data = path.read_bytes()
-    at = 0
-    while at + LENGTH.size < len(data):
-        (length,) = LENGTH.unpack_from(data, at)
-        at += LENGTH.size
-        if at + length > len(data):
+    offset = 0
+    while offset + LENGTH_PREFIX.size < len(data):
+        (length,) = LENGTH_PREFIX.unpack_from(data, offset)
+        offset += LENGTH_PREFIX.size
+        if offset + length > len(data):
             return
-        yield DECODERS[data[at]].decode(memoryview(data)[at + 1 : at + length])
-        at += length
+        yield DECODERS_BY_NUMBER[data[offset]].decode(memoryview(data)[offset + 1 : offset + length])
+        offset += length
--- a/pepperusher/rehearsal/results.py
+++ b/pepperusher/rehearsal/results.py
@@ -1,5 +1,4 @@
-"""Results as files: one gzipped JSON document a rehearsal, with a version, so that a later program reads
-them."""
+"""Result files: one gzipped JSON document per rehearsal, with a version so that later releases can read it."""
 
 from __future__ import annotations
 
@@ -12,19 +11,21 @@
 import msgspec
 
 from pepperusher.rehearsal.rule_checker import Entry
-from pepperusher.rehearsal.tally import Figures
+from pepperusher.rehearsal.tally import RunStatistics
 
 VERSION = 2
 SUFFIX = ".rehearsal"
 
 
 class ResultError(ValueError):
-    """A result that can't be read; its text is one line."""
+    """A result file that cannot be read; the text is one line."""
 
 
 class Result(msgspec.Struct):
-    """One rehearsal that was played. `plan` and `troubles` are digests: two of the same were asked the
-    same."""
+    """The result of one rehearsal.
+
+    `plan` and `troubles` are digests of the planned arrivals and faults: two results with equal digests had the same input.
+    """
 
     version: int
     title: str
@@ -37,7 +38,7 @@
     troubles: str
     rules: dict[str, int]
     entries: list[Entry]
-    figures: Figures
+    figures: RunStatistics
     backends: list[str]
     proxies: list[str]
     parameters: dict[str, Any] = {}
@@ -45,45 +46,46 @@
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.rules.values())
 
 
-def _attempts(document: dict[str, Any]) -> dict[str, Any]:
-    """Attempts had another name; what else is wrong is found as the document is typed."""
+def _rename_transmissions(document: dict[str, Any]) -> dict[str, Any]:
+    """Migrates version 1, in which attempts were called transmissions. Other errors are found when the document is converted."""
     figures = document.get("figures")
     if isinstance(figures, dict) and "transmissions" in figures:
         figures["attempts"] = figures.pop("transmissions")
     return {**document, "version": 2}
 
 
-# From a version to the one after it, over the plain document.
-STEPS: dict[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: _attempts}
+# Functions that migrate a document from the version that is the key to the next one.
+MIGRATIONS: dict[int, Callable[[dict[str, Any]], dict[str, Any]]] = {1: _rename_transmissions}
 
 
 def write(path: Path, result: Result) -> None:
-    """In place of what stands there, at once."""
-    fresh = path.with_name(path.name + ".new")
-    fresh.write_bytes(gzip.compress(msgspec.json.encode(result), mtime=0))
-    fresh.replace(path)
+    """Writes a result file; an existing one is replaced atomically."""
+    temporary = path.with_name(path.name + ".new")
+    temporary.write_bytes(gzip.compress(msgspec.json.encode(result), mtime=0))
+    temporary.replace(path)
 
 
 def read(path: Path) -> Result:
-    """Raises ResultError in one line."""
+    """Reads a result file and migrates it to the present version. Raises ResultError."""
     try:
         document = msgspec.json.decode(gzip.decompress(path.read_bytes()))
     except (EOFError, zlib.error, gzip.BadGzipFile, msgspec.DecodeError):
-        raise ResultError(f"{path}: is no result of a rehearsal") from None
+        raise ResultError(f"{path}: is not a result of a rehearsal") from None
     except OSError as error:
         raise ResultError(f"{path}: {error.strerror or error}") from None
     version = document.get("version") if isinstance(document, dict) else None
     if not isinstance(version, int):
-        raise ResultError(f"{path}: is no result of a rehearsal")
+        raise ResultError(f"{path}: is not a result of a rehearsal")
     if version > VERSION:
-        raise ResultError(f"{path}: version {version} is of a later program; this one reads up to {VERSION}")
-    if version < min(STEPS):
-        raise ResultError(f"{path}: is no result of a rehearsal")
+        raise ResultError(f"{path}: version {version} was written by a later release; this one reads up to {VERSION}")
+    if version < min(MIGRATIONS):
+        raise ResultError(f"{path}: is not a result of a rehearsal")
     while version < VERSION:
-        document = STEPS[version](document)
+        document = MIGRATIONS[version](document)
         version = document["version"]
     try:
         return msgspec.convert(document, Result)
--- a/pepperusher/rehearsal/rule_checker.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -1,8 +1,7 @@
-"""The books: the four rules checked over what both sides of the proxies wrote down; free of I/O.
+"""Checks the four rules against the records that clients and backends wrote during a rehearsal; does no I/O.
 
-What a proxy is held to is what it could have known: it is not blamed for a client that left, for what it held
-when it was killed, nor for a repeat that a client sent under a new name. Each entry against it names ticket,
-time and backend.
+A proxy is only held to what it could have known: a client that left, the tickets that a proxy held when it was killed and
+a repeat that a client sent under a new name are no violations. Each entry names the ticket, the time and the backend.
 """
 
 from __future__ import annotations
@@ -44,15 +43,15 @@
     "no cold backend pushed over",
 )
 RULES = (LOST_TICKET, TWICE, DRAINS, COLD)
-# Entries kept of one rule; all are counted.
-MOST_KEPT = 50
-# What connects within this of a process' end or start may have crossed it.
-CROSSING = 100_000
-MOST_TIERS = 20
+# The number of entries that are kept per rule; violations beyond it are only counted.
+MAX_ENTRIES_PER_RULE = 50
+# A ticket this close to the end of a process may have been in flight when the process ended.
+PROCESS_BOUNDARY_TOLERANCE_US = 100_000
+MAX_CALL_DEPTH = 20
 
 
 class Entry(NamedTuple):
-    """One thing against the proxies. `backend` may be ""."""
+    """One violation of a rule; `backend` is "" if none is involved."""
 
     rule: str
     ticket: str
@@ -62,7 +61,7 @@
 
 
 class Records:
-    """All records of a rehearsal, sorted by kind; `add` takes them in any order."""
+    """All records of a rehearsal, grouped by type; `add` accepts them in any order."""
 
     def __init__(self, records: Iterable[msgspec.Struct] = ()) -> None:
         self.client_attempts: list[ClientAttempt] = []
@@ -76,7 +75,7 @@
         self.proxy_pauses: list[ProxyPause] = []
         self.membership_beliefs: list[MembershipBelief] = []
         self.reconfigurations: list[Reconfiguration] = []
-        self._lists = {
+        self._lists_by_type = {
             ClientAttempt: self.client_attempts,
             BackendAttempt: self.backend_attempts,
             StateNotification: self.state_notifications,
@@ -93,320 +92,416 @@
             self.add(record)
 
     def add(self, record: msgspec.Struct) -> None:
-        self._lists[type(record)].append(record)  # type: ignore[attr-defined]
+        self._lists_by_type[type(record)].append(record)  # type: ignore[attr-defined]
 
 
 class RuleChecker:
-    """What stands against each rule: `counts` by rule, and `entries`, MOST_KEPT of each at the most."""
+    """The violations found: `counts` per rule, and `entries`, at most MAX_ENTRIES_PER_RULE of each rule."""
 
     def __init__(self) -> None:
         self.counts = dict.fromkeys(RULES, 0)
         self.entries: list[Entry] = []
 
-    def against(self, rule: str, ticket: str, at: int, backend: str, what: str) -> None:
+    def report_violation(self, rule: str, ticket: str, at: int, backend: str, what: str) -> None:
         self.counts[rule] += 1
-        if self.counts[rule] <= MOST_KEPT:
+        if self.counts[rule] <= MAX_ENTRIES_PER_RULE:
             self.entries.append(Entry(rule, ticket, at, backend, what))
 
     @property
     def kept(self) -> bool:
+        """Whether no rule was broken."""
         return not any(self.counts.values())
 
 
 def check(script: Script, records: Records) -> RuleChecker:
-    book = RuleChecker()
-    sent_of: dict[str, list[BackendAttempt]] = defaultdict(list)
-    for sent in records.backend_attempts:
-        sent_of[sent.name].append(sent)
-    for those in sent_of.values():
-        those.sort(key=lambda one: one.first)
-    _check_lost(script, records, sent_of, book)
-    _check_twice(script, records, sent_of, book)
-    _check_drains(script, records, book)
-    _check_cold(records, book)
-    book.entries.sort(key=lambda one: (RULES.index(one.rule), one.at))
-    return book
+    """Checks all four rules; the entries are ordered by rule and time."""
+    checker = RuleChecker()
+    attempts_by_ticket: dict[str, list[BackendAttempt]] = defaultdict(list)
+    for attempt in records.backend_attempts:
+        attempts_by_ticket[attempt.name].append(attempt)
+    for attempts in attempts_by_ticket.values():
+        attempts.sort(key=lambda attempt: attempt.first)
+    _check_lost_tickets(script, records, attempts_by_ticket, checker)
+    _check_duplicate_effects(script, records, attempts_by_ticket, checker)
+    _check_drains(script, records, checker)
+    _check_cold_backends(records, checker)
+    checker.entries.sort(key=lambda entry: (RULES.index(entry.rule), entry.at))
+    return checker
 
 
 # --- no ticket lost --------------------------------------------------------------------------------
 
 
-def _check_lost(script: Script, records: Records, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
-    """A ticket written whole to a proxy that stood gets one whole answer by the time its client gives up."""
-    stays: dict[int, list[ProxyRun]] = defaultdict(list)
-    for ran in records.proxy_runs:
-        stays[ran.proxy].append(ran)
-    stills = _stills(records)
+def _check_lost_tickets(
+    script: Script, records: Records, attempts_by_ticket: dict[str, list[BackendAttempt]], checker: RuleChecker
+) -> None:
+    """A ticket that was written completely to a running proxy gets one complete answer before its client gives up."""
+    runs_by_proxy: dict[int, list[ProxyRun]] = defaultdict(list)
+    for run in records.proxy_runs:
+        runs_by_proxy[run.proxy].append(run)
+    unresponsive_by_proxy = _unresponsive_spans(records)
     slack = script.rules.slack
-    for one in records.client_attempts:
-        if one.how == WRONG:
-            _wrong(one, sent_of, book)
+    for client_attempt in records.client_attempts:
+        if client_attempt.how == WRONG:
+            _report_wrong_answer(client_attempt, attempts_by_ticket, checker)
             continue
-        if one.how == DONE and not any(sent.effect >= 0 or sent.repeat for sent in sent_of.get(one.name, ())):
-            book.against(LOST_TICKET, one.name, one.ended, "", "done with an answer that no backend made for it")
+        if client_attempt.how == DONE and not any(
+            backend_attempt.effect >= 0 or backend_attempt.repeat
+            for backend_attempt in attempts_by_ticket.get(client_attempt.name, ())
+        ):
+            checker.report_violation(
+                LOST_TICKET,
+                client_attempt.name,
+                client_attempt.ended,
+                "",
+                "done with an answer that no backend made for it",
+            )
             continue
-        if one.crossed >= 0 and any(0 <= sent.first < one.crossed for sent in sent_of.get(one.name, ())):
-            # It had been read: its proxy sent it on, and ended its connection with no answer.
-            if not _killed(stays[one.proxy], one):
-                book.against(LOST_TICKET, one.name, one.crossed, "", "its connection ended without an answer, sent on")
+        if client_attempt.crossed >= 0 and any(
+            0 <= backend_attempt.first < client_attempt.crossed
+            for backend_attempt in attempts_by_ticket.get(client_attempt.name, ())
+        ):
+            # The proxy had read the ticket and forwarded it, but closed the connection without an answer.
+            if not _killed_during(runs_by_proxy[client_attempt.proxy], client_attempt):
+                checker.report_violation(
+                    LOST_TICKET,
+                    client_attempt.name,
+                    client_attempt.crossed,
+                    "",
+                    "its connection ended without an answer after it was forwarded",
+                )
             continue
-        if one.how not in (LOST, LEFT) or one.written < 0:
+        if client_attempt.how not in (LOST, LEFT) or client_attempt.written < 0:
             continue
-        if _killed(stays[one.proxy], one):
+        if _killed_during(runs_by_proxy[client_attempt.proxy], client_attempt):
             continue
-        still = stills[one.proxy]
-        if one.how == LOST:
-            if not _end_seen_late(one, one.name in sent_of, still):
-                book.against(LOST_TICKET, one.name, one.ended, "", "its connection ended without a whole answer")
-        elif one.parent == "" and _waited(one, still) >= slack:
-            book.against(
+        unresponsive = unresponsive_by_proxy[client_attempt.proxy]
+        if client_attempt.how == LOST:
+            if not _explained_by_pause(client_attempt, client_attempt.name in attempts_by_ticket, unresponsive):
+                checker.report_violation(
+                    LOST_TICKET,
+                    client_attempt.name,
+                    client_attempt.ended,
+                    "",
+                    "its connection ended without a whole answer",
+                )
+        elif client_attempt.parent == "" and _overdue_us(client_attempt, unresponsive) >= slack:
+            checker.report_violation(
                 LOST_TICKET,
-                one.name,
-                one.ended,
+                client_attempt.name,
+                client_attempt.ended,
                 "",
-                f"no answer {(one.ended - one.sent) // 1000} ms after it was sent",
+                f"no answer {(client_attempt.ended - client_attempt.sent) // 1000} ms after it was sent",
             )
 
 
-def _stills(records: Records) -> dict[int, Spans]:
-    """By proxy, when its process could not run or a generator did not: what was due then is not held against
-    it. A little longer than it was kept, for what it has to catch up with.
+def _unresponsive_spans(records: Records) -> dict[int, Spans]:
+    """Returns the spans in which each proxy's process was paused or a generator stalled.
+
+    What was due within them is no violation. A pause counts as a little longer than it was, since the process then has a
+    backlog to work off.
     """
-    silent = [(stall.at, stall.until) for stall in records.stalls]
-    kept: dict[int, list[tuple[int, int]]] = defaultdict(list)
-    for held in records.proxy_pauses:
-        kept[held.proxy].append((held.at, held.until + CROSSING))
-    none = Spans(silent)
-    return defaultdict(lambda: none, {proxy: Spans(silent + those) for proxy, those in kept.items()})
+    generator_stalls = [(stall.at, stall.until) for stall in records.stalls]
+    pauses_by_proxy: dict[int, list[tuple[int, int]]] = defaultdict(list)
+    for pause in records.proxy_pauses:
+        pauses_by_proxy[pause.proxy].append((pause.at, pause.until + PROCESS_BOUNDARY_TOLERANCE_US))
+    only_stalls = Spans(generator_stalls)
+    return defaultdict(
+        lambda: only_stalls, {proxy: Spans(generator_stalls + pauses) for proxy, pauses in pauses_by_proxy.items()}
+    )
 
 
-def _waited(one: ClientAttempt, still: Spans) -> int:
-    """How long after its answer was due the client looked for it and its proxy could run.
+def _overdue_us(attempt: ClientAttempt, unresponsive: Spans) -> int:
+    """Returns how long the client waited beyond the time its answer was due, less pauses and stalls; -1 if it was not due.
 
-    Due at the end of the time that the client told; where somebody stood still as the ticket was sent, that
-    time began when its proxy could read it. A process pause that was over before that excuses nothing: its proxy
-    could still say at least that there is no answer, and what had come meanwhile was read.
+    The answer is due at the end of the time limit that the client announced. If the proxy was paused or a generator stalled
+    while the ticket was sent, the limit runs from when the proxy could read the ticket. A pause that ended before the limit is
+    no excuse: the proxy could still have answered that there is no result.
     """
-    written = still.until(one.written)
-    moved = written != one.written or still.touch(one.sent, one.written)
-    due = (written if moved else one.sent) + one.limit
-    return one.ended - due - still.covered(due, one.ended) if due < one.ended else -1
+    readable_at = unresponsive.end_after(attempt.written)
+    was_delayed = readable_at != attempt.written or unresponsive.overlaps(attempt.sent, attempt.written)
+    due = (readable_at if was_delayed else attempt.sent) + attempt.limit
+    return attempt.ended - due - unresponsive.overlap_us(due, attempt.ended) if due < attempt.ended else -1
 
 
-def _end_seen_late(one: ClientAttempt, sent_on: bool, still: Spans) -> bool:
-    """Whether a process pause explains that its connection ended without an answer. Nobody's clock ends one that
-    a proxy works at. A proxy ends a kept connection that rests, and one on which the rest of a ticket does
-    not come; its client is to see that at once and to ask once more, and can't while it or the proxy stands
-    still. So never where the ticket had been sent on.
+def _explained_by_pause(attempt: ClientAttempt, was_forwarded: bool, unresponsive: Spans) -> bool:
+    """Whether a pause or stall explains that the connection ended without an answer.
+
+    No time-out ends a connection while the proxy works on its ticket, so a forwarded ticket is never excused. A proxy does
+    close an idle keep-alive connection, and one on which the rest of a request does not arrive. The client is expected to
+    notice that at once and to send the ticket again, which it cannot do while it or the proxy is paused.
     """
-    if sent_on or not still.touch(one.sent, one.ended):
+    if was_forwarded or not unresponsive.overlaps(attempt.sent, attempt.ended):
         return False
-    return not one.fresh or still.touch(one.sent, one.written)
+    return not attempt.fresh or unresponsive.overlaps(attempt.sent, attempt.written)
 
 
-def _wrong(one: ClientAttempt, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
-    book.against(
+def _report_wrong_answer(
+    attempt: ClientAttempt, attempts_by_ticket: dict[str, list[BackendAttempt]], checker: RuleChecker
+) -> None:
+    checker.report_violation(
         LOST_TICKET,
-        one.name,
-        one.ended,
+        attempt.name,
+        attempt.ended,
         "",
-        f"answered {one.status} with what no backend made for it, or more than one answer",
+        f"answered {attempt.status} with what no backend made for it, or more than one answer",
     )
 
 
-def _killed(stays: list[ProxyRun], one: ClientAttempt) -> bool:
-    """Whether its proxy was killed while it had it."""
-    return any(0 <= ran.killed and one.sent - CROSSING <= ran.killed <= one.ended + CROSSING for ran in stays)
+def _killed_during(runs: list[ProxyRun], attempt: ClientAttempt) -> bool:
+    """Whether the proxy was killed while it had the ticket."""
+    return any(
+        0 <= run.killed
+        and attempt.sent - PROCESS_BOUNDARY_TOLERANCE_US <= run.killed <= attempt.ended + PROCESS_BOUNDARY_TOLERANCE_US
+        for run in runs
+    )
 
 
 # --- no effect twice -------------------------------------------------------------------------------
 
 
-def _check_twice(script: Script, records: Records, sent_of: dict[str, list[BackendAttempt]], book: RuleChecker) -> None:
-    """Never two attempts at once, never more than allowed, and none that may repeat an effect where the
-    use case does not let it. What never began, and what was turned away, has not run."""
-    most = script.rules.most_attempts
+def _check_duplicate_effects(
+    script: Script, records: Records, attempts_by_ticket: dict[str, list[BackendAttempt]], checker: RuleChecker
+) -> None:
+    """Attempts of a ticket never overlap or exceed the limit, and none repeats an effect that the use case forbids to repeat.
+
+    An attempt that never began or that the backend rejected has had no effect.
+    """
+    max_attempts = script.rules.most_attempts
     places = FleetPlan(script, 0).places
-    bounced = {one.name: one for one in records.client_attempts if one.how == BOUNCED}
-    crossed = {one.name: one.crossed for one in records.client_attempts if one.crossed >= 0}
-    for name, those in (
-        (name, part) for name, those in sent_of.items() for part in _asked(those, crossed.get(name, -1))
+    bounced = {
+        client_attempt.name: client_attempt
+        for client_attempt in records.client_attempts
+        if client_attempt.how == BOUNCED
+    }
+    resent_at = {
+        client_attempt.name: client_attempt.crossed
+        for client_attempt in records.client_attempts
+        if client_attempt.crossed >= 0
+    }
+    for name, attempts in (
+        (name, split_attempts)
+        for name, attempts in attempts_by_ticket.items()
+        for split_attempts in _split_at_resend(attempts, resent_at.get(name, -1))
     ):
-        if len(those) > most:
-            book.against(TWICE, name, those[most].first, those[most].id, f"{len(those)} attempts, {most} allowed")
-        for before, after in zip(those, those[1:]):
-            over = before.ended if before.gone < 0 else before.gone
-            if over < 0 or after.first < over - script.rules.slack:
-                book.against(
+        if len(attempts) > max_attempts:
+            checker.report_violation(
+                TWICE,
+                name,
+                attempts[max_attempts].first,
+                attempts[max_attempts].id,
+                f"{len(attempts)} attempts, {max_attempts} allowed",
+            )
+        for before, after in zip(attempts, attempts[1:]):
+            closed_at = before.ended if before.gone < 0 else before.gone
+            if closed_at < 0 or after.first < closed_at - script.rules.slack:
+                checker.report_violation(
                     TWICE,
                     name,
                     after.first,
                     after.id,
-                    f"sent while it was still out at {before.id}, {(over - after.first) / 1000:.1f} ms early",
+                    f"sent while its attempt at {before.id} was still open, {(closed_at - after.first) / 1000:.1f} ms early",
                 )
-        use = script.use_cases[those[0].use]
+        use = script.use_cases[attempts[0].use]
         if use.repeat == "single-use":
-            _single(those, bounced.get(name), book)
+            _check_single_use(attempts, bounced.get(name), checker)
         elif use.repeat == "referenced":
-            _referenced(script, places, those, book)
+            _check_referenced(script, places, attempts, checker)
 
 
-def _asked(those: list[BackendAttempt], crossed: int) -> list[list[BackendAttempt]]:
-    """Attempts by each time that the client asked: one that sent a ticket once more on a new connection
-    asked for what comes after that itself."""
-    parts = [[one for one in those if one.first < crossed], [one for one in those if one.first >= crossed]]
-    return [part for part in parts if part]
-
-
-def _single(those: list[BackendAttempt], bounced: ClientAttempt | None, book: RuleChecker) -> None:
-    ran = [one for one in those if one.begun >= 0]
-    for one in ran[1:]:
-        book.against(TWICE, one.name, one.begun, one.id, f"single-use, and had begun at {ran[0].id}")
-    if bounced is not None and ran:
-        book.against(TWICE, bounced.name, bounced.ended, ran[0].id, "bounced as harmless, and had begun")
-
+def _split_at_resend(attempts: list[BackendAttempt], resent_at: int) -> list[list[BackendAttempt]]:
+    """Splits the attempts at the time at which the client itself sent the ticket again on a new connection.
 
-def _referenced(script: Script, places: list[Place], those: list[BackendAttempt], book: RuleChecker) -> None:
-    use = script.use_cases[those[0].use]
+    The attempts after that time belong to the client's second request, not to a retry by the proxy.
+    """
+    parts = [
+        [attempt for attempt in attempts if attempt.first < resent_at],
+        [attempt for attempt in attempts if attempt.first >= resent_at],
+    ]
+    return [part for part in parts if part]
 
-    def group(one: BackendAttempt) -> object:
-        """Those among which a repeat is known."""
-        return one.tier if use.scope == "all" else places[one.place].zone if use.scope == "zone" else one.cell
 
-    for turn, one in enumerate(those):
-        begun = [before for before in those[:turn] if 0 <= before.begun]
-        if not begun or one.away:
+def _check_single_use(attempts: list[BackendAttempt], bounced: ClientAttempt | None, checker: RuleChecker) -> None:
+    begun = [attempt for attempt in attempts if attempt.begun >= 0]
+    for attempt in begun[1:]:
+        checker.report_violation(
+            TWICE, attempt.name, attempt.begun, attempt.id, f"single-use, but had already begun at {begun[0].id}"
+        )
+    if bounced is not None and begun:
+        checker.report_violation(
+            TWICE, bounced.name, bounced.ended, begun[0].id, "rejected as never begun, but had begun"
+        )
+
+
+def _check_referenced(
+    script: Script, places: list[Place], attempts: list[BackendAttempt], checker: RuleChecker
+) -> None:
+    use = script.use_cases[attempts[0].use]
+
+    def group(attempt: BackendAttempt) -> object:
+        """Identifies the group of backends that recognises repeats of this attempt."""
+        return (
+            attempt.tier if use.scope == "all" else places[attempt.place].zone if use.scope == "zone" else attempt.cell
+        )
+
+    for position, attempt in enumerate(attempts):
+        begun = [earlier for earlier in attempts[:position] if 0 <= earlier.begun]
+        if not begun or attempt.away:
             continue
-        if group(one) != group(begun[0]):
-            book.against(
+        if group(attempt) != group(begun[0]):
+            checker.report_violation(
                 TWICE,
-                one.name,
-                one.first,
-                one.id,
-                f"had begun at {begun[0].id}, whose group alone drops its repeats",
+                attempt.name,
+                attempt.first,
+                attempt.id,
+                f"had begun at {begun[0].id}, and only its group recognises repeats",
             )
-        elif one.last - begun[0].begun > use.remembered + script.rules.slack:
-            book.against(TWICE, one.name, one.first, one.id, f"had begun at {begun[0].id}, longer ago than is known")
-    effects = [one for one in those if one.effect >= 0]
-    for one in effects[1:]:
-        book.against(TWICE, one.name, one.effect, one.id, f"took effect before at {effects[0].id}")
+        elif attempt.last - begun[0].begun > use.remembered + script.rules.slack:
+            checker.report_violation(
+                TWICE,
+                attempt.name,
+                attempt.first,
+                attempt.id,
+                f"had begun at {begun[0].id}, longer ago than repeats are remembered",
+            )
+    effects = [attempt for attempt in attempts if attempt.effect >= 0]
+    for attempt in effects[1:]:
+        checker.report_violation(
+            TWICE, attempt.name, attempt.effect, attempt.id, f"had already taken effect at {effects[0].id}"
+        )
 
 
 # --- drains kept -----------------------------------------------------------------------------------
 
 
-def _check_drains(script: Script, records: Records, book: RuleChecker) -> None:
-    """Nothing's first byte comes to a backend later than the grace after its sender was told that it
-    drains, or that counts as told."""
-    told: dict[tuple[int, str], list[StateNotification]] = defaultdict(list)
-    for one in [
+def _check_drains(script: Script, records: Records, checker: RuleChecker) -> None:
+    """No attempt's first byte reaches a backend later than the grace period after its proxy was told of the drain.
+
+    A change that the proxy is deemed to know (see `effective_changes`) counts as told.
+    """
+    notifications_by_target: dict[tuple[int, str], list[StateNotification]] = defaultdict(list)
+    for notification in [
         *records.state_notifications,
         *effective_notifications(script, records.reconfigurations, records.proxy_runs),
     ]:
-        told[one.proxy, one.id].append(one)
-    # What discovery wrote to a process that could not run it has read once it runs again.
-    for held in sorted(records.proxy_pauses, key=lambda one: one.at):
-        for (proxy, _), those in told.items():
-            if proxy == held.proxy:
-                those[:] = [
-                    StateNotification(one.proxy, one.id, one.state, held.until)
-                    if held.at <= one.at < held.until
-                    else one
-                    for one in those
+        notifications_by_target[notification.proxy, notification.id].append(notification)
+    # A paused process reads what discovery wrote to it when it resumes.
+    for pause in sorted(records.proxy_pauses, key=lambda pause: pause.at):
+        for (proxy, _), notifications in notifications_by_target.items():
+            if proxy == pause.proxy:
+                notifications[:] = [
+                    StateNotification(notification.proxy, notification.id, notification.state, pause.until)
+                    if pause.at <= notification.at < pause.until
+                    else notification
+                    for notification in notifications
                 ]
-    for those in told.values():
-        those.sort(key=lambda one: one.at)
-    proxy_of = {one.name: one.proxy for one in records.client_attempts}
-    started: dict[int, list[int]] = defaultdict(list)
-    for ran in records.proxy_runs:
-        started[ran.proxy].append(ran.started)
+    for notifications in notifications_by_target.values():
+        notifications.sort(key=lambda notification: notification.at)
+    proxy_by_ticket = {attempt.name: attempt.proxy for attempt in records.client_attempts}
+    starts_by_proxy: dict[int, list[int]] = defaultdict(list)
+    for run in records.proxy_runs:
+        starts_by_proxy[run.proxy].append(run.started)
     grace = script.rules.drain_grace + script.rules.slack
-    for sent in records.backend_attempts:
-        proxy = proxy_of.get(sent.name)
+    for attempt in records.backend_attempts:
+        proxy = proxy_by_ticket.get(attempt.name)
         if proxy is None:
             continue
-        words = [one for one in told.get((proxy, sent.id), ()) if one.at <= sent.first]
-        if not words or words[-1].state == READY:
+        received = [
+            notification
+            for notification in notifications_by_target.get((proxy, attempt.id), ())
+            if notification.at <= attempt.first
+        ]
+        if not received or received[-1].state == READY:
             continue
-        # Told the same again, it was told with the first of them; a process knows what was told to it alone.
-        since = words[-1].at
-        for one in reversed(words):
-            if one.state == READY:
+        # If discovery repeated a state, the first notification counts. A process only knows what it was told itself, so
+        # notifications to the process before it do not count.
+        since = received[-1].at
+        for notification in reversed(received):
+            if notification.state == READY:
                 break
-            since = one.at
-        begun = max((at for at in started[proxy] if at <= sent.first), default=-1)
-        if since < begun:
-            later = [one.at for one in words if one.at >= begun]
+            since = notification.at
+        process_started = max((at for at in starts_by_proxy[proxy] if at <= attempt.first), default=-1)
+        if since < process_started:
+            later = [notification.at for notification in received if notification.at >= process_started]
             if not later:
                 continue
             since = later[0]
-        if sent.first - since > grace:
-            book.against(
+        if attempt.first - since > grace:
+            checker.report_violation(
                 DRAINS,
-                sent.name,
-                sent.first,
-                sent.id,
-                f"sent {(sent.first - since) // 1000} ms after its proxy was told that it is {words[-1].state}",
+                attempt.name,
+                attempt.first,
+                attempt.id,
+                f"sent {(attempt.first - since) // 1000} ms after its proxy was told that it is {received[-1].state}",
             )
 
 
-def _check_cold(records: Records, book: RuleChecker) -> None:
-    for stood in records.backend_lifetimes:
-        if stood.fell >= 0:
-            book.against(COLD, "", stood.fell, stood.id, "pushed over while it was cold")
+def _check_cold_backends(records: Records, checker: RuleChecker) -> None:
+    for lifetime in records.backend_lifetimes:
+        if lifetime.fell >= 0:
+            checker.report_violation(COLD, "", lifetime.fell, lifetime.id, "pushed over while it was cold")
 
 
 # --- beyond the rules ------------------------------------------------------------------------------
 
 
 class WorkUsage(NamedTuple):
-    """How the fleet's work was used: attempts and what became of their work (us on a core of speed 1).
+    """How the work of the fleet was used: the attempts and the outcome of their work (us on a core of speed 1).
 
-    `wasted` is work that no client had anything of: it was stopped, or its answer did not count. `lived_on`
-    are, for each piece of work in whatever tier, how long it went on after its client outside had left or had
-    its answer (us), where it did. `doubled` are effects of one mark more than
-    once over all tries of a client, which no rule forbids a proxy.
+    `work_wasted_us` is work without use for any client: it was cancelled, or its answer did not count. `outlived_client_us`
+    lists, for each attempt of any tier that went on after the external client had left or had its answer, for how long it did.
+    `duplicate_effects` counts effects that took place more than once under one idempotency key over all attempts of a client;
+    no rule forbids a proxy that.
     """
 
     tickets: int
     attempts: int
-    away: int
-    worked: int
-    wasted: int
-    lived_on: list[int]
-    doubled: int
+    rejected: int
+    work_done_us: int
+    work_wasted_us: int
+    outlived_client_us: list[int]
+    duplicate_effects: int
 
 
 def work_usage(script: Script, records: Records) -> WorkUsage:
-    done = {one.name for one in records.client_attempts if one.how == DONE}
-    ended = _ends_outside(records)
+    """Computes what became of the fleet's work over the whole rehearsal."""
+    done = {attempt.name for attempt in records.client_attempts if attempt.how == DONE}
+    client_ends = _client_attempt_ends(records)
     effects: dict[tuple[int, str], int] = defaultdict(int)
-    worked = wasted = away = 0
-    lived_on = []
-    for sent in records.backend_attempts:
-        worked += sent.worked
-        away += sent.away
-        if sent.name not in done:
-            wasted += sent.worked
-        if sent.begun >= 0 and sent.ended > ended.get(sent.name, sent.ended):
-            lived_on.append(sent.ended - ended[sent.name])
-        if sent.effect >= 0 and sent.mark and script.use_cases[sent.use].repeat == "referenced":
-            effects[sent.tier, sent.mark] += 1
-    # Counted to the end of each client's wish; below the first tier as well.
-    doubled = sum(count - 1 for count in effects.values() if count > 1)
-    tickets = len({sent.name for sent in records.backend_attempts})
-    return WorkUsage(tickets, len(records.backend_attempts), away, worked, wasted, sorted(lived_on), doubled)
-
-
-def _ends_outside(records: Records) -> dict[str, int]:
-    """By ticket of any tier, when the try of the client outside that it is made for was over."""
-    sender = {one.name: one for one in records.client_attempts}
+    work_done_us = work_wasted_us = rejected = 0
+    outlived_client_us = []
+    for attempt in records.backend_attempts:
+        work_done_us += attempt.worked
+        rejected += attempt.away
+        if attempt.name not in done:
+            work_wasted_us += attempt.worked
+        if attempt.begun >= 0 and attempt.ended > client_ends.get(attempt.name, attempt.ended):
+            outlived_client_us.append(attempt.ended - client_ends[attempt.name])
+        if attempt.effect >= 0 and attempt.mark and script.use_cases[attempt.use].repeat == "referenced":
+            effects[attempt.tier, attempt.mark] += 1
+    # An idempotency key is the same for all attempts of a client's request, and is counted in each tier.
+    duplicate_effects = sum(count - 1 for count in effects.values() if count > 1)
+    tickets = len({attempt.name for attempt in records.backend_attempts})
+    return WorkUsage(
+        tickets,
+        len(records.backend_attempts),
+        rejected,
+        work_done_us,
+        work_wasted_us,
+        sorted(outlived_client_us),
+        duplicate_effects,
+    )
+
+
+def _client_attempt_ends(records: Records) -> dict[str, int]:
+    """Returns, for each ticket of any tier, when the external client's attempt that caused it ended."""
+    attempts_by_name = {attempt.name: attempt for attempt in records.client_attempts}
     ends: dict[str, int] = {}
-    for one in records.client_attempts:
-        # A call's parent is a ticket of the tier above; as many steps as there are tiers, and no loops.
-        at, steps = one, 0
-        while at.parent and at.parent in sender and steps < MOST_TIERS:
-            at, steps = sender[at.parent], steps + 1
-        if not at.parent:
-            ends[one.name] = at.ended
+    for attempt in records.client_attempts:
+        # The parent of a call is a ticket of the tier above. The limit on steps guards against cycles in damaged records.
+        ancestor, steps = attempt, 0
+        while ancestor.parent and ancestor.parent in attempts_by_name and steps < MAX_CALL_DEPTH:
+            ancestor, steps = attempts_by_name[ancestor.parent], steps + 1
+        if not ancestor.parent:
+            ends[attempt.name] = ancestor.ended
     return ends
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -1,7 +1,7 @@
-"""The script of a rehearsal: a TOML file read into typed values and checked whole, before anything starts.
+"""The script of a rehearsal: a TOML file that is parsed into typed tables and validated before any process starts.
 
-Every value is in its file's words; spans become whole microseconds. What is wrong is said in one line that
-names the key (`ScriptError`), never by a traceback.
+The attributes have the names of the keys in the file; durations (`Span`) are whole microseconds. An invalid script raises
+`ScriptError`, whose text is one line that names the key, so that users do not see a traceback.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 
 class ScriptError(ValueError):
-    """A script that can't be played; its text is one line naming the key."""
+    """An invalid script; the text is one line that names the key."""
 
 
 class Table(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file: a key it does not know is an error."""
+    """A table of the TOML file; an unknown key is an error."""
 
 
 class Work(Table, kw_only=True):
-    """How the work of a use case is drawn, in time on one core of speed 1."""
+    """The distribution of the work of a use case's tickets, in CPU time on one core of speed 1; `cv` is the coefficient of variation."""
 
     mean: Span
     spread: Literal["fixed", "exponential", "lognormal"] = "exponential"
@@ -39,7 +39,12 @@
 
 
 class UseCase(Table, kw_only=True):
-    """One use case: its part of the load, its work and its terms."""
+    """One use case: its share of the load, the work of its tickets and its requirements.
+
+    `promised` is the latency objective and `outer` the time after which an answer is worthless. An answer between the two
+    earns `late_share` of the ticket's importance. `repeat` says whether a ticket may be sent again, `scope` among which
+    backends a repeat is recognised, and `remembered` for how long. `body` is the size of the request body in bytes.
+    """
 
     name: str
     share: Share = 1.0
@@ -55,14 +60,19 @@
 
 
 class Customer(Table, kw_only=True):
+    """One customer: its share of the load and its quota."""
+
     name: str
     share: Share = 1.0
     quota: float = 0.0
 
 
 class Overload(Table, kw_only=True):
-    """Beyond `at` tickets a core for `after`, the backend turns `slower` times slower until it has had no
-    more than `below` a core for `rest`, or for `most`."""
+    """How a backend degrades under overload.
+
+    After more than `at` tickets per core for `after`, the backend becomes `slower` times slower. It recovers when it has had
+    no more than `below` tickets per core for `rest`, and after `most` at the latest.
+    """
 
     at: float
     after: Span
@@ -73,7 +83,7 @@
 
 
 class Kind(Table, kw_only=True):
-    """Backends of one kind within a tier."""
+    """A kind of identical backends within a tier: their number, capacity, warm-up and behaviour under overload."""
 
     name: str
     count: int
@@ -92,8 +102,8 @@
 
 
 class Tier(Table, kw_only=True):
-    """One service. `work` is its part of a ticket's work, `calls` the mean number of calls to the next
-    tier."""
+    """One service. `work` is the share of a ticket's work that is done in this tier, `calls` the mean number of calls that a
+    ticket makes to the next tier."""
 
     name: str
     work: Share = 1.0
@@ -105,7 +115,7 @@
 
 
 class Phase(Table, kw_only=True):
-    """A part of the load: `rate` tickets a second, going over evenly to `to` where that stands."""
+    """A phase of the load with `rate` tickets per second; if `to` is set, the rate changes linearly from `rate` to `to`."""
 
     span: Span
     rate: float
@@ -115,7 +125,7 @@
 
 
 class Surge(Table, kw_only=True, frozen=True):
-    """One customer or use case (or all) at `times` its rate for a while."""
+    """Multiplies the rate of one customer or use case, or of all tickets, by `times` for `span`."""
 
     at: Span
     span: Span
@@ -125,7 +135,7 @@
 
 
 class Trace(Table, kw_only=True):
-    """Recorded tickets in place of phases."""
+    """A file of recorded tickets that are replayed in place of phases."""
 
     file: str
     form: Literal["json", "csv", "access"] = "json"
@@ -134,8 +144,15 @@
 
 
 class Load(Table, kw_only=True):
-    """What clients do. `users` of 0 is open loop; else so many users, each asking again once it has its
-    answer."""
+    """The behaviour of the clients.
+
+    With `users` = 0 the load is open-loop. Otherwise it is closed-loop: that many users, each of which sends its next ticket
+    when it has the answer to the last one. `day` is a list of rates at even distances over the span, with linear interpolation.
+    A client makes up to `retries` further attempts after `backoff`, waits `patience` times the use case's `outer` for each, and
+    follows a Retry-After with probability `honours`; `leave` is the share of attempts that clients abandon early. `hints` says
+    whether requests announce their expected work, and `notice` how long the front load balancer takes to notice that a proxy
+    has stopped or come back. The generator counts a send as late after `late`, and a pause of its own as a stall after `stall`.
+    """
 
     phases: list[Phase] = []
     surges: list[Surge] = []
@@ -153,14 +170,17 @@
     notice: Span = Span(1_000_000)
     late: Span = Span(1_000)
     stall: Span = Span(50_000)
-    # So many tickets go on open connections of proxies that were told to stop, while these stand.
+    # The share of tickets that are sent on connections that are still open to proxies that have received SIGTERM.
     stays: Share = 0.0
-    # One in fifteen proxies gets so many times the mean, of what is left the others get even parts.
+    # One in fifteen proxies gets this multiple of the mean load; the others share the rest evenly.
     uneven: float = 1.0
 
 
 class Discovery(Table, kw_only=True):
-    """How late the list tells of a change; each proxy at a time of its own, up to `spread` later still."""
+    """The delay with which discovery reports a change: `notice`, and for each proxy a further fixed delay of up to `spread`.
+
+    `silent` replaces `notice` for backends that end without being planned to; 0 means that it is the same.
+    """
 
     notice: Span = Span(500_000)
     spread: Span = Span(0)
@@ -168,9 +188,11 @@
 
 
 class Rules(Table, kw_only=True):
-    """The figures of the four rules and what proxies are allowed, as in their settings."""
+    """The limits of the four rules, and the limits that the proxies have in their configuration."""
 
-    FORMER: ClassVar[dict[str, str]] = {"most_transmissions": "most_attempts"}  # for one more version
+    FORMER: ClassVar[dict[str, str]] = {
+        "most_transmissions": "most_attempts"
+    }  # former key -> present key; accepted for one more version
 
     drain_grace: Span = Span(500_000)
     tip_multiple: float = 3.0
@@ -186,8 +208,11 @@
 
 
 class Grouped(Table, kw_only=True):
-    """The proxies are members of one group, with links of the rehearsal's own between them. `seeds` is how many each is told
-    of."""
+    """Makes the proxies members of one group, connected by simulated links.
+
+    `period` and `within` are written to the proxies' [group] tables; `seeds` is the number of members that each proxy knows
+    at its start.
+    """
 
     period: Span = Span(200_000)
     within: Span = Span(60_000)
@@ -195,8 +220,11 @@
 
 
 class Proxies(Table, kw_only=True):
-    """How the real `serve` processes are run. `own` is an own file for those of the first tier, beside the script, and HERE in
-    it the folder that a proxy's seat keeps; `console` whether operators can call each, as they can where there is a group."""
+    """How the real `serve` processes are run.
+
+    `own` names a configuration file for the proxies of the first tier, relative to the script; HERE in it stands for the
+    working directory of the proxy. `console` opens the operators' console of each proxy; in a group it is always open.
+    """
 
     group: Grouped | None = None
     console: bool = False
@@ -279,8 +307,11 @@
 
 
 class Link(Table, kw_only=True):
-    """What befalls what one proxy sends another: shares that are lost, doubled, damaged; how late, by how much more; the
-    bytes that a datagram is cut to; bytes a second."""
+    """Impairments of the link from one proxy to another.
+
+    `lost`, `twice` and `damaged` are shares of the datagrams, `delay` and `jitter` their latency. Datagrams are truncated to
+    `size` bytes and limited to `rate` bytes per second.
+    """
 
     lost: Share = 0.0
     twice: Share = 0.0
@@ -292,13 +323,13 @@
 
 
 class Fault(Table, kw_only=True):
-    """One trouble. It strikes backends that `tier`, `zone`, `kind` and `names` leave, `count` of them or a
-    `part`.
+    """One injected fault. `tier`, `zone`, `kind` and `names` select backends; `count` or `part` limits how many are affected.
 
-    `flap` turns it on and off in turn, each for so long. `every` repeats it. `by` is how many times slower,
-    or of how many answers it strikes (1.0 is all), or how late; for proxy-starve the part of its processor that it has.
-    `sides` are names of proxies: of those who no longer reach each other (link-part), or from whom to whom nothing
-    passes (link-cut), or passes as `link` says (link-bad); where no proxy speaks to another, none of it is noticed.
+    `flap` is the period with which the fault is alternately active and inactive. `every` and `times` repeat it. `by` is the
+    slow-down factor, the share of affected answers (1.0 is all) or the delay; for proxy-starve it is the share of the CPU that
+    the proxy keeps. `sides` are lists of names of proxies: partitions that cannot reach each other (link-part), or the senders
+    and the receivers of a link that passes nothing (link-cut) or is impaired as `link` says (link-bad). Without a group the
+    proxies exchange no messages, so link faults have no effect.
     """
 
     what: WHAT
@@ -322,7 +353,7 @@
 
 
 class Chance(Table, kw_only=True):
-    """Faults drawn from the seed: about one in `every`, of the kinds named, each for `span` at the mean."""
+    """Random faults drawn from the seed: on average one per `every`, of the kinds in `of`, with a mean duration of `span`."""
 
     every: Span
     of: list[WHAT]
@@ -333,7 +364,7 @@
 
 
 class Script(Table, kw_only=True):
-    """A whole rehearsal."""
+    """The root table: a whole rehearsal."""
 
     title: str
     seed: int = 1
@@ -354,24 +385,25 @@
 
 
 def encode(value: Any) -> bytes:
-    """A table as JSON that `decode` reads; the same value gives the same bytes."""
+    """Encodes a table as JSON for `decode`; the encoding is deterministic."""
     return msgspec.json.encode(value, enc_hook=table_conversion.hook, order="deterministic")
 
 
-def decode(data: bytes, kind: type = Script) -> Any:
-    return msgspec.json.decode(data, type=kind, dec_hook=table_conversion.unhook)
+def decode(data: bytes, table_type: type = Script) -> Any:
+    """Decodes a table from the JSON that `encode` writes."""
+    return msgspec.json.decode(data, type=table_type, dec_hook=table_conversion.unhook)
 
 
-def convert(raw: Any, kind: type) -> Any:
-    """A table from what a TOML file holds. Raises ScriptError naming the first key that is wrong."""
-    made, wrong = table_conversion.converted(table_conversion.renamed(raw, kind), kind)
-    if wrong:
-        raise ScriptError(f"{wrong[0].key or 'the file'}: {wrong[0].what}")
-    return made
+def convert(document: Any, table_type: type) -> Any:
+    """Converts a parsed TOML document into a table. Raises ScriptError that names the first invalid key."""
+    table, problems = table_conversion.converted(table_conversion.renamed(document, table_type), table_type)
+    if problems:
+        raise ScriptError(f"{problems[0].key or 'the file'}: {problems[0].what}")
+    return table
 
 
 def load_toml(path: str | Path) -> dict[str, Any]:
-    """A TOML file as it stands. Raises ScriptError."""
+    """Parses a TOML file. Raises ScriptError if it cannot be read."""
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
@@ -382,32 +414,36 @@
 
 
 def load_with_bases(path: Path) -> dict[str, Any]:
-    """A script's file with those that it is `like` beneath it: a table takes what it does not say itself from
-    there, a list stands as a whole. Raises ScriptError."""
-    raw = load_toml(path)
-    seen = {path.resolve()}
-    at = path
-    while (like := raw.pop("like", None)) is not None:
-        if not isinstance(like, str):
-            raise ScriptError(f"{at}: like: is no name of a file")
-        at = at.parent / like
-        if at.resolve() in seen:
-            raise ScriptError(f"{path}: like: comes back to {like}")
-        seen.add(at.resolve())
-        raw = _over(load_toml(at), raw)
-    return raw
-
-
-def _over(beneath: dict[str, Any], raw: dict[str, Any]) -> dict[str, Any]:
-    merged = dict(beneath)
-    for key, value in raw.items():
-        below = beneath.get(key)
-        merged[key] = _over(below, value) if isinstance(value, dict) and isinstance(below, dict) else value
+    """Loads a script and merges it over the file that its key `like` names, if any, and so on.
+
+    Tables are merged key by key; a list replaces the list of the base as a whole. Raises ScriptError.
+    """
+    document = load_toml(path)
+    visited = {path.resolve()}
+    current = path
+    while (base := document.pop("like", None)) is not None:
+        if not isinstance(base, str):
+            raise ScriptError(f"{current}: like: is not a file name")
+        current = current.parent / base
+        if current.resolve() in visited:
+            raise ScriptError(f"{path}: like: circular reference to {base}")
+        visited.add(current.resolve())
+        document = _merge_over(load_toml(current), document)
+    return document
+
+
+def _merge_over(base: dict[str, Any], overriding: dict[str, Any]) -> dict[str, Any]:
+    merged = dict(base)
+    for key, value in overriding.items():
+        base_value = base.get(key)
+        merged[key] = (
+            _merge_over(base_value, value) if isinstance(value, dict) and isinstance(base_value, dict) else value
+        )
     return merged
 
 
 def read(path: str | Path) -> Script:
-    """The script in a file. Raises ScriptError with a line that names the file and the key."""
+    """Reads and validates a script. Raises ScriptError with a line that names the file and the key."""
     raw = load_with_bases(Path(path))
     try:
         script = build_script(raw)
@@ -417,167 +453,174 @@
     return script
 
 
-def build_script(raw: dict[str, Any]) -> Script:
-    script: Script = convert(raw, Script)
+def build_script(document: dict[str, Any]) -> Script:
+    """Converts and validates a parsed script. Raises ScriptError naming the key."""
+    script: Script = convert(document, Script)
     check(script)
     return script
 
 
-def _need(truth: bool, key: str, what: str) -> None:
-    if not truth:
-        raise ScriptError(f"{key}: {what}")
+def _require(holds: bool, key: str, problem: str) -> None:
+    if not holds:
+        raise ScriptError(f"{key}: {problem}")
 
 
-def _distinct(names: list[str], key: str) -> None:
+def _require_unique_names(names: list[str], key: str) -> None:
     for name in names:
-        _need(
+        _require(
             bool(re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9._-]*", name)),
             key,
-            f"{name!r} is no name: letters, digits, and . _ - after the first",
+            f"{name!r} is not a valid name: it starts with a letter or digit, followed by letters, digits and . _ -",
         )
-        _need(names.count(name) == 1, key, f"{name} stands twice")
+        _require(names.count(name) == 1, key, f"{name} is listed twice")
 
 
 def check(script: Script) -> None:
-    """What types alone do not say. Raises ScriptError naming the key."""
-    _need(0 < script.span <= 3_600_000_000, "span", "is not from 1us to 1h")
-    _need(script.warm_up < script.span, "warm_up", "leaves nothing of the span")
-    _need(script.window > 0, "window", "is 0")
-    _need(1 <= script.processes <= 32, "processes", "is not from 1 to 32")
-    _need(bool(script.use_cases), "use_cases", "there is none")
-    _distinct([use.name for use in script.use_cases], "use_cases")
+    """Validates what the types cannot express. Raises ScriptError naming the key."""
+    _require(0 < script.span <= 3_600_000_000, "span", "is not from 1us to 1h")
+    _require(script.warm_up < script.span, "warm_up", "is not shorter than the span")
+    _require(script.window > 0, "window", "is 0")
+    _require(1 <= script.processes <= 32, "processes", "is not from 1 to 32")
+    _require(bool(script.use_cases), "use_cases", "is empty")
+    _require_unique_names([use.name for use in script.use_cases], "use_cases")
     for number, use in enumerate(script.use_cases):
         key = f"use_cases[{number}]"
-        _need(use.share > 0, f"{key}.share", "is not over 0")
-        _need(0 < use.promised <= use.outer, f"{key}.promised", "is not over 0 and within outer")
-        _need(
+        _require(use.share > 0, f"{key}.share", "is not over 0")
+        _require(0 < use.promised <= use.outer, f"{key}.promised", "is not over 0 and within outer")
+        _require(
             use.repeat != "referenced" or use.remembered > 0,
             f"{key}.remembered",
-            "missing: a referenced use case needs how long a repeat is known",
+            "missing: a referenced use case needs the time for which a repeat is recognised",
         )
-        _need(0 <= use.body <= 65536, f"{key}.body", "is not from 0 to 65536 bytes")
-        _need(
+        _require(0 <= use.body <= 65536, f"{key}.body", "is not from 0 to 65536 bytes")
+        _require(
             not use.body or use.repeat != "replayable",
             f"{key}.body",
-            "a replayable use case is a GET without one",
+            "a replayable use case is a GET, which has no body",
         )
-        _need(0 <= use.late_share <= 1, f"{key}.late_share", "is not from 0 to 1")
-        _need(use.work.cv > 0, f"{key}.work.cv", "is not over 0")
-        _need(
+        _require(0 <= use.late_share <= 1, f"{key}.late_share", "is not from 0 to 1")
+        _require(use.work.cv > 0, f"{key}.work.cv", "is not over 0")
+        _require(
             use.repeat != "referenced" or use.scope == "cell" or script.processes == 1,
             f"{key}.scope",
-            f"{use.scope} needs processes = 1: a group that knows a repeat stands in one process",
+            f"{use.scope} needs processes = 1: backends that recognise repeats together run in one process",
         )
-    _distinct([one.name for one in script.customers], "customers")
-    for number, one in enumerate(script.customers):
-        _need(one.share > 0, f"customers[{number}].share", "is not over 0")
+    _require_unique_names([customer.name for customer in script.customers], "customers")
+    for number, customer in enumerate(script.customers):
+        _require(customer.share > 0, f"customers[{number}].share", "is not over 0")
     _check_tiers(script)
     _check_load(script)
     _check_faults(script)
-    _need(
+    _require(
         1 <= script.rules.most_attempts <= MOST_ATTEMPTS,
         "rules.most_attempts",
-        f"is not from 1 to {MOST_ATTEMPTS}: the brief allows no more",
+        f"is not from 1 to {MOST_ATTEMPTS}: the requirements allow no more",
     )
-    _need(64 <= script.proxies.sockets <= 1_000_000, "proxies.sockets", "is not from 64 to 1000000")
+    _require(64 <= script.proxies.sockets <= 1_000_000, "proxies.sockets", "is not from 64 to 1000000")
 
 
 def _check_tiers(script: Script) -> None:
-    _need(bool(script.tiers), "tiers", "there is none")
-    _distinct([tier.name for tier in script.tiers], "tiers")
+    _require(bool(script.tiers), "tiers", "is empty")
+    _require_unique_names([tier.name for tier in script.tiers], "tiers")
     for number, tier in enumerate(script.tiers):
         key = f"tiers[{number}]"
-        _need(bool(tier.kinds), f"{key}.kinds", "there is none")
-        _distinct([kind.name for kind in tier.kinds], f"{key}.kinds")
-        _need(bool(tier.zones), f"{key}.zones", "there is none")
-        _need(1 <= tier.cell <= 1000, f"{key}.cell", "is not from 1 to 1000 backends")
-        _need(tier.work >= 0, f"{key}.work", "is under 0")
+        _require(bool(tier.kinds), f"{key}.kinds", "is empty")
+        _require_unique_names([kind.name for kind in tier.kinds], f"{key}.kinds")
+        _require(bool(tier.zones), f"{key}.zones", "is empty")
+        _require(1 <= tier.cell <= 1000, f"{key}.cell", "is not from 1 to 1000 backends")
+        _require(tier.work >= 0, f"{key}.work", "is under 0")
         last = number == len(script.tiers) - 1
-        _need(tier.calls >= 0, f"{key}.calls", "is under 0")
-        _need(not last or tier.calls == 0, f"{key}.calls", "the last tier has none to call")
-        _need(last or tier.calls > 0, f"{key}.calls", "missing: without calls the next tier has nothing to do")
-        _need(0 <= tier.proxies <= MOST_PROXIES, f"{key}.proxies", f"is not from 0 to {MOST_PROXIES}")
-        for place, kind in enumerate(tier.kinds):
-            at = f"{key}.kinds[{place}]"
-            _need(kind.count >= 1, f"{at}.count", "is not 1 or more")
-            _need(kind.cores >= 1, f"{at}.cores", "is not 1 or more")
-            _need(kind.speed > 0, f"{at}.speed", "is not over 0")
-            _need(kind.slots >= 1 and kind.queue >= 0, f"{at}.slots", "no room for a ticket")
-            _need(0 < kind.cold_from <= 1, f"{at}.cold_from", "is not over 0 and up to 1")
-            _need(
+        _require(tier.calls >= 0, f"{key}.calls", "is under 0")
+        _require(not last or tier.calls == 0, f"{key}.calls", "the last tier has no next tier to call")
+        _require(last or tier.calls > 0, f"{key}.calls", "missing: without calls the next tier gets no tickets")
+        _require(0 <= tier.proxies <= MOST_PROXIES, f"{key}.proxies", f"is not from 0 to {MOST_PROXIES}")
+        for kind_number, kind in enumerate(tier.kinds):
+            kind_key = f"{key}.kinds[{kind_number}]"
+            _require(kind.count >= 1, f"{kind_key}.count", "is not 1 or more")
+            _require(kind.cores >= 1, f"{kind_key}.cores", "is not 1 or more")
+            _require(kind.speed > 0, f"{kind_key}.speed", "is not over 0")
+            _require(kind.slots >= 1 and kind.queue >= 0, f"{kind_key}.slots", "is under 1, or queue is under 0")
+            _require(0 < kind.cold_from <= 1, f"{kind_key}.cold_from", "is not over 0 and up to 1")
+            _require(
                 kind.cold_from == 1 or kind.warm_for > 0,
-                f"{at}.warm_for",
-                "missing: a cold backend warms in a time",
+                f"{kind_key}.warm_for",
+                "missing: a cold backend needs a warm-up time",
             )
-            _need(kind.overload is None or kind.overload.slower >= 1, f"{at}.overload.slower", "is under 1")
+            _require(kind.overload is None or kind.overload.slower >= 1, f"{kind_key}.overload.slower", "is under 1")
     backends = sum(kind.count for tier in script.tiers for kind in tier.kinds)
-    _need(backends <= MOST_BACKENDS, "tiers", f"{backends} backends are over {MOST_BACKENDS}")
+    _require(backends <= MOST_BACKENDS, "tiers", f"{backends} backends are over {MOST_BACKENDS}")
     zones = {zone for tier in script.tiers for zone in tier.zones}
-    _need(len(zones) <= 50, "tiers", "over 50 zones")
+    _require(len(zones) <= 50, "tiers", "over 50 zones")
 
 
 def _check_load(script: Script) -> None:
     load = script.load
-    _need(
+    _require(
         bool(load.phases) + bool(load.day) + (load.trace is not None) + bool(load.users) == 1,
         "load",
         "needs exactly one of phases, day, trace and users",
     )
     for number, phase in enumerate(load.phases):
-        _need(phase.span > 0, f"load.phases[{number}].span", "is 0")
-        _need(
+        _require(phase.span > 0, f"load.phases[{number}].span", "is 0")
+        _require(
             phase.rate >= 0 and (phase.to is None or phase.to >= 0),
             f"load.phases[{number}].rate",
             "is under 0",
         )
-        _need(phase.burst >= 1, f"load.phases[{number}].burst", "is not 1 or more")
-    _need(all(rate >= 0 for rate in load.day), "load.day", "a rate is under 0")
+        _require(phase.burst >= 1, f"load.phases[{number}].burst", "is not 1 or more")
+    _require(all(rate >= 0 for rate in load.day), "load.day", "a rate is under 0")
     for number, surge in enumerate(load.surges):
         key = f"load.surges[{number}]"
-        _need(surge.times >= 0, f"{key}.times", "is under 0")
-        _known(surge.customer, [one.name for one in script.customers], f"{key}.customer")
-        _known(surge.use_case, [use.name for use in script.use_cases], f"{key}.use_case")
-    _need(0 <= load.retries <= 10, "load.retries", "is not from 0 to 10")
-    _need(0 < load.patience <= 1, "load.patience", "is not over 0 and up to 1")
-    _need(0 <= load.honours <= 1, "load.honours", "is not from 0 to 1")
-    _need(0 <= load.leave <= 1, "load.leave", "is not from 0 to 1")
-    _need(0 <= load.stays <= 1, "load.stays", "is not from 0 to 1")
-    _need(1 <= load.uneven < 15, "load.uneven", "is not from 1 to under 15")
-    _need(1 <= load.processes <= 16, "load.processes", "is not from 1 to 16")
-    _need(0 <= load.users <= 10_000, "load.users", "is not from 0 to 10000")
-    _need(load.trace is None or load.trace.speed > 0, "load.trace.speed", "is not over 0")
-
-
-def _known(name: str | None, names: list[str], key: str) -> None:
+        _require(surge.times >= 0, f"{key}.times", "is under 0")
+        _require_known(surge.customer, [customer.name for customer in script.customers], f"{key}.customer")
+        _require_known(surge.use_case, [use.name for use in script.use_cases], f"{key}.use_case")
+    _require(0 <= load.retries <= 10, "load.retries", "is not from 0 to 10")
+    _require(0 < load.patience <= 1, "load.patience", "is not over 0 and up to 1")
+    _require(0 <= load.honours <= 1, "load.honours", "is not from 0 to 1")
+    _require(0 <= load.leave <= 1, "load.leave", "is not from 0 to 1")
+    _require(0 <= load.stays <= 1, "load.stays", "is not from 0 to 1")
+    _require(1 <= load.uneven < 15, "load.uneven", "is not from 1 to under 15")
+    _require(1 <= load.processes <= 16, "load.processes", "is not from 1 to 16")
+    _require(0 <= load.users <= 10_000, "load.users", "is not from 0 to 10000")
+    _require(load.trace is None or load.trace.speed > 0, "load.trace.speed", "is not over 0")
+
+
+def _require_known(name: str | None, names: list[str], key: str) -> None:
     if name is not None and name not in names:
         raise ScriptError(f"{key}: there is no {name}{table_conversion.nearest(name, names)}")
 
 
 def _check_group_fault(script: Script, fault: Fault, key: str) -> None:
-    linked = fault.what in OF_LINKS
-    _need(
+    is_link_fault = fault.what in OF_LINKS
+    _require(
         script.proxies.group is not None or fault.what != "proxy-twin",
         f"{key}.what",
-        "needs proxies.group: else no proxy has a name to another",
+        "needs proxies.group: without a group proxies have no names",
     )
-    _need(
+    _require(
         fault.what != "proxy-hand" or script.proxies.console or script.proxies.group is not None,
         f"{key}.what",
-        "needs proxies.console: clients are sent away by a call there",
+        "needs proxies.console: clients are sent away by a console command",
     )
-    _need(linked or not fault.sides and fault.link is None, f"{key}.sides", f"is not for {fault.what}")
+    _require(is_link_fault or not fault.sides and fault.link is None, f"{key}.sides", f"does not apply to {fault.what}")
     if fault.what == "proxy-starve":
-        _need(fault.by is not None and 0 < fault.by < 1, f"{key}.by", "is not over 0 and under 1")
-    if not linked:
+        _require(fault.by is not None and 0 < fault.by < 1, f"{key}.by", "is not over 0 and under 1")
+    if not is_link_fault:
         return
-    sides = len(fault.sides)
-    _need(sides >= 2 if fault.what == "link-part" else sides == 2, f"{key}.sides", "are not two (link-part: or more)")
-    first = [f"p{number + 1}" for number in range(script.tiers[0].proxies)]
+    side_count = len(fault.sides)
+    _require(
+        side_count >= 2 if fault.what == "link-part" else side_count == 2,
+        f"{key}.sides",
+        "are not two (two or more for link-part)",
+    )
+    first_tier_proxies = [f"p{number + 1}" for number in range(script.tiers[0].proxies)]
     for name in (name for side in fault.sides for name in side):
-        if not name.startswith("p-"):  # those of lower tiers are called by their backends
-            _known(name, first, f"{key}.sides")
-    _need(
-        (fault.what == "link-bad") == (fault.link is not None), f"{key}.link", "stands with link-bad, and there alone"
+        if not name.startswith("p-"):  # proxies of lower tiers have names that start with p-
+            _require_known(name, first_tier_proxies, f"{key}.sides")
+    _require(
+        (fault.what == "link-bad") == (fault.link is not None),
+        f"{key}.link",
+        "is required for link-bad and not allowed for other faults",
     )
 
 
@@ -585,42 +628,51 @@
     tiers = [tier.name for tier in script.tiers]
     zones = sorted({zone for tier in script.tiers for zone in tier.zones})
     kinds = sorted({kind.name for tier in script.tiers for kind in tier.kinds})
-    uses = [use.name for use in script.use_cases]
+    use_cases = [use.name for use in script.use_cases]
     for number, fault in enumerate(script.faults):
         key = f"faults[{number}]"
-        _known(fault.tier, tiers, f"{key}.tier")
-        _known(fault.zone, zones, f"{key}.zone")
-        _known(fault.kind, kinds, f"{key}.kind")
-        _known(fault.use_case, uses, f"{key}.use_case")
-        _need(fault.at < script.span, f"{key}.at", "is after the end")
-        _need(fault.count is None or fault.part is None, f"{key}.count", "stands beside part; one of them")
-        _need(fault.count is None or fault.count >= 1, f"{key}.count", "is not 1 or more")
-        _need(fault.part is None or 0 < fault.part <= 1, f"{key}.part", "is not over 0 and up to 1")
-        _need(1 <= fault.times <= 1000, f"{key}.times", "is not from 1 to 1000")
-        _need(fault.times == 1 or fault.every > 0, f"{key}.every", "missing beside times")
-        _need(
+        _require_known(fault.tier, tiers, f"{key}.tier")
+        _require_known(fault.zone, zones, f"{key}.zone")
+        _require_known(fault.kind, kinds, f"{key}.kind")
+        _require_known(fault.use_case, use_cases, f"{key}.use_case")
+        _require(fault.at < script.span, f"{key}.at", "is after the end")
+        _require(fault.count is None or fault.part is None, f"{key}.count", "cannot be combined with part")
+        _require(fault.count is None or fault.count >= 1, f"{key}.count", "is not 1 or more")
+        _require(fault.part is None or 0 < fault.part <= 1, f"{key}.part", "is not over 0 and up to 1")
+        _require(1 <= fault.times <= 1000, f"{key}.times", "is not from 1 to 1000")
+        _require(fault.times == 1 or fault.every > 0, f"{key}.every", "missing: needed with times")
+        _require(
             fault.what not in ("errors", "reset", "garble", "lost", "half-answer")
             or fault.by is None
             or 0 < fault.by <= 1,
             f"{key}.by",
             "is not over 0 and up to 1",
         )
-        _need(fault.what != "slow" or (fault.by or 2) >= 1, f"{key}.by", "is under 1, which is no slowing")
-        lasts = OF_BACKENDS - {"kill", "restart", "drain", "new-ids"} | {
+        _require(fault.what != "slow" or (fault.by or 2) >= 1, f"{key}.by", "is under 1, which would be a speed-up")
+        lasting_faults = OF_BACKENDS - {"kill", "restart", "drain", "new-ids"} | {
             "discovery-down",
             "discovery-late",
             "discovery-full",
             "discovery-silent",
         }
-        lasts |= {"proxy-stop", "proxy-starve", "proxy-twin", "proxy-hand", "disk-full", "disk-gone"} | OF_LINKS
+        lasting_faults |= {
+            "proxy-stop",
+            "proxy-starve",
+            "proxy-twin",
+            "proxy-hand",
+            "disk-full",
+            "disk-gone",
+        } | OF_LINKS
         _check_group_fault(script, fault, key)
-        _need(fault.what not in lasts or fault.span > 0, f"{key}.span", "missing: it lasts for a while")
-        _need(not fault.flap or fault.what in lasts, f"{key}.flap", f"{fault.what} cannot flap")
+        _require(
+            fault.what not in lasting_faults or fault.span > 0, f"{key}.span", "missing: this fault needs a duration"
+        )
+        _require(not fault.flap or fault.what in lasting_faults, f"{key}.flap", f"{fault.what} cannot flap")
     for number, chance in enumerate(script.chances):
         key = f"chances[{number}]"
-        _need(not OF_LINKS & set(chance.of), f"{key}.of", "a link is not broken by chance: its sides are named")
-        _known(chance.tier, tiers, f"{key}.tier")
-        _need(chance.every > 0, f"{key}.every", "is 0")
-        _need(bool(chance.of), f"{key}.of", "names none")
-        _need(0 < chance.part <= 1, f"{key}.part", "is not over 0 and up to 1")
-        _need("pause-generator" not in chance.of, f"{key}.of", "a pause of the generator is not left to chance")
+        _require(not OF_LINKS & set(chance.of), f"{key}.of", "link faults cannot be random: they need sides")
+        _require_known(chance.tier, tiers, f"{key}.tier")
+        _require(chance.every > 0, f"{key}.every", "is 0")
+        _require(bool(chance.of), f"{key}.of", "is empty")
+        _require(0 < chance.part <= 1, f"{key}.part", "is not over 0 and up to 1")
+        _require("pause-generator" not in chance.of, f"{key}.of", "pause-generator cannot be random")
--- a/pepperusher/rehearsal/stalls.py
+++ b/pepperusher/rehearsal/stalls.py
@@ -1,8 +1,7 @@
-"""How a generator knows that it was not running: a heart that beats evenly and notes each beat that came
-late.
+"""Detects when a load generator did not run: a heartbeat at a fixed interval records each beat that comes late.
 
-Free of I/O. A stall spans from when a beat was due to when it came; what was intended, sent or heard within
-one was timed by a clock nobody looked at, so figures of that time are marked and can be left out.
+Does no I/O. A stall lasts from when a beat was due to when it came. The generator did not read the clock during a stall, so
+the times of what it sent or received then are unreliable; such measurements are marked and can be left out.
 """
 
 from __future__ import annotations
@@ -12,37 +11,39 @@
 
 
 class StallDetector:
-    """Beats each `every` us; a beat more than `most` us late is a stall."""
+    """Detects stalls from a heartbeat every `interval` us; a beat more than `tolerance` us late ends a stall."""
 
-    def __init__(self, every: int, most: int) -> None:
-        self._every = every
-        self._most = most
-        self._due = -1
+    def __init__(self, interval: int, tolerance: int) -> None:
+        self._interval = interval
+        self._tolerance = tolerance
+        self._next_due = -1
 
     def beat(self, now: int) -> tuple[int, int] | None:
-        """The stall that this beat ends, as (from, until), or None."""
-        due, self._due = self._due, now + self._every
-        if 0 <= due and now - due > self._most:
+        """Records a beat; returns the stall that it ends as (start, end), or None."""
+        due, self._next_due = self._next_due, now + self._interval
+        if 0 <= due and now - due > self._tolerance:
             return due, now
         return None
 
 
 class SleepMargin:
-    """How short of a time to sleep: a timer wakes late by what the machine makes of it, and the rest is gone
-    round without sleeping. Grows at once with a late waking, and shrinks by a two-hundredth with each that is
-    not."""
+    """How long before a deadline a sleep has to end, since timers fire late; the rest of the time is spent polling.
 
-    def __init__(self, least: int, most: int) -> None:
-        self._least = least
-        self._most = most
-        self.now = least
+    `now` is the present margin in us. It grows at once when a sleep ends late and shrinks by 1/200 at each other wake-up.
+    """
 
-    def woke(self, late: int) -> None:
-        self.now = min(self._most, max(self._least, self.now - self.now // 200, late + late // 4))
+    def __init__(self, minimum: int, maximum: int) -> None:
+        self._minimum = minimum
+        self._maximum = maximum
+        self.now = minimum
+
+    def woke(self, lateness: int) -> None:
+        """Adapts the margin to a sleep that ended `lateness` us late."""
+        self.now = min(self._maximum, max(self._minimum, self.now - self.now // 200, lateness + lateness // 4))
 
 
 class Spans:
-    """Times that are not to be trusted, joined where they touch."""
+    """Spans of time with unreliable measurements; spans that overlap or touch are joined."""
 
     def __init__(self, spans: Iterable[tuple[int, int]]) -> None:
         self.joined: list[tuple[int, int]] = []
@@ -51,32 +52,32 @@
                 self.joined[-1] = (self.joined[-1][0], max(until, self.joined[-1][1]))
             else:
                 self.joined.append((at, until))
-        self._ends = [until for _, until in self.joined]
-
-    def touch(self, at: int, until: int) -> bool:
-        """Whether any part of `at` to `until` lies in one."""
-        place = bisect_left(self._ends, at)
-        return place < len(self.joined) and self.joined[place][0] <= until
-
-    def covered(self, at: int, until: int) -> int:
-        """How much of `at` to `until` lies in them."""
-        made = 0
-        for place in range(bisect_left(self._ends, at), len(self.joined)):
-            start, end = self.joined[place]
+        self._span_ends = [until for _, until in self.joined]
+
+    def overlaps(self, at: int, until: int) -> bool:
+        """Whether any part of `at` to `until` lies in a span."""
+        index = bisect_left(self._span_ends, at)
+        return index < len(self.joined) and self.joined[index][0] <= until
+
+    def overlap_us(self, at: int, until: int) -> int:
+        """Returns how much of `at` to `until` lies in the spans."""
+        total = 0
+        for index in range(bisect_left(self._span_ends, at), len(self.joined)):
+            start, end = self.joined[index]
             if start >= until:
                 break
-            made += min(end, until) - max(start, at)
-        return made
-
-    def until(self, at: int) -> int:
-        """When the one that `at` lies in is over; `at` where it lies in none."""
-        place = bisect_left(self._ends, at)
-        if place < len(self.joined) and self.joined[place][0] <= at:
-            return self.joined[place][1]
+            total += min(end, until) - max(start, at)
+        return total
+
+    def end_after(self, at: int) -> int:
+        """Returns the end of the span that contains `at`, or `at` if there is none."""
+        index = bisect_left(self._span_ends, at)
+        if index < len(self.joined) and self.joined[index][0] <= at:
+            return self.joined[index][1]
         return at
 
     def seconds(self) -> list[int]:
-        """The whole seconds (from 0) that hold a part of one."""
+        """Returns the numbers of the seconds (from 0) that overlap a span."""
         return sorted(
             {second for at, until in self.joined for second in range(max(0, at) // 1_000_000, until // 1_000_000 + 1)}
         )
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -1,9 +1,9 @@
-"""The figures of a rehearsal, worked out from its records; free of I/O.
+"""The statistics of a rehearsal, computed from its records; does no I/O.
 
-A client's tries count as one wish, under its first. Times of wishes run from when the first try was
-*intended*, so a proxy or a generator that stands still cannot hide it; times from the real send are kept
-beside them. All are HDR histograms in us, three figures exact, never averages. Marked are wishes that a stall
-of the generator touched.
+All attempts of a client for the same purpose count as one request (`wishes` in result files). Its latency runs from when the
+first attempt was *intended* to be sent, so that a stalled proxy or generator cannot hide latency (coordinated omission);
+latencies from the real send are reported as well. Latencies are kept as HDR histograms in us with three significant digits,
+never as averages. Requests that overlap a stall of the generator are counted as `marked`.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from pepperusher.durations import Span
 from pepperusher.rehearsal.stalls import Spans
 
-LOWEST, HIGHEST, FIGURES = 1, 3_600_000_000, 3
+LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS = 1, 3_600_000_000, 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9, 100.0)
-# Windows for the worst one start this often within one another.
-WINDOW_STEPS = 10
+# The search for the worst window moves the window by a fraction of its length.
+STEPS_PER_WINDOW = 10
 
 
-class Times(msgspec.Struct):
-    """A histogram as the HDR format has it, with the percentiles that people ask for (us)."""
+class LatencyHistogram(msgspec.Struct):
+    """A histogram in the encoded HDR format, with the usual percentiles (us)."""
 
     count: int
     percentiles: dict[str, int]
     encoded: str
 
 
-class Second(msgspec.Struct):
-    """One second of intended time: wishes, those done in time and late, their tries, and percentiles (us)."""
+class SecondStatistics(msgspec.Struct):
+    """The requests whose first attempt was intended within one second: their outcomes, attempts and latency percentiles (us)."""
 
     at: int
     wishes: int
@@ -47,8 +47,8 @@
     trusted: bool
 
 
-class Group(msgspec.Struct):
-    """A use case's or a customer's part: `goodput` is the importance earned of that asked for."""
+class GroupStatistics(msgspec.Struct):
+    """The requests of one use case or customer; `goodput` is the share of their importance that was earned."""
 
     name: str
     wishes: int
@@ -59,8 +59,8 @@
     p99: int
 
 
-class Cost(msgspec.Struct):
-    """What a proxy took: CPU in us by ticket, the most memory (KiB) and descriptors."""
+class ProxyCost(msgspec.Struct):
+    """The resource use of one proxy: CPU time per ticket (us), peak memory (KiB) and peak number of descriptors."""
 
     name: str
     tickets: int
@@ -69,7 +69,9 @@
     descriptors: int
 
 
-class Figures(msgspec.Struct):
+class RunStatistics(msgspec.Struct):
+    """All statistics of one rehearsal, as they are stored in result files."""
+
     wishes: int
     in_time: int
     late: int
@@ -79,230 +81,271 @@
     goodput: float
     worst_window: float
     worst_window_at: int
-    intended: Times
-    trusted: Times
-    from_send: Times
-    sent_late: Times
+    intended: LatencyHistogram
+    trusted: LatencyHistogram
+    from_send: LatencyHistogram
+    sent_late: LatencyHistogram
     late_share: float
     marked: int
     stalls: list[tuple[int, int]]
     untrusted_seconds: list[int]
-    seconds: list[Second]
-    use_cases: list[Group]
-    customers: list[Group]
+    seconds: list[SecondStatistics]
+    use_cases: list[GroupStatistics]
+    customers: list[GroupStatistics]
     tickets: int
     attempts: int
     turned_away: int
     wasted_share: float
-    lived_on: Times
+    lived_on: LatencyHistogram
     doubled: int
-    costs: list[Cost]
+    costs: list[ProxyCost]
     turns: list[tuple[int, int, str, str]]
-    # What proxies found of members of their group: when (us), which proxy, what, of whom.
+    # Beliefs of proxies about members of their group: the time (us), the proxy, the belief, and the member concerned.
     believed: list[tuple[int, int, str, str]] = []
-    # From when to when the rehearsal kept which proxy from running.
+    # Pauses of proxies by the rehearsal: the proxy, the start and the end (us).
     held: list[tuple[int, int, int]] = []
 
 
-def histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST, HIGHEST, FIGURES)
+def new_histogram() -> HdrHistogram:
+    return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
-def times_of(made: HdrHistogram) -> Times:
-    count = made.get_total_count()
-    return Times(
+def encode_histogram(histogram: HdrHistogram) -> LatencyHistogram:
+    count = histogram.get_total_count()
+    return LatencyHistogram(
         count,
-        {f"{one:g}": int(made.get_value_at_percentile(one)) if count else 0 for one in PERCENTILES},
-        made.encode().decode(),
+        {f"{percent:g}": int(histogram.get_value_at_percentile(percent)) if count else 0 for percent in PERCENTILES},
+        histogram.encode().decode(),
     )
 
 
-def histogram_of(times: Times) -> HdrHistogram:
-    return HdrHistogram.decode(times.encoded.encode())
+def decode_histogram(latencies: LatencyHistogram) -> HdrHistogram:
+    return HdrHistogram.decode(latencies.encoded.encode())
 
 
-def _times(values: list[int]) -> HdrHistogram:
-    made = histogram()
+def _histogram_of_values(values: list[int]) -> HdrHistogram:
+    histogram = new_histogram()
     for value in values:
-        made.record_value(min(HIGHEST, max(LOWEST, value)))
-    return made
+        histogram.record_value(min(HIGHEST_US, max(LOWEST_US, value)))
+    return histogram
 
 
-def percentile(values: list[int], part: float) -> int:
-    """The nearest rank; 0 of none."""
+def percentile(values: list[int], percent: float) -> int:
+    """Returns the percentile by the nearest-rank method; 0 if there are no values."""
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part / 100 * len(ordered)))] if ordered else 0
+    return ordered[min(len(ordered) - 1, int(percent / 100 * len(ordered)))] if ordered else 0
 
 
 class ClientRequest:
-    """A client's tries, folded into the first. `took` is -1 where none was done."""
-
-    __slots__ = ("first", "last", "tries", "took", "in_time", "earned", "asked")
-
-    def __init__(self, tries: list[ClientAttempt], script: Script) -> None:
-        tries.sort(key=lambda one: one.nth)
-        self.first, self.last, self.tries = tries[0], tries[-1], len(tries)
-        use = script.use_cases[self.first.use]
-        done = [one for one in tries if one.how == DONE]
-        self.took = done[0].ended - self.first.intended if done else -1
-        if self.took > use.outer:
-            # Nobody wants it any more.
-            self.took = -1
-        self.in_time = 0 <= self.took <= use.promised
-        # A heavy ticket is worth more than a light one of its use case.
-        self.asked = use.importance * max(1, self.first.work)
-        self.earned = self.asked * (1.0 if self.in_time else use.late_share if self.took >= 0 else 0.0)
-
-
-def client_requests(script: Script, tries: list[ClientAttempt]) -> list[ClientRequest]:
-    """Those of clients, by the intended time of their first try, the warm-up left out."""
-    together: dict[str, list[ClientAttempt]] = defaultdict(list)
-    for one in tries:
-        if not one.parent:
-            together[one.wish].append(one)
-    made = [ClientRequest(those, script) for those in together.values()]
-    return sorted((one for one in made if one.first.intended >= script.warm_up), key=lambda one: one.first.intended)
-
-
-def _group(name: str, wishes: list[ClientRequest]) -> Group:
-    took = [one.took for one in wishes if one.took >= 0]
-    asked = sum(one.asked for one in wishes)
-    return Group(
+    """All attempts of one client request; `latency_us` is -1 if none succeeded before the use case's `outer` limit."""
+
+    __slots__ = (
+        "first_attempt",
+        "last_attempt",
+        "attempt_count",
+        "latency_us",
+        "in_time",
+        "importance_earned",
+        "importance_total",
+    )
+
+    def __init__(self, attempts: list[ClientAttempt], script: Script) -> None:
+        attempts.sort(key=lambda attempt: attempt.nth)
+        self.first_attempt, self.last_attempt, self.attempt_count = attempts[0], attempts[-1], len(attempts)
+        use = script.use_cases[self.first_attempt.use]
+        successful = [attempt for attempt in attempts if attempt.how == DONE]
+        self.latency_us = successful[0].ended - self.first_attempt.intended if successful else -1
+        if self.latency_us > use.outer:
+            # The answer is worthless after `outer`.
+            self.latency_us = -1
+        self.in_time = 0 <= self.latency_us <= use.promised
+        # Within a use case the importance of a request is proportional to its work.
+        self.importance_total = use.importance * max(1, self.first_attempt.work)
+        self.importance_earned = self.importance_total * (
+            1.0 if self.in_time else use.late_share if self.latency_us >= 0 else 0.0
+        )
+
+
+def client_requests(script: Script, attempts: list[ClientAttempt]) -> list[ClientRequest]:
+    """Returns the requests of external clients after the warm-up, ordered by the intended time of their first attempt."""
+    attempts_by_request: dict[str, list[ClientAttempt]] = defaultdict(list)
+    for attempt in attempts:
+        if not attempt.parent:
+            attempts_by_request[attempt.wish].append(attempt)
+    requests = [ClientRequest(request_attempts, script) for request_attempts in attempts_by_request.values()]
+    return sorted(
+        (request for request in requests if request.first_attempt.intended >= script.warm_up),
+        key=lambda request: request.first_attempt.intended,
+    )
+
+
+def _group_statistics(name: str, requests: list[ClientRequest]) -> GroupStatistics:
+    latencies = [request.latency_us for request in requests if request.latency_us >= 0]
+    importance_total = sum(request.importance_total for request in requests)
+    return GroupStatistics(
         name,
-        len(wishes),
-        sum(one.in_time for one in wishes),
-        len(took) - sum(one.in_time for one in wishes),
-        sum(one.earned for one in wishes) / asked if asked else 1.0,
-        percentile(took, 50),
-        percentile(took, 99),
+        len(requests),
+        sum(request.in_time for request in requests),
+        len(latencies) - sum(request.in_time for request in requests),
+        sum(request.importance_earned for request in requests) / importance_total if importance_total else 1.0,
+        percentile(latencies, 50),
+        percentile(latencies, 99),
     )
 
 
-def _worst(wishes: list[ClientRequest], window: Span) -> tuple[float, int]:
-    """The least goodput of any stretch of `window`, and when it began; windows with little in them do not
-    count."""
-    step = max(1, window // WINDOW_STEPS)
-    asked: dict[int, float] = defaultdict(float)
-    earned: dict[int, float] = defaultdict(float)
-    for one in wishes:
-        asked[one.first.intended // step] += one.asked
-        earned[one.first.intended // step] += one.earned
-    if not asked:
+def _worst_window(requests: list[ClientRequest], window: Span) -> tuple[float, int]:
+    """Returns the lowest goodput of any window and the start of that window.
+
+    Windows with less than a quarter of the average importance are ignored.
+    """
+    step = max(1, window // STEPS_PER_WINDOW)
+    total_by_step: dict[int, float] = defaultdict(float)
+    earned_by_step: dict[int, float] = defaultdict(float)
+    for request in requests:
+        total_by_step[request.first_attempt.intended // step] += request.importance_total
+        earned_by_step[request.first_attempt.intended // step] += request.importance_earned
+    if not total_by_step:
         return 1.0, 0
-    whole = sum(asked.values())
-    first, last = min(asked), max(asked)
-    fewest = whole * min(1.0, WINDOW_STEPS / (last - first + 1)) / 4
+    total = sum(total_by_step.values())
+    first, last = min(total_by_step), max(total_by_step)
+    minimum_total = total * min(1.0, STEPS_PER_WINDOW / (last - first + 1)) / 4
     worst, at = 1.0, first * step
-    for begins in range(first, max(first, last - WINDOW_STEPS + 1) + 1):
-        those = range(begins, begins + WINDOW_STEPS)
-        sought = sum(asked.get(one, 0.0) for one in those)
-        got = sum(earned.get(one, 0.0) for one in those)
-        if sought >= fewest and sought > 0 and got / sought < worst:
-            worst, at = got / sought, begins * step
+    for window_start in range(first, max(first, last - STEPS_PER_WINDOW + 1) + 1):
+        window_steps = range(window_start, window_start + STEPS_PER_WINDOW)
+        window_total = sum(total_by_step.get(number, 0.0) for number in window_steps)
+        window_earned = sum(earned_by_step.get(number, 0.0) for number in window_steps)
+        if window_total >= minimum_total and window_total > 0 and window_earned / window_total < worst:
+            worst, at = window_earned / window_total, window_start * step
     return worst, at
 
 
-def _seconds(wishes: list[ClientRequest], untrusted: set[int]) -> list[Second]:
-    by: dict[int, list[ClientRequest]] = defaultdict(list)
-    for one in wishes:
-        by[one.first.intended // 1_000_000].append(one)
-    made = []
-    for at in range(min(by, default=0), max(by, default=-1) + 1):
-        those = by.get(at, [])
-        took = [one.took for one in those if one.took >= 0]
-        in_time = sum(one.in_time for one in those)
-        made.append(
-            Second(
-                at,
-                len(those),
+def _statistics_by_second(requests: list[ClientRequest], untrusted: set[int]) -> list[SecondStatistics]:
+    requests_by_second: dict[int, list[ClientRequest]] = defaultdict(list)
+    for request in requests:
+        requests_by_second[request.first_attempt.intended // 1_000_000].append(request)
+    statistics = []
+    for second in range(min(requests_by_second, default=0), max(requests_by_second, default=-1) + 1):
+        second_requests = requests_by_second.get(second, [])
+        latencies = [request.latency_us for request in second_requests if request.latency_us >= 0]
+        in_time = sum(request.in_time for request in second_requests)
+        statistics.append(
+            SecondStatistics(
+                second,
+                len(second_requests),
                 in_time,
-                len(took) - in_time,
-                sum(one.tries for one in those),
-                percentile(took, 50),
-                percentile(took, 99),
-                at not in untrusted,
+                len(latencies) - in_time,
+                sum(request.attempt_count for request in second_requests),
+                percentile(latencies, 50),
+                percentile(latencies, 99),
+                second not in untrusted,
             )
         )
-    return made
+    return statistics
+
 
+def proxy_costs(names: list[str], records: Records, warm_up: int) -> list[ProxyCost]:
+    """Returns the resource use of each proxy between its samples after the warm-up.
 
-def costs_of(names: list[str], records: Records, warm_up: int) -> list[Cost]:
-    """By proxy, over the time between its samples after the warm-up; a process that follows another counts
-    anew."""
+    The CPU time of a process starts at 0, so a decrease between two samples means that the process was replaced.
+    """
     samples: dict[int, list[Sample]] = defaultdict(list)
-    for sample in sorted(records.samples, key=lambda one: one.at):
+    for sample in sorted(records.samples, key=lambda sample: sample.at):
         if sample.at >= warm_up:
             samples[sample.proxy].append(sample)
     tickets: dict[int, int] = defaultdict(int)
-    for one in records.client_attempts:
-        if one.proxy >= 0 and one.written >= warm_up:
-            tickets[one.proxy] += 1
-    made = []
-    for proxy, those in sorted(samples.items()):
-        cpu = sum(max(0, after.cpu - before.cpu) for before, after in zip(those, those[1:]))
+    for attempt in records.client_attempts:
+        if attempt.proxy >= 0 and attempt.written >= warm_up:
+            tickets[attempt.proxy] += 1
+    costs = []
+    for proxy, proxy_samples in sorted(samples.items()):
+        cpu = sum(max(0, after.cpu - before.cpu) for before, after in zip(proxy_samples, proxy_samples[1:]))
         count = tickets.get(proxy, 0)
-        made.append(
-            Cost(
+        costs.append(
+            ProxyCost(
                 names[proxy],
                 count,
                 cpu / count if count else 0.0,
-                max(one.memory for one in those),
-                max(one.descriptors for one in those),
+                max(sample.memory for sample in proxy_samples),
+                max(sample.descriptors for sample in proxy_samples),
             )
         )
-    return made
+    return costs
 
 
-def tally(script: Script, names: list[str], records: Records) -> Figures:
-    """`names` are the proxies' by number."""
-    wishes = client_requests(script, records.client_attempts)
-    stalls = Spans((one.at, one.until) for one in records.stalls)
+def tally(script: Script, names: list[str], records: Records) -> RunStatistics:
+    """Computes the statistics of a rehearsal; `names` are the names of the proxies by number."""
+    requests = client_requests(script, records.client_attempts)
+    stalls = Spans((stall.at, stall.until) for stall in records.stalls)
     untrusted = set(stalls.seconds())
-    trusted = [one for one in wishes if not stalls.touch(one.first.intended, one.last.ended)]
-    took = [one.took for one in wishes if one.took >= 0]
-    in_time = sum(one.in_time for one in wishes)
-    outside = [one for one in records.client_attempts if not one.parent and one.intended >= script.warm_up]
+    trusted = [
+        request
+        for request in requests
+        if not stalls.overlaps(request.first_attempt.intended, request.last_attempt.ended)
+    ]
+    latencies = [request.latency_us for request in requests if request.latency_us >= 0]
+    in_time = sum(request.in_time for request in requests)
+    external_attempts = [
+        attempt for attempt in records.client_attempts if not attempt.parent and attempt.intended >= script.warm_up
+    ]
     ends: dict[str, int] = defaultdict(int)
-    for one in outside:
-        ends[one.how] += 1
-    late = [one.first.sent - one.first.intended for one in wishes if one.first.sent >= 0]
-    asked = sum(one.asked for one in wishes)
-    worst, worst_at = _worst(wishes, script.window)
-    used = rule_checker.work_usage(script, records)
-    by_use: dict[int, list[ClientRequest]] = defaultdict(list)
-    by_customer: dict[int, list[ClientRequest]] = defaultdict(list)
-    for one in wishes:
-        by_use[one.first.use].append(one)
-        by_customer[one.first.customer].append(one)
-    return Figures(
-        wishes=len(wishes),
+    for attempt in external_attempts:
+        ends[attempt.how] += 1
+    send_delays = [
+        request.first_attempt.sent - request.first_attempt.intended
+        for request in requests
+        if request.first_attempt.sent >= 0
+    ]
+    importance_total = sum(request.importance_total for request in requests)
+    worst_goodput, worst_window_start = _worst_window(requests, script.window)
+    usage = rule_checker.work_usage(script, records)
+    requests_by_use_case: dict[int, list[ClientRequest]] = defaultdict(list)
+    requests_by_customer: dict[int, list[ClientRequest]] = defaultdict(list)
+    for request in requests:
+        requests_by_use_case[request.first_attempt.use].append(request)
+        requests_by_customer[request.first_attempt.customer].append(request)
+    return RunStatistics(
+        wishes=len(requests),
         in_time=in_time,
-        late=len(took) - in_time,
-        failed=len(wishes) - len(took),
-        tries=sum(one.tries for one in wishes),
+        late=len(latencies) - in_time,
+        failed=len(requests) - len(latencies),
+        tries=sum(request.attempt_count for request in requests),
         ends=dict(sorted(ends.items())),
-        goodput=sum(one.earned for one in wishes) / asked if asked else 1.0,
-        worst_window=worst,
-        worst_window_at=worst_at,
-        intended=times_of(_times(took)),
-        trusted=times_of(_times([one.took for one in trusted if one.took >= 0])),
-        from_send=times_of(_times([one.ended - one.sent for one in outside if one.how == DONE])),
-        sent_late=times_of(_times(late)),
-        late_share=sum(1 for one in late if one > script.load.late) / len(late) if late else 0.0,
-        marked=len(wishes) - len(trusted),
+        goodput=sum(request.importance_earned for request in requests) / importance_total if importance_total else 1.0,
+        worst_window=worst_goodput,
+        worst_window_at=worst_window_start,
+        intended=encode_histogram(_histogram_of_values(latencies)),
+        trusted=encode_histogram(
+            _histogram_of_values([request.latency_us for request in trusted if request.latency_us >= 0])
+        ),
+        from_send=encode_histogram(
+            _histogram_of_values([attempt.ended - attempt.sent for attempt in external_attempts if attempt.how == DONE])
+        ),
+        sent_late=encode_histogram(_histogram_of_values(send_delays)),
+        late_share=sum(1 for delay in send_delays if delay > script.load.late) / len(send_delays)
+        if send_delays
+        else 0.0,
+        marked=len(requests) - len(trusted),
         stalls=stalls.joined,
         untrusted_seconds=sorted(untrusted),
-        seconds=_seconds(wishes, untrusted),
-        use_cases=[_group(use.name, by_use.get(number, [])) for number, use in enumerate(script.use_cases)],
-        customers=[_group(one.name, by_customer.get(number, [])) for number, one in enumerate(script.customers)],
-        tickets=used.tickets,
-        attempts=used.attempts,
-        turned_away=used.away,
-        wasted_share=used.wasted / used.worked if used.worked else 0.0,
-        lived_on=times_of(_times(used.lived_on)),
-        doubled=used.doubled,
-        costs=costs_of(names, records, script.warm_up),
-        turns=sorted((one.at, one.proxy, one.id, one.state) for one in records.breaker_changes),
-        believed=sorted((one.at, one.proxy, one.what, one.of) for one in records.membership_beliefs),
-        held=sorted((one.proxy, one.at, one.until) for one in records.proxy_pauses),
+        seconds=_statistics_by_second(requests, untrusted),
+        use_cases=[
+            _group_statistics(use.name, requests_by_use_case.get(number, []))
+            for number, use in enumerate(script.use_cases)
+        ],
+        customers=[
+            _group_statistics(request.name, requests_by_customer.get(number, []))
+            for number, request in enumerate(script.customers)
+        ],
+        tickets=usage.tickets,
+        attempts=usage.attempts,
+        turned_away=usage.rejected,
+        wasted_share=usage.work_wasted_us / usage.work_done_us if usage.work_done_us else 0.0,
+        lived_on=encode_histogram(_histogram_of_values(usage.outlived_client_us)),
+        doubled=usage.duplicate_effects,
+        costs=proxy_costs(names, records, script.warm_up),
+        turns=sorted((request.at, request.proxy, request.id, request.state) for request in records.breaker_changes),
+        believed=sorted(
+            (request.at, request.proxy, request.what, request.of) for request in records.membership_beliefs
+        ),
+        held=sorted((request.proxy, request.at, request.until) for request in records.proxy_pauses),
     )
--- a/pepperusher/rehearsal/traces.py
+++ b/pepperusher/rehearsal/traces.py
@@ -1,9 +1,8 @@
-"""Recorded tickets, imported: JSON lines, CSV and the common access log; the plan keeps every ticket and
-their order.
+"""Imports recorded tickets from JSON lines, CSV or the Common Log Format and plans their replay.
 
-A record tells when it came; use case, customer and work where it has them. What a record does not tell is
-drawn from the script's seed. Bursts denser than the trace's clock share one instant and keep the order they
-stand in.
+The plan keeps every ticket and the order of the tickets. A record has a time and optionally a use case, a customer and the
+work; missing values are drawn at random from the script's seed. Tickets with equal timestamps are due at the same time, in
+the order of the file.
 """
 
 from __future__ import annotations
@@ -21,16 +20,16 @@
 from pepperusher.rehearsal.arrivals import Arrival, Mix, work_of
 from pepperusher.rehearsal.script import Script, ScriptError
 
-# Host, identity, user, time, request line, status, size: the Common Log Format of the NCSA server; the
-# combined one has more behind it.
-ACCESS = re.compile(r'(\S+) (\S+) (\S+) \[([^\]]+)\] "((?:[^"\\]|\\.)*)" (\d{3}) (\S+)')
-DAY = "%d/%b/%Y:%H:%M:%S %z"
-COLUMNS = {"time": "time", "use_case": "use_case", "customer": "customer", "work": "work"}
-LONGEST = 10_000_000
+# Host, identity, user, time, request line, status and size: the Common Log Format of the NCSA server. The Combined Log
+# Format has further fields after these, which are ignored.
+ACCESS_LINE = re.compile(r'(\S+) (\S+) (\S+) \[([^\]]+)\] "((?:[^"\\]|\\.)*)" (\d{3}) (\S+)')
+ACCESS_TIME_FORMAT = "%d/%b/%Y:%H:%M:%S %z"
+DEFAULT_COLUMNS = {"time": "time", "use_case": "use_case", "customer": "customer", "work": "work"}
+MAX_RECORDS = 10_000_000
 
 
-class Recorded(NamedTuple):
-    """One record: `at` in seconds of the trace's own clock."""
+class TraceRecord(NamedTuple):
+    """One record of a trace; `at` is in seconds on the clock of the trace."""
 
     at: float
     use_case: str | None
@@ -38,91 +37,91 @@
     work: int | None
 
 
-def _instant(given: Any) -> float:
-    if isinstance(given, bool) or given is None:
+def _parse_time(value: Any) -> float:
+    if isinstance(value, bool) or value is None:
         raise ValueError("has no time")
     try:
-        at = float(given)
+        at = float(value)
     except (TypeError, ValueError):
         try:
-            at = datetime.fromisoformat(str(given)).timestamp()
+            at = datetime.fromisoformat(str(value)).timestamp()
         except ValueError:
-            raise ValueError(f"time {given!r} is neither seconds nor ISO 8601") from None
+            raise ValueError(f"time {value!r} is neither seconds nor ISO 8601") from None
     if not abs(at) < 1e12:
-        raise ValueError(f"time {given!r} is out of any range")
+        raise ValueError(f"time {value!r} is out of range")
     return at
 
 
-def _record(of: dict[str, Any], columns: dict[str, str]) -> Recorded:
+def _parse_record(record: dict[str, Any], columns: dict[str, str]) -> TraceRecord:
     def text(key: str) -> str | None:
-        value = of.get(columns[key])
+        value = record.get(columns[key])
         return None if value in (None, "") else str(value)
 
     work = text("work")
     try:
-        us = None if work is None else round(float(work) * 1000)
+        work_us = None if work is None else round(float(work) * 1000)
     except (ValueError, OverflowError):
-        raise ValueError(f"work {work!r} is no number of milliseconds") from None
-    if us is not None and not 0 <= us < 3_600_000_000:
-        raise ValueError(f"work {work!r} is out of any range")
-    return Recorded(_instant(of.get(columns["time"])), text("use_case"), text("customer"), us)
+        raise ValueError(f"work {work!r} is not a number of milliseconds") from None
+    if work_us is not None and not 0 <= work_us < 3_600_000_000:
+        raise ValueError(f"work {work!r} is out of range")
+    return TraceRecord(_parse_time(record.get(columns["time"])), text("use_case"), text("customer"), work_us)
 
 
-def _json(lines: Iterable[str], columns: dict[str, str]) -> Iterator[Recorded]:
+def _read_json(lines: Iterable[str], columns: dict[str, str]) -> Iterator[TraceRecord]:
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
         try:
-            of = json.loads(line)
-            if not isinstance(of, dict):
-                raise ValueError("is no object")
-            yield _record(of, columns)
+            record = json.loads(line)
+            if not isinstance(record, dict):
+                raise ValueError("is not an object")
+            yield _parse_record(record, columns)
         except (ValueError, RecursionError) as error:
             raise ScriptError(f"line {number}: {error}") from None
 
 
-def _csv(lines: Iterable[str], columns: dict[str, str]) -> Iterator[Recorded]:
+def _read_csv(lines: Iterable[str], columns: dict[str, str]) -> Iterator[TraceRecord]:
     rows = csv.DictReader(lines, strict=True)
     try:
         if rows.fieldnames is None or columns["time"] not in rows.fieldnames:
             raise ScriptError(f"line 1: no column {columns['time']}")
         for row in rows:
-            yield _record(row, columns)
+            yield _parse_record(row, columns)
     except (ValueError, csv.Error) as error:
         if isinstance(error, ScriptError):
             raise
         raise ScriptError(f"line {rows.line_num}: {error}") from None
 
 
-def _access(lines: Iterable[str], columns: dict[str, str]) -> Iterator[Recorded]:
-    """The use case is the first part of the path, the customer the user that was logged in."""
+def _read_access_log(lines: Iterable[str], columns: dict[str, str]) -> Iterator[TraceRecord]:
+    """Reads an access log: the use case is the first segment of the path, the customer the authenticated user."""
     for number, line in enumerate(lines, 1):
         if not line.strip():
             continue
-        read = ACCESS.match(line)
-        if read is None:
+        match = ACCESS_LINE.match(line)
+        if match is None:
             raise ScriptError(f"line {number}: is not in the common log format")
         try:
-            at = datetime.strptime(read[4], DAY).timestamp()
+            at = datetime.strptime(match[4], ACCESS_TIME_FORMAT).timestamp()
         except ValueError:
-            raise ScriptError(f"line {number}: time {read[4]!r} is not in the common log format") from None
-        asked = read[5].split(" ")
-        path = asked[1] if len(asked) > 1 else "/"
-        named = path.partition("?")[0].lstrip("/").partition("/")[0]
-        yield Recorded(at, named or None, None if read[3] == "-" else read[3], None)
+            raise ScriptError(f"line {number}: time {match[4]!r} is not in the common log format") from None
+        request_line = match[5].split(" ")
+        path = request_line[1] if len(request_line) > 1 else "/"
+        use_case = path.partition("?")[0].lstrip("/").partition("/")[0]
+        yield TraceRecord(at, use_case or None, None if match[3] == "-" else match[3], None)
 
 
-FORMS = {"json": _json, "csv": _csv, "access": _access}
+READERS = {"json": _read_json, "csv": _read_csv, "access": _read_access_log}
 
 
-def read(path: Path, form: str, columns: dict[str, str]) -> list[Recorded]:
-    """All records. Raises ScriptError naming the file and the line."""
-    unknown = set(columns) - set(COLUMNS)
+def read(path: Path, form: str, columns: dict[str, str]) -> list[TraceRecord]:
+    """Reads all records of a trace file. Raises ScriptError that names the file and the line."""
+    unknown = set(columns) - set(DEFAULT_COLUMNS)
     if unknown:
-        raise ScriptError(f"load.trace.columns.{min(unknown)}: not known here, only {', '.join(COLUMNS)}")
+        raise ScriptError(f"load.trace.columns.{min(unknown)}: unknown column; known are {', '.join(DEFAULT_COLUMNS)}")
     try:
         with open(path, encoding="utf-8", newline="" if form == "csv" else None) as file:
-            records = list(FORMS[form](file, {**COLUMNS, **columns}))
+            records = list(READERS[form](file, {**DEFAULT_COLUMNS, **columns}))
     except OSError as error:
         raise ScriptError(f"load.trace.file: {path}: {error.strerror or error}") from None
     except UnicodeDecodeError:
@@ -130,47 +129,46 @@
     except ScriptError as error:
         raise ScriptError(f"load.trace.file: {path}: {error}") from None
     if not records:
-        raise ScriptError(f"load.trace.file: {path}: holds no record")
-    if len(records) > LONGEST:
-        raise ScriptError(f"load.trace.file: {path}: over {LONGEST} records")
+        raise ScriptError(f"load.trace.file: {path}: contains no records")
+    if len(records) > MAX_RECORDS:
+        raise ScriptError(f"load.trace.file: {path}: contains more than {MAX_RECORDS} records")
     return records
 
 
-def planned(script: Script, records: list[Recorded]) -> list[Arrival]:
-    """The trace's tickets up to the script's span, from the first on, `speed` times as fast.
+def plan_trace(script: Script, records: list[TraceRecord]) -> list[Arrival]:
+    """Plans the replay of a trace: its tickets from the first one to the script's span, `speed` times as fast.
 
-    Sorted by time alone, and a sort that keeps the order of equals: a burst denser than the clock stays as
-    recorded. Use cases that the script does not have are an error, since the fleet has no terms for them;
-    customers that it does not have are none.
+    The sort by time is stable, so tickets with equal timestamps keep the order of the file. A use case that the script does
+    not define is an error, since its requirements are unknown; an unknown customer counts as no customer.
     """
     assert script.load.trace is not None
     speed = script.load.trace.speed
-    chance = Random(f"{script.seed}:trace")
+    rng = Random(f"{script.seed}:trace")
     mix = Mix(script)
-    uses = {use.name: number for number, use in enumerate(script.use_cases)}
-    customers = {one.name: number for number, one in enumerate(script.customers)}
-    ordered = sorted(records, key=lambda one: one.at)
+    use_case_numbers = {use_case.name: number for number, use_case in enumerate(script.use_cases)}
+    customer_numbers = {customer.name: number for number, customer in enumerate(script.customers)}
+    ordered = sorted(records, key=lambda record: record.at)
     first = ordered[0].at
     plan: list[Arrival] = []
-    for one in ordered:
-        at = round((one.at - first) * 1e6 / speed)
+    for record in ordered:
+        at = round((record.at - first) * 1e6 / speed)
         if at >= script.span:
             break
-        use, customer = mix.draw(chance)
-        if one.use_case is not None:
-            if one.use_case not in uses:
-                raise ScriptError(f"load.trace.file: use case {one.use_case} is not in use_cases")
-            use = uses[one.use_case]
-        if one.customer is not None:
-            customer = customers.get(one.customer, -1)
-        work = work_of(script.use_cases[use], chance) if one.work is None else one.work
-        plan.append(Arrival(at, use, customer, work, len(plan)))
+        use_case, customer = mix.draw(rng)
+        if record.use_case is not None:
+            if record.use_case not in use_case_numbers:
+                raise ScriptError(f"load.trace.file: use case {record.use_case} is not in use_cases")
+            use_case = use_case_numbers[record.use_case]
+        if record.customer is not None:
+            customer = customer_numbers.get(record.customer, -1)
+        work = work_of(script.use_cases[use_case], rng) if record.work is None else record.work
+        plan.append(Arrival(at, use_case, customer, work, len(plan)))
     return plan
 
 
 def plan_of(script: Script) -> list[Arrival]:
-    """The plan of any open-loop script. Raises ScriptError."""
+    """Returns the arrivals of an open-loop script, from its trace or its phases. Raises ScriptError."""
     trace = script.load.trace
     if trace is None:
         return arrivals.plan_arrivals(script)
-    return planned(script, read(Path(script.folder) / trace.file, trace.form, trace.columns))
+    return plan_trace(script, read(Path(script.folder) / trace.file, trace.form, trace.columns))
--- a/tests/test_rehearsal_commands.py
+++ b/tests/test_rehearsal_commands.py
@@ -106,7 +106,7 @@
                 lines.append(line)
             proxy = next(line.split()[2] for line in lines if line.startswith("proxy"))
             said = self.call("load", script, "--to", proxy)
-            self.assertRegex(said, r"(\d+) wanted: \1 in time \(100.00%\)")
+            self.assertRegex(said, r"(\d+) requests: \1 in time \(100.00%\)")
         finally:
             fleet.send_signal(signal.SIGINT)
             rest, _ = fleet.communicate(timeout=20)
@@ -168,7 +168,7 @@
             ),
             (("rehearse", "none.toml"), "none.toml: No such file"),
             (("experiment", str(broken)), "span: not known here"),
-            (("report", str(broken)), "is no result of a rehearsal"),
+            (("report", str(broken)), "is not a result of a rehearsal"),
             (("rehearse", str(self.at / "short.toml"), "--span", "soon"), "--span: 'soon'"),
             (("load", str(self.at / "short.toml"), "--to", "192.0.2.1:80"), "not an address of the loopback"),
             (("load", str(self.at / "short.toml"), "--to", "here"), "is no address:port"),
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -189,7 +189,7 @@
         spans = Spans([(2_500_000, 3_100_000), (100, 200), (150, 300)])
         self.assertEqual(spans.joined, [(100, 300), (2_500_000, 3_100_000)])
         self.assertEqual(
-            [spans.touch(*one) for one in ((0, 99), (0, 100), (300, 400), (301, 400), (0, 9_000_000))],
+            [spans.overlaps(*one) for one in ((0, 99), (0, 100), (300, 400), (301, 400), (0, 9_000_000))],
             [False, True, True, False, True],
         )
         self.assertEqual(spans.seconds(), [0, 2, 3])
@@ -442,7 +442,7 @@
 
     def test_work_wasted_and_living_on(self) -> None:
         """The client outside leaves at 50 ms; a call made for it two tiers down goes on till 90 ms."""
-        used = rule_checker.work_usage(
+        usage = rule_checker.work_usage(
             SCRIPT,
             rule_checker.Records(
                 [
@@ -454,12 +454,12 @@
                 ]
             ),
         )
-        self.assertEqual((used.tickets, used.attempts, used.away), (2, 3, 1))
-        self.assertEqual((used.worked, used.wasted, used.lived_on), (10_000, 5000, [40_000]))
+        self.assertEqual((usage.tickets, usage.attempts, usage.rejected), (2, 3, 1))
+        self.assertEqual((usage.work_done_us, usage.work_wasted_us, usage.outlived_client_us), (10_000, 5000, [40_000]))
 
 
 class Figures(unittest.TestCase):
-    def figures(self) -> tally.Figures:
+    def figures(self) -> tally.RunStatistics:
         made = []
         for number in range(400):
             at = number * 10_000
@@ -542,7 +542,7 @@
             results.write(path, made)
             read = results.read(path)
             self.assertEqual(msgspec.json.encode(read), msgspec.json.encode(made))
-            whole = tally.histogram_of(read.figures.intended)
+            whole = tally.decode_histogram(read.figures.intended)
             self.assertEqual(whole.get_total_count(), 401)
             text = text_report.summary(read)
             self.assertIn("BROKEN 1 times", text)
@@ -564,15 +564,15 @@
             self.assertEqual(msgspec.json.encode(results.read(path)), msgspec.json.encode(made))
             document["version"] = 0
             path.write_bytes(gzip.compress(msgspec.json.encode(document)))
-            with self.assertRaisesRegex(results.ResultError, "no result"):
+            with self.assertRaisesRegex(results.ResultError, "not a result"):
                 results.read(path)
-            for broken, words in ((data[:-9], "no result"), (b"{}", "no result"), (b"", "no result")):
+            for broken, words in ((data[:-9], "not a result"), (b"{}", "not a result"), (b"", "not a result")):
                 path.write_bytes(broken)
                 with self.assertRaisesRegex(results.ResultError, words):
                     results.read(path)
             made.version = 99
             results.write(path, made)
-            with self.assertRaisesRegex(results.ResultError, "of a later program"):
+            with self.assertRaisesRegex(results.ResultError, "written by a later release"):
                 results.read(path)
 
     def test_records_are_read_to_the_last_whole_one(self) -> None:
@@ -593,7 +593,9 @@
 
 
 class Comparisons(unittest.TestCase):
-    def pairs(self, apart: float, noise: float, count: int = 12) -> list[tuple[tally.Figures, tally.Figures]]:
+    def pairs(
+        self, apart: float, noise: float, count: int = 12
+    ) -> list[tuple[tally.RunStatistics, tally.RunStatistics]]:
         chance, made = Random(4), []
         for _ in range(count):
             base = Figures().figures()
