--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -126,14 +126,14 @@
         for text, form, said_so in (
             ("{}\n", "json", "line 1: has no time"),
             ('{"time": 1}\nnone\n', "json", "line 2"),
-            ("[1]", "json", "line 1: is no object"),
+            ("[1]", "json", "line 1: is not an object"),
             ('{"time": "soon"}', "json", "neither seconds nor ISO"),
-            ('{"time": 1, "work": "nan"}', "json", "no number of milliseconds"),
+            ('{"time": 1, "work": "nan"}', "json", "not a number of milliseconds"),
             ('{"time": 1, "use_case": "fly"}', "json", "fly"),
             ("a,b\n1,2\n", "csv", "no column time"),
             ("time,work\n1,much\n", "csv", "line 2: work 'much'"),
             ("what?\n", "access", "line 1: is not in the common log format"),
-            ("", "json", "holds no record"),
+            ("", "json", "contains no records"),
             (self.ACCESS.replace("Oct", "Okt"), "access", "line 1: time"),
         ):
             with self.subTest(text=text), self.assertRaisesRegex(ScriptError, said_so):
@@ -235,10 +235,10 @@
         ({"title": 7}, "title: expected `str`"),
         ({"warm_up": "5s"}, "warm_up"),
         ({"processes": 0}, "processes: is not from 1"),
-        ({"use_cases": []}, "use_cases: there is none"),
-        ({"tiers": []}, "tiers: there is none"),
-        ({"customers": [{"name": "a"}, {"name": "a"}]}, "customers: a stands twice"),
-        ({"customers": [{"name": "a b"}]}, "customers: 'a b' is no name"),
+        ({"use_cases": []}, "use_cases: is empty"),
+        ({"tiers": []}, "tiers: is empty"),
+        ({"customers": [{"name": "a"}, {"name": "a"}]}, "customers: a is listed twice"),
+        ({"customers": [{"name": "a b"}]}, "customers: 'a b' is not a valid name"),
         (
             {"use_cases": [{"name": "x", "work": {"mean": 0}, "promised": "2s", "outer": "1s"}]},
             r"use_cases\[0\].promised",
@@ -263,9 +263,9 @@
         ),
         (
             {"use_cases": [{"name": "x", "work": {"mean": 0}, "promised": "1s", "outer": "1s", "body": 9}]},
-            "GET without one",
+            "a GET, which has no body",
         ),
-        ({"tiers": [{"name": "t", "kinds": []}]}, r"tiers\[0\].kinds: there is none"),
+        ({"tiers": [{"name": "t", "kinds": []}]}, r"tiers\[0\].kinds: is empty"),
         (
             {"tiers": [{"name": "t", "calls": 2, "kinds": [{"name": "k", "count": 1}]}]},
             r"tiers\[0\].calls: the last",
@@ -303,7 +303,7 @@
         ({"faults": [{"what": "freeze", "at": "9s", "span": "1s"}]}, r"faults\[0\].at: is after the end"),
         (
             {"faults": [{"what": "kill", "at": "1s", "count": 1, "part": 0.5}]},
-            r"faults\[0\].count: stands beside part",
+            r"faults\[0\].count: cannot be combined with part",
         ),
         ({"faults": [{"what": "slow", "at": "1s", "span": "1s", "by": 0.5}]}, r"faults\[0\].by: is under 1"),
         ({"faults": [{"what": "kill", "at": "1s", "flap": "1s"}]}, r"faults\[0\].flap: kill cannot flap"),
@@ -311,7 +311,7 @@
             {"faults": [{"what": "freeze", "at": "1s", "span": "1s", "tier": "dusk"}]},
             r"faults\[0\].tier: there is no dusk",
         ),
-        ({"chances": [{"every": "1s", "of": []}]}, r"chances\[0\].of: names none"),
+        ({"chances": [{"every": "1s", "of": []}]}, r"chances\[0\].of: is empty"),
         (
             {
                 "processes": 2,
@@ -347,8 +347,8 @@
             path = Path(folder) / "x.toml"
             for text, words in (
                 ("a = ", "x.toml: is not TOML"),
-                ('like = "x.toml"', "like: comes back"),
-                ("like = 3", "like: is no name"),
+                ('like = "x.toml"', "like: circular reference"),
+                ("like = 3", "like: is not a file name"),
                 ('like = "y.toml"', "y.toml: No such file"),
                 ("\xff", "is not TOML"),
             ):
@@ -373,9 +373,9 @@
                 experiments._check(made)
                 return made
 
-            plays = experiments.planned(of())
+            plays = experiments.plan_runs(of())
             self.assertEqual(len(plays), 8)
-            self.assertEqual(plays, experiments.planned(of()))
+            self.assertEqual(plays, experiments.plan_runs(of()))
             # Both arms of a pair one after the other, asked the same but for what the arm sets.
             for one, other in zip(plays[::2], plays[1::2]):
                 self.assertEqual(one.pair, other.pair)
@@ -383,15 +383,15 @@
                 self.assertEqual(arrivals.plan_arrivals(one.script), arrivals.plan_arrivals(other.script))
             self.assertEqual({play.script.load.retries for play in plays if play.arm.name == "b"}, {0})
             for change, words in (
-                ({"arms": [{"name": "a"}, {"name": "a"}]}, "a stands twice"),
+                ({"arms": [{"name": "a"}, {"name": "a"}]}, "a is listed twice"),
                 ({"seeds": []}, "seeds"),
-                ({"arms": [{"name": "a", "build": "no"}]}, "no is no checkout"),
-                ({"measures": ["luck"]}, r"measures\[0\]: luck is none of"),
+                ({"arms": [{"name": "a", "build": "no"}]}, "no is not a checkout"),
+                ({"measures": ["luck"]}, r"measures\[0\]: luck is not one of"),
                 ({"vary": {"load.fases.0.rate": [1]}}, "vary.load.fases.0.rate: the script has no"),
                 ({"vary": {"seed": []}}, "vary.seed: has no values"),
             ):
                 with self.subTest(change=change), self.assertRaisesRegex(ScriptError, words):
-                    experiments.planned(of(**change))
+                    experiments.plan_runs(of(**change))
             self.assertFalse(path.exists())
 
     def test_spans(self) -> None:
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -143,7 +143,7 @@
             ],
             load={"phases": [{"span": "4s", "rate": 4, "arrivals": "even"}]},
         )
-        self.assertIn("still out", entries[0].what)
+        self.assertIn("still open", entries[0].what)
 
     def test_a_drain_not_kept(self) -> None:
         entries = self.broken("drains", rule_checker.DRAINS, **self.DRAIN)
