--- a/pepperusher/rehearsal/commands.py
+++ b/pepperusher/rehearsal/commands.py
@@ -305,12 +305,12 @@
             span_us = span_of(span)
         except ValueError as error:
             raise ScriptError(f"--span: {error}") from None
-        kept = True
+        all_rules_kept = True
         for seed in range(int(first), int(last) + 1):
             result = soak_runs.run(seed, span_us, work, build)
             click.echo(soak_runs.line(result))
-            kept = kept and result.kept
-    if not kept:
+            all_rules_kept = all_rules_kept and result.kept
+    if not all_rules_kept:
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -331,10 +331,10 @@
     if not 2 <= proxies <= 1000 or seeds < 1:
         raise click.ClickException("--proxies are 2 to 1000, and --seeds is 1 or more")
     with errors_in_one_line():
-        kept = True
+        all_rules_kept = True
         click.echo(cold_backend_sum.HEAD)
         for row in cold_backend_sum.rows(proxies, range(seeds), deployments or names):
             click.echo(cold_backend_sum.line(*row))
-            kept = kept and not row[2].over
-    if not kept:
+            all_rules_kept = all_rules_kept and not row[2].over
+    if not all_rules_kept:
         sys.exit(EXIT_RULE_BROKEN)
--- a/pepperusher/rehearsal/experiments.py
+++ b/pepperusher/rehearsal/experiments.py
@@ -65,6 +65,7 @@
 
 
 def _check(experiment: Experiment) -> None:
+    """Validates what the types cannot express. Raises ScriptError naming the key."""
     for key, value in (
         ("rehearsals", experiment.rehearsals),
         ("seeds", experiment.seeds),
@@ -156,7 +157,7 @@
     """
     runs = plan_runs(experiment)
     out.mkdir(parents=True, exist_ok=True)
-    played = []
+    runs_with_results = []
     for number, run in enumerate(runs, 1):
         path = out / _result_file_name(run)
         result = _read_result(path)
@@ -172,8 +173,8 @@
         report(
             f"{number} of {len(runs)} {status}: {run.arm.name}, {run.pair}: goodput {result.figures.goodput:.4f}{rules}"
         )
-        played.append((run, result))
-    return played
+        runs_with_results.append((run, result))
+    return runs_with_results
 
 
 def _read_result(path: Path) -> Result | None:
@@ -192,14 +193,14 @@
     differences: list[Difference]
 
 
-def compare_arms(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
+def compare_arms(experiment: Experiment, runs_with_results: list[tuple[PlannedRun, Result]]) -> list[ArmComparison]:
     """Compares each arm with the first one, separately for each rehearsal and combination of varied values.
 
     They are not pooled, since a difference at one rate says nothing about another rate.
     """
     base = experiment.arms[0].name
     results_by_conditions: dict[str, dict[str, dict[str, Result]]] = {}
-    for run, result in played:
+    for run, result in runs_with_results:
         conditions = ", ".join(f"{key} {value}" for key, value in run.parameters.items() if key != "seed")
         results_by_conditions.setdefault(conditions, {}).setdefault(run.pair, {})[run.arm.name] = result
     comparisons = []
@@ -222,9 +223,10 @@
     return comparisons
 
 
-def format_comparison(experiment: Experiment, played: list[tuple[PlannedRun, Result]]) -> str:
+def format_comparison(experiment: Experiment, runs_with_results: list[tuple[PlannedRun, Result]]) -> str:
+    """Formats the comparison of the arms as text for a terminal."""
     lines = [experiment.title]
-    for comparison in compare_arms(experiment, played):
+    for comparison in compare_arms(experiment, runs_with_results):
         pairs = comparison.differences[0].pairs if comparison.differences else 0
         lines.append(f"  {comparison.other} against {comparison.base}, {pairs} pairs, {comparison.conditions}:")
         for difference in comparison.differences:
@@ -232,7 +234,9 @@
                 f"    {difference.measure:<16} {difference.base:10.4f} {difference.other:10.4f}  {difference.mean:+10.4f}"
                 f"  [{difference.low:+.4f}, {difference.high:+.4f}]  {difference.verdict}"
             )
-    broken = sum(1 for _, result in played if not result.kept)
-    marked = sum(1 for _, result in played if result.figures.marked)
-    lines.append(f"  {len(played)} rehearsals, {broken} with a rule broken, {marked} with a stall of the generator")
+    broken = sum(1 for _, result in runs_with_results if not result.kept)
+    marked = sum(1 for _, result in runs_with_results if result.figures.marked)
+    lines.append(
+        f"  {len(runs_with_results)} rehearsals, {broken} with a rule broken, {marked} with a stall of the generator"
+    )
     return "\n".join(lines)
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -121,6 +121,7 @@
 
 
 def html(results: list[Result], comparisons: list[ArmComparison] | None = None) -> str:
+    """Returns the report: the comparisons, if any, and the first MAX_RESULTS_SHOWN results."""
     title = results[0].title if len(results) == 1 else f"{len(results)} rehearsals"
     body = [f"<h1>{escape(title)}</h1>"]
     if comparisons:
--- a/pepperusher/rehearsal/plots.py
+++ b/pepperusher/rehearsal/plots.py
@@ -64,6 +64,7 @@
 
 
 def latency_over_time(result: Result) -> str:
+    """Plots p50 and p99 by second; seconds with a stall of the generator are shaded."""
     seconds = result.figures.seconds
     figure, axes = _new_axes("Time from the intended send, by second", "s", "ms")
     starts = [second.at for second in seconds]
--- a/pepperusher/rehearsal/records.py
+++ b/pepperusher/rehearsal/records.py
@@ -148,7 +148,10 @@
 
 
 class MembershipBelief(msgspec.Struct, array_like=True, gc=False):
-    """A proxy's belief about a member of its group, read from its log: `what` happened to `of`; `by` is the member that reported it, if any."""
+    """A proxy's belief about a member of its group, read from its log.
+
+    `what` happened to `of`; `by` is the member that reported it, if any.
+    """
 
     proxy: int
     at: int
--- a/pepperusher/rehearsal/rule_checker.py
+++ b/pepperusher/rehearsal/rule_checker.py
@@ -103,6 +103,7 @@
         self.entries: list[Entry] = []
 
     def report_violation(self, rule: str, ticket: str, at: int, backend: str, what: str) -> None:
+        """Counts a violation and keeps an entry for it, unless the rule already has MAX_ENTRIES_PER_RULE."""
         self.counts[rule] += 1
         if self.counts[rule] <= MAX_ENTRIES_PER_RULE:
             self.entries.append(Entry(rule, ticket, at, backend, what))
@@ -496,12 +497,12 @@
 def _client_attempt_ends(records: Records) -> dict[str, int]:
     """Returns, for each ticket of any tier, when the external client's attempt that caused it ended."""
     attempts_by_name = {attempt.name: attempt for attempt in records.client_attempts}
-    ends: dict[str, int] = {}
+    end_by_ticket: dict[str, int] = {}
     for attempt in records.client_attempts:
         # The parent of a call is a ticket of the tier above. The limit on steps guards against cycles in damaged records.
-        ancestor, steps = attempt, 0
-        while ancestor.parent and ancestor.parent in attempts_by_name and steps < MAX_CALL_DEPTH:
-            ancestor, steps = attempts_by_name[ancestor.parent], steps + 1
+        ancestor, depth = attempt, 0
+        while ancestor.parent and ancestor.parent in attempts_by_name and depth < MAX_CALL_DEPTH:
+            ancestor, depth = attempts_by_name[ancestor.parent], depth + 1
         if not ancestor.parent:
-            ends[attempt.name] = ancestor.ended
-    return ends
+            end_by_ticket[attempt.name] = ancestor.ended
+    return end_by_ticket
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -16,10 +16,10 @@
 from pepperusher import table_conversion
 from pepperusher.durations import Span
 
-Share = float
-MOST_BACKENDS = 2000
-MOST_PROXIES = 500
-MOST_ATTEMPTS = 3
+Fraction = float
+MAX_BACKENDS = 2000
+MAX_PROXIES = 500
+MAX_ATTEMPTS = 3
 
 
 class ScriptError(ValueError):
@@ -31,7 +31,10 @@
 
 
 class Work(Table, kw_only=True):
-    """The distribution of the work of a use case's tickets, in CPU time on one core of speed 1; `cv` is the coefficient of variation."""
+    """The distribution of the work of a use case's tickets, in CPU time on one core of speed 1.
+
+    `cv` is the coefficient of variation of a lognormal distribution.
+    """
 
     mean: Span
     spread: Literal["fixed", "exponential", "lognormal"] = "exponential"
@@ -47,7 +50,7 @@
     """
 
     name: str
-    share: Share = 1.0
+    share: Fraction = 1.0
     repeat: Literal["replayable", "referenced", "single-use"] = "replayable"
     scope: Literal["all", "zone", "cell"] = "cell"
     remembered: Span = Span(0)
@@ -55,7 +58,7 @@
     promised: Span
     outer: Span
     importance: float = 1.0
-    late_share: Share = 0.0
+    late_share: Fraction = 0.0
     body: int = 0
 
 
@@ -63,7 +66,7 @@
     """One customer: its share of the load and its quota."""
 
     name: str
-    share: Share = 1.0
+    share: Fraction = 1.0
     quota: float = 0.0
 
 
@@ -83,7 +86,12 @@
 
 
 class Kind(Table, kw_only=True):
-    """A kind of identical backends within a tier: their number, capacity, warm-up and behaviour under overload."""
+    """A kind of identical backends within a tier.
+
+    `slots` and `queue` are per core: the tickets that run at once and that wait. A cold backend starts with the share
+    `cold_from` of its speed and reaches the full speed after `warm_for`. `cancel` says for which tickets the backend stops
+    when their sender closes the connection.
+    """
 
     name: str
     count: int
@@ -94,7 +102,7 @@
     connections: int = 600
     handshake: Span = Span(0)
     idle: Span = Span(30_000_000)
-    cold_from: Share = 1.0
+    cold_from: Fraction = 1.0
     warm_for: Span = Span(0)
     cancel: Literal["all", "waiting", "none"] = "all"
     overload: Overload | None = None
@@ -106,7 +114,7 @@
     ticket makes to the next tier."""
 
     name: str
-    work: Share = 1.0
+    work: Fraction = 1.0
     calls: float = 0.0
     zones: list[str] = msgspec.field(default_factory=lambda: ["here"])
     cell: int = 4
@@ -160,18 +168,18 @@
     trace: Trace | None = None
     users: int = 0
     retries: int = 0
-    patience: Share = 1.0
+    patience: Fraction = 1.0
     backoff: Span = Span(0)
-    honours: Share = 1.0
+    honours: Fraction = 1.0
     connections: Literal["kept", "new"] = "kept"
-    leave: Share = 0.0
+    leave: Fraction = 0.0
     processes: int = 1
     hints: bool = True
     notice: Span = Span(1_000_000)
     late: Span = Span(1_000)
     stall: Span = Span(50_000)
     # The share of tickets that are sent on connections that are still open to proxies that have received SIGTERM.
-    stays: Share = 0.0
+    stays: Fraction = 0.0
     # One in fifteen proxies gets this multiple of the mean load; the others share the rest evenly.
     uneven: float = 1.0
 
@@ -190,9 +198,8 @@
 class Rules(Table, kw_only=True):
     """The limits of the four rules, and the limits that the proxies have in their configuration."""
 
-    FORMER: ClassVar[dict[str, str]] = {
-        "most_transmissions": "most_attempts"
-    }  # former key -> present key; accepted for one more version
+    # Former keys, which are accepted for one more version, and their present names.
+    FORMER: ClassVar[dict[str, str]] = {"most_transmissions": "most_attempts"}
 
     drain_grace: Span = Span(500_000)
     tip_multiple: float = 3.0
@@ -234,7 +241,7 @@
     own: str | None = None
 
 
-WHAT = Literal[
+FaultKind = Literal[
     "freeze",
     "silent",
     "slow",
@@ -271,6 +278,7 @@
     "new-ids",
     "pause-generator",
 ]
+# The faults by target: backends, proxies and links between proxies.
 OF_BACKENDS = frozenset(
     (
         "freeze",
@@ -313,9 +321,9 @@
     `size` bytes and limited to `rate` bytes per second.
     """
 
-    lost: Share = 0.0
-    twice: Share = 0.0
-    damaged: Share = 0.0
+    lost: Fraction = 0.0
+    twice: Fraction = 0.0
+    damaged: Fraction = 0.0
     delay: Span = Span(0)
     jitter: Span = Span(0)
     size: int = 0
@@ -325,14 +333,15 @@
 class Fault(Table, kw_only=True):
     """One injected fault. `tier`, `zone`, `kind` and `names` select backends; `count` or `part` limits how many are affected.
 
-    `flap` is the period with which the fault is alternately active and inactive. `every` and `times` repeat it. `by` is the
-    slow-down factor, the share of affected answers (1.0 is all) or the delay; for proxy-starve it is the share of the CPU that
-    the proxy keeps. `sides` are lists of names of proxies: partitions that cannot reach each other (link-part), or the senders
-    and the receivers of a link that passes nothing (link-cut) or is impaired as `link` says (link-bad). Without a group the
-    proxies exchange no messages, so link faults have no effect.
+    With `flap` the fault alternates between active and inactive, each for that long. `every` and `times` repeat it.
+    `apart` is the time between the targets, and `back` the time until a stopped target starts again. `by` is the
+    slow-down factor, the share of affected answers (1.0 is all) or the delay; for proxy-starve it is the share of the
+    CPU that the proxy keeps. `sides` are lists of names of proxies: partitions that cannot reach each other
+    (link-part), or the senders and the receivers of a link that passes nothing (link-cut) or is impaired as `link` says
+    (link-bad). Without a group the proxies exchange no messages, so link faults have no effect.
     """
 
-    what: WHAT
+    what: FaultKind
     at: Span
     span: Span = Span(0)
     tier: str | None = None
@@ -340,7 +349,7 @@
     kind: str | None = None
     names: list[str] = []
     count: int | None = None
-    part: Share | None = None
+    part: Fraction | None = None
     by: float | None = None
     use_case: str | None = None
     flap: Span = Span(0)
@@ -356,15 +365,15 @@
     """Random faults drawn from the seed: on average one per `every`, of the kinds in `of`, with a mean duration of `span`."""
 
     every: Span
-    of: list[WHAT]
+    of: list[FaultKind]
     span: Span = Span(5_000_000)
-    part: Share = 0.15
+    part: Fraction = 0.15
     tier: str | None = None
     by: float = 4.0
 
 
 class Script(Table, kw_only=True):
-    """The root table: a whole rehearsal."""
+    """The root table: a whole rehearsal. `warm_up` is excluded from the statistics; `window` is the length of the worst window."""
 
     title: str
     seed: int = 1
@@ -444,9 +453,9 @@
 
 def read(path: str | Path) -> Script:
     """Reads and validates a script. Raises ScriptError with a line that names the file and the key."""
-    raw = load_with_bases(Path(path))
+    document = load_with_bases(Path(path))
     try:
-        script = build_script(raw)
+        script = build_script(document)
     except ScriptError as error:
         raise ScriptError(f"{path}: {error}") from None
     script.folder = str(Path(path).resolve().parent)
@@ -512,9 +521,9 @@
     _check_load(script)
     _check_faults(script)
     _require(
-        1 <= script.rules.most_attempts <= MOST_ATTEMPTS,
+        1 <= script.rules.most_attempts <= MAX_ATTEMPTS,
         "rules.most_attempts",
-        f"is not from 1 to {MOST_ATTEMPTS}: the requirements allow no more",
+        f"is not from 1 to {MAX_ATTEMPTS}: the requirements allow no more",
     )
     _require(64 <= script.proxies.sockets <= 1_000_000, "proxies.sockets", "is not from 64 to 1000000")
 
@@ -533,7 +542,7 @@
         _require(tier.calls >= 0, f"{key}.calls", "is under 0")
         _require(not last or tier.calls == 0, f"{key}.calls", "the last tier has no next tier to call")
         _require(last or tier.calls > 0, f"{key}.calls", "missing: without calls the next tier gets no tickets")
-        _require(0 <= tier.proxies <= MOST_PROXIES, f"{key}.proxies", f"is not from 0 to {MOST_PROXIES}")
+        _require(0 <= tier.proxies <= MAX_PROXIES, f"{key}.proxies", f"is not from 0 to {MAX_PROXIES}")
         for kind_number, kind in enumerate(tier.kinds):
             kind_key = f"{key}.kinds[{kind_number}]"
             _require(kind.count >= 1, f"{kind_key}.count", "is not 1 or more")
@@ -548,7 +557,7 @@
             )
             _require(kind.overload is None or kind.overload.slower >= 1, f"{kind_key}.overload.slower", "is under 1")
     backends = sum(kind.count for tier in script.tiers for kind in tier.kinds)
-    _require(backends <= MOST_BACKENDS, "tiers", f"{backends} backends are over {MOST_BACKENDS}")
+    _require(backends <= MAX_BACKENDS, "tiers", f"{backends} backends are over {MAX_BACKENDS}")
     zones = {zone for tier in script.tiers for zone in tier.zones}
     _require(len(zones) <= 50, "tiers", "over 50 zones")
 
--- a/pepperusher/rehearsal/stalls.py
+++ b/pepperusher/rehearsal/stalls.py
@@ -47,37 +47,37 @@
 
     def __init__(self, spans: Iterable[tuple[int, int]]) -> None:
         self.joined: list[tuple[int, int]] = []
-        for at, until in sorted(spans):
-            if self.joined and at <= self.joined[-1][1]:
-                self.joined[-1] = (self.joined[-1][0], max(until, self.joined[-1][1]))
+        for start, end in sorted(spans):
+            if self.joined and start <= self.joined[-1][1]:
+                self.joined[-1] = (self.joined[-1][0], max(end, self.joined[-1][1]))
             else:
-                self.joined.append((at, until))
-        self._span_ends = [until for _, until in self.joined]
+                self.joined.append((start, end))
+        self._span_ends = [end for _, end in self.joined]
 
-    def overlaps(self, at: int, until: int) -> bool:
-        """Whether any part of `at` to `until` lies in a span."""
-        index = bisect_left(self._span_ends, at)
-        return index < len(self.joined) and self.joined[index][0] <= until
+    def overlaps(self, start: int, end: int) -> bool:
+        """Whether any part of `start` to `end` lies in a span."""
+        index = bisect_left(self._span_ends, start)
+        return index < len(self.joined) and self.joined[index][0] <= end
 
-    def overlap_us(self, at: int, until: int) -> int:
-        """Returns how much of `at` to `until` lies in the spans."""
+    def overlap_us(self, start: int, end: int) -> int:
+        """Returns how much of `start` to `end` lies in the spans."""
         total = 0
-        for index in range(bisect_left(self._span_ends, at), len(self.joined)):
-            start, end = self.joined[index]
-            if start >= until:
+        for index in range(bisect_left(self._span_ends, start), len(self.joined)):
+            span_start, span_end = self.joined[index]
+            if span_start >= end:
                 break
-            total += min(end, until) - max(start, at)
+            total += min(span_end, end) - max(span_start, start)
         return total
 
-    def end_after(self, at: int) -> int:
-        """Returns the end of the span that contains `at`, or `at` if there is none."""
-        index = bisect_left(self._span_ends, at)
-        if index < len(self.joined) and self.joined[index][0] <= at:
+    def end_after(self, instant: int) -> int:
+        """Returns the end of the span that contains `instant`, or `instant` if there is none."""
+        index = bisect_left(self._span_ends, instant)
+        if index < len(self.joined) and self.joined[index][0] <= instant:
             return self.joined[index][1]
-        return at
+        return instant
 
     def seconds(self) -> list[int]:
         """Returns the numbers of the seconds (from 0) that overlap a span."""
         return sorted(
-            {second for at, until in self.joined for second in range(max(0, at) // 1_000_000, until // 1_000_000 + 1)}
+            {second for start, end in self.joined for second in range(max(0, start) // 1_000_000, end // 1_000_000 + 1)}
         )
--- a/pepperusher/rehearsal/tally.py
+++ b/pepperusher/rehearsal/tally.py
@@ -287,9 +287,9 @@
     external_attempts = [
         attempt for attempt in records.client_attempts if not attempt.parent and attempt.intended >= script.warm_up
     ]
-    ends: dict[str, int] = defaultdict(int)
+    attempts_by_outcome: dict[str, int] = defaultdict(int)
     for attempt in external_attempts:
-        ends[attempt.how] += 1
+        attempts_by_outcome[attempt.how] += 1
     send_delays = [
         request.first_attempt.sent - request.first_attempt.intended
         for request in requests
@@ -309,7 +309,7 @@
         late=len(latencies) - in_time,
         failed=len(requests) - len(latencies),
         tries=sum(request.attempt_count for request in requests),
-        ends=dict(sorted(ends.items())),
+        ends=dict(sorted(attempts_by_outcome.items())),
         goodput=sum(request.importance_earned for request in requests) / importance_total if importance_total else 1.0,
         worst_window=worst_goodput,
         worst_window_at=worst_window_start,
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -1,4 +1,4 @@
-"""What a rehearsal works out ahead: arrivals, traces, troubles, the list, and what is wrong with a file."""
+"""What a rehearsal computes before it starts: arrivals, traces, faults, the endpoint history, and errors in files."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
 
 class Arrivals(unittest.TestCase):
     def test_the_same_seed_gives_the_same_plan_to_the_byte(self) -> None:
-        """Of arrivals and of troubles; kept here, so that a later version that plans otherwise is seen."""
-        found = {}
+        """Compares the digests of arrivals and faults with recorded ones, so that a release that changes a plan is noticed."""
+        digests = {}
         for path in sorted(EXAMPLES.glob("*.toml")):
-            of = script.read(path)
-            line = fault_schedule.timeline(of, FleetPlan(of, 16))
-            again = script.decode(script.encode(of))
-            self.assertEqual(arrivals.plan_arrivals(of), arrivals.plan_arrivals(again))
-            self.assertEqual(line, fault_schedule.timeline(again, FleetPlan(again, 99)))
-            found[path.stem] = f"{arrivals.digest(arrivals.plan_arrivals(of))} {fault_schedule.digest(line)}"
-        kept = Path(__file__).parent / "traces" / "rehearsal_plans.json"
-        self.assertEqual(found, json.loads(kept.read_text()))
+            scenario = script.read(path)
+            schedule = fault_schedule.timeline(scenario, FleetPlan(scenario, 16))
+            decoded = script.decode(script.encode(scenario))
+            self.assertEqual(arrivals.plan_arrivals(scenario), arrivals.plan_arrivals(decoded))
+            self.assertEqual(schedule, fault_schedule.timeline(decoded, FleetPlan(decoded, 99)))
+            digests[path.stem] = (
+                f"{arrivals.digest(arrivals.plan_arrivals(scenario))} {fault_schedule.digest(schedule)}"
+            )
+        expected = Path(__file__).parent / "traces" / "rehearsal_plans.json"
+        self.assertEqual(digests, json.loads(expected.read_text()))
 
     def test_another_seed_gives_another(self) -> None:
         self.assertNotEqual(
@@ -40,7 +42,7 @@
         )
 
     def test_even_arrivals_lie_where_the_integral_of_the_rate_has_them(self) -> None:
-        """0 to 100 a second over 4 s: the n-th, from half, is due at sqrt(2 n / 25) s."""
+        """With a rate from 0 to 100 per second over 4 s, the n-th arrival (n = 0.5, 1.5, ...) is due at sqrt(2 n / 25) s."""
         plan = arrivals.plan_arrivals(
             small(load={"phases": [{"span": "4s", "rate": 0, "to": 100, "arrivals": "even"}]})
         )
@@ -51,19 +53,19 @@
     def test_poisson_arrivals_come_as_often_as_told_and_unevenly(self) -> None:
         plan = arrivals.plan_arrivals(small(span="100s", load={"phases": [{"span": "100s", "rate": 100}]}))
         self.assertAlmostEqual(len(plan), 10_000, delta=400)
-        apart = [b.at - a.at for a, b in zip(plan, plan[1:])]
-        mean = sum(apart) / len(apart)
-        spread = (sum((one - mean) ** 2 for one in apart) / len(apart)) ** 0.5
+        gaps = [second.at - first.at for first, second in zip(plan, plan[1:])]
+        mean = sum(gaps) / len(gaps)
+        spread = (sum((gap - mean) ** 2 for gap in gaps) / len(gaps)) ** 0.5
         self.assertAlmostEqual(spread / mean, 1.0, delta=0.05)
 
     def test_bursts_share_an_instant(self) -> None:
         phases = [{"span": "4s", "rate": 100, "arrivals": "bursts", "burst": 20}]
         plan = arrivals.plan_arrivals(small(load={"phases": phases}))
         self.assertEqual(len(plan) % 20, 0)
-        self.assertEqual(len({one.at for one in plan}), len(plan) // 20)
+        self.assertEqual(len({arrival.at for arrival in plan}), len(plan) // 20)
 
     def test_a_surge_adds_its_customer_and_takes_from_nobody(self) -> None:
-        calm = arrivals.plan_arrivals(small(span="60s", load={"phases": [{"span": "60s", "rate": 100}]}))
+        plan_without_surge = arrivals.plan_arrivals(small(span="60s", load={"phases": [{"span": "60s", "rate": 100}]}))
         plan = arrivals.plan_arrivals(
             small(
                 span="60s",
@@ -73,14 +75,20 @@
                 },
             )
         )
-        north, south = (sum(1 for one in plan if one.customer == number and 20e6 <= one.at < 40e6) for number in (0, 1))
+        north, south = (
+            sum(1 for arrival in plan if arrival.customer == number and 20e6 <= arrival.at < 40e6) for number in (0, 1)
+        )
         self.assertAlmostEqual(south / north, 5.0, delta=0.6)
-        self.assertAlmostEqual(north, sum(1 for one in calm if one.customer == 0 and 20e6 <= one.at < 40e6), delta=120)
+        self.assertAlmostEqual(
+            north,
+            sum(1 for arrival in plan_without_surge if arrival.customer == 0 and 20e6 <= arrival.at < 40e6),
+            delta=120,
+        )
 
     def test_a_days_curve_is_straight_between_its_figures(self) -> None:
         plan = arrivals.plan_arrivals(small(span="40s", load={"phases": [], "day": [0, 200, 0]}))
         self.assertAlmostEqual(len(plan), 4000, delta=200)
-        self.assertAlmostEqual(sum(1 for one in plan if one.at < 10e6), 500, delta=80)
+        self.assertAlmostEqual(sum(1 for arrival in plan if arrival.at < 10e6), 500, delta=80)
 
 
 class Traces(unittest.TestCase):
@@ -90,40 +98,40 @@
         '10.0.0.1 - south [10/Oct/2026:13:55:38 +0700] "GET /look HTTP/1.1" 200 -\n'
     )
 
-    def planned(self, text: str, form: str, **changes: object) -> list[arrivals.Arrival]:
+    def plan_of_trace(self, text: str, form: str, **changes: object) -> list[arrivals.Arrival]:
         with tempfile.TemporaryDirectory() as folder:
             (Path(folder) / "trace").write_text(text)
-            of = small(load={"phases": [], "trace": {"file": "trace", "form": form, **changes}})
-            of.folder = folder
-            return traces.plan_of(of)
+            scenario = small(load={"phases": [], "trace": {"file": "trace", "form": form, **changes}})
+            scenario.folder = folder
+            return traces.plan_of(scenario)
 
     def test_each_form_is_read(self) -> None:
-        plan = self.planned(self.ACCESS, "access")
+        plan = self.plan_of_trace(self.ACCESS, "access")
         self.assertEqual(
-            [(one.at, one.use, one.customer) for one in plan if one.order != 1],
+            [(arrival.at, arrival.use, arrival.customer) for arrival in plan if arrival.order != 1],
             [(0, 0, 0), (2_000_000, 0, 1)],
         )
         self.assertEqual(plan[1].use, 1)
-        plan = self.planned(
+        plan = self.plan_of_trace(
             '{"time": 5.25, "use_case": "pay", "customer": "south", "work": 12.5}\n\n{"time": 5}\n', "json"
         )
         self.assertEqual(plan[1][:4], (250_000, 2, 1, 12_500))
-        plan = self.planned(
+        plan = self.plan_of_trace(
             "when,use_case,customer\n2026-10-10T13:55:36,look,north\n2026-10-10T13:55:37.5,book,nobody\n",
             "csv",
             columns={"time": "when"},
             speed=3,
         )
-        self.assertEqual([one[:3] for one in plan], [(0, 0, 0), (500_000, 1, -1)])
+        self.assertEqual([arrival[:3] for arrival in plan], [(0, 0, 0), (500_000, 1, -1)])
 
     def test_a_burst_denser_than_the_clock_keeps_every_ticket_and_its_order(self) -> None:
         lines = [json.dumps({"time": 7, "work": number, "use_case": "look"}) for number in range(3000)]
-        plan = self.planned("\n".join(lines), "json", speed=1000)
-        self.assertEqual([one.work for one in plan], [1000 * number for number in range(3000)])
-        self.assertEqual({one.at for one in plan}, {0})
+        plan = self.plan_of_trace("\n".join(lines), "json", speed=1000)
+        self.assertEqual([arrival.work for arrival in plan], [1000 * number for number in range(3000)])
+        self.assertEqual({arrival.at for arrival in plan}, {0})
 
     def test_what_is_wrong_is_said_with_its_line(self) -> None:
-        for text, form, said_so in (
+        for text, form, message in (
             ("{}\n", "json", "line 1: has no time"),
             ('{"time": 1}\nnone\n', "json", "line 2"),
             ("[1]", "json", "line 1: is not an object"),
@@ -136,13 +144,13 @@
             ("", "json", "contains no records"),
             (self.ACCESS.replace("Oct", "Okt"), "access", "line 1: time"),
         ):
-            with self.subTest(text=text), self.assertRaisesRegex(ScriptError, said_so):
-                self.planned(text, form)
+            with self.subTest(text=text), self.assertRaisesRegex(ScriptError, message):
+                self.plan_of_trace(text, form)
 
 
 class Troubles(TraceTestCase):
     def test_what_strikes_whom_and_who_stands_where(self) -> None:
-        of = small(
+        scenario = small(
             span="20s",
             faults=[
                 {"what": "freeze", "at": "1s", "span": "2s", "flap": "500ms", "count": 1},
@@ -163,12 +171,12 @@
             ],
             chances=[{"every": "6s", "of": ["errors", "lost"], "part": 0.3}],
         )
-        line = fault_schedule.timeline(of, FleetPlan(of, 16))
+        schedule = fault_schedule.timeline(scenario, FleetPlan(scenario, 16))
         self.lines = [
-            f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}" for one in line.strikes
+            f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}" for one in schedule.strikes
         ]
         self.lines += [
-            f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}" for one in line.lives
+            f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}" for one in schedule.lives
         ]
         self.compare_trace("rehearsal_troubles")
 
@@ -181,7 +189,7 @@
             fault_schedule.Strike(4, 6, "freeze", (2,), 1.0, None),
         ]
         self.assertEqual(active_faults.faults_at(strikes, 1, 6).slower, 6.0)
-        self.assertEqual([one[0] for one in active_faults.faults_at(strikes, 1, 0).spoils], ["errors", "reset"])
+        self.assertEqual([fault[0] for fault in active_faults.faults_at(strikes, 1, 0).spoils], ["errors", "reset"])
         self.assertEqual(
             (active_faults.faults_at(strikes, 2, 5).frozen, active_faults.faults_at(strikes, 2, 6).frozen),
             (True, False),
@@ -189,7 +197,7 @@
         self.assertEqual(active_faults.transition_times(strikes, 2), [4, 5, 6, 10])
 
     def test_the_list_is_told_late_and_in_order_and_goes_back(self) -> None:
-        of = small(
+        scenario = small(
             span="20s",
             discovery={"notice": "100ms", "silent": "2s"},
             faults=[
@@ -200,33 +208,33 @@
                 {"what": "discovery-back", "at": "10s", "span": "2s"},
             ],
         )
-        line = fault_schedule.timeline(of, FleetPlan(of, 16))
-        roster = EndpointHistory(of, FleetPlan(of, 16), line)
+        schedule = fault_schedule.timeline(scenario, FleetPlan(scenario, 16))
+        history = EndpointHistory(scenario, FleetPlan(scenario, 16), schedule)
         self.lines, at = [], -1
         while at is not None:
-            version = roster.version(at)
-            whole, entries = roster.entries(0, version, version - 1)
+            version = history.version(at)
+            is_full, entries = history.entries(0, version, version - 1)
             self.lines.append(
-                f"{said(at)}: {version}{' down' if roster.down(at) else ''} "
-                + ", ".join(f"{one.id} {one.state}" for one in entries)
+                f"{said(at)}: {version}{' down' if history.down(at) else ''} "
+                + ", ".join(f"{entry.id} {entry.state}" for entry in entries)
             )
-            at = roster.next_change(at)
-        self.lines.append(f"one that knows a later version is told all: {roster.entries(0, 4, 9)[0]}")
+            at = history.next_change(at)
+        self.lines.append(f"a client with a later version gets a full list: {history.entries(0, 4, 9)[0]}")
         self.compare_trace("rehearsal_roster")
 
     def test_watches_that_were_open_fall_silent_for_good(self) -> None:
-        of = small(span="20s", faults=[{"what": "watches-silent", "at": "3s"}])
-        line = fault_schedule.timeline(of, FleetPlan(of, 16))
-        roster = EndpointHistory(of, FleetPlan(of, 16), line)
-        self.assertEqual(3_000_000, roster.next_change(-1))
-        self.assertFalse(roster.fell_silent(-1, 2_999_999))
-        self.assertTrue(roster.fell_silent(-1, 3_000_000))
-        self.assertTrue(roster.fell_silent(2_000_000, 19_000_000))
-        self.assertFalse(roster.fell_silent(3_000_000, 19_000_000))
+        scenario = small(span="20s", faults=[{"what": "watches-silent", "at": "3s"}])
+        schedule = fault_schedule.timeline(scenario, FleetPlan(scenario, 16))
+        history = EndpointHistory(scenario, FleetPlan(scenario, 16), schedule)
+        self.assertEqual(3_000_000, history.next_change(-1))
+        self.assertFalse(history.fell_silent(-1, 2_999_999))
+        self.assertTrue(history.fell_silent(-1, 3_000_000))
+        self.assertTrue(history.fell_silent(2_000_000, 19_000_000))
+        self.assertFalse(history.fell_silent(3_000_000, 19_000_000))
 
 
 class Files(unittest.TestCase):
-    """Each is refused in one line that names the key."""
+    """Each invalid file is rejected with one line that names the key."""
 
     BROKEN = (
         ({"seeed": 1}, "seeed: not known here; did you mean seed"),
@@ -332,8 +340,8 @@
     )
 
     def test_broken_scripts(self) -> None:
-        for change, words in self.BROKEN:
-            with self.subTest(change=change), self.assertRaisesRegex(ScriptError, words) as caught:
+        for change, message in self.BROKEN:
+            with self.subTest(change=change), self.assertRaisesRegex(ScriptError, message) as caught:
                 script.build_script(raw(**change))
             self.assertNotIn("\n", str(caught.exception))
 
@@ -345,7 +353,7 @@
     def test_broken_files(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x.toml"
-            for text, words in (
+            for text, message in (
                 ("a = ", "x.toml: is not TOML"),
                 ('like = "x.toml"', "like: circular reference"),
                 ("like = 3", "like: is not a file name"),
@@ -353,11 +361,11 @@
                 ("\xff", "is not TOML"),
             ):
                 path.write_text(text, encoding="latin-1")
-                with self.subTest(text=text), self.assertRaisesRegex(ScriptError, words):
+                with self.subTest(text=text), self.assertRaisesRegex(ScriptError, message):
                     script.read(path)
 
     def test_an_experiments_file(self) -> None:
-        base = {
+        definition = {
             "title": "t",
             "rehearsals": [str(EXAMPLES / "calm-day.toml")],
             "seeds": [1, 2],
@@ -367,22 +375,22 @@
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "x.toml"
 
-            def of(**changes: object) -> experiments.Experiment:
-                made = script.convert({**base, **changes}, experiments.Experiment)
-                made.folder = folder
-                experiments._check(made)
-                return made
-
-            plays = experiments.plan_runs(of())
-            self.assertEqual(len(plays), 8)
-            self.assertEqual(plays, experiments.plan_runs(of()))
-            # Both arms of a pair one after the other, asked the same but for what the arm sets.
-            for one, other in zip(plays[::2], plays[1::2]):
-                self.assertEqual(one.pair, other.pair)
-                self.assertEqual({one.arm.name, other.arm.name}, {"a", "b"})
-                self.assertEqual(arrivals.plan_arrivals(one.script), arrivals.plan_arrivals(other.script))
-            self.assertEqual({play.script.load.retries for play in plays if play.arm.name == "b"}, {0})
-            for change, words in (
+            def build_experiment(**changes: object) -> experiments.Experiment:
+                experiment = script.convert({**definition, **changes}, experiments.Experiment)
+                experiment.folder = folder
+                experiments._check(experiment)
+                return experiment
+
+            runs = experiments.plan_runs(build_experiment())
+            self.assertEqual(len(runs), 8)
+            self.assertEqual(runs, experiments.plan_runs(build_experiment()))
+            # The arms of a pair run one after another and differ only in what the arm sets.
+            for run, other_run in zip(runs[::2], runs[1::2]):
+                self.assertEqual(run.pair, other_run.pair)
+                self.assertEqual({run.arm.name, other_run.arm.name}, {"a", "b"})
+                self.assertEqual(arrivals.plan_arrivals(run.script), arrivals.plan_arrivals(other_run.script))
+            self.assertEqual({run.script.load.retries for run in runs if run.arm.name == "b"}, {0})
+            for change, message in (
                 ({"arms": [{"name": "a"}, {"name": "a"}]}, "a is listed twice"),
                 ({"seeds": []}, "seeds"),
                 ({"arms": [{"name": "a", "build": "no"}]}, "no is not a checkout"),
@@ -390,8 +398,8 @@
                 ({"vary": {"load.fases.0.rate": [1]}}, "vary.load.fases.0.rate: the script has no"),
                 ({"vary": {"seed": []}}, "vary.seed: has no values"),
             ):
-                with self.subTest(change=change), self.assertRaisesRegex(ScriptError, words):
-                    experiments.plan_runs(of(**change))
+                with self.subTest(change=change), self.assertRaisesRegex(ScriptError, message):
+                    experiments.plan_runs(build_experiment(**change))
             self.assertFalse(path.exists())
 
     def test_spans(self) -> None:
