--- a/pepperusher/group/__init__.py
+++ b/pepperusher/group/__init__.py
@@ -1,3 +1,3 @@
-"""Proxies that know each other: who is there, who said that it goes, who is silent. Free of I/O; net/node.py
-has the sockets.
+"""Membership of a group of proxies: which are alive, have left or are silent. It does no I/O; net/node.py has the
+sockets.
 """
--- a/pepperusher/group/broadcasts.py
+++ b/pepperusher/group/broadcasts.py
@@ -1,6 +1,4 @@
-"""News for all that outlives the packet it came in: bans and the like, each the later of all that was told;
-free of I/O.
-"""
+"""The broadcasts that a member holds, such as bans: for each key the latest one received. It does no I/O."""
 
 from __future__ import annotations
 
@@ -9,62 +7,67 @@
 
 from pepperusher.group.messages import Broadcast
 
-# Things at once; one more is not taken, and counted.
+# The most broadcasts held at a time. Further ones are refused and counted.
 MOST = 500
-# Ahead of this member's clock by more, a time is a clock gone wrong, and would outlast all that is told after
-# it.
-AHEAD = 3_600_000_000
+# A broadcast whose time is further ahead of this member's clock comes from a wrong clock. It would override
+# all later broadcasts of its key, so it is refused.
+MAX_CLOCK_SKEW_US = 3_600_000_000
 
 
 class Broadcasts:
-    """`kept` is for how long one that is off is remembered: so long a member cut off still takes it back.
-    Emptied by age; one that is on stays until it is off.
+    """`retention` is how long a broadcast that is off is remembered. A member that was partitioned for less
+    than that still learns that it is off. A broadcast that is on stays until it is switched off.
     """
 
-    def __init__(self, kept: int) -> None:
-        self._kept = kept
-        self._of: dict[tuple[str, str], Broadcast] = {}
+    def __init__(self, retention: int) -> None:
+        self._retention = retention
+        self._broadcasts: dict[tuple[str, str], Broadcast] = {}
         self.refused = 0
         self.digest = 0
 
     def __iter__(self) -> Iterator[Broadcast]:
-        return iter(self._of.values())
+        return iter(self._broadcasts.values())
 
     def __len__(self) -> int:
-        return len(self._of)
+        return len(self._broadcasts)
 
     def get(self, kind: str, key: str) -> Broadcast | None:
-        return self._of.get((kind, key))
+        return self._broadcasts.get((kind, key))
 
-    def take(self, notice: Broadcast, now: int) -> bool:
-        """Whether it is news."""
-        known = self._of.get((notice.kind, notice.key))
-        if known is not None and notice.rank <= known.rank:
+    def take(self, broadcast: Broadcast, now: int) -> bool:
+        """Merges a broadcast. False if it is not newer than the known one, or is refused."""
+        known = self._broadcasts.get((broadcast.kind, broadcast.key))
+        if known is not None and broadcast.rank <= known.rank:
             return False
-        if not notice.on and now - notice.at >= self._kept:
-            # Off for longer than it is remembered: whoever still tells it would tell it for ever.
+        if not broadcast.on and now - broadcast.at >= self._retention:
+            # It has been off for longer than the retention. If it were taken again, members would pass it
+            # among each other for ever.
             return False
-        if notice.at > now + AHEAD or known is None and len(self._of) >= MOST:
+        if broadcast.at > now + MAX_CLOCK_SKEW_US or known is None and len(self._broadcasts) >= MOST:
             self.refused += 1
             return False
-        self._of[notice.kind, notice.key] = notice
-        self._count()
+        self._broadcasts[broadcast.kind, broadcast.key] = broadcast
+        self._update_digest()
         return True
 
-    def forget(self, now: int) -> None:
-        old = [place for place, one in self._of.items() if not one.on and now - one.at >= self._kept]
-        for place in old:
-            del self._of[place]
-        if old:
-            self._count()
+    def expire(self, now: int) -> None:
+        expired = [
+            key
+            for key, broadcast in self._broadcasts.items()
+            if not broadcast.on and now - broadcast.at >= self._retention
+        ]
+        for key in expired:
+            del self._broadcasts[key]
+        if expired:
+            self._update_digest()
 
-    def _count(self) -> None:
-        """The same for the same notices that are on, in whatever order they came. Those that are off count as
-        not there, since they are forgotten at each member by its own clock.
+    def _update_digest(self) -> None:
+        """Computes a digest of the broadcasts that are on, independent of their order. Those that are off are
+        left out, because each member forgets them by its own clock.
         """
         digest = 0
-        for one in self._of.values():
-            if one.on:
-                text = f"{one.kind}\0{one.key}\0{one.at}".encode()
+        for broadcast in self._broadcasts.values():
+            if broadcast.on:
+                text = f"{broadcast.kind}\0{broadcast.key}\0{broadcast.at}".encode()
                 digest ^= int.from_bytes(hashlib.blake2b(text, digest_size=8).digest()) >> 1
         self.digest = digest
--- a/pepperusher/group/endpoint_borrowing.py
+++ b/pepperusher/group/endpoint_borrowing.py
@@ -1,41 +1,44 @@
-"""Which entries of other members' lists may stand for discovery's, which is away at a start; free of I/O."""
+"""Combines the endpoint lists of other members into one that a proxy uses if discovery does not answer at its
+start. It does no I/O.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
-# A list that discovery confirmed longer ago than this (us) is not taken: what drained since would be served.
-LONGEST_AGE = 600_000_000
+# A list that discovery confirmed longer ago than this is not used: endpoints that have drained since would
+# get traffic.
+MAX_LIST_AGE_US = 600_000_000
 
 
 def joined(lists: list[dict[str, Any]]) -> tuple[int, dict[str, Any]] | None:
-    """What every one of these lists has as ready, and how long ago discovery confirmed the oldest of them;
-    None where none is young enough, or nothing is in all. Each has its age by its own proxy's clock: those of
-    two may be apart.
+    """The endpoints that every recent list has as ready, and how long ago discovery confirmed the oldest of
+    these lists. None if no list is recent enough or no endpoint is in all of them. The age of each list comes
+    from its own proxy's clock, since the clocks of two proxies may differ.
 
-    An entry that drains at one is left out though others have not heard so, and one that is gone stands in no
-    list of who has: it never comes back by who has not. What is new and known to some alone waits for
-    discovery.
+    An endpoint that one member knows to drain is left out even if others have not heard of it. One that was
+    removed is missing from the list of the member that knows, so the others cannot bring it back. A new
+    endpoint that only some members know has to wait for discovery.
     """
-    young: list[tuple[int, dict[str, dict[str, Any]], dict[str, Any]]] = []
-    for told in lists:
-        age, listed = told.get("age"), told.get("listed")
-        if isinstance(age, bool) or not isinstance(age, int) or not isinstance(listed, dict):
+    recent: list[tuple[int, dict[str, dict[str, Any]], dict[str, Any]]] = []
+    for lent in lists:
+        age, endpoint_list = lent.get("age"), lent.get("listed")
+        if isinstance(age, bool) or not isinstance(age, int) or not isinstance(endpoint_list, dict):
             continue
-        servers = listed.get("servers")
-        if not 0 <= age <= LONGEST_AGE or not isinstance(servers, list):
+        endpoints = endpoint_list.get("servers")
+        if not 0 <= age <= MAX_LIST_AGE_US or not isinstance(endpoints, list):
             continue
         ready = {
-            one["id"]: one
-            for one in servers
-            if isinstance(one, dict) and isinstance(one.get("id"), str) and one.get("state") == "ready"
+            endpoint["id"]: endpoint
+            for endpoint in endpoints
+            if isinstance(endpoint, dict) and isinstance(endpoint.get("id"), str) and endpoint.get("state") == "ready"
         }
-        young.append((age, ready, listed))
-    if not young:
+        recent.append((age, ready, endpoint_list))
+    if not recent:
         return None
-    newest = min(young, key=lambda one: one[0])
-    names = set.intersection(*(set(ready) for _, ready, _ in young))
-    if not names:
+    newest = min(recent, key=lambda entry: entry[0])
+    ready_in_all = set.intersection(*(set(ready) for _, ready, _ in recent))
+    if not ready_in_all:
         return None
-    servers = [one for name, one in newest[1].items() if name in names]
-    return max(age for age, _, _ in young), {**newest[2], "full": True, "servers": servers}
+    endpoints = [endpoint for name, endpoint in newest[1].items() if name in ready_in_all]
+    return max(age for age, _, _ in recent), {**newest[2], "full": True, "servers": endpoints}
--- a/pepperusher/group/gossip_queue.py
+++ b/pepperusher/group/gossip_queue.py
@@ -1,7 +1,8 @@
-"""What is still to be passed on, each so many times and the least told first; free of I/O.
+"""The queue of gossip to be piggybacked on packets. Each item is sent a limited number of times, the least
+sent first. It does no I/O.
 
-As in SWIM (Das, Gupta, Motivala 2002): told about log n times, everybody has heard it but for a vanishing
-part; that part hears it from what fills the room left in later packets.
+As in SWIM (Das, Gupta, Motivala 2002), about log n transmissions reach all but a vanishing part of the group.
+That part receives the news from the random items that fill the free space of later packets.
 """
 
 from __future__ import annotations
@@ -12,50 +13,51 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-# Times log n; with 30% of all packets lost a few more are needed than the 2 that do where none is.
-TOLD = 4
-SAID, CHARGE, NOTICE = range(3)
+# Transmissions per item are this times log2 of the group size. 2 suffice without packet loss; with 30% of
+# the packets lost a few more are needed.
+RETRANSMIT_MULTIPLIER = 4
+RECORD, SUSPICION, BROADCAST = range(3)
 
 
-def times(members: int) -> int:
-    return TOLD * ceil(log2(members + 2))
+def retransmit_limit(members: int) -> int:
+    return RETRANSMIT_MULTIPLIER * ceil(log2(members + 2))
 
 
 class GossipItem(NamedTuple):
-    told: int
-    age: int  # rises: of two told alike the newer goes first
+    transmissions: int
+    sequence: int  # falls with each item, so that of two items sent equally often the newer goes first
     key: tuple[int, str]
-    sort: int
-    part: bytes
+    kind: int
+    encoded: bytes
 
 
 class GossipQueue:
-    """One for each thing, the newest; emptied by telling."""
+    """Holds the newest item per kind and subject until it has been sent often enough."""
 
     def __init__(self) -> None:
-        self._of: dict[tuple[int, str], GossipItem] = {}
-        self._ages = count(0, -1)
+        self._items: dict[tuple[int, str], GossipItem] = {}
+        self._sequence = count(0, -1)
 
     def __len__(self) -> int:
-        return len(self._of)
+        return len(self._items)
 
-    def put(self, sort: int, of: str, part: bytes) -> None:
-        self._of[sort, of] = GossipItem(0, next(self._ages), (sort, of), sort, part)
+    def put(self, kind: int, subject: str, encoded: bytes) -> None:
+        self._items[kind, subject] = GossipItem(0, next(self._sequence), (kind, subject), kind, encoded)
 
-    def drop(self, sort: int, of: str) -> None:
-        self._of.pop((sort, of), None)
+    def drop(self, kind: int, subject: str) -> None:
+        self._items.pop((kind, subject), None)
 
-    def pick(self, room: int, most: int, members: int) -> list[GossipItem]:
-        """Those for one packet, within so many bytes; each counts as told."""
-        made = []
-        limit = times(members)
-        for one in nsmallest(most, self._of.values(), key=itemgetter(0, 1)):
-            if len(one.part) > room:
+    def pick(self, max_bytes: int, max_items: int, members: int) -> list[GossipItem]:
+        """Picks the items for one packet and counts a transmission of each."""
+        picked = []
+        limit = retransmit_limit(members)
+        for item in nsmallest(max_items, self._items.values(), key=itemgetter(0, 1)):
+            if len(item.encoded) > max_bytes:
                 continue
-            room -= len(one.part)
-            made.append(one)
-            if one.told + 1 >= limit:
-                del self._of[one.key]
+            max_bytes -= len(item.encoded)
+            picked.append(item)
+            if item.transmissions + 1 >= limit:
+                del self._items[item.key]
             else:
-                self._of[one.key] = one._replace(told=one.told + 1)
-        return made
+                self._items[item.key] = item._replace(transmissions=item.transmissions + 1)
+        return picked
--- a/pepperusher/group/health.py
+++ b/pepperusher/group/health.py
@@ -1,38 +1,38 @@
-"""How far a member trusts itself before it charges another; free of I/O.
+"""The local health score, by which a member distrusts itself before it suspects another. It does no I/O.
 
-Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018): probes that fail, nacks that stay out and
-charges that had to be answered make it doubt itself, answers take the doubt away. Ours beside it: timers that
-ran late count too, since a member starved of its processor sees its own lateness before it can tell whether
-anybody else is silent.
+This is Lifeguard's local health multiplier (Dadgar, Phillips, Currey 2018): failed probes, missing nacks and
+suspicions that had to be refuted raise the score, acks lower it. In addition, late timers raise it: a member
+that is starved of CPU sees its own lateness before it can tell whether another member is silent.
 
-Nacks that stay out are less of a sign than in Lifeguard. Inside a small cut most of those that were asked
-can't be reached either: a member that stretched its periods by them, up to nine times, knew that much later
-that it is cut off. By itself such silence makes a time twice as long and no longer; a slow member sees its
-timers.
+Missing nacks weigh less than in Lifeguard. Inside a small partition most helpers cannot be reached either, and
+a member that stretched its periods for that, up to nine times, noticed as much later that it was cut off.
+Missing answers alone therefore at most double the timeouts; a slow member is detected by its timers.
 """
 
 from __future__ import annotations
 
-MOST = 8
-# Doubt that comes of others' silence alone.
-SILENCE_MOST = 1
+MAX_SCORE = 8
+# The highest score that missing answers alone can cause.
+MAX_SCORE_BY_SILENCE = 1
 
 
 class Health:
+    """The local health score: 0 is healthy, MAX_SCORE is the worst."""
+
     def __init__(self) -> None:
         self.score = 0
 
-    def worse(self, by: int = 1) -> None:
-        self.score = min(MOST, self.score + by)
+    def degrade(self, amount: int = 1) -> None:
+        self.score = min(MAX_SCORE, self.score + amount)
 
-    def unheard(self, by: int) -> None:
-        """So many of those that were asked to try somebody said nothing at all."""
-        if self.score < SILENCE_MOST:
-            self.score = min(SILENCE_MOST, self.score + by)
+    def record_missing_nacks(self, count: int) -> None:
+        """Raises the score by the number of helpers that sent neither an ack nor a nack."""
+        if self.score < MAX_SCORE_BY_SILENCE:
+            self.score = min(MAX_SCORE_BY_SILENCE, self.score + count)
 
-    def better(self) -> None:
+    def improve(self) -> None:
         self.score = max(0, self.score - 1)
 
-    def stretched(self, span: int) -> int:
-        """A time that is waited for an answer, or between probes."""
-        return span * (1 + self.score)
+    def scale(self, duration: int) -> int:
+        """Stretches a timeout or a probe period by the score."""
+        return duration * (1 + self.score)
--- a/pepperusher/group/membership.py
+++ b/pepperusher/group/membership.py
@@ -1,11 +1,13 @@
-"""Who is on the roll, and how each is found; free of I/O.
+"""The member list and the state of each member. It does no I/O.
 
-Three things are kept apart. *Gone* is what a member said of itself. *Silent* is what others find: suspected,
-then lost, and taken back by the member's own next word, whenever it comes; a silent member stays on the roll
-for good. *Never met* is whom the settings count and nobody has heard of. Only gone frees anything (parts.py).
+Three states are kept apart. A member is *gone* if its own record says so. It is *silent* if others find it
+suspected or lost; it becomes alive again with its own next record, however late that comes, and a silent
+member stays on the list for ever. A member is *never met* if the settings count it and nobody has heard of
+it. Only a gone member frees its share of the limits (shares.py).
 
-A member's own words come together as a greatest of (life, turn): the same end in every order, and repeats
-change nothing. Charges are of the word they charge and fall with the next one.
+Records of one member merge by taking the greatest (start number, token, incarnation), so every order of
+arrival ends in the same state and repeats change nothing. A suspicion names the record it is about, and the
+member's next record voids it.
 """
 
 from __future__ import annotations
@@ -16,24 +18,25 @@
 
 from pepperusher.group.messages import ALIVE, HEALTH, LEFT, LOST, PHASES, SUSPECTED, Suspicion, MemberRecord
 
-# Names on the roll at the most. One more takes the place of who has left longest, and else is not taken.
+# The most members on the list. A further one replaces the member that left longest ago, or is refused if
+# nobody has left.
 MOST = 2_000
-# Suspicion as Lifeguard has it: from so many periods times log n down to a sixth, as others doubt too.
-LEAST_PERIODS = 5
-STRETCH = 6
-DOUBTERS = 3
-# Charges that were answered are counted for each that made them, one forgotten in this time; beyond so many
-# its charges count for nothing: a member that hears nobody charges everyone, without end.
-FORGOTTEN = 10_000_000
-FORGOTTEN_MOST = 200
-WRONG_MOST = 4
-# Numbers of packets that came, by which a second one of the same is known; older ones than these are not
-# read.
-WINDOW = 256
+# Lifeguard's suspicion timeout. The minimum is this many periods times log10 of the group size. It starts at
+# SUSPICION_MAX_FACTOR times the minimum and falls to it as MAX_CONFIRMATIONS further members suspect too.
+MIN_SUSPICION_PERIODS = 5
+SUSPICION_MAX_FACTOR = 6
+MAX_CONFIRMATIONS = 3
+# Refuted suspicions are counted per accuser, and one is forgotten per REFUTED_DECAY_US. Suspicions of an
+# accuser with more than MAX_REFUTED are ignored: a member that receives nothing suspects everyone without end.
+REFUTED_DECAY_US = 10_000_000
+MAX_REMOVED = 200
+MAX_REFUTED = 4
+# The packet numbers below the newest one among which duplicates are recognised. Older packets are not read.
+REPLAY_WINDOW_PACKETS = 256
 
 
 class Change(NamedTuple):
-    """What is to be said in the log and acted on: `what` befell `name`."""
+    """A change of the member `name`, to be logged and acted on; `what` is the kind of change."""
 
     what: str
     name: str
@@ -41,77 +44,84 @@
 
 
 class Member:
+    """The last record of another member, and what this proxy has observed of it."""
+
     __slots__ = (
         "said",
         "health",
-        "since",
-        "doubters",
-        "charged_at",
-        "until",
-        "proved",
-        "newest",
-        "came",
-        "heard",
-        "held",
-        "list",
-        "wrong",
-        "wrong_at",
-        "warned",
+        "changed_at",
+        "accusers",
+        "suspected_at",
+        "lost_at",
+        "verified_token",
+        "newest_packet",
+        "received_bits",
+        "last_ack_at",
+        "broadcasts_digest",
+        "list_version",
+        "refuted_count",
+        "refuted_decay_at",
+        "challenged_at",
     )
 
-    def __init__(self, said: MemberRecord, now: int) -> None:
-        self.said = said
+    def __init__(self, record: MemberRecord, now: int) -> None:
+        self.said = record
         self.health = ALIVE
-        self.since = now  # of phase and health as they are
-        self.doubters: set[str] = set()  # who charged it as it is; emptied by its next word
-        self.charged_at = 0
-        self.until = 0  # when suspicion becomes loss
-        # The process that answered a packet of ours: what others send in its name is not read.
-        self.proved: int | None = None
-        self.newest = 0  # number of the newest packet of that process, and which before it came
-        self.came = 0
-        self.heard = 0  # when it last answered us itself
-        self.held = 0  # the digest of notices in its last packet
-        self.list = 0  # and the version of the list that it has
-        self.wrong = 0  # its charges that were answered
-        self.wrong_at = now
-        self.warned = 0  # when it was last told that its word is an old one
+        self.changed_at = now  # time of the last change of phase or health
+        self.accusers: set[str] = set()  # members that suspect its current record
+        self.suspected_at = 0
+        self.lost_at = 0  # when a suspected member is declared lost
+        # The token of the process that answered a packet of this one. Packets of other processes under its name
+        # are not read.
+        self.verified_token: int | None = None
+        self.newest_packet = 0  # the highest packet number received from that process
+        self.received_bits = 0  # bit i is set if packet number newest_packet - i was received
+        self.last_ack_at = 0  # when it last answered this member directly
+        self.broadcasts_digest = 0  # the digest of its broadcasts, by its last packet
+        self.list_version = 0  # the version of its endpoint list, by its last packet
+        self.refuted_count = 0  # how many of its suspicions were refuted
+        self.refuted_decay_at = now
+        self.challenged_at = 0  # when another process under its name was last pinged for verification
 
     @property
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         return not self.said.gone and self.said.phase != LEFT and (self.health != ALIVE or self.said.doubled)
 
-    def fresh(self, number: int) -> bool:
-        """Whether a packet of this number has not been read; it has from here on."""
-        if number > self.newest:
-            self.came = (
-                (self.came << (number - self.newest) | 1) & (1 << WINDOW) - 1 if number - self.newest < WINDOW else 1
+    def record_packet(self, packet_number: int) -> bool:
+        """Marks a packet number as received. False if it was received before or is too old to tell."""
+        if packet_number > self.newest_packet:
+            self.received_bits = (
+                (self.received_bits << (packet_number - self.newest_packet) | 1) & (1 << REPLAY_WINDOW_PACKETS) - 1
+                if packet_number - self.newest_packet < REPLAY_WINDOW_PACKETS
+                else 1
             )
-            self.newest = number
+            self.newest_packet = packet_number
             return True
-        bit = 1 << (self.newest - number)
-        if self.newest - number >= WINDOW or self.came & bit:
+        bit = 1 << (self.newest_packet - packet_number)
+        if self.newest_packet - packet_number >= REPLAY_WINDOW_PACKETS or self.received_bits & bit:
             return False
-        self.came |= bit
+        self.received_bits |= bit
         return True
 
     def prove(self, token: int) -> None:
-        if self.proved != token:
-            self.proved, self.newest, self.came = token, 0, 0
+        """Marks the process with this token as verified and restarts its replay window."""
+        if self.verified_token != token:
+            self.verified_token, self.newest_packet, self.received_bits = token, 0, 0
 
 
 class Membership:
-    """All but this proxy itself."""
+    """All known members except this proxy itself."""
 
     def __init__(self, period: int) -> None:
         self._period = period
         self._members: dict[str, Member] = {}
-        self._names: tuple[str, ...] | None = None
-        # Whom staff took off, as they were: others who still have them would bring them back. FORGOTTEN_MOST.
-        self._off: dict[str, tuple[int, int, int]] = {}
-        self.refused = 0  # names for which there was no room
-        self._doubted: dict[str, Member] = {}  # who is suspected; emptied by their words and by loss
-        self.version = 0  # rises with each word that is news, and as somebody is found otherwise
+        self._name_cache: tuple[str, ...] | None = None
+        # The last records of members that operators removed, at most MAX_REMOVED. Members that still list them
+        # would otherwise bring them back.
+        self._removed: dict[str, tuple[int, int, int]] = {}
+        self.refused = 0  # new members refused because the list was full
+        self._suspected: dict[str, Member] = {}  # members suspected now; removed by a new record or when lost
+        self.version = 0  # rises with each new record and each change of health
 
     def __len__(self) -> int:
         return len(self._members)
@@ -122,174 +132,184 @@
     def get(self, name: str) -> Member | None:
         return self._members.get(name)
 
-    def names(self) -> tuple[str, ...]:
-        """Made anew as members come and go, not for each packet."""
-        if self._names is None:
-            self._names = tuple(self._members)
-        return self._names
+    def member_names(self) -> tuple[str, ...]:
+        """The names of all members, cached until one is added or removed, since it is read for each packet."""
+        if self._name_cache is None:
+            self._name_cache = tuple(self._members)
+        return self._name_cache
 
-    # --- what it is told --------------------------------------------------------------------------
+    # --- records ----------------------------------------------------------------------------------
 
-    def take(self, said: MemberRecord, now: int) -> list[Change]:
-        """A member's own word, from itself or passed on; nothing where it is no news."""
-        known = self._members.get(said.name)
-        if known is None:
-            if said.key <= self._off.get(said.name, (0, 0, 0)):
+    def take(self, record: MemberRecord, now: int) -> list[Change]:
+        """Merges a member's record, received from it or by gossip. Returns no changes if it is not newer."""
+        member = self._members.get(record.name)
+        if member is None:
+            if record.precedence <= self._removed.get(record.name, (0, 0, 0)):
                 return []
-            if not self._room():
+            if not self._make_room():
                 self.refused += 1
                 return []
-            self._members[said.name] = Member(said, now)
-            self._names = None
+            self._members[record.name] = Member(record, now)
+            self._name_cache = None
             self.version += 1
-            return [Change("met", said.name, _figures(said))]
-        before = known.said
-        if said.key <= before.key:
+            return [Change("met", record.name, _log_fields(record))]
+        previous = member.said
+        if record.precedence <= previous.precedence:
             return []
         changes = []
-        for doubter in known.doubters:
-            if (one := self._members.get(doubter)) is not None and said.token == before.token:
-                one.wrong = min(2 * WRONG_MOST, self._wrong(one, now) + 1)
-        was = known.health
-        known.said = said
+        for accuser in member.accusers:
+            if (accusing := self._members.get(accuser)) is not None and record.token == previous.token:
+                accusing.refuted_count = min(2 * MAX_REFUTED, self._decayed_refuted_count(accusing, now) + 1)
+        previous_health = member.health
+        member.said = record
         self.version += 1
-        known.doubters.clear()
-        known.health = ALIVE
-        self._doubted.pop(said.name, None)
-        if said.doubled and not before.doubled:
+        member.accusers.clear()
+        member.health = ALIVE
+        self._suspected.pop(record.name, None)
+        if record.doubled and not previous.doubled:
             changes.append(
                 Change(
                     "doubled: two processes live under one name, neither is believed of the other",
-                    said.name,
-                    {**_figures(said), "other": before.token},
+                    record.name,
+                    {**_log_fields(record), "other": previous.token},
                 )
             )
-        elif before.doubled and not said.doubled:
-            changes.append(Change("no longer doubled", said.name, _figures(said)))
-        if said.token != before.token and not said.doubled and not before.doubled:
-            changes.append(Change("a new life", said.name, _figures(said)))
-            known.since = now
-        elif said.phase != before.phase:
-            changes.append(Change(PHASES[said.phase], said.name, _figures(said)))
-            known.since = now
-        elif was != ALIVE:
-            changes.append(Change("heard of again", said.name, {**_figures(said), "was": HEALTH[was]}))
-            known.since = now
+        elif previous.doubled and not record.doubled:
+            changes.append(Change("no longer doubled", record.name, _log_fields(record)))
+        if record.token != previous.token and not record.doubled and not previous.doubled:
+            changes.append(Change("a new life", record.name, _log_fields(record)))
+            member.changed_at = now
+        elif record.phase != previous.phase:
+            changes.append(Change(PHASES[record.phase], record.name, _log_fields(record)))
+            member.changed_at = now
+        elif previous_health != ALIVE:
+            changes.append(
+                Change("heard of again", record.name, {**_log_fields(record), "was": HEALTH[previous_health]})
+            )
+            member.changed_at = now
         return changes
 
-    def _room(self) -> bool:
+    def _make_room(self) -> bool:
         if len(self._members) < MOST:
             return True
-        left = [one for one in self if one.said.phase == LEFT]
+        left = [member for member in self if member.said.phase == LEFT]
         if not left:
             return False
-        self._drop(min(left, key=lambda one: one.since).said.name)
+        self._delete(min(left, key=lambda member: member.changed_at).said.name)
         return True
 
-    def _drop(self, name: str) -> None:
+    def _delete(self, name: str) -> None:
         del self._members[name]
-        self._doubted.pop(name, None)
-        self._names = None
+        self._suspected.pop(name, None)
+        self._name_cache = None
         self.version += 1
 
-    # --- silence ----------------------------------------------------------------------------------
+    # --- suspicion --------------------------------------------------------------------------------
 
-    def _wrong(self, one: Member, now: int) -> int:
-        gone = (now - one.wrong_at) // FORGOTTEN
-        if gone > 0:
-            one.wrong = max(0, one.wrong - gone)
-            one.wrong_at += gone * FORGOTTEN
-        return one.wrong
+    def _decayed_refuted_count(self, member: Member, now: int) -> int:
+        decayed = (now - member.refuted_decay_at) // REFUTED_DECAY_US
+        if decayed > 0:
+            member.refuted_count = max(0, member.refuted_count - decayed)
+            member.refuted_decay_at += decayed * REFUTED_DECAY_US
+        return member.refuted_count
 
-    def believed(self, name: str, now: int) -> bool:
-        """Whether charges by it count. One that charges all and is answered by all hears nobody itself."""
-        one = self._members.get(name)
-        return one is None or self._wrong(one, now) <= WRONG_MOST
+    def is_credible(self, name: str, now: int) -> bool:
+        """Whether suspicions by this member count. One whose suspicions are all refuted receives nothing itself."""
+        member = self._members.get(name)
+        return member is None or self._decayed_refuted_count(member, now) <= MAX_REFUTED
 
-    def charge(self, charge: Suspicion, now: int) -> list[Change]:
-        """Somebody, or this proxy itself, gets no answer from a member. No news where the member has spoken
-        since.
+    def record_suspicion(self, suspicion: Suspicion, now: int) -> list[Change]:
+        """Records that an accuser, or this proxy itself, gets no answer from a member. A suspicion of an older
+        record than the known one is ignored.
         """
-        known = self._members.get(charge.of)
-        if known is None or known.said.phase == LEFT or known.health == LOST:
+        member = self._members.get(suspicion.suspect)
+        if member is None or member.said.phase == LEFT or member.health == LOST:
             return []
-        if (charge.number, charge.token, charge.turn) != known.said.key or charge.by in known.doubters:
+        if (
+            suspicion.number,
+            suspicion.token,
+            suspicion.incarnation,
+        ) != member.said.precedence or suspicion.accuser in member.accusers:
             return []
-        if not self.believed(charge.by, now):
+        if not self.is_credible(suspicion.accuser, now):
             return []
-        if len(known.doubters) > DOUBTERS:
+        if len(member.accusers) > MAX_CONFIRMATIONS:
             return []
-        known.doubters.add(charge.by)
-        if known.health == ALIVE:
-            known.health, known.charged_at, known.since = SUSPECTED, now, now
-            self._doubted[charge.of] = known
+        member.accusers.add(suspicion.accuser)
+        if member.health == ALIVE:
+            member.health, member.suspected_at, member.changed_at = SUSPECTED, now, now
+            self._suspected[suspicion.suspect] = member
             self.version += 1
-        known.until = known.charged_at + self.suspicion(len(known.doubters) - 1)
+        member.lost_at = member.suspected_at + self.suspicion_timeout(len(member.accusers) - 1)
         return [
             Change(
-                "suspected" if len(known.doubters) == 1 else "suspected by one more",
-                charge.of,
-                {**_figures(known.said), "by": charge.by},
+                "suspected" if len(member.accusers) == 1 else "suspected by one more",
+                suspicion.suspect,
+                {**_log_fields(member.said), "by": suspicion.accuser},
             )
         ]
 
-    def suspicion(self, more: int) -> int:
-        """For how long a member is suspected whom `more` others than the first doubt too."""
-        least = round(LEAST_PERIODS * max(1.0, log10(len(self) + 1)) * self._period)
-        doubters = min(DOUBTERS, max(0, len(self) - 1))
-        if doubters == 0:
-            return least
-        part = log(min(more, doubters) + 1) / log(doubters + 1)
-        return round(least * (STRETCH - (STRETCH - 1) * part))
-
-    def look(self, now: int) -> list[Change]:
-        """Suspicions whose time is over. Not by a walk over the whole roll: it is asked in each turn."""
+    def suspicion_timeout(self, confirmations: int) -> int:
+        """How long a member stays suspected before it is lost, given the accusers beside the first one."""
+        minimum = round(MIN_SUSPICION_PERIODS * max(1.0, log10(len(self) + 1)) * self._period)
+        expected = min(MAX_CONFIRMATIONS, max(0, len(self) - 1))
+        if expected == 0:
+            return minimum
+        fraction = log(min(confirmations, expected) + 1) / log(expected + 1)
+        return round(minimum * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1) * fraction))
+
+    def expire_suspicions(self, now: int) -> list[Change]:
+        """Declares members lost whose suspicion timeout is over. It runs at each wake-up, so it visits only the
+        suspected members.
+        """
         changes = []
-        for name, one in list(self._doubted.items()):
-            if now >= one.until:
-                del self._doubted[name]
+        for name, member in list(self._suspected.items()):
+            if now >= member.lost_at:
+                del self._suspected[name]
                 self.version += 1
                 changes.append(
                     Change(
                         "lost",
-                        one.said.name,
+                        member.said.name,
                         {
-                            **_figures(one.said),
-                            "after_us": now - one.charged_at,
-                            "by": " ".join(sorted(one.doubters)),
+                            **_log_fields(member.said),
+                            "after_us": now - member.suspected_at,
+                            "by": " ".join(sorted(member.accusers)),
                         },
                     )
                 )
-                one.health, one.since = LOST, now
+                member.health, member.changed_at = LOST, now
         return changes
 
-    def next_look(self) -> int | None:
-        return min((one.until for one in self._doubted.values()), default=None)
+    def next_expiry(self) -> int | None:
+        return min((member.lost_at for member in self._suspected.values()), default=None)
 
-    def postponed(self, span: int) -> None:
-        """This proxy stood still: who did not answer it meanwhile had no chance to."""
-        for one in self._doubted.values():
-            one.charged_at += span
-            one.until += span
+    def postpone_suspicions(self, delay: int) -> None:
+        """Extends all suspicions after a stall of this process, during which no refutation could be received."""
+        for member in self._suspected.values():
+            member.suspected_at += delay
+            member.lost_at += delay
 
-    # --- by staff's word ----------------------------------------------------------------------------
+    # --- removal by operators -----------------------------------------------------------------------
 
     def forget(self, name: str) -> bool:
-        """Staff say that a silent or gone member will not come back under this name."""
-        one = self._members.get(name)
-        if one is None or not (one.silent or one.said.phase == LEFT):
+        """Removes a silent or gone member that, by an operator's word, will not come back under this name. False
+        if it is neither.
+        """
+        member = self._members.get(name)
+        if member is None or not (member.is_silent or member.said.phase == LEFT):
             return False
-        self._off[name] = one.said.key
-        if len(self._off) > FORGOTTEN_MOST:
-            del self._off[next(iter(self._off))]
-        self._drop(name)
+        self._removed[name] = member.said.precedence
+        if len(self._removed) > MAX_REMOVED:
+            del self._removed[next(iter(self._removed))]
+        self._delete(name)
         return True
 
 
-def _figures(said: MemberRecord) -> dict[str, object]:
+def _log_fields(record: MemberRecord) -> dict[str, object]:
     return {
-        "phase": PHASES[said.phase],
-        "number": said.number,
-        "token": f"{said.token:016x}",
-        "turn": said.turn,
+        "phase": PHASES[record.phase],
+        "number": record.number,
+        "token": f"{record.token:016x}",
+        "turn": record.incarnation,
     }
--- a/pepperusher/group/messages.py
+++ b/pepperusher/group/messages.py
@@ -1,7 +1,6 @@
-"""What members say to each other, typed: of themselves, of those who are silent, and news for all.
+"""The messages that members exchange: records of themselves, suspicions of others, and broadcasts.
 
-A member's word of itself is the only one that changes what it is; what others say of it is a charge that it
-can answer.
+Only a member's own record changes its state. Other members can merely suspect it, which it can refute.
 """
 
 from __future__ import annotations
@@ -11,36 +10,36 @@
 import msgspec
 from msgspec import Meta
 
-# What a member says of itself.
+# The phase that a member reports of itself.
 STARTING, SERVING, SENT_AWAY, LEAVING, LEFT = range(5)
 PHASES = ("starting", "serving", "clients sent away", "leaving", "left")
-# What another finds of it.
+# The health that other members observe.
 ALIVE, SUSPECTED, LOST = range(3)
 HEALTH = ("alive", "suspected", "lost")
 
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
 Host = Annotated[str, Meta(min_length=1, max_length=60)]
 Port = Annotated[int, Meta(ge=1, le=65535)]
-# Unix time in microseconds up to the year 2200, and counts; what is beyond is no word of ours.
-Time = Annotated[int, Meta(ge=0, le=7_258_118_400_000_000)]
+# Unix time in microseconds up to the year 2200, and counts. Larger values make a packet invalid.
+TimestampUs = Annotated[int, Meta(ge=0, le=7_258_118_400_000_000)]
 Count = Annotated[int, Meta(ge=0, le=2**53)]
 Token = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A member's own word. `number` and `token` are its life: the first rises with each start under a name,
-    the second tells two processes apart. `turn` rises with each word of one life. `place` is which of its
-    tier it is, from 0.
+    """What a member publishes about itself. `number`, the start number, rises with each start of a process
+    under the name; the random `token` tells two processes apart. `incarnation` rises with each record of one
+    process. `place` is the index of the member in its tier, from 0.
     """
 
     name: Name
     host: Host
     port: Port
-    number: Time
+    number: TimestampUs
     token: Token
-    turn: Count
+    incarnation: Count
     phase: Annotated[int, Meta(ge=0, le=LEFT)]
-    doubled: bool  # it has met another process living under its name
+    doubled: bool  # another live process uses the same name
     tier: Count
     place: Count
 
@@ -49,9 +48,9 @@
         return self.number, self.token
 
     @property
-    def key(self) -> tuple[int, int, int]:
-        """Of two words under a name the one with the greater key counts, in whatever order they come."""
-        return self.number, self.token, self.turn
+    def precedence(self) -> tuple[int, int, int]:
+        """Of two records under a name the one with the greater precedence counts, in any order of arrival."""
+        return self.number, self.token, self.incarnation
 
     @property
     def address(self) -> tuple[str, int]:
@@ -59,57 +58,57 @@
 
     @property
     def gone(self) -> bool:
-        """It has said that its part is free. What two say under one name frees nothing."""
+        """Whether it has given up its share of the limits. A doubled name frees nothing."""
         return self.phase in (SENT_AWAY, LEFT) and not self.doubled
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """`by` gets no answer from `of`, as it was at this turn of this life. Nobody is lost by another's word:
-    whoever hears it starts to doubt, and concludes for itself.
+    """`accuser` gets no answer from `suspect`, whose record had this start number, token and incarnation. A
+    member that receives a suspicion starts its own suspicion timeout; none is lost by a message alone.
     """
 
-    of: Name
-    number: Time
+    suspect: Name
+    number: TimestampUs
     token: Token
-    turn: Count
-    by: Name
+    incarnation: Count
+    accuser: Name
 
 
 class Broadcast(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """News for all: one thing is on or off since a time. The later counts, and of two at one time the one
-    that is on.
+    """A switch that all members hold, such as a ban, with the time since which it is on or off. The later of
+    two broadcasts counts, and of two with the same time the one that is on.
     """
 
     kind: Annotated[str, Meta(min_length=1, max_length=16)]
     key: Annotated[str, Meta(max_length=200)]
     on: bool
-    at: Time
+    at: TimestampUs
 
     @property
     def rank(self) -> tuple[int, bool]:
         return self.at, self.on
 
 
-PING, ACK, ASK, NACK, TELL = range(5)
-# What a stream is opened for.
+PING, ACK, PING_REQ, NACK, GOSSIP = range(5)
+# The purpose of a stream, sent in the `seq` of its first packet: a full state sync, or the endpoint list.
 WANTS_ROLL, WANTS_LIST = range(2)
-KINDS = ("ping", "ack", "ask", "nack", "tell")
+PACKET_KINDS = ("ping", "ack", "ask", "nack", "tell")
 
 
 class Packet(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram, or one part of a stream. `number` rises with each of a life, so that none counts twice.
-    `to` names the one it is for; empty for whoever answers at a seed. In a stream `seq` says what is wanted.
-    `held` is a digest of the notices that the sender holds.
+    """One datagram, or one part of a stream. `packet_number` rises with each packet of a process, so that no
+    packet counts twice. `recipient` is the name of the addressed member, empty for a seed of unknown name. In
+    a stream `seq` is its purpose. `broadcasts_digest` is the digest of the broadcasts that the sender holds.
     """
 
-    kind: Annotated[int, Meta(ge=0, le=TELL)]
-    number: Count
+    kind: Annotated[int, Meta(ge=0, le=GOSSIP)]
+    packet_number: Count
     seq: Count
     sender: MemberRecord
-    to: Annotated[str, Meta(max_length=100)]
-    held: Token
+    recipient: Annotated[str, Meta(max_length=100)]
+    broadcasts_digest: Token
     target: MemberRecord | None
-    said: list[MemberRecord]
-    charges: list[Suspicion]
-    notices: list[Broadcast]
-    version: Count = 0  # of discovery's list, as the sender has it
+    records: list[MemberRecord]
+    suspicions: list[Suspicion]
+    broadcasts: list[Broadcast]
+    list_version: Count = 0  # the version of discovery's endpoint list that the sender has
--- a/pepperusher/group/shares.py
+++ b/pepperusher/group/shares.py
@@ -1,11 +1,11 @@
-"""What follows from who is there, who is gone and who is silent; free of I/O. docs/group-design.md has the
-table.
+"""How many members a proxy reaches, and how many share the limits with it. It does no I/O.
+docs/group-design.md has the table.
 
-No bound rises because others are silent: a part grows by those alone who *said* that they send clients away
-or left, each place of the tier counted once. So two halves of a partition do no more together than the whole
-was allowed, whoever believes what of whom. The one exception is a proxy that starts or takes clients again
-while others have not heard so: until they have, at most one part is used twice for each such proxy, as when
-it is started without a group.
+No limit rises because other members are silent. A proxy's share grows only by members that *said* that they
+send their clients away or have left, and each place of the tier counts once. So the two halves of a partition
+together never use more than the whole group may, whatever each believes of the other. The one exception is
+a proxy that starts or takes clients again before the others have heard of it: until they have, at most one
+share is used twice per such proxy, as when it is started without a group.
 """
 
 from __future__ import annotations
@@ -16,14 +16,15 @@
 from pepperusher.group.membership import Membership
 from pepperusher.group.messages import ALIVE, LEFT, MemberRecord
 
-MAJORITY, PART, NOBODY = "majority", "part", "nobody"
-# Where no more than one in so many answers, one in so many of the roll is taken to be there.
-HARDLY = 8
+MAJORITY, MINORITY, ISOLATED = "majority", "part", "nobody"
+# If no more than one in this many contacted members answers, only one in this many alive members counts as
+# reachable.
+FEW_ANSWERS_DIVISOR = 8
 
 
 class Reachability(NamedTuple):
-    """How many of the roll, this proxy included, it takes to be there; how many are silent, gone, and never
-    met.
+    """How many members, this proxy included, it takes to be reachable (`here`), and how many are silent, gone
+    and never met. `word` is MAJORITY, MINORITY or ISOLATED.
     """
 
     word: str
@@ -33,49 +34,51 @@
     never: int
 
     @property
-    def may_order(self) -> bool:
-        """What binds the whole group waits for this. Tickets never do."""
+    def has_majority(self) -> bool:
+        """Whether this proxy reaches a majority. Changes that bind the whole group require it; tickets never do."""
         return self.word == MAJORITY
 
 
-def reach(told: int, me: MemberRecord, roll: Membership, answered: bool, hardly: bool = False) -> Reachability:
-    """`told` is how many proxies the settings count in this tier. Unless anybody `answered` of late nobody is
-    there, whatever it holds of them: it may just have gone on after it stood still. Where `hardly` anybody
-    does, of those that it turns to by chance, hardly anybody is: the others are not suspected only since
-    their turn has not come, or since too few are here to charge them.
+def assess_reachability(
+    configured_size: int, me: MemberRecord, membership: Membership, answered: bool, few_answer: bool = False
+) -> Reachability:
+    """`configured_size` is the number of proxies in this tier by the settings. If no member `answered` lately,
+    none counts as reachable, whatever their recorded health: this process may just have resumed after a stall.
+    If `few_answer` of the randomly probed members, only a few of the alive ones count: the others are not yet
+    suspected merely because they have not been probed, or because too few members are left to accuse them.
     """
     here, silent, gone = 1, 0, 0
     met = 1
-    for one in roll:
-        met += one.said.tier == me.tier
-        if one.said.phase == LEFT:
+    for member in membership:
+        met += member.said.tier == me.tier
+        if member.said.phase == LEFT:
             gone += 1
-        elif one.health == ALIVE and not one.said.doubled:
+        elif member.health == ALIVE and not member.said.doubled:
             here += 1
         else:
             silent += 1
-    never = max(0, told - met)
-    whole = here + silent + never
+    never_met = max(0, configured_size - met)
+    total = here + silent + never_met
     if not answered:
         here, silent = 1, silent + here - 1
-    elif hardly:
-        reached = min(here - 1, max(1, (here - 1) // HARDLY))
+    elif few_answer:
+        reached = min(here - 1, max(1, (here - 1) // FEW_ANSWERS_DIVISOR))
         here, silent = 1 + reached, silent + here - 1 - reached
-    if 2 * here > whole:
+    if 2 * here > total:
         word = MAJORITY
     else:
-        word = PART if here > 1 else NOBODY
-    return Reachability(word, here, silent, gone, never)
+        word = MINORITY if here > 1 else ISOLATED
+    return Reachability(word, here, silent, gone, never_met)
 
 
-def size(told: int, me: MemberRecord, words: Iterable[MemberRecord]) -> int:
-    """Of how many this proxy is one where they share: the settings' count, less the places whose last word
-    was that they are gone. Never fewer than the places that are known to be held.
+def sharer_count(configured_size: int, me: MemberRecord, records: Iterable[MemberRecord]) -> int:
+    """How many proxies share the limits: the configured number, less the places whose member is gone by its
+    last record. It is never less than the number of places that are known to be held.
     """
-    held: set[int] = {me.place}
-    free: set[int] = set()
-    for one in words:
-        if one.tier == me.tier:
-            (free if one.gone else held).add(one.place)
-    places = held | free
-    return max(told, len(places)) - len(free - held)
+    held_places: set[int] = {me.place}
+    free_places: set[int] = set()
+    for record in records:
+        if record.tier == me.tier:
+            (free_places if record.gone else held_places).add(record.place)
+    places = held_places | free_places
+    return max(configured_size, len(places)) - len(free_places - held_places)
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -1,16 +1,16 @@
-"""One member of a group: whom it asks, what it answers, what it passes on; free of I/O.
+"""The membership protocol of one group member: probes, acks, suspicion and gossip. It does no I/O.
 
-Driven by now, datagrams in, and `wake` when it is due; what is to be sent stands in `out`, what changed in
-`changes`, what is new for this proxy to act on in `news`.
+The caller passes in the time and the received datagrams, and calls `wake` when it is due. Packets to send are
+collected in `out`, membership changes in `changes`, and broadcasts that are new to this proxy in `news`.
 
-From SWIM (Das, Gupta, Motivala 2002): probes in a shuffled round, indirect ones, words passed on with them,
-turns of a life, suspicion. From Lifeguard (Dadgar, Phillips, Currey 2018): doubt of oneself, suspicion that
-shortens with each doubter, nacks, the suspected told first of all that it is. Passing on between probes as
-well, as memberlist's authors describe it. Not taken: the word of loss that others must believe, and a stream
-for whatever does not fit; see docs/group-design.md.
+From SWIM (Das, Gupta, Motivala 2002): probes in shuffled rounds, indirect probes, piggybacked gossip,
+incarnation numbers and suspicion. From Lifeguard (Dadgar, Phillips, Currey 2018): the local health score,
+suspicion timeouts that shorten with each independent accuser, nacks, and telling a suspected member first so
+that it can refute. As in memberlist, members also gossip between probes. Two parts are left out: a "dead"
+message that others must accept, and a stream for data that does not fit a datagram; see docs/group-design.md.
 
-Nothing in a packet is read unless the process that sent it has answered a packet of this one, and each of its
-packets counts once: so old ones, sent again by whoever recorded them, change nothing.
+A packet is only read once the process that sent it has answered a packet of this one, and each packet number
+counts once. Recorded packets that somebody replays therefore change nothing.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from pepperusher.group.broadcasts import Broadcasts
 from pepperusher.group.shares import Reachability
 from pepperusher.group.membership import Change, Member, Membership
-from pepperusher.group.gossip_queue import CHARGE, NOTICE, SAID, GossipQueue
-from pepperusher.group.wire import DATAGRAM, HEAD, BadPacket, Wire
+from pepperusher.group.gossip_queue import SUSPICION, BROADCAST, RECORD, GossipQueue
+from pepperusher.group.wire import DATAGRAM, HEADER_BYTES, BadPacket, Wire
 from pepperusher.group.messages import (
     ACK,
     ALIVE,
-    ASK,
+    PING_REQ,
     HEALTH,
     LEAVING,
     LEFT,
@@ -41,7 +41,7 @@
     PHASES,
     PING,
     SENT_AWAY,
-    TELL,
+    GOSSIP,
     Suspicion,
     Broadcast,
     Packet,
@@ -50,395 +50,422 @@
 from pepperusher.invariants import check_invariant
 
 SECOND = 1_000_000
-# Others asked to try one that does not answer.
-ASKED = 3
-# Of the time in which an answer is waited for, when one that was asked says that it has none either.
-NACK_AT = 0.8
-# Members told between probes, and how often in a period.
-TELLS, TELLS_A_PERIOD = 2, 4
-# To how many a word that all should have goes in one turn, beside what is passed on.
-AT_ONCE = 24
-# One silent member is tried again in so many periods.
-RETRY = 4
-# Seeds are asked so often while nobody is known, and so often after.
-JOIN_EVERY, SEEDS_EVERY = SECOND, 10 * SECOND
-# Words of the roll in a packet's spare room, and notices.
-FILL = 4
-# What a packet has beside its words, at the most.
-FRAME = HEAD + 57
-# Without any answer for so many periods nobody is reached.
-UNHEARD = 8
-# Probes, each of a member by chance, by which it judges whether it reaches hardly anybody.
-SAMPLED = 8
-# A name that two processes live under is so for this long after the other last spoke.
-DOUBLED_FOR = 10 * SECOND
-# Between two words by which a life is put above another's under its name.
-RAISE_EVERY = SECOND
-RIVALS = 4
-# Answers that are waited for, and tries for others, at once; more are not made.
-AWAITED_MOST = 4_000
-RELAYS_MOST = 200
-# A later than this part of the time for an answer is a loop that stood still.
-LATE = 2
+# Members that are asked to probe a target that did not answer the direct probe.
+INDIRECT_PROBES = 3
+# A helper sends its nack after this part of the ack timeout.
+NACK_AFTER_FRACTION = 0.8
+# Members that receive gossip in one round, and gossip rounds per probe period.
+GOSSIP_FANOUT, GOSSIP_ROUNDS_PER_PERIOD = 2, 4
+# Members that are pinged in one gossip round when news should reach every member at once.
+PINGS_PER_ROUND = 24
+# One lost member is pinged again every so many probe periods.
+LOST_PING_INTERVAL_PERIODS = 4
+# How often seeds are pinged while no member is alive, and afterwards.
+JOIN_INTERVAL_US, SEEDS_INTERVAL_US = SECOND, 10 * SECOND
+# Random member records, and random broadcasts, that fill the free space of a packet.
+MAX_EXTRA_PARTS = 4
+# The most bytes of a packet beside its records, suspicions and broadcasts.
+PACKET_OVERHEAD_BYTES = HEADER_BYTES + 57
+# A member that got no answer for this many periods takes itself to be isolated.
+MAX_UNANSWERED_PERIODS = 8
+# The last probes, each of a random member, from which a member estimates how many others it reaches.
+REACH_SAMPLE_PROBES = 8
+# A name is marked as doubled until this long after the other process under it was last seen.
+DUPLICATE_NAME_HOLD_US = 10 * SECOND
+# The minimum time between two raises of this process's start number above a rival's.
+RAISE_INTERVAL_US = SECOND
+MAX_RIVALS = 4
+# Limits on outstanding pings and on pings relayed for other members; no more are sent beyond these.
+MAX_AWAITED = 4_000
+MAX_RELAYS = 200
+# A wake-up that is late by more than the ack timeout divided by this counts as a stall of the process.
+STALL_THRESHOLD_DIVISOR = 2
 
 
 class SwimSettings(NamedTuple):
-    """Times in microseconds; `told` is how many proxies the settings count in this tier."""
+    """Times are in microseconds. `configured_size` is the number of proxies in this tier by the settings."""
 
     period: int
-    within: int
+    ack_timeout: int
     seeds: tuple[tuple[str, int], ...]
-    told: int
-    kept: int  # for how long what is off is remembered
+    configured_size: int
+    retention: int  # how long a broadcast that is off is remembered
 
 
 class Awaited(NamedTuple):
-    """An answer that is waited for: from whom, empty for whoever is at a seed; until when."""
+    """An ack that is expected. `name` is empty when a seed was pinged whose name is not known."""
 
     name: str
-    until: int
+    deadline: int
 
 
 class Probe:
-    __slots__ = ("name", "seq", "ask_at", "end", "asked", "nacked", "done")
+    """The running probe of one member, direct until `indirect_at` and then also through helpers."""
 
-    def __init__(self, name: str, seq: int, ask_at: int, end: int) -> None:
-        self.name, self.seq, self.ask_at, self.end = name, seq, ask_at, end
-        self.asked = 0
-        self.nacked = 0
-        self.done = False
+    __slots__ = ("name", "seq", "indirect_at", "end", "helper_count", "nack_count", "answered")
+
+    def __init__(self, name: str, seq: int, indirect_at: int, end: int) -> None:
+        self.name, self.seq, self.indirect_at, self.end = name, seq, indirect_at, end
+        self.helper_count = 0
+        self.nack_count = 0
+        self.answered = False
 
 
 class Relay:
-    """A try for another, who waits for what comes of it."""
+    """A ping that this member sends on behalf of another, which waits for the ack or a nack."""
 
-    __slots__ = ("asker", "seq", "target", "nack_at", "until")
+    __slots__ = ("requester", "seq", "target", "nack_at", "deadline")
 
-    def __init__(self, asker: str, seq: int, target: str, nack_at: int, until: int) -> None:
-        self.asker, self.seq, self.target, self.nack_at, self.until = asker, seq, target, nack_at, until
+    def __init__(self, requester: str, seq: int, target: str, nack_at: int, deadline: int) -> None:
+        self.requester, self.seq, self.target, self.nack_at, self.deadline = requester, seq, target, nack_at, deadline
 
 
 class Swim:
-    def __init__(self, me: MemberRecord, terms: SwimSettings, wire: Wire, chance: Random, now: int) -> None:
+    """One member's view of the group and its side of the protocol."""
+
+    def __init__(self, me: MemberRecord, settings: SwimSettings, wire: Wire, rng: Random, now: int) -> None:
         self.me = me
-        self.terms = terms
-        self.roll = Membership(terms.period)
-        self.notices = Broadcasts(terms.kept)
+        self.settings = settings
+        self.roll = Membership(settings.period)
+        self.notices = Broadcasts(settings.retention)
         self.health = Health()
         self.out: list[tuple[tuple[str, int], bytes]] = []
         self.changes: list[Change] = []
         self.news: list[Broadcast] = []
-        # By words of this module and of wire, so it grows with the code alone.
+        # Keyed by texts of this module and of wire.py, so its size is bounded.
         self.counts: dict[str, int] = {}
-        self.list = 0  # the version of discovery's list that this proxy has
-        self.wants_roll: tuple[str, int] | None = None  # whom a stream would bring it up to date from
+        self.list = 0  # the version of discovery's endpoint list that this proxy has
+        self.wants_roll: tuple[str, int] | None = None  # the member to request a full state sync from
         self._wire = wire
-        self._chance = chance
+        self._rng = rng
         self._rumours = GossipQueue()
-        self._part = wire.part(me)
-        self._parts: dict[str, tuple[MemberRecord, bytes]] = {}  # packed words of the roll; one for each name on it
-        self._number = 0
-        self._seq = chance.getrandbits(48)
-        self._round: list[str] = []  # whose turn to be probed it is; emptied by probing
+        self._own_encoded = wire.encode_part(me)
+        self._parts: dict[str, tuple[MemberRecord, bytes]] = {}  # cache of encoded records, one per member name
+        self._packet_number = 0
+        self._seq = rng.getrandbits(48)
+        self._probe_round: list[str] = []  # members still to be probed in this round
         self._probe: Probe | None = None
-        self._probe_at = now + chance.randrange(max(1, terms.period))
-        self._probes = 0
-        # Of the last probes, whom it turned to in each, the target and helpers, and who of them answered.
-        self._turned: deque[tuple[int, int]] = deque(maxlen=SAMPLED)
-        self._tell_at = now
-        self._join_at = now
-        self._awaited: dict[int, Awaited] = {}  # emptied by answers and by time
-        self._relays: dict[int, Relay] = {}  # likewise
-        self._owing: list[str] = []  # who is still to be told at once; emptied by telling
-        # Other lives under this name, each with its highest number; RIVALS.
+        self._probe_at = now + rng.randrange(max(1, settings.period))
+        self._probe_count = 0
+        # For each of the last probes: members contacted (the target and the helpers), and how many answered.
+        self._recent_probes: deque[tuple[int, int]] = deque(maxlen=REACH_SAMPLE_PROBES)
+        self._gossip_at = now
+        self._seeds_at = now
+        self._awaited: dict[int, Awaited] = {}  # by sequence number; removed by the ack or at the deadline
+        self._relays: dict[int, Relay] = {}  # by sequence number; removed by the ack or at the deadline
+        self._owing: list[str] = []  # members still to be pinged with urgent news
+        # Other processes under this name: the highest start number by token, at most MAX_RIVALS.
         self._rivals: dict[int, int] = {}
-        self._rival_at = 0
+        self._rival_seen_at = 0
         self._raise_at: int | None = None
-        self._raised_at = -RAISE_EVERY
-        self._answered_at = now - UNHEARD * terms.period
+        self._raised_at = -RAISE_INTERVAL_US
+        self._last_answer_at = now - MAX_UNANSWERED_PERIODS * settings.period
         self._reached = ""
-        self._reach_of: tuple[int, bool, bool, int, int] | None = None
-        self._due = now
-        self._farewell: set[str] = set()
-        self._rumours.put(SAID, me.name, self._part)
+        self._reach_inputs: tuple[int, bool, bool, int, int] | None = None
+        self._wake_at = now
+        self._acked_phase: set[str] = set()
+        self._rumours.put(RECORD, me.name, self._own_encoded)
 
-    # --- what the proxy asks and says -------------------------------------------------------------
+    # --- interface of the proxy --------------------------------------------------------------------
 
-    def _answered(self, now: int) -> bool:
-        return now - self._answered_at <= UNHEARD * self.health.stretched(self.terms.period)
+    def _answered_recently(self, now: int) -> bool:
+        return now - self._last_answer_at <= MAX_UNANSWERED_PERIODS * self.health.scale(self.settings.period)
 
-    def _hardly(self) -> bool:
-        """Lost packets alone do not make it so: most helpers still say that they have no answer either."""
-        to = sum(one for one, _ in self._turned)
-        answered = sum(one for _, one in self._turned)
-        return len(self._turned) == SAMPLED and shares.HARDLY * answered <= to
+    def _few_answer(self) -> bool:
+        """Whether so few recent probes were answered that most members must be unreachable. Packet loss alone
+        does not cause this, because most helpers still send a nack.
+        """
+        contacted = sum(count for count, _ in self._recent_probes)
+        answered = sum(count for _, count in self._recent_probes)
+        return len(self._recent_probes) == REACH_SAMPLE_PROBES and shares.FEW_ANSWERS_DIVISOR * answered <= contacted
 
     def reach(self, now: int) -> Reachability:
-        return shares.reach(self.terms.told, self.me, self.roll, self._answered(now), self._hardly())
+        return shares.assess_reachability(
+            self.settings.configured_size, self.me, self.roll, self._answered_recently(now), self._few_answer()
+        )
 
     def size(self) -> int:
-        """Of how many this proxy is one, where they share."""
-        return shares.size(self.terms.told, self.me, (one.said for one in self.roll))
+        """The number of proxies, this one included, that share the limits."""
+        return shares.sharer_count(self.settings.configured_size, self.me, (member.said for member in self.roll))
 
     def say(self, phase: int, now: int) -> None:
-        """What this proxy is from here on; where it frees a part or takes it back, all who can be reached are
-        told at once.
+        """Publishes a new phase of this proxy. If it frees its share of the limits or takes it back, all reachable
+        members are pinged at once.
         """
         before = self.me.phase
         if phase == before:
             return
-        self._new_word(phase=phase)
-        self._farewell.clear()
-        # Not of each start: in a herd of them everyone would tell everyone.
+        self._update_own_record(phase=phase)
+        self._acked_phase.clear()
+        # A mere start is not announced this way: when many proxies start together, each would ping all others.
         if phase in (SENT_AWAY, LEAVING, LEFT) or before == SENT_AWAY:
-            self._tell_all()
-            self._tell_at = now
+            self._schedule_pings()
+            self._gossip_at = now
 
-    def reconfigure(self, told: int, tier: int, place: int) -> None:
-        """Other settings: how many proxies they count, and which of them this one is."""
-        self.terms = self.terms._replace(told=told)
+    def reconfigure(self, configured_size: int, tier: int, place: int) -> None:
+        """Applies new settings: the size of the tier, and the tier and place of this proxy."""
+        self.settings = self.settings._replace(configured_size=configured_size)
         if (tier, place) != (self.me.tier, self.me.place):
-            self._new_word(tier=tier, place=place)
+            self._update_own_record(tier=tier, place=place)
 
     @property
     def farewells(self) -> tuple[int, int]:
-        """How many have answered since the last `say`, of how many that are there."""
-        return len(self._farewell), len(self._live())
+        """How many members have acked since the last change of phase, and how many members are alive."""
+        return len(self._acked_phase), len(self._live_members())
 
-    def tell(self, notice: Broadcast, now: int) -> bool:
-        """News of this proxy's own for all; whether it is any."""
-        if not self.notices.take(notice, now):
+    def tell(self, broadcast: Broadcast, now: int) -> bool:
+        """Broadcasts news of this proxy to all members. False if it is not newer than what this proxy holds."""
+        if not self.notices.take(broadcast, now):
             return False
-        self._rumours.put(NOTICE, f"{notice.kind} {notice.key}", self._wire.part(notice))
-        self._tell_all()
-        self._tell_at = now
+        self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
+        self._schedule_pings()
+        self._gossip_at = now
         return True
 
     def holders(self) -> tuple[int, int]:
-        """How many hold the notices that this one holds, itself included, of all that are not gone."""
-        there = [one for one in self.roll if one.said.phase != LEFT]
-        return 1 + sum(one.held == self.notices.digest for one in there), 1 + len(there)
+        """How many members, this one included, hold the same broadcasts, and how many members have not left."""
+        present = [member for member in self.roll if member.said.phase != LEFT]
+        return 1 + sum(member.broadcasts_digest == self.notices.digest for member in present), 1 + len(present)
 
-    def hello(self, wants: int) -> bytes:
-        """The first part of a stream that this member opens."""
-        return self._packet(TELL, wants, "", None, ())
+    def hello(self, purpose: int) -> bytes:
+        """The first packet of a stream that this member opens; `purpose` is WANTS_ROLL or WANTS_LIST."""
+        return self._packet(GOSSIP, purpose, "", None, ())
 
     def whole(self) -> list[bytes]:
-        """All that this member knows, as packets for a stream."""
-        words = [(SAID, self._packed(one)) for one in self.roll]
-        words += [(NOTICE, self._wire.part(one)) for one in self.notices]
-        made = []
-        while words or not made:
-            room = DATAGRAM - FRAME - len(self._part)
-            taken: list[tuple[int, bytes]] = []
-            while words and len(words[-1][1]) <= room:
-                taken.append(words.pop())
-                room -= len(taken[-1][1])
-            made.append(self._packet(TELL, 0, "", None, taken))
-        return made
+        """The full state of this member, as packets for a full state sync over a stream."""
+        parts = [(RECORD, self._encoded_record(item)) for item in self.roll]
+        parts += [(BROADCAST, self._wire.encode_part(item)) for item in self.notices]
+        packets = []
+        while parts or not packets:
+            free_bytes = DATAGRAM - PACKET_OVERHEAD_BYTES - len(self._own_encoded)
+            packet_parts: list[tuple[int, bytes]] = []
+            while parts and len(parts[-1][1]) <= free_bytes:
+                packet_parts.append(parts.pop())
+                free_bytes -= len(packet_parts[-1][1])
+            packets.append(self._packet(GOSSIP, 0, "", None, packet_parts))
+        return packets
 
     # --- time ---------------------------------------------------------------------------------------
 
     def wake(self, now: int) -> int:
-        """Does what is due; when it is to be woken next, at the latest."""
-        self._stood(now)
-        self._due = now
+        """Does what is due and returns the time of the next wake-up."""
+        self._compensate_stall(now)
+        self._wake_at = now
         if self._raise_at is not None and now >= self._raise_at:
-            self._raise()
-        if self.me.doubled and now - self._rival_at >= DOUBLED_FOR:
-            self._new_word(doubled=False)
+            self._raise_number()
+        if self.me.doubled and now - self._rival_seen_at >= DUPLICATE_NAME_HOLD_US:
+            self._update_own_record(doubled=False)
             self.changes.append(Change("no longer doubled", self.me.name, {}))
-        self._look_at_probe(now)
-        self._look_at_relays(now)
+        self._check_probe(now)
+        self._check_relays(now)
         if now >= self._probe_at:
             self._end_probe(now)
             self._begin_probe(now)
-        for change in self.roll.look(now):
+        for change in self.roll.expire_suspicions(now):
             self.changes.append(change)
-        if now >= self._join_at:
-            self._join(now)
-        if now >= self._tell_at:
-            self._pass_on(now)
-        for seq in [seq for seq, one in self._awaited.items() if one.until <= now]:
+        if now >= self._seeds_at:
+            self._ping_seeds(now)
+        if now >= self._gossip_at:
+            self._gossip(now)
+        for seq in [seq for seq, pending in self._awaited.items() if pending.deadline <= now]:
             del self._awaited[seq]
-        self.notices.forget(now)
-        self._say_reach(now)
-        due = [self._probe_at, self._join_at, self._tell_at]
-        if self._probe is not None and not self._probe.done and not self._probe.asked:
-            due.append(self._probe.ask_at)
-        due += [one.nack_at if one.nack_at > now else one.until for one in self._relays.values()]
-        due += [at for at in (self._raise_at, self.roll.next_look()) if at is not None]
-        self._due = max(now + 1_000, min(due))
-        return self._due
-
-    def _stood(self, now: int) -> None:
-        """This process was kept from its turn for a time. It had no ears meanwhile, so nobody is charged for
-        that time: all that is waited for begins anew, and its own word counts for less.
+        self.notices.expire(now)
+        self._report_reach(now)
+        due = [self._probe_at, self._seeds_at, self._gossip_at]
+        if self._probe is not None and not self._probe.answered and not self._probe.helper_count:
+            due.append(self._probe.indirect_at)
+        due += [pending.nack_at if pending.nack_at > now else pending.deadline for pending in self._relays.values()]
+        due += [time for time in (self._raise_at, self.roll.next_expiry()) if time is not None]
+        self._wake_at = max(now + 1_000, min(due))
+        return self._wake_at
+
+    def _compensate_stall(self, now: int) -> None:
+        """Detects that this process was stalled and moves all deadlines by the delay. It could not receive acks
+        meanwhile, so no member is suspected for that time, and its own health score degrades.
         """
-        late = now - self._due
-        if late <= self.terms.within // LATE:
+        delay = now - self._wake_at
+        if delay <= self.settings.ack_timeout // STALL_THRESHOLD_DIVISOR:
             return
-        self.health.worse(1 if late < self.terms.period else 2)
-        self.roll.postponed(late)
+        self.health.degrade(1 if delay < self.settings.period else 2)
+        self.roll.postpone_suspicions(delay)
         if self._probe is not None:
-            self._probe.ask_at += late
-            self._probe.end += late
-        self._probe_at += late
-        self._awaited = {seq: Awaited(one.name, one.until + late) for seq, one in self._awaited.items()}
+            self._probe.indirect_at += delay
+            self._probe.end += delay
+        self._probe_at += delay
+        self._awaited = {seq: Awaited(awaited.name, awaited.deadline + delay) for seq, awaited in self._awaited.items()}
         self._relays.clear()
-        self._due = now
+        self._wake_at = now
         self._count("stood still")
-        if late >= UNHEARD * self.terms.period:
-            self.changes.append(Change("stood still, so its own doubts count for less", self.me.name, {"us": late}))
-
-    def _say_reach(self, now: int) -> None:
-        """A walk over the whole roll, so only where something that it hangs on is other than it was."""
-        hardly = self._hardly()
-        stands = self.roll.version, self._answered(now), hardly, self.terms.told, self.me.tier
-        if stands == self._reach_of:
+        if delay >= MAX_UNANSWERED_PERIODS * self.settings.period:
+            self.changes.append(
+                Change("stood still, so its own suspicions count for less", self.me.name, {"us": delay})
+            )
+
+    def _report_reach(self, now: int) -> None:
+        """Reports a change of reachability. The computation visits all members, so it runs only when one of its
+        inputs has changed.
+        """
+        few_answer = self._few_answer()
+        inputs = (
+            self.roll.version,
+            self._answered_recently(now),
+            few_answer,
+            self.settings.configured_size,
+            self.me.tier,
+        )
+        if inputs == self._reach_inputs:
             return
-        self._reach_of = stands
-        found = self.reach(now)
-        if found.word != self._reached:
-            self._reached = found.word
-            self.changes.append(Change(f"reaches {found.word}", self.me.name, found._asdict()))
+        self._reach_inputs = inputs
+        reachability = self.reach(now)
+        if reachability.word != self._reached:
+            self._reached = reachability.word
+            self.changes.append(Change(f"reaches {reachability.word}", self.me.name, reachability._asdict()))
 
     # --- probes ---------------------------------------------------------------------------------------
 
-    def _live(self) -> list[Member]:
-        return [one for one in self.roll if one.health != LOST and one.said.phase != LEFT]
+    def _live_members(self) -> list[Member]:
+        return [member for member in self.roll if member.health != LOST and member.said.phase != LEFT]
 
     def _begin_probe(self, now: int) -> None:
-        period = self.health.stretched(self.terms.period)
+        period = self.health.scale(self.settings.period)
         self._probe_at = now + period
-        self._probes += 1
-        if self._probes % RETRY == 0:
-            self._retry(now)
-        one = self._next_of_round()
-        if one is None:
+        self._probe_count += 1
+        if self._probe_count % LOST_PING_INTERVAL_PERIODS == 0:
+            self._ping_lost(now)
+        target = self._next_target()
+        if target is None:
             self._probe = None
             return
-        probe = Probe(one.said.name, self._next_seq(), now + self.health.stretched(self.terms.within), now + period)
+        probe = Probe(
+            target.said.name, self._next_seq(), now + self.health.scale(self.settings.ack_timeout), now + period
+        )
         self._probe = probe
-        self._ping(one, now, probe.seq, probe.end)
+        self._ping(target, now, probe.seq, probe.end)
 
-    def _next_of_round(self) -> Member | None:
-        """Each is probed once in a round, in an order of chance; whoever comes meanwhile is in the next."""
+    def _next_target(self) -> Member | None:
+        """Each member is probed once per round, in random order. A member that joins is probed in the next round."""
         for _ in range(2):
-            while self._round:
-                one = self.roll.get(self._round.pop())
-                if one is not None and one.health != LOST and one.said.phase != LEFT:
-                    return one
-            self._round = list(self.roll.names())
-            self._chance.shuffle(self._round)
+            while self._probe_round:
+                member = self.roll.get(self._probe_round.pop())
+                if member is not None and member.health != LOST and member.said.phase != LEFT:
+                    return member
+            self._probe_round = list(self.roll.member_names())
+            self._rng.shuffle(self._probe_round)
         return None
 
-    def _retry(self, now: int) -> None:
-        """Silent members are tried again for good: a cut may end at any time."""
-        lost = [one for one in self.roll if one.health == LOST and one.said.phase != LEFT]
+    def _ping_lost(self, now: int) -> None:
+        """Pings a random lost member. This never stops, because a network partition may end at any time."""
+        lost = [member for member in self.roll if member.health == LOST and member.said.phase != LEFT]
         if lost:
-            self._ping(self._chance.choice(lost), now)
+            self._ping(self._rng.choice(lost), now)
 
-    def _ping(self, one: Member, now: int, seq: int | None = None, until: int | None = None) -> None:
+    def _ping(self, member: Member, now: int, seq: int | None = None, deadline: int | None = None) -> None:
+        """Pings a member and awaits its ack until the deadline."""
         if seq is None:
             seq = self._next_seq()
-        if len(self._awaited) < AWAITED_MOST:
-            self._awaited[seq] = Awaited(one.said.name, until or now + 2 * self.health.stretched(self.terms.within))
-        self._send(PING, one.said.address, seq, one.said.name)
+        if len(self._awaited) < MAX_AWAITED:
+            self._awaited[seq] = Awaited(
+                member.said.name, deadline or now + 2 * self.health.scale(self.settings.ack_timeout)
+            )
+        self._send(PING, member.said.address, seq, member.said.name)
 
-    def _look_at_probe(self, now: int) -> None:
+    def _check_probe(self, now: int) -> None:
+        """Asks helpers for indirect probes if the direct probe got no ack in time."""
         probe = self._probe
-        if probe is None or probe.done or probe.asked or now < probe.ask_at:
+        if probe is None or probe.answered or probe.helper_count or now < probe.indirect_at:
             return
         target = self.roll.get(probe.name)
-        others = [
-            one
-            for one in self._live()
-            if one.health == ALIVE and one.proved is not None and one.said.name != probe.name
+        helpers = [
+            helper
+            for helper in self._live_members()
+            if helper.health == ALIVE and helper.verified_token is not None and helper.said.name != probe.name
         ]
-        if target is None or not others:
+        if target is None or not helpers:
             return
-        for one in self._chance.sample(others, min(ASKED, len(others))):
-            probe.asked += 1
-            self._send(ASK, one.said.address, probe.seq, one.said.name, target.said)
+        for helper in self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
+            probe.helper_count += 1
+            self._send(PING_REQ, helper.said.address, probe.seq, helper.said.name, target.said)
 
     def _end_probe(self, now: int) -> None:
         probe, self._probe = self._probe, None
         if probe is None:
             return
-        self._turned.append((1, 1) if probe.done else (1 + probe.asked, probe.nacked))
-        if probe.done:
+        self._recent_probes.append((1, 1) if probe.answered else (1 + probe.helper_count, probe.nack_count))
+        if probe.answered:
             return
         self._count("probes without an answer")
-        # Whoever was asked and says nothing at all is a hint that it is this member that hears nobody.
-        self.health.unheard(probe.asked - probe.nacked if probe.asked else 1)
-        one = self.roll.get(probe.name)
-        if one is not None:
-            said = one.said
-            self._charge(Suspicion(said.name, said.number, said.token, said.turn, self.me.name), now)
-
-    def _charge(self, charge: Suspicion, now: int) -> None:
-        if changed := self.roll.charge(charge, now):
+        # A helper that sends neither an ack nor a nack is a hint that this member itself cannot receive.
+        self.health.record_missing_nacks(probe.helper_count - probe.nack_count if probe.helper_count else 1)
+        target = self.roll.get(probe.name)
+        if target is not None:
+            record = target.said
+            self._suspect(Suspicion(record.name, record.number, record.token, record.incarnation, self.me.name), now)
+
+    def _suspect(self, suspicion: Suspicion, now: int) -> None:
+        if changed := self.roll.record_suspicion(suspicion, now):
             self.changes += changed
-            # By whom it is told counts, not who told it: each doubter is one, however many pass it on.
-            self._rumours.put(CHARGE, f"{charge.of} {charge.by}", self._wire.part(charge))
+            # Suspicions are queued per accuser, not per sender: an accuser counts once, however many relay it.
+            self._rumours.put(SUSPICION, f"{suspicion.suspect} {suspicion.accuser}", self._wire.encode_part(suspicion))
 
-    def _look_at_relays(self, now: int) -> None:
+    def _check_relays(self, now: int) -> None:
+        """Sends nacks for relayed pings that got no ack in time, and drops the expired ones."""
         for seq, relay in list(self._relays.items()):
             if relay.nack_at and now >= relay.nack_at:
                 relay.nack_at = 0
-                if (asker := self.roll.get(relay.asker)) is not None:
-                    self._send(NACK, asker.said.address, relay.seq, relay.asker)
-            if now >= relay.until:
+                if (requester := self.roll.get(relay.requester)) is not None:
+                    self._send(NACK, requester.said.address, relay.seq, relay.requester)
+            if now >= relay.deadline:
                 del self._relays[seq]
 
-    # --- passing on -----------------------------------------------------------------------------------
+    # --- gossip ---------------------------------------------------------------------------------------
 
-    def _tell_all(self) -> None:
-        self._owing = [one.said.name for one in self._live()]
-        self._chance.shuffle(self._owing)
+    def _schedule_pings(self) -> None:
+        """Schedules a ping of every live member, in random order, to spread urgent news."""
+        self._owing = [member.said.name for member in self._live_members()]
+        self._rng.shuffle(self._owing)
 
-    def _pass_on(self, now: int) -> None:
-        self._tell_at = now + self.terms.period // TELLS_A_PERIOD
+    def _gossip(self, now: int) -> None:
+        """Runs a gossip round: urgent pings if any are scheduled, else queued gossip to random members."""
+        self._gossip_at = now + self.settings.period // GOSSIP_ROUNDS_PER_PERIOD
         if self._owing:
-            turn, self._owing = self._owing[:AT_ONCE], self._owing[AT_ONCE:]
-            for name in turn:
-                if (one := self.roll.get(name)) is not None:
-                    self._ping(one, now)
+            batch, self._owing = self._owing[:PINGS_PER_ROUND], self._owing[PINGS_PER_ROUND:]
+            for name in batch:
+                if (member := self.roll.get(name)) is not None:
+                    self._ping(member, now)
             return
         if not self._rumours:
             return
-        live = self._live()
-        for one in self._chance.sample(live, min(TELLS, len(live))):
-            self._send(TELL, one.said.address, 0, one.said.name)
+        live = self._live_members()
+        for member in self._rng.sample(live, min(GOSSIP_FANOUT, len(live))):
+            self._send(GOSSIP, member.said.address, 0, member.said.name)
 
-    def _join(self, now: int) -> None:
-        """Seeds are asked while nobody is there, and seldom after: both halves of a group may have lost each
-        other.
+    def _ping_seeds(self, now: int) -> None:
+        """Pings the seeds often while no member is alive, and rarely afterwards: two halves of a group that have
+        lost each other find each other again through the seeds.
         """
-        there = {one.said.address for one in self.roll if one.health == ALIVE}
-        alone = not there
-        self._join_at = now + (JOIN_EVERY if alone else SEEDS_EVERY) * self._chance.randrange(75, 126) // 100
-        for seed in self.terms.seeds:
-            if seed not in there and seed != self.me.address and len(self._awaited) < AWAITED_MOST:
+        alive_addresses = {member.said.address for member in self.roll if member.health == ALIVE}
+        alone = not alive_addresses
+        self._seeds_at = now + (JOIN_INTERVAL_US if alone else SEEDS_INTERVAL_US) * self._rng.randrange(75, 126) // 100
+        for seed in self.settings.seeds:
+            if seed not in alive_addresses and seed != self.me.address and len(self._awaited) < MAX_AWAITED:
                 seq = self._next_seq()
                 self._awaited[seq] = Awaited("", now + 2 * SECOND)
                 self._send(PING, seed, seq, "")
 
-    def _new_word(self, **changes: object) -> None:
-        """This member's next word of itself."""
-        self.me = msgspec.structs.replace(self.me, turn=self.me.turn + 1, **changes)
-        self._part = self._wire.part(self.me)
-        self._rumours.put(SAID, self.me.name, self._part)
+    def _update_own_record(self, **changes: object) -> None:
+        """Publishes the next incarnation of this member's own record."""
+        self.me = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + 1, **changes)
+        self._own_encoded = self._wire.encode_part(self.me)
+        self._rumours.put(RECORD, self.me.name, self._own_encoded)
 
-    def _packed(self, one: Member) -> bytes:
-        said = one.said
-        known = self._parts.get(said.name)
-        if known is None or known[0] is not said:
+    def _encoded_record(self, member: Member) -> bytes:
+        record = member.said
+        cached = self._parts.get(record.name)
+        if cached is None or cached[0] is not record:
             if len(self._parts) > 2 * len(self.roll) + 16:
-                self._parts = {name: kept for name, kept in self._parts.items() if self.roll.get(name) is not None}
-            known = self._parts[said.name] = said, self._wire.part(said)
-        return known[1]
+                self._parts = {name: entry for name, entry in self._parts.items() if self.roll.get(name) is not None}
+            cached = self._parts[record.name] = record, self._wire.encode_part(record)
+        return cached[1]
 
     def _next_seq(self) -> int:
         self._seq += 1
@@ -449,114 +476,139 @@
         kind: int,
         address: tuple[str, int],
         seq: int,
-        to: str,
+        recipient: str,
         target: MemberRecord | None = None,
-        owed: Sequence[tuple[int, bytes]] = (),
-        fill: int = FILL,
+        reply_parts: Sequence[tuple[int, bytes]] = (),
+        max_extra: int = MAX_EXTRA_PARTS,
     ) -> None:
-        """A packet with what is to be passed on, and in its spare room words of the roll by chance: what
-        somebody has missed comes by in time, without any being asked for.
+        """Sends a packet that carries queued gossip. Random member records and broadcasts fill the free space, so
+        that members eventually receive what they missed without asking for it.
         """
-        aim = None if target is None else self._wire.part(target)
-        room = DATAGRAM - FRAME - len(self._part) - len(to.encode()) - len(aim or b"")
-        words: list[tuple[int, bytes]] = []
-        known = self.roll.get(to) if to else None
-        if known is not None and known.health != ALIVE:
-            # It is told before all others, so that it can answer.
-            said = known.said
-            for doubter in sorted(known.doubters)[:2]:
-                words.append(
-                    (CHARGE, self._wire.part(Suspicion(said.name, said.number, said.token, said.turn, doubter)))
+        encoded_target = None if target is None else self._wire.encode_part(target)
+        free_bytes = (
+            DATAGRAM
+            - PACKET_OVERHEAD_BYTES
+            - len(self._own_encoded)
+            - len(recipient.encode())
+            - len(encoded_target or b"")
+        )
+        parts: list[tuple[int, bytes]] = []
+        member = self.roll.get(recipient) if recipient else None
+        if member is not None and member.health != ALIVE:
+            # A suspected or lost member is told first, so that it can refute the suspicion.
+            record = member.said
+            for accuser in sorted(member.accusers)[:2]:
+                parts.append(
+                    (
+                        SUSPICION,
+                        self._wire.encode_part(
+                            Suspicion(record.name, record.number, record.token, record.incarnation, accuser)
+                        ),
+                    )
                 )
-        words += owed
-        room -= sum(len(one) for _, one in words)
-        for one in self._rumours.pick(room, 24, len(self.roll)):
-            words.append((one.sort, one.part))
-            room -= len(one.part)
-        if len(self.roll) and fill:
-            names = self.roll.names()
-            for _ in range(min(fill, len(names))):
-                other = self.roll.get(self._chance.choice(names))
-                assert other is not None
-                part = self._packed(other)
-                if len(part) > room:
+        parts += reply_parts
+        free_bytes -= sum(len(item) for _, item in parts)
+        for item in self._rumours.pick(free_bytes, 24, len(self.roll)):
+            parts.append((item.kind, item.encoded))
+            free_bytes -= len(item.encoded)
+        if len(self.roll) and max_extra:
+            names = self.roll.member_names()
+            for _ in range(min(max_extra, len(names))):
+                random_member = self.roll.get(self._rng.choice(names))
+                assert random_member is not None
+                part = self._encoded_record(random_member)
+                if len(part) > free_bytes:
                     break
-                words.append((SAID, part))
-                room -= len(part)
-        if len(self.notices) and fill:
-            told = list(self.notices)
-            for notice in self._chance.sample(told, min(fill, len(told))):
-                part = self._wire.part(notice)
-                if len(part) > room:
+                parts.append((RECORD, part))
+                free_bytes -= len(part)
+        if len(self.notices) and max_extra:
+            broadcasts = list(self.notices)
+            for broadcast in self._rng.sample(broadcasts, min(max_extra, len(broadcasts))):
+                part = self._wire.encode_part(broadcast)
+                if len(part) > free_bytes:
                     break
-                words.append((NOTICE, part))
-                room -= len(part)
-        self.out.append((address, self._packet(kind, seq, to, aim, words)))
-
-    def _packet(self, kind: int, seq: int, to: str, aim: bytes | None, words: Sequence[tuple[int, bytes]]) -> bytes:
-        self._number += 1
-        by_sort: tuple[list[bytes], list[bytes], list[bytes]] = ([], [], [])
-        for sort, part in words:
-            by_sort[sort].append(part)
-        made = self._wire.pack(kind, self._number, seq, self._part, to, self.notices.digest, aim, *by_sort, self.list)
-        check_invariant(len(made) <= DATAGRAM, "a packet fits one datagram")
-        return made
+                parts.append((BROADCAST, part))
+                free_bytes -= len(part)
+        self.out.append((address, self._packet(kind, seq, recipient, encoded_target, parts)))
+
+    def _packet(
+        self, kind: int, seq: int, recipient: str, encoded_target: bytes | None, parts: Sequence[tuple[int, bytes]]
+    ) -> bytes:
+        self._packet_number += 1
+        by_kind: tuple[list[bytes], list[bytes], list[bytes]] = ([], [], [])
+        for part_kind, part in parts:
+            by_kind[part_kind].append(part)
+        packet = self._wire.pack(
+            kind,
+            self._packet_number,
+            seq,
+            self._own_encoded,
+            recipient,
+            self.notices.digest,
+            encoded_target,
+            *by_kind,
+            self.list,
+        )
+        check_invariant(len(packet) <= DATAGRAM, "a packet fits one datagram")
+        return packet
 
-    # --- what comes ------------------------------------------------------------------------------------
+    # --- received packets ------------------------------------------------------------------------------
 
     def receive(self, data: bytes, now: int) -> None:
-        """A datagram, or one part of a stream that this member asked for."""
-        self._stood(now)
+        """Handles a datagram, or one packet of a stream that this member requested."""
+        self._compensate_stall(now)
         try:
             packet = self._wire.unpack(data)
-        except BadPacket as bad:
-            self._count(f"packets {bad}")
+        except BadPacket as error:
+            self._count(f"packets {error}")
             return
         sender = packet.sender
         if sender.name == self.me.name:
             if sender.token != self.me.token:
-                self._rival(sender, now)
+                self._handle_rival(sender, now)
             return
-        if packet.to and packet.to != self.me.name:
+        if packet.recipient and packet.recipient != self.me.name:
             self._count("packets for another")
             return
-        member = self._proved(packet, now)
+        member = self._verified_sender(packet, now)
         if member is None:
             return
-        if not member.fresh(packet.number):
+        if not member.record_packet(packet.packet_number):
             self._count("packets that came twice or very late")
             return
-        member.held, member.list = packet.held, packet.version
-        owed = self._read(packet, now)
+        member.broadcasts_digest, member.list_version = packet.broadcasts_digest, packet.list_version
+        reply_parts = self._merge_packet(packet, now)
         if packet.kind == PING:
-            self._send(ACK, sender.address, packet.seq, sender.name, None, owed)
+            self._send(ACK, sender.address, packet.seq, sender.name, None, reply_parts)
         elif packet.kind == ACK:
-            self._acked(packet, now)
-        elif packet.kind == ASK and packet.target is not None:
-            self._asked(packet, packet.target, now)
+            self._handle_ack(packet, now)
+        elif packet.kind == PING_REQ and packet.target is not None:
+            self._handle_ping_req(packet, packet.target, now)
         elif packet.kind == NACK:
             if self._probe is not None and packet.seq == self._probe.seq:
-                self._probe.nacked += 1
+                self._probe.nack_count += 1
 
-    def _proved(self, packet: Packet, now: int) -> Member | None:
-        """The sender, where its process has answered this one; else it is asked for that answer, and nothing
-        is read.
+    def _verified_sender(self, packet: Packet, now: int) -> Member | None:
+        """The member that sent the packet, if its process has already answered this one. Otherwise the sender is
+        pinged to verify it, and the packet is not read.
         """
         sender = packet.sender
         member = self.roll.get(sender.name)
-        if member is not None and member.proved == sender.token:
-            self._take(sender, now)
+        if member is not None and member.verified_token == sender.token:
+            self._merge_record(sender, now)
             return member
         if member is not None and sender.life < member.said.life:
-            # A life that is over, or one whose clock is behind: told of the later one, the living raises
-            # itself. In an answer, for it reads nobody who has not answered it.
+            # The sender is a process that has ended, or one whose clock is behind. A live one raises its start
+            # number once it learns of the later record. That goes in an ack, since it reads only verified senders.
             if packet.kind == PING:
-                self._send(ACK, sender.address, packet.seq, sender.name, None, [(SAID, self._packed(member))], 0)
+                self._send(
+                    ACK, sender.address, packet.seq, sender.name, None, [(RECORD, self._encoded_record(member))], 0
+                )
             return None
         awaited = self._awaited.get(packet.seq) if packet.kind == ACK else None
         if awaited is not None and awaited.name in ("", sender.name) and packet.target is None:
-            alone = not any(one.proved is not None for one in self.roll)
-            self._take(sender, now)
+            alone = not any(other.verified_token is not None for other in self.roll)
+            self._merge_record(sender, now)
             member = self.roll.get(sender.name)
             if member is not None:
                 member.prove(sender.token)
@@ -564,158 +616,178 @@
                     self.wants_roll = sender.address
             return member
         if packet.kind == PING:
-            # A newcomer: it has its answer, with all of the roll that has room, and is asked for its own.
+            # A new member gets an ack with as many member records as fit, and is pinged below.
             self._send(ACK, sender.address, packet.seq, sender.name, None, (), 16)
-        if member is None or now - member.warned >= self.terms.period:
+        if member is None or now - member.challenged_at >= self.settings.period:
             if member is not None:
-                member.warned = now
-            if len(self._awaited) < AWAITED_MOST:
+                member.challenged_at = now
+            if len(self._awaited) < MAX_AWAITED:
                 seq = self._next_seq()
-                self._awaited[seq] = Awaited(sender.name, now + 2 * self.health.stretched(self.terms.within))
+                self._awaited[seq] = Awaited(sender.name, now + 2 * self.health.scale(self.settings.ack_timeout))
                 self._send(PING, sender.address, seq, sender.name, None, (), 0)
         return None
 
-    def _take(self, said: MemberRecord, now: int) -> bool:
-        """A member's own word, from wherever; whether it is news."""
-        if said.name == self.me.name:
-            if said.token != self.me.token:
-                self._rival(said, now)
-            elif said.key > self.me.key:
-                # Somebody who has the key speaks in its name, and could free its part: a word above that is its own.
+    def _merge_record(self, record: MemberRecord, now: int) -> bool:
+        """Merges a member record, received directly or by gossip. True if it is newer than the known one."""
+        if record.name == self.me.name:
+            if record.token != self.me.token:
+                self._handle_rival(record, now)
+            elif record.precedence > self.me.precedence:
+                # A holder of the key forged a record of this member, which could free its share of the limits. This
+                # member overrides it with a record of a higher start number.
                 self._count("words never said, taken back")
-                self._new_word(number=said.number + 1)
+                self._update_own_record(number=record.number + 1)
             return False
-        changed = self.roll.take(said, now)
-        known = self.roll.get(said.name)
-        if known is None or known.said is not said:
+        changes = self.roll.take(record, now)
+        member = self.roll.get(record.name)
+        if member is None or member.said is not record:
             return False
-        self.changes += changed
-        self._rumours.put(SAID, said.name, self._packed(known))
-        if any(one.what == "heard of again" for one in changed):
-            # It was away: what was told meanwhile it may not have.
-            for notice in self.notices:
-                self._rumours.put(NOTICE, f"{notice.kind} {notice.key}", self._wire.part(notice))
+        self.changes += changes
+        self._rumours.put(RECORD, record.name, self._encoded_record(member))
+        if any(change.what == "heard of again" for change in changes):
+            # The member was unreachable and may have missed broadcasts, so all of them are gossiped again.
+            for broadcast in self.notices:
+                self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
         return True
 
-    def _read(self, packet: Packet, now: int) -> list[tuple[int, bytes]]:
-        """What others are said to have said. The newer words that this member has, where the sender has older
-        ones.
+    def _merge_packet(self, packet: Packet, now: int) -> list[tuple[int, bytes]]:
+        """Merges the gossip in a packet. Returns the records and broadcasts of which the sender has older versions
+        than this member.
         """
-        owed: list[tuple[int, bytes]] = []
-        for said in packet.said:
-            if not self._take(said, now):
-                known = self.roll.get(said.name)
-                if known is not None and said.key < known.said.key and len(owed) < FILL:
-                    owed.append((SAID, self._packed(known)))
-        for charge in packet.charges:
-            if charge.of == self.me.name:
-                self._charged(charge)
+        newer_parts: list[tuple[int, bytes]] = []
+        for record in packet.records:
+            if not self._merge_record(record, now):
+                member = self.roll.get(record.name)
+                if (
+                    member is not None
+                    and record.precedence < member.said.precedence
+                    and len(newer_parts) < MAX_EXTRA_PARTS
+                ):
+                    newer_parts.append((RECORD, self._encoded_record(member)))
+        for suspicion in packet.suspicions:
+            if suspicion.suspect == self.me.name:
+                self._refute(suspicion)
                 continue
-            known = self.roll.get(charge.of)
-            if known is not None and (charge.number, charge.token, charge.turn) < known.said.key and len(owed) < FILL:
-                owed.append((SAID, self._packed(known)))
-            self._charge(charge, now)
-        for notice in packet.notices:
-            known_notice = self.notices.get(notice.kind, notice.key)
-            if self.notices.take(notice, now):
-                self.news.append(notice)
-                self._rumours.put(NOTICE, f"{notice.kind} {notice.key}", self._wire.part(notice))
-            elif known_notice is not None and notice.rank < known_notice.rank and len(owed) < FILL:
-                owed.append((NOTICE, self._wire.part(known_notice)))
-        return owed
-
-    def _charged(self, charge: Suspicion) -> None:
-        """Others doubt this member: it has a next word, and doubts itself a little."""
-        if (charge.number, charge.token) != self.me.life or charge.turn < self.me.turn:
+            member = self.roll.get(suspicion.suspect)
+            if (
+                member is not None
+                and (suspicion.number, suspicion.token, suspicion.incarnation) < member.said.precedence
+                and len(newer_parts) < MAX_EXTRA_PARTS
+            ):
+                newer_parts.append((RECORD, self._encoded_record(member)))
+            self._suspect(suspicion, now)
+        for broadcast in packet.broadcasts:
+            known_broadcast = self.notices.get(broadcast.kind, broadcast.key)
+            if self.notices.take(broadcast, now):
+                self.news.append(broadcast)
+                self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
+            elif (
+                known_broadcast is not None
+                and broadcast.rank < known_broadcast.rank
+                and len(newer_parts) < MAX_EXTRA_PARTS
+            ):
+                newer_parts.append((BROADCAST, self._wire.encode_part(known_broadcast)))
+        return newer_parts
+
+    def _refute(self, suspicion: Suspicion) -> None:
+        """Refutes a suspicion of this member by a new incarnation, and degrades its own health score."""
+        if (suspicion.number, suspicion.token) != self.me.life or suspicion.incarnation < self.me.incarnation:
             return
-        if charge.turn > self.me.turn:
+        if suspicion.incarnation > self.me.incarnation:
             self._count("charges of a word never said")
             return
-        self.health.worse()
+        self.health.degrade()
         self._count("charges answered")
-        self._new_word()
+        self._update_own_record()
 
-    def _acked(self, packet: Packet, now: int) -> None:
+    def _handle_ack(self, packet: Packet, now: int) -> None:
         awaited = self._awaited.pop(packet.seq, None)
         sender = packet.sender
         if packet.target is None and awaited is not None and awaited.name in ("", sender.name):
             member = self.roll.get(sender.name)
             assert member is not None
-            member.heard = self._answered_at = now
-            self._farewell.add(sender.name)
+            member.last_ack_at = self._last_answer_at = now
+            self._acked_phase.add(sender.name)
             if (relay := self._relays.pop(packet.seq, None)) is not None:
-                asker = self.roll.get(relay.asker)
-                if asker is not None:
-                    self._send(ACK, asker.said.address, relay.seq, relay.asker, sender)
+                requester = self.roll.get(relay.requester)
+                if requester is not None:
+                    self._send(ACK, requester.said.address, relay.seq, relay.requester, sender)
         probe = self._probe
-        if probe is None or probe.done or packet.seq != probe.seq:
+        if probe is None or probe.answered or packet.seq != probe.seq:
             return
-        of = sender if packet.target is None else packet.target
-        if of.name != probe.name:
+        acked = sender if packet.target is None else packet.target
+        if acked.name != probe.name:
             return
         if packet.target is not None:
-            self._take(of, now)
-            self._answered_at = now
-        probe.done = True
-        self.health.better()
-
-    def _asked(self, packet: Packet, target: MemberRecord, now: int) -> None:
-        if target.name == self.me.name or len(self._relays) >= RELAYS_MOST:
+            self._merge_record(acked, now)
+            self._last_answer_at = now
+        probe.answered = True
+        self.health.improve()
+
+    def _handle_ping_req(self, packet: Packet, target: MemberRecord, now: int) -> None:
+        """Pings the target on behalf of the sender."""
+        if target.name == self.me.name or len(self._relays) >= MAX_RELAYS:
             return
-        self._take(target, now)
-        one = self.roll.get(target.name)
-        if one is None:
+        self._merge_record(target, now)
+        member = self.roll.get(target.name)
+        if member is None:
             return
         seq = self._next_seq()
-        within = self.terms.within
+        ack_timeout = self.settings.ack_timeout
         self._relays[seq] = Relay(
-            packet.sender.name, packet.seq, target.name, now + round(NACK_AT * within), now + 2 * within
+            packet.sender.name,
+            packet.seq,
+            target.name,
+            now + round(NACK_AFTER_FRACTION * ack_timeout),
+            now + 2 * ack_timeout,
         )
-        self._ping(one, now, seq, now + 2 * within)
+        self._ping(member, now, seq, now + 2 * ack_timeout)
 
-    # --- two under one name --------------------------------------------------------------------------
+    # --- two processes under one name ----------------------------------------------------------------
 
-    def _rival(self, said: MemberRecord, now: int) -> None:
-        """Another life under this name. One that is over never rises; one that rises lives, as this does."""
-        seen = self._rivals.get(said.token)
-        if seen is not None and said.number > seen and said.phase != LEFT:
-            self._rival_at = now
+    def _handle_rival(self, record: MemberRecord, now: int) -> None:
+        """Handles a record of another process under this name. The start number of a process that has ended never
+        rises, so one that rises belongs to a second live process.
+        """
+        known_number = self._rivals.get(record.token)
+        if known_number is not None and record.number > known_number and record.phase != LEFT:
+            self._rival_seen_at = now
             if not self.me.doubled:
                 self.changes.append(
                     Change(
                         "doubled: another process lives under this one's name",
                         self.me.name,
-                        {"at": f"{said.host}:{said.port}", "token": f"{said.token:016x}"},
+                        {"at": f"{record.host}:{record.port}", "token": f"{record.token:016x}"},
                     )
                 )
-                self._new_word(doubled=True)
-        self._rivals[said.token] = max(said.number, seen or 0)
-        if len(self._rivals) > RIVALS:
+                self._update_own_record(doubled=True)
+        self._rivals[record.token] = max(record.number, known_number or 0)
+        if len(self._rivals) > MAX_RIVALS:
             del self._rivals[min(self._rivals, key=lambda token: self._rivals[token])]
-        if said.life > self.me.life and self._raise_at is None:
-            self._raise_at = max(now, self._raised_at + RAISE_EVERY)
+        if record.life > self.me.life and self._raise_at is None:
+            self._raise_at = max(now, self._raised_at + RAISE_INTERVAL_US)
             if self._raise_at == now:
-                self._raise()
+                self._raise_number()
 
-    def _raise(self) -> None:
-        """Above every other life under this name. Not more than once a second: a living rival does so in
-        turn.
+    def _raise_number(self) -> None:
+        """Raises the start number above that of every other process under this name. This happens at most once a
+        second, because a live rival raises its own in turn.
         """
         assert self._raise_at is not None
         self._raised_at, self._raise_at = self._raise_at, None
         highest = max(self._rivals.values(), default=0)
         if highest >= self.me.number:
-            self._new_word(number=highest + 1)
+            self._update_own_record(number=highest + 1)
             self._count("lives raised")
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
 
-    # --- for people ------------------------------------------------------------------------------------
+    # --- status for operators --------------------------------------------------------------------------
 
     def rows(self, now: int) -> list[dict[str, object]]:
-        """A row for each member, this one first."""
-        mine: dict[str, object] = {
+        """One status row per member, this one first."""
+        own_row: dict[str, object] = {
             "name": self.me.name,
             "is": PHASES[self.me.phase] + (", doubled" if self.me.doubled else ""),
             "found": "itself",
@@ -727,26 +799,26 @@
             "place": self.me.place,
             "at": f"{self.me.host}:{self.me.port}",
             "life": self.me.number,
-            "turn": self.me.turn,
+            "turn": self.me.incarnation,
         }
-        rows = [mine]
-        for one in sorted(self.roll, key=lambda one: one.said.name):
-            said = one.said
-            found = "gone" if said.phase == LEFT else HEALTH[one.health]
+        rows = [own_row]
+        for member in sorted(self.roll, key=lambda member: member.said.name):
+            record = member.said
+            finding = "gone" if record.phase == LEFT else HEALTH[member.health]
             rows.append(
                 {
-                    "name": said.name,
-                    "is": PHASES[said.phase] + (", doubled" if said.doubled else ""),
-                    "found": found,
-                    "since_s": round((now - one.since) / SECOND, 1),
-                    "answered_s": round((now - one.heard) / SECOND, 1) if one.heard else None,
-                    "orders": "same" if one.held == self.notices.digest else "other",
-                    "list": one.list,
-                    "tier": said.tier,
-                    "place": said.place,
-                    "at": f"{said.host}:{said.port}",
-                    "life": said.number,
-                    "turn": said.turn,
+                    "name": record.name,
+                    "is": PHASES[record.phase] + (", doubled" if record.doubled else ""),
+                    "found": finding,
+                    "since_s": round((now - member.changed_at) / SECOND, 1),
+                    "answered_s": round((now - member.last_ack_at) / SECOND, 1) if member.last_ack_at else None,
+                    "orders": "same" if member.broadcasts_digest == self.notices.digest else "other",
+                    "list": member.list_version,
+                    "tier": record.tier,
+                    "place": record.place,
+                    "at": f"{record.host}:{record.port}",
+                    "life": record.number,
+                    "turn": record.incarnation,
                 }
             )
         return rows
--- a/pepperusher/group/wire.py
+++ b/pepperusher/group/wire.py
@@ -1,7 +1,9 @@
-"""Packets as bytes: a mark, the form's number, a keyed checksum, and MessagePack; free of I/O.
+"""The encoding of packets: magic bytes, the format version, a keyed checksum and a MessagePack body. It does no
+I/O.
 
-A stranger's bytes, cut, damaged or of another form are told apart and nothing of them is read. Fields that a
-later release puts at the end of a word are read over, so that releases of one form work side by side.
+Foreign, truncated or damaged packets and those of another format version are recognised, and nothing of them
+is read. Fields that a later release appends to a message are skipped, so that releases with the same format
+version work side by side.
 """
 
 from __future__ import annotations
@@ -14,77 +16,80 @@
 from pepperusher.group.messages import Suspicion, Broadcast, Packet, MemberRecord
 from pepperusher.packet_authentication import SUM, BadPacket, PacketAuthenticator
 
-MARK = b"pu"
-FORM = 1
-HEAD = len(MARK) + 1 + SUM
-# One datagram: within the least that networks carry whole, headers of IPv6 and UDP taken off.
+MAGIC = b"pu"
+FORMAT_VERSION = 1
+HEADER_BYTES = len(MAGIC) + 1 + SUM
+# The most bytes of a datagram. With its IPv6 and UDP headers it fits the minimum MTU of IPv6, so that no
+# network fragments it.
 DATAGRAM = 1200
-__all__ = ["DATAGRAM", "FORM", "HEAD", "MARK", "SUM", "BadPacket", "Wire"]
+__all__ = ["DATAGRAM", "FORMAT_VERSION", "HEADER_BYTES", "MAGIC", "SUM", "BadPacket", "Wire"]
 
 
-class _Outgoing(msgspec.Struct, frozen=True, array_like=True):
+class _EncodedPacket(msgspec.Struct, frozen=True, array_like=True):
+    """A `Packet` whose parts are encoded already; the order of the fields is the same."""
+
     kind: int
-    number: int
+    packet_number: int
     seq: int
     sender: msgspec.Raw
-    to: str
-    held: int
+    recipient: str
+    broadcasts_digest: int
     target: msgspec.Raw | None
-    said: list[msgspec.Raw]
-    charges: list[msgspec.Raw]
-    notices: list[msgspec.Raw]
-    version: int
+    records: list[msgspec.Raw]
+    suspicions: list[msgspec.Raw]
+    broadcasts: list[msgspec.Raw]
+    list_version: int
 
 
 class Wire:
-    """`key` is the group's: whoever has another is a stranger."""
+    """Encodes, signs and verifies packets. `key` is the group's; packets made with another key are rejected."""
 
     def __init__(self, key: str) -> None:
-        sealed = PacketAuthenticator(hashlib.sha256(key.encode()).digest(), MARK, FORM)
-        self.seal, self.open = sealed.seal, sealed.open
+        authenticator = PacketAuthenticator(hashlib.sha256(key.encode()).digest(), MAGIC, FORMAT_VERSION)
+        self.seal, self.open = authenticator.seal, authenticator.open
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(Packet).decode
 
-    def part(self, word: MemberRecord | Suspicion | Broadcast) -> bytes:
-        """A word as it will stand in a packet; packed once, however often it is told."""
-        return self._encode(word)
+    def encode_part(self, message: MemberRecord | Suspicion | Broadcast) -> bytes:
+        """Encodes one record, suspicion or broadcast, which is then sent in any number of packets."""
+        return self._encode(message)
 
     def pack(
         self,
         kind: int,
-        number: int,
+        packet_number: int,
         seq: int,
         sender: bytes,
-        to: str,
-        held: int,
+        recipient: str,
+        broadcasts_digest: int,
         target: bytes | None,
-        said: Iterable[bytes],
-        charges: Iterable[bytes],
-        notices: Iterable[bytes],
-        version: int = 0,
+        records: Iterable[bytes],
+        suspicions: Iterable[bytes],
+        broadcasts: Iterable[bytes],
+        list_version: int = 0,
     ) -> bytes:
         body = self._encode(
-            _Outgoing(
+            _EncodedPacket(
                 kind,
-                number,
+                packet_number,
                 seq,
                 msgspec.Raw(sender),
-                to,
-                held,
+                recipient,
+                broadcasts_digest,
                 None if target is None else msgspec.Raw(target),
-                [msgspec.Raw(one) for one in said],
-                [msgspec.Raw(one) for one in charges],
-                [msgspec.Raw(one) for one in notices],
-                version,
+                [msgspec.Raw(part) for part in records],
+                [msgspec.Raw(part) for part in suspicions],
+                [msgspec.Raw(part) for part in broadcasts],
+                list_version,
             )
         )
         return self.seal(body)
 
     def unpack(self, data: bytes) -> Packet:
-        """Raises BadPacket."""
+        """Verifies and decodes a packet. Raises BadPacket."""
         body = self.open(data)
         try:
             return self._decode(body)
         except (msgspec.MsgspecError, RecursionError):
-            # Sound and not to be read: from whoever has the key, so a fault of a release.
+            # The checksum is right but the body is invalid. The sender has the key, so its release is faulty.
             raise BadPacket("sound, but no packet") from None
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -25,7 +25,7 @@
     LOST,
     SENT_AWAY,
     SERVING,
-    TELL,
+    GOSSIP,
     Suspicion,
     Broadcast,
     MemberRecord,
@@ -66,7 +66,7 @@
             roll = Membership(200_000)
             roll.take(words[0], NOW)
             for one in order:
-                roll.charge(one, NOW) if isinstance(one, Suspicion) else roll.take(one, NOW)
+                roll.record_suspicion(one, NOW) if isinstance(one, Suspicion) else roll.take(one, NOW)
                 roll.take(words[0], NOW)
             found = roll.get("a")
             assert found is not None
@@ -91,9 +91,9 @@
         notices = Broadcasts(60 * SECOND)
         self.assertFalse(notices.take(Broadcast("ban", "x", True, NOW + 7200 * SECOND), NOW))
         self.assertTrue(notices.take(Broadcast("ban", "x", False, NOW), NOW))
-        notices.forget(NOW + 59 * SECOND)
+        notices.expire(NOW + 59 * SECOND)
         self.assertEqual(1, len(notices))
-        notices.forget(NOW + 60 * SECOND)
+        notices.expire(NOW + 60 * SECOND)
         self.assertFalse(notices.take(Broadcast("ban", "x", False, NOW), NOW + 60 * SECOND))
         for number in range(600):
             notices.take(Broadcast("ban", f"{number}", True, NOW), NOW)
@@ -130,7 +130,7 @@
             listed(9, a="ready", b="ready", c="ready", d="ready"),
         )
         self.assertEqual((9, ["a", "d"]), names(fresh, old))
-        self.assertEqual((5, ["a", "d"]), names(fresh, listed(endpoint_borrowing.LONGEST_AGE + 1, a="ready")))
+        self.assertEqual((5, ["a", "d"]), names(fresh, listed(endpoint_borrowing.MAX_LIST_AGE_US + 1, a="ready")))
         self.assertIsNone(names(fresh, listed(7, c="ready")))
         self.assertIsNone(names())
         self.assertIsNone(
@@ -146,9 +146,9 @@
 class Strangers(unittest.TestCase):
     def test_nothing_of_theirs_is_read_and_no_reason_is_told_twice(self) -> None:
         wire, other = Wire("the group's key here"), Wire("another group's key")
-        word = wire.part(said("a"))
-        good = wire.pack(TELL, 1, 0, word, "", 0, None, [word], [], [])
-        self.assertEqual(said("a"), wire.unpack(good).said[0])
+        word = wire.encode_part(said("a"))
+        good = wire.pack(GOSSIP, 1, 0, word, "", 0, None, [word], [], [])
+        self.assertEqual(said("a"), wire.unpack(good).records[0])
         chance = Random(5)
         bad = [
             b"",
@@ -156,7 +156,7 @@
             good[:-1],
             good + b"x",
             good[:10] + b"\0" + good[11:],
-            other.pack(TELL, 1, 0, word, "", 0, None, [], [], []),
+            other.pack(GOSSIP, 1, 0, word, "", 0, None, [], [], []),
             b"pu\2" + good[3:],
             good * 2,
             chance.randbytes(900),
@@ -174,20 +174,20 @@
         """From a release with a fault, which has the key: wrong types, times beyond all, names too long."""
         wire = Wire("the group's key here")
         for part in (
-            wire.part(said("a" * 101)),
-            wire.part(said("a", number=2**62)),
-            wire.part(said("a", phase=9)),
+            wire.encode_part(said("a" * 101)),
+            wire.encode_part(said("a", number=2**62)),
+            wire.encode_part(said("a", phase=9)),
             b"\xc0",
             b"\x93\1\2\3",
         ):
-            self.assertRaises(BadPacket, wire.unpack, wire.pack(TELL, 1, 0, part, "", 0, None, [], [], []))
+            self.assertRaises(BadPacket, wire.unpack, wire.pack(GOSSIP, 1, 0, part, "", 0, None, [], [], []))
 
     def test_a_later_release_s_words_are_read(self) -> None:
         """What it put at the end of a word is read over."""
         wire = Wire("the group's key here")
-        longer = bytearray(wire.part(said("a")))
+        longer = bytearray(wire.encode_part(said("a")))
         longer[0] += 1  # one more in the array
-        packet = wire.unpack(wire.pack(TELL, 1, 0, bytes(longer) + b"\xc3", "", 0, None, [], [], []))
+        packet = wire.unpack(wire.pack(GOSSIP, 1, 0, bytes(longer) + b"\xc3", "", 0, None, [], [], []))
         self.assertEqual(said("a"), packet.sender)
 
     def test_what_was_recorded_and_sent_again_changes_nothing(self) -> None:
@@ -275,7 +275,7 @@
         model.run(20 * SECOND)
         swims = [one.swim for one in model.ones.values()]
         self.assertEqual(
-            {(0, 4, shares.NOBODY)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims}
+            {(0, 4, shares.ISOLATED)}, {(len(one.roll), one.size(), one.reach(model.now).word) for one in swims}
         )
         model.add("m4", seeds=4, told=4, place=0)
         self.assertTrue(model.run(30 * SECOND, lambda: all(len(one.swim.roll) == 4 for one in model.ones.values())))
@@ -309,7 +309,11 @@
             "thirds": lambda a, b: a % 3 != b % 3,
             "one alone": lambda a, b: 0 in (a, b),
         }
-        words = {"halves": {shares.PART}, "thirds": {shares.PART}, "one alone": {shares.NOBODY, shares.MAJORITY}}
+        words = {
+            "halves": {shares.MINORITY},
+            "thirds": {shares.MINORITY},
+            "one alone": {shares.ISOLATED, shares.MAJORITY},
+        }
         for what, cut in cuts.items():
             with self.subTest(what):
                 model = self.group(8)
@@ -382,7 +386,7 @@
                 on = model.now
                 self.assertLessEqual({name for _, name in self.lost(model, since)}, {"m2"})
                 if span > 2:
-                    self.assertEqual(shares.NOBODY, model.ones["m2"].swim.reach(model.now).word)
+                    self.assertEqual(shares.ISOLATED, model.ones["m2"].swim.reach(model.now).word)
                 self.found(model, "m2", ALIVE, within=20)
                 model.run(20 * SECOND)
                 wrong = [
@@ -407,7 +411,7 @@
         was lost.
         """
         kept = self.charged(0.05)
-        with mock.patch.object(Swim, "_stood", lambda self, now: None):
+        with mock.patch.object(Swim, "_compensate_stall", lambda self, now: None):
             without = self.charged(0.05)
         self.assertLess(3 * kept, without)
 
@@ -420,8 +424,8 @@
         swim = model.ones["m2"].swim
         for _ in range(600):
             for one in swim.roll:
-                charge = Suspicion(one.said.name, *one.said.key, "m2")
-                swim._rumours.put(1, f"{charge.of} m2", model.wire.part(charge))
+                charge = Suspicion(one.said.name, *one.said.precedence, "m2")
+                swim._rumours.put(1, f"{charge.suspect} m2", model.wire.encode_part(charge))
             model.run(100_000)
         self.assertEqual([], [pair for pair in self.lost(model, since) if pair[0] != "m2"])
         late = [
@@ -441,8 +445,8 @@
         """That it left, at a turn that it never had, passed on by whoever has the key: its part is free for a moment alone."""
         model = self.group(5)
         swim = model.ones["m1"].swim
-        forged = msgspec.structs.replace(model.ones["m3"].swim.me, turn=2**53 - 1, phase=LEFT)
-        swim._take(forged, model.now)
+        forged = msgspec.structs.replace(model.ones["m3"].swim.me, incarnation=2**53 - 1, phase=LEFT)
+        swim._merge_record(forged, model.now)
         self.assertEqual(4, swim.size())
         self.assertTrue(model.run(5 * SECOND, lambda: model.ones["m3"].swim.me.life > forged.life))
         self.assertTrue(model.run(5 * SECOND, lambda: {one.swim.size() for one in model.ones.values()} == {5}))
@@ -597,7 +601,7 @@
                 ]
                 self.assertEqual([], wrong)
                 self.assertEqual({20}, {one.swim.size() for one in model.ones.values()})
-                self.assertEqual({shares.PART}, {model.ones[name].swim.reach(model.now).word for name in inside})
+                self.assertEqual({shares.MINORITY}, {model.ones[name].swim.reach(model.now).word for name in inside})
                 model.cut = lambda _, __: False
                 self.assertTrue(
                     model.run(
@@ -689,21 +693,23 @@
             swim_of[self.me.token] = self
             return was(self)
 
-        with mock.patch.object(Swim, "size", size), mock.patch.object(shares, "size", living):
+        with mock.patch.object(Swim, "size", size), mock.patch.object(shares, "sharer_count", living):
             self.assertGreater(max(self.play(seed, False)[0] for seed in range(3)), 1)
 
     def test_places_and_not_names_are_counted(self) -> None:
         """Names that were given up for new ones: whoever has met the old alone must not take their parts."""
         me = said("me")
         gone = [said(f"old{place}", phase=LEFT, place=place) for place in range(1, 4)]
-        self.assertEqual(1, shares.size(4, me, gone))
-        self.assertEqual(4, shares.size(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))]))
-        self.assertEqual(3, shares.size(4, me, [*gone[:2], said("new1", place=1)]))
+        self.assertEqual(1, shares.sharer_count(4, me, gone))
+        self.assertEqual(
+            4, shares.sharer_count(4, me, [*gone, *(said(f"new{place}", place=place) for place in range(1, 4))])
+        )
+        self.assertEqual(3, shares.sharer_count(4, me, [*gone[:2], said("new1", place=1)]))
         # All told the same place: nothing is freed by any.
-        self.assertEqual(4, shares.size(4, me, [said(f"x{number}", phase=LEFT) for number in range(3)]))
+        self.assertEqual(4, shares.sharer_count(4, me, [said(f"x{number}", phase=LEFT) for number in range(3)]))
         # More than the settings count.
-        self.assertEqual(6, shares.size(4, me, [said(f"x{place}", place=place) for place in range(6)]))
-        self.assertEqual(4, shares.size(4, me, [said("x", phase=LEFT, doubled=True, place=1)]))
+        self.assertEqual(6, shares.sharer_count(4, me, [said(f"x{place}", place=place) for place in range(6)]))
+        self.assertEqual(4, shares.sharer_count(4, me, [said("x", phase=LEFT, doubled=True, place=1)]))
 
 
 class Sizes(unittest.TestCase):
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -351,7 +351,7 @@
         assert front is not None
         chance = Random(5)
         other, ours = Wire("another group's key"), Wire(KEY)
-        word = ours.part(MemberRecord("stranger", "127.0.0.1", 9, 1, 1, 0, SERVING, False, 0, 0))
+        word = ours.encode_part(MemberRecord("stranger", "127.0.0.1", 9, 1, 1, 0, SERVING, False, 0, 0))
         sound = ours.pack(PING, 1, 1, word, "p1", 0, None, [word], [], [])
         kinds = [
             other.pack(PING, 1, 1, word, "p1", 0, None, [word], [], []),
@@ -473,8 +473,8 @@
             except BlockingIOError:
                 break
         for one in self.swim.roll:
-            charge = Suspicion(one.said.name, *one.said.key, "p9")
-            self.swim._rumours.put(1, f"{charge.of} p9", self.wire.part(charge))
+            charge = Suspicion(one.said.name, *one.said.precedence, "p9")
+            self.swim._rumours.put(1, f"{charge.suspect} p9", self.wire.encode_part(charge))
         if now >= self.due:
             self.due = self.swim.wake(now)
         out, self.swim.out = self.swim.out, []
