--- a/pepperusher/consensus/__init__.py
+++ b/pepperusher/consensus/__init__.py
@@ -1,3 +1,3 @@
-"""Duties that only one proxy may hold: voters that agree on a log. Free of I/O; what the log says of duties
-comes next.
+"""Agreement on a replicated log (Raft), for duties that only one proxy may hold at a time. It does no I/O. The
+state machine of the duties is not implemented yet.
 """
--- a/pepperusher/consensus/messages.py
+++ b/pepperusher/consensus/messages.py
@@ -1,49 +1,49 @@
-"""What voters say to each other and write down, typed.
+"""The messages that voters exchange, and the state that they write to disk.
 
-A voter is called by its name and a token of its disk: one that lost its disk has another token, and so is no
-voter until it was taken out under the old one and in under the new.
+The id of a voter is its name and a token of its disk. A voter that lost its disk gets a new token, so it has
+no vote until the old id has been removed from the voters and the new one added.
 """
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-ID_SPLIT = "#"
+DISK_TOKEN_SEPARATOR = "#"
 
 
 def name_of(voter: str) -> str:
-    return voter.partition(ID_SPLIT)[0]
+    return voter.partition(DISK_TOKEN_SEPARATOR)[0]
 
 
 class Entry(NamedTuple):
-    """A place of the log: the term in which it was put there; other voters from here on, or what the duties'
-    table reads.
+    """A log entry with the term in which the leader appended it. It holds either a new set of voters, which
+    applies from here on, or a command for the state machine; an entry with neither only marks a new term.
     """
 
     term: int
     voters: tuple[str, ...] | None = None
-    what: Any = None
+    command: Any = None
 
 
 class Base(NamedTuple):
-    """What stands in place of all entries up to `index`: its term, who voted there, and the table as it was."""
+    """The snapshot that replaces all entries up to `index`: the term and voters there, and the state."""
 
     index: int
     term: int
     voters: tuple[str, ...]
-    table: Any = None
+    state: Any = None
 
 
 class PersistentState(NamedTuple):
-    """What a voter must not forget: its term, and for whom it voted in it ("" for nobody)."""
+    """The term of a voter, and the candidate that it voted for in this term ("" for none)."""
 
     term: int
     vote: str
 
 
 class Write(NamedTuple):
-    """To be on disk, in order: `number` is acknowledged by `on_disk`. Entries from `start` on replace what
-    stood there.
+    """A write to disk. Writes are done in order, and `on_disk` acknowledges them by `number`. The entries
+    replace the stored log from index `start` on.
     """
 
     number: int
@@ -54,71 +54,71 @@
 
 
 class VoteRequest(NamedTuple):
-    """A vote is asked for; with `pre` only whether one would be given, and no term rises by it."""
+    """Requests a vote. A pre-vote only asks whether the vote would be granted, and raises no term."""
 
     term: int
-    by: str
-    pre: bool
-    last: int
+    candidate: str
+    pre_vote: bool
+    last_index: int
     last_term: int
 
 
 class VoteReply(NamedTuple):
     term: int
-    by: str
-    pre: bool
-    yes: bool
+    voter: str
+    pre_vote: bool
+    granted: bool
 
 
 class Append(NamedTuple):
-    """The leader's entries behind `before`, whose term is `before_term`. `round` rises with each time that it
-    is sent to all: an answer tells which of them was heard.
+    """Raft's AppendEntries: the entries after `prev_index`, whose term is `prev_term`. `round` rises with each
+    heartbeat; a reply repeats it, so the leader knows which heartbeat was received.
     """
 
     term: int
-    by: str
-    before: int
-    before_term: int
+    leader: str
+    prev_index: int
+    prev_term: int
     entries: tuple[Entry, ...]
     commit: int
     round: int
 
 
 class Install(NamedTuple):
-    """The leader's base, for one that is behind it; of term 0 a founding, for those that it names and that
-    have nothing.
+    """Raft's InstallSnapshot, for a voter whose log ends before the leader's snapshot. With term 0 it bootstraps
+    the group: it goes to the voters that it names, and these take it if their disks are empty.
     """
 
     term: int
-    by: str
+    leader: str
     base: Base
     round: int
 
 
 class AppendReply(NamedTuple):
-    """`match` is how far its log is the leader's, on disk; where `ok` is false, how far it is at the most."""
+    """`match` is the index up to which the log on disk equals the leader's. If `success` is false, it is an upper
+    bound of that index.
+    """
 
     term: int
-    by: str
-    ok: bool
+    follower: str
+    success: bool
     match: int
     round: int
 
 
 class Hello(NamedTuple):
-    """From one that has nothing on its disk, to all voters named in the own file; `started` is Unix time in
-    us.
-    """
+    """Announces a voter whose disk is empty to all configured voters. `started_at` is Unix time in microseconds."""
 
-    by: str
-    started: int
+    voter: str
+    started_at: int
 
 
 Message = VoteRequest | VoteReply | Append | Install | AppendReply | Hello
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, to go once write number `after` is on disk."""
+    """A message that may be sent once write number `after` is on disk."""
 
     to: str
     message: Message
--- a/pepperusher/consensus/raft.py
+++ b/pepperusher/consensus/raft.py
@@ -1,15 +1,19 @@
-"""One voter of a few that agree on a log; free of I/O.
-
-Driven by now, messages in, and `on_disk`; what goes out stands in `out`, what must be written in `writes`.
-Raft (Ongaro and Ousterhout 2014, Ongaro's thesis 2014): terms, votes, the log and its commit rule, snapshots,
-voters changed one at a time and only after an entry of the leader's own term counts. From the thesis also
-pre-votes, a leader that steps down without a majority, and voters that give no vote while they hear a leader,
-from which the leader has its lease. Not taken: reads by a round of their own, and joint sets of voters.
-
-Ours: who votes is called by a token of its disk. A voter that lost its disk so can't vote under its old name
-with votes forgotten; it says that it has nothing, and the leader takes the old one out and the new one in. A
-first start is a founding, by the first named alone, once all of them say that they have nothing; log places
-begin at its Unix time in us, so that numbers taken from them rise over foundings too.
+"""One voter of a Raft group. It does no I/O.
+
+The caller passes in the time, the received messages and the acknowledgements of writes (`on_disk`). Messages
+to send are collected in `out`, and writes to be done in `writes`.
+
+From Raft (Ongaro and Ousterhout 2014, Ongaro's thesis 2014): terms, votes, the log and its commit rule,
+snapshots, and membership changes of one voter at a time, only after an entry of the leader's own term is
+committed. From the thesis also pre-votes, a leader that steps down without a majority, and voters that refuse
+their vote while they hear a leader; the last one gives the leader its lease. Reads by a heartbeat round of
+their own and joint consensus are left out.
+
+Two things differ from Raft. The id of a voter includes a token of its disk, so that a voter that lost its disk
+and with it its votes cannot vote under its old id. It announces that its disk is empty, and the leader removes
+the old id and adds the new one. The group is bootstrapped by the first configured voter alone, once all
+configured voters have announced empty disks. Log indexes begin at the latest start time of these voters, in
+Unix microseconds, so that numbers taken from them also rise when a group is bootstrapped anew.
 """
 
 from __future__ import annotations
@@ -33,26 +37,27 @@
     name_of,
 )
 
-FOLLOWS, ASKS_FIRST, ASKS, LEADS = "follows", "asks whether to ask", "asks for votes", "leads"
-# Entries in one message.
-BATCH = 64
-# Parts in a thousand by which the clocks of two voters may run apart. Beyond it a lease may overlap; numbers
-# still hold.
-DRIFT = 50
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADS = "follows", "asks whether to ask", "asks for votes", "leads"
+MAX_ENTRIES_PER_MESSAGE = 64
+# How much faster one voter's clock may run than another's. Beyond this, two leases may overlap; terms and log
+# indexes stay correct.
+MAX_CLOCK_DRIFT_PERMILLE = 50
 
 
 class Bounds(NamedTuple):
-    """Times in microseconds: how often a leader speaks, and how long a voter waits for one before it asks for
-    votes: from `least` to `most`, by chance.
+    """Times in microseconds: the interval of the leader's heartbeats, and the range from which a voter draws its
+    random election timeout.
     """
 
-    beat: int
-    least: int
-    most: int
+    heartbeat: int
+    min_election_timeout: int
+    max_election_timeout: int
 
 
 class Progress:
-    """How far another is, as its leader knows."""
+    """The leader's view of another voter's log: the next index to send, the highest index known to match, and
+    the last heartbeat round that it replied to.
+    """
 
     __slots__ = ("next", "match", "round")
 
@@ -63,26 +68,26 @@
 
 
 class RaftVoter:
-    """`named` are the names of all voters as the own file has them. What was on disk is handed over at the
-    start: `kept` and `base` are None for one that has nothing.
+    """`configured_names` are the names of all voters in this voter's configuration. `kept`, `base` and `entries`
+    are the state read from disk; the first two are None if the disk is empty.
     """
 
     def __init__(
         self,
         me: str,
-        named: tuple[str, ...],
+        configured_names: tuple[str, ...],
         bounds: Bounds,
-        chance: Random,
+        rng: Random,
         now: int,
-        started: int,
+        started_at: int,
         kept: PersistentState | None = None,
         base: Base | None = None,
         entries: tuple[Entry, ...] = (),
     ) -> None:
         self.me = me
-        self.named = tuple(sorted(named))
+        self.configured_names = tuple(sorted(configured_names))
         self.bounds = bounds
-        self.role = FOLLOWS
+        self.role = FOLLOWER
         self.leader = ""
         self.kept = kept or PersistentState(0, "")
         self.base = base
@@ -90,27 +95,28 @@
         self.commit = base.index if base is not None else 0
         self.out: list[OutgoingMessage] = []
         self.writes: list[Write] = []
-        self.lease_until = 0  # by this one's clock; while it leads
-        self._chance = chance
-        self._started = started
+        self.lease_until = 0  # by this voter's clock; only valid while it leads
+        self._chance = rng
+        self._started_at = started_at
         self._number = 0
         self._flushed = 0
-        self._ends: list[tuple[int, int]] = []  # of each write that is out: its number, the last place after it
-        self._on_disk = self.last  # how far the log is on disk
-        # A leader may hold a lease on what it heard before it was restarted: it gives no vote before that is
-        # over.
-        self._heard_at = now
-        self._elect_at = 0
-        self._beat_at = now
+        self._write_ends: list[tuple[int, int]] = []  # of each pending write: its number, and the last index after it
+        self._on_disk = self.last  # the last log index on disk
+        # A leader may hold a lease because of a reply that this voter sent before its restart, so it grants no
+        # vote until that lease is over.
+        self._leader_heard_at = now
+        self._election_at = 0
+        self._heartbeat_at = now
         self._hello_at = now
         self._votes: set[str] = set()
         self._vote_write = 0
         self._round = 0
-        self._sent_at: dict[int, int] = {}  # rounds whose answers may still come; emptied as a majority has answered
-        self._heard_round = 0
-        self._progress: dict[str, Progress] = {}  # of voters and those to be; emptied when it leads no more
-        self._blank: dict[str, tuple[int, int]] = {}  # who said that it has nothing, when it started, when it said so
-        self._wait_anew(now)
+        self._round_sent_at: dict[int, int] = {}  # of rounds since the last that a majority has replied to
+        self._heard_round = 0  # the last heartbeat round that a majority has replied to
+        self._progress: dict[str, Progress] = {}  # of voters and ids to be added; cleared when it stops leading
+        # Voters that announced an empty disk: when each started, and when it last announced so.
+        self._blank_voters: dict[str, tuple[int, int]] = {}
+        self._reset_election_timer(now)
 
     # --- the log --------------------------------------------------------------------------------------
 
@@ -119,141 +125,154 @@
         return (self.base.index if self.base is not None else 0) + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
-        """None where the log does not reach, or no longer."""
+        """The term of the entry at an index. None if the log ends before it or the snapshot has replaced it."""
         if self.base is None:
             return 0 if index == 0 else None
         if index == self.base.index:
             return self.base.term
-        place = index - self.base.index - 1
-        return self.entries[place].term if 0 <= place < len(self.entries) else None
+        offset = index - self.base.index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
-    def _voters_at(self) -> tuple[tuple[str, ...], int]:
-        """Who votes, by the latest word in the log, counted yet or not; and where that stands."""
-        for place in range(len(self.entries) - 1, -1, -1):
-            if (voters := self.entries[place].voters) is not None:
+    def _latest_voters(self) -> tuple[tuple[str, ...], int]:
+        """The voters by the latest log entry that sets them, committed or not, and the index of that entry."""
+        for offset in range(len(self.entries) - 1, -1, -1):
+            if (voters := self.entries[offset].voters) is not None:
                 assert self.base is not None
-                return voters, self.base.index + place + 1
+                return voters, self.base.index + offset + 1
         return (self.base.voters, self.base.index) if self.base is not None else ((), 0)
 
     @property
     def voters(self) -> tuple[str, ...]:
-        return self._voters_at()[0]
+        return self._latest_voters()[0]
 
-    def _majority(self, those: set[str]) -> bool:
+    def _is_majority(self, supporters: set[str]) -> bool:
         voters = self.voters
-        return 2 * len(those.intersection(voters)) > len(voters)
+        return 2 * len(supporters.intersection(voters)) > len(voters)
 
     def between(self, start: int, end: int) -> list[Entry]:
-        """Entries from place `start` up to `end`, both included, as far as they are still here."""
+        """The entries from index `start` to `end`, both included, as far as they are still in the log."""
         if self.base is None:
             return []
         return self.entries[max(0, start - self.base.index - 1) : max(0, end - self.base.index)]
 
     # --- writing and sending --------------------------------------------------------------------------
 
-    def _write(
+    def _queue_write(
         self,
         kept: PersistentState | None = None,
         base: Base | None = None,
         start: int = 0,
         entries: tuple[Entry, ...] = (),
     ) -> int:
+        """Queues a write to disk and returns its number."""
         self._number += 1
         self.writes.append(Write(self._number, kept, base, start, entries))
-        self._ends.append((self._number, self.last))
+        self._write_ends.append((self._number, self.last))
         return self._number
 
-    def _cut(self, last: int) -> None:
-        """Places behind `last` hold other entries from now on: writes that are still out tell nothing of these."""
+    def _truncate_durable(self, last: int) -> None:
+        """Notes that the entries after index `last` were replaced: pending writes no longer prove that what is
+        there is on disk.
+        """
         self._on_disk = min(self._on_disk, last)
-        self._ends = [(number, min(end, last)) for number, end in self._ends]
+        self._write_ends = [(number, min(end, last)) for number, end in self._write_ends]
 
-    def _keep(self, term: int, vote: str) -> int:
+    def _persist_state(self, term: int, vote: str) -> int:
         self.kept = PersistentState(term, vote)
-        return self._write(self.kept)
+        return self._queue_write(self.kept)
 
     def _send(self, to: str, message: Message) -> None:
-        """After all that has been decided so far is on disk: nothing is said that a crash could take back."""
+        """Queues a message until all earlier writes are on disk, so that a crash cannot undo what it tells."""
         self.out.append(OutgoingMessage(to, message, self._number))
 
     def on_disk(self, number: int, now: int) -> None:
-        """All writes up to this one will outlive a crash."""
+        """Acknowledges that all writes up to this number are on disk."""
         self._flushed = max(self._flushed, number)
-        while self._ends and self._ends[0][0] <= number:
-            self._on_disk = self._ends.pop(0)[1]
-        if self.role == ASKS and number >= self._vote_write:
+        while self._write_ends and self._write_ends[0][0] <= number:
+            self._on_disk = self._write_ends.pop(0)[1]
+        if self.role == CANDIDATE and number >= self._vote_write:
             self._votes.add(self.me)
             self._count_votes(now)
         if self.role == LEADS:
-            self._count_commit()
+            self._advance_commit()
 
     # --- time -------------------------------------------------------------------------------------------
 
-    def _wait_anew(self, now: int) -> None:
-        span = self.bounds.most - self.bounds.least
-        self._elect_at = now + self.bounds.least + (self._chance.randrange(span) if span else 0)
+    def _reset_election_timer(self, now: int) -> None:
+        span = self.bounds.max_election_timeout - self.bounds.min_election_timeout
+        self._election_at = now + self.bounds.min_election_timeout + (self._chance.randrange(span) if span else 0)
 
     def wake(self, now: int) -> int:
-        """Does what is due; when it is to be woken next."""
+        """Does what is due and returns the time of the next wake-up."""
         if self.base is None:
-            return self._greet(now)
+            return self._bootstrap(now)
         if self.role == LEADS:
-            if now - self._sent_at.get(self._heard_round, now) > self.bounds.least:
-                # Whoever hears no majority serves nobody, and may be the only one that has not heard of the
-                # next.
-                self._follow(now, "")
-            elif now >= self._beat_at:
+            if now - self._round_sent_at.get(self._heard_round, now) > self.bounds.min_election_timeout:
+                # A leader that no majority replies to cannot commit anything, and a new leader may exist that it
+                # has not heard of, so it steps down.
+                self._become_follower(now, "")
+            elif now >= self._heartbeat_at:
                 self._speak(now)
-        elif self.me in self.voters and now >= self._elect_at:
+        elif self.me in self.voters and now >= self._election_at:
             self._ask_first(now)
         if self.role == LEADS:
-            return min(self._beat_at, self._sent_at.get(self._heard_round, now) + self.bounds.least + 1)
-        return max(now + 1, self._elect_at)
-
-    def _greet(self, now: int) -> int:
-        """It has nothing. All that are named hear so; the first named founds once all of them have nothing."""
+            return min(
+                self._heartbeat_at,
+                self._round_sent_at.get(self._heard_round, now) + self.bounds.min_election_timeout + 1,
+            )
+        return max(now + 1, self._election_at)
+
+    def _bootstrap(self, now: int) -> int:
+        """Announces the empty disk to all configured voters. Once all of them have announced theirs, the first
+        configured voter bootstraps the group.
+        """
         if now >= self._hello_at:
-            self._hello_at = now + self.bounds.beat
-            for name in self.named:
+            self._hello_at = now + self.bounds.heartbeat
+            for name in self.configured_names:
                 if name != name_of(self.me):
-                    self._send(name, Hello(self.me, self._started))
-        fresh = {by: started for by, (started, at) in self._blank.items() if now - at <= 3 * self.bounds.beat}
-        by_name = {name_of(by): by for by in fresh}
-        others = [name for name in self.named if name != name_of(self.me)]
+                    self._send(name, Hello(self.me, self._started_at))
+        blank = {
+            voter: started_at
+            for voter, (started_at, seen_at) in self._blank_voters.items()
+            if now - seen_at <= 3 * self.bounds.heartbeat
+        }
+        voter_by_name = {name_of(voter): voter for voter in blank}
+        other_names = [name for name in self.configured_names if name != name_of(self.me)]
         if (
-            self.named
-            and self.named[0] == name_of(self.me)
-            and len(fresh) == len(others)
-            and set(by_name) == set(others)
+            self.configured_names
+            and self.configured_names[0] == name_of(self.me)
+            and len(blank) == len(other_names)
+            and set(voter_by_name) == set(other_names)
         ):
-            self.base = Base(max([self._started, *fresh.values()]), 0, tuple(sorted([self.me, *fresh])))
+            self.base = Base(max([self._started_at, *blank.values()]), 0, tuple(sorted([self.me, *blank])))
             self.commit = self._on_disk = self.base.index
-            self._write(self.kept, self.base)
-            for by in fresh:
-                self._send(by, Install(0, self.me, self.base, 0))
-            self._wait_anew(now)
+            self._queue_write(self.kept, self.base)
+            for voter in blank:
+                self._send(voter, Install(0, self.me, self.base, 0))
+            self._reset_election_timer(now)
         return self._hello_at
 
     # --- elections --------------------------------------------------------------------------------------
 
     def _ask_first(self, now: int) -> None:
-        """Whether others would give their vote: one that was cut off would else come back with a higher term
-        and end what works.
+        """Starts a pre-vote. Without it, a voter that was partitioned would return with a higher term and depose a
+        working leader.
         """
-        self.role, self.leader = ASKS_FIRST, ""
+        self.role, self.leader = PRE_CANDIDATE, ""
         self._votes = {self.me}
-        self._wait_anew(now)
-        self._ask_all(self.kept.term + 1, True)
+        self._reset_election_timer(now)
+        self._request_votes(self.kept.term + 1, True)
         self._count_votes(now)
 
     def _ask(self, now: int) -> None:
-        self.role = ASKS
+        """Starts an election in a new term, with a vote for itself once that is on disk."""
+        self.role = CANDIDATE
         self._votes = set()
-        self._wait_anew(now)
-        self._vote_write = self._keep(self.kept.term + 1, self.me)
-        self._ask_all(self.kept.term, False)
+        self._reset_election_timer(now)
+        self._vote_write = self._persist_state(self.kept.term + 1, self.me)
+        self._request_votes(self.kept.term, False)
 
-    def _ask_all(self, term: int, pre: bool) -> None:
+    def _request_votes(self, term: int, pre: bool) -> None:
         last_term = self.term_at(self.last)
         assert last_term is not None
         for voter in self.voters:
@@ -261,285 +280,306 @@
                 self._send(voter, VoteRequest(term, self.me, pre, self.last, last_term))
 
     def _count_votes(self, now: int) -> None:
-        if not self._majority(self._votes):
+        if not self._is_majority(self._votes):
             return
-        if self.role == ASKS_FIRST:
+        if self.role == PRE_CANDIDATE:
             self._ask(now)
-        elif self.role == ASKS:
-            self._lead(now)
+        elif self.role == CANDIDATE:
+            self._become_leader(now)
 
-    def _lead(self, now: int) -> None:
+    def _become_leader(self, now: int) -> None:
         self.role, self.leader = LEADS, self.me
         self.lease_until = 0
         self._progress = {}
-        self._sent_at = {}
+        self._round_sent_at = {}
         self._heard_round = self._round
-        self._sent_at[self._round] = now
-        # An entry of its own term: only by one of these does it learn what counts.
-        self._put(Entry(self.kept.term))
+        self._round_sent_at[self._round] = now
+        # A leader learns what is committed only by committing an entry of its own term.
+        self._append_entry(Entry(self.kept.term))
         self._speak(now)
 
-    def _follow(self, now: int, leader: str) -> None:
-        self.role, self.leader = FOLLOWS, leader
+    def _become_follower(self, now: int, leader: str) -> None:
+        self.role, self.leader = FOLLOWER, leader
         self.lease_until = 0
         self._progress.clear()
-        self._sent_at.clear()
-        self._wait_anew(now)
+        self._round_sent_at.clear()
+        self._reset_election_timer(now)
 
-    def _later_term(self, term: int, now: int) -> None:
+    def _adopt_later_term(self, term: int, now: int) -> None:
+        """Becomes a follower without a leader if the term is later than its own."""
         if term > self.kept.term:
-            self._keep(term, "")
-            self._follow(now, "")
+            self._persist_state(term, "")
+            self._become_follower(now, "")
 
     # --- the leader ---------------------------------------------------------------------------------------
 
-    def _put(self, entry: Entry) -> int:
+    def _append_entry(self, entry: Entry) -> int:
         self.entries.append(entry)
-        self._write(start=self.last, entries=(entry,))
+        self._queue_write(start=self.last, entries=(entry,))
         return self.last
 
-    def propose(self, what: Any) -> int | None:
-        """Where it will stand if it comes to count; None where this one does not lead."""
-        return self._put(Entry(self.kept.term, None, what)) if self.role == LEADS else None
+    def propose(self, command: Any) -> int | None:
+        """Appends a command and returns its log index; it is not committed yet. None if this voter does not lead."""
+        return self._append_entry(Entry(self.kept.term, None, command)) if self.role == LEADS else None
 
     @property
-    def settled(self) -> bool:
-        """Whether it leads, and an entry of its own term counts: before, it may not know all that does."""
+    def has_committed_in_term(self) -> bool:
+        """Whether it leads and has committed an entry of its own term. Before that, it may not know of all
+        committed entries.
+        """
         return self.role == LEADS and self.term_at(self.commit) == self.kept.term
 
-    def may_answer(self, now: int) -> bool:
-        """Whether nobody else can lead at this instant, as long as clocks run no further apart than DRIFT."""
-        return self.settled and now < self.lease_until
+    def holds_lease(self, now: int) -> bool:
+        """Whether no other voter can lead now, provided that clocks drift by at most MAX_CLOCK_DRIFT_PERMILLE."""
+        return self.has_committed_in_term and now < self.lease_until
 
     def change_voters(self, voters: tuple[str, ...]) -> bool:
-        """One more or one less, once the last change counts. Whether it was put into the log."""
-        before, at = self._voters_at()
-        if not self.settled or at > self.commit or len(set(before) ^ set(voters)) != 1:
+        """Appends a change of the voters, which adds or removes exactly one. False if this voter may not do so now,
+        for instance because the last change is not committed yet.
+        """
+        current, index = self._latest_voters()
+        if not self.has_committed_in_term or index > self.commit or len(set(current) ^ set(voters)) != 1:
             return False
-        self._put(Entry(self.kept.term, tuple(sorted(voters))))
+        self._append_entry(Entry(self.kept.term, tuple(sorted(voters))))
         return True
 
-    def _renew_voters(self, now: int) -> None:
-        """One that is named and said that it has nothing takes its old one's place: out first, then brought
-        up to date, then in.
+    def _replace_blank_voters(self, now: int) -> None:
+        """Replaces the old id of a configured voter that announced an empty disk: removes the old id, brings the
+        new one up to date, then adds it to the voters.
         """
-        for by, (_, at) in list(self._blank.items()):
-            if now - at > 100 * self.bounds.beat:
-                del self._blank[by]
+        for blank_voter, (_, seen_at) in list(self._blank_voters.items()):
+            if now - seen_at > 100 * self.bounds.heartbeat:
+                del self._blank_voters[blank_voter]
                 continue
-            if by in self.voters or name_of(by) not in self.named:
+            if blank_voter in self.voters or name_of(blank_voter) not in self.configured_names:
                 continue
-            old = [voter for voter in self.voters if name_of(voter) == name_of(by)]
-            if old:
-                self.change_voters(tuple(voter for voter in self.voters if voter not in old))
+            replaced = [voter for voter in self.voters if name_of(voter) == name_of(blank_voter)]
+            if replaced:
+                self.change_voters(tuple(voter for voter in self.voters if voter not in replaced))
                 continue
-            progress = self._progress.get(by)
+            progress = self._progress.get(blank_voter)
             if progress is None:
-                self._progress[by] = Progress(self.last + 1)
+                self._progress[blank_voter] = Progress(self.last + 1)
             elif progress.match >= self.commit:
-                self.change_voters((*self.voters, by))
-        for gone in [one for one in self._progress if one not in self.voters and one not in self._blank]:
-            del self._progress[gone]
+                self.change_voters((*self.voters, blank_voter))
+        for obsolete in [name for name in self._progress if name not in self.voters and name not in self._blank_voters]:
+            del self._progress[obsolete]
 
     def _speak(self, now: int) -> None:
-        """To all, with what each has not yet; a new round."""
-        self._beat_at = now + self.bounds.beat
+        """Starts a new heartbeat round: sends every other voter the entries that it does not have yet."""
+        self._heartbeat_at = now + self.bounds.heartbeat
         self._round += 1
-        self._sent_at[self._round] = now
-        self._renew_voters(now)
-        for other in sorted({*self.voters, *self._progress} - {self.me}):
-            self._feed(other)
-        self._count_rounds()  # where it votes alone nobody answers
-
-    def _feed(self, other: str) -> None:
+        self._round_sent_at[self._round] = now
+        self._replace_blank_voters(now)
+        for peer in sorted({*self.voters, *self._progress} - {self.me}):
+            self._replicate_to(peer)
+        self._advance_lease()  # a sole voter gets no replies that would do it
+
+    def _replicate_to(self, peer: str) -> None:
+        """Sends a voter the entries that it lacks, or the snapshot if these are no longer in the log."""
         assert self.base is not None
-        progress = self._progress.setdefault(other, Progress(self.last + 1))
-        before = progress.next - 1
-        before_term = self.term_at(before)
-        if before < self.base.index or before_term is None:
-            self._send(other, Install(self.kept.term, self.me, self.base, self._round))
+        progress = self._progress.setdefault(peer, Progress(self.last + 1))
+        prev_index = progress.next - 1
+        prev_term = self.term_at(prev_index)
+        if prev_index < self.base.index or prev_term is None:
+            self._send(peer, Install(self.kept.term, self.me, self.base, self._round))
             progress.next = self.base.index + 1
             return
-        entries = tuple(self.between(progress.next, min(self.last, before + BATCH)))
-        self._send(other, Append(self.kept.term, self.me, before, before_term, entries, self.commit, self._round))
+        entries = tuple(self.between(progress.next, min(self.last, prev_index + MAX_ENTRIES_PER_MESSAGE)))
+        self._send(peer, Append(self.kept.term, self.me, prev_index, prev_term, entries, self.commit, self._round))
 
-    def _count_commit(self) -> None:
+    def _advance_commit(self) -> None:
+        """Commits the highest index that a majority has on disk, provided that its entry is of this term."""
         voters = self.voters
-        reached = sorted(
+        match_indexes = sorted(
             (
                 (self._on_disk if voter == self.me else self._progress[voter].match if voter in self._progress else 0)
                 for voter in voters
             ),
             reverse=True,
         )
-        index = reached[len(voters) // 2]
+        index = match_indexes[len(voters) // 2]
         if index > self.commit and self.term_at(index) == self.kept.term:
             self.commit = index
-            if self.me not in voters and self._voters_at()[1] <= self.commit:
-                self._follow(self._beat_at, "")
+            if self.me not in voters and self._latest_voters()[1] <= self.commit:
+                self._become_follower(self._heartbeat_at, "")
 
-    def _count_rounds(self) -> None:
+    def _advance_lease(self) -> None:
+        """Extends the lease by the latest heartbeat round that a majority has replied to."""
         voters = self.voters
-        heard = sorted(
+        acked_rounds = sorted(
             (
                 (self._round if voter == self.me else self._progress[voter].round if voter in self._progress else 0)
                 for voter in voters
             ),
             reverse=True,
         )
-        found = heard[len(voters) // 2]
-        if found > self._heard_round and found in self._sent_at:
-            self._heard_round = found
-            # From when it was sent, not from when it was answered: those who heard it wait from then on or
-            # later.
-            self.lease_until = self._sent_at[found] + self.bounds.least * (1000 - DRIFT) // 1000
-            for old in [one for one in self._sent_at if one < found]:
-                del self._sent_at[old]
-
-    def compact(self, index: int, table: Any) -> None:
-        """All up to a place that counts is the table now."""
+        majority_round = acked_rounds[len(voters) // 2]
+        if majority_round > self._heard_round and majority_round in self._round_sent_at:
+            self._heard_round = majority_round
+            # The lease counts from when the round was sent, not from the replies: the voters' own waits began
+            # at that time or later.
+            self.lease_until = (
+                self._round_sent_at[majority_round]
+                + self.bounds.min_election_timeout * (1000 - MAX_CLOCK_DRIFT_PERMILLE) // 1000
+            )
+            for old_round in [sent_round for sent_round in self._round_sent_at if sent_round < majority_round]:
+                del self._round_sent_at[old_round]
+
+    def compact(self, index: int, state: Any) -> None:
+        """Replaces all entries up to a committed index by a snapshot of the state."""
         assert self.base is not None and self.base.index <= index <= self.commit
         term = self.term_at(index)
         assert term is not None
         voters = self.base.voters
         for entry in self.between(self.base.index + 1, index):
             voters = entry.voters or voters
-        left = self.between(index + 1, self.last)
-        self.base, self.entries = Base(index, term, voters, table), left
-        self._write(base=self.base, start=index + 1, entries=tuple(left))
+        remaining = self.between(index + 1, self.last)
+        self.base, self.entries = Base(index, term, voters, state), remaining
+        self._queue_write(base=self.base, start=index + 1, entries=tuple(remaining))
 
-    # --- what comes -----------------------------------------------------------------------------------------
+    # --- received messages ----------------------------------------------------------------------------------
 
     def receive(self, message: Message, now: int) -> None:
         if isinstance(message, Hello):
-            self._greeted(message, now)
+            self._handle_hello(message, now)
         elif self.base is None and not isinstance(message, Install | Append):
-            return  # it has nothing to vote by
+            return  # its disk is empty, so it cannot vote
         elif isinstance(message, VoteRequest):
-            self._asked(message, now)
+            self._handle_vote_request(message, now)
         elif isinstance(message, VoteReply):
-            self._voted(message, now)
+            self._handle_vote_reply(message, now)
         elif isinstance(message, Append):
-            self._append(message, now)
+            self._handle_append(message, now)
         elif isinstance(message, Install):
-            self._install(message, now)
+            self._handle_install(message, now)
         else:
-            self._appended(message, now)
+            self._handle_append_reply(message, now)
 
-    def _greeted(self, hello: Hello, now: int) -> None:
-        if name_of(hello.by) not in self.named or hello.by == self.me:
+    def _handle_hello(self, hello: Hello, now: int) -> None:
+        if name_of(hello.voter) not in self.configured_names or hello.voter == self.me:
             return
-        for old in [by for by in self._blank if name_of(by) == name_of(hello.by)]:
-            del self._blank[old]
-        self._blank[hello.by] = hello.started, now
-        if self.base is not None and hello.by in self.base.voters and self.base.term == 0:
-            # It was named in the founding and has not heard of it.
-            self._send(hello.by, Install(0, self.me, self.base, 0))
-
-    def _asked(self, ask: VoteRequest, now: int) -> None:
-        if ask.by not in self.voters and self._voters_at()[1] <= self.commit:
-            return  # one that was taken out
-        heard = self.role == LEADS or now - self._heard_at < self.bounds.least
+        for stale in [known for known in self._blank_voters if name_of(known) == name_of(hello.voter)]:
+            del self._blank_voters[stale]
+        self._blank_voters[hello.voter] = hello.started_at, now
+        if self.base is not None and hello.voter in self.base.voters and self.base.term == 0:
+            # The bootstrap named it as a voter, but the message did not reach it.
+            self._send(hello.voter, Install(0, self.me, self.base, 0))
+
+    def _handle_vote_request(self, request: VoteRequest, now: int) -> None:
+        if request.candidate not in self.voters and self._latest_voters()[1] <= self.commit:
+            return  # the candidate was removed from the voters
+        hears_leader = self.role == LEADS or now - self._leader_heard_at < self.bounds.min_election_timeout
         last_term = self.term_at(self.last)
         assert last_term is not None
-        as_new = (ask.last_term, ask.last) >= (last_term, self.last)
-        if ask.pre:
-            yes = not heard and as_new and ask.term > self.kept.term
-            self._send(ask.by, VoteReply(ask.term if yes else self.kept.term, self.me, True, yes))
+        up_to_date = (request.last_term, request.last_index) >= (last_term, self.last)
+        if request.pre_vote:
+            granted = not hears_leader and up_to_date and request.term > self.kept.term
+            self._send(
+                request.candidate, VoteReply(request.term if granted else self.kept.term, self.me, True, granted)
+            )
             return
-        if heard and ask.term > self.kept.term:
-            # Its leader counts on that: no term rises and no vote is given while one is heard.
+        if hears_leader and request.term > self.kept.term:
+            # The leader's lease relies on this: while a leader is heard, no term rises and no vote is granted.
             return
-        self._later_term(ask.term, now)
-        yes = ask.term == self.kept.term and as_new and self.kept.vote in ("", ask.by) and self.me in self.voters
-        if yes and not self.kept.vote:
-            self._keep(ask.term, ask.by)
-            self._wait_anew(now)
-        self._send(ask.by, VoteReply(self.kept.term, self.me, False, yes))
-
-    def _voted(self, voted: VoteReply, now: int) -> None:
-        if voted.pre and voted.yes:
-            if self.role == ASKS_FIRST and voted.term == self.kept.term + 1:
-                self._votes.add(voted.by)
+        self._adopt_later_term(request.term, now)
+        granted = (
+            request.term == self.kept.term
+            and up_to_date
+            and self.kept.vote in ("", request.candidate)
+            and self.me in self.voters
+        )
+        if granted and not self.kept.vote:
+            self._persist_state(request.term, request.candidate)
+            self._reset_election_timer(now)
+        self._send(request.candidate, VoteReply(self.kept.term, self.me, False, granted))
+
+    def _handle_vote_reply(self, reply: VoteReply, now: int) -> None:
+        if reply.pre_vote and reply.granted:
+            if self.role == PRE_CANDIDATE and reply.term == self.kept.term + 1:
+                self._votes.add(reply.voter)
                 self._count_votes(now)
             return
-        self._later_term(voted.term, now)
-        if self.role == ASKS and voted.yes and not voted.pre and voted.term == self.kept.term:
-            self._votes.add(voted.by)
+        self._adopt_later_term(reply.term, now)
+        if self.role == CANDIDATE and reply.granted and not reply.pre_vote and reply.term == self.kept.term:
+            self._votes.add(reply.voter)
             self._count_votes(now)
 
-    def _heard(self, term: int, leader: str, now: int) -> None:
-        """A leader of this term, or a later one's, speaks."""
+    def _accept_leader(self, term: int, leader: str, now: int) -> None:
+        """Follows a leader of this term or a later one that has sent a message."""
         if term > self.kept.term:
-            self._keep(term, "")
-        self._follow(now, leader)
-        self._heard_at = now
+            self._persist_state(term, "")
+        self._become_follower(now, leader)
+        self._leader_heard_at = now
 
-    def _append(self, append: Append, now: int) -> None:
+    def _handle_append(self, append: Append, now: int) -> None:
         if append.term < self.kept.term:
-            self._send(append.by, AppendReply(self.kept.term, self.me, False, self.last, append.round))
+            self._send(append.leader, AppendReply(self.kept.term, self.me, False, self.last, append.round))
             return
-        self._heard(append.term, append.by, now)
+        self._accept_leader(append.term, append.leader, now)
         if self.base is None:
-            self._send(append.by, AppendReply(self.kept.term, self.me, False, 0, append.round))
+            self._send(append.leader, AppendReply(self.kept.term, self.me, False, 0, append.round))
             return
-        before, entries = append.before, append.entries
-        if before < self.base.index:
-            # What its base holds counts, and so is the leader's.
-            skipped = self.base.index - before
-            before, entries = self.base.index, entries[skipped:]
-        elif self.term_at(before) != append.before_term:
-            self._send(append.by, AppendReply(self.kept.term, self.me, False, min(self.last, before - 1), append.round))
+        prev_index, entries = append.prev_index, append.entries
+        if prev_index < self.base.index:
+            # The entries in the snapshot are committed, so they equal the leader's.
+            skipped = self.base.index - prev_index
+            prev_index, entries = self.base.index, entries[skipped:]
+        elif self.term_at(prev_index) != append.prev_term:
+            self._send(
+                append.leader, AppendReply(self.kept.term, self.me, False, min(self.last, prev_index - 1), append.round)
+            )
             return
-        for place, entry in enumerate(entries):
-            at = before + 1 + place
-            if self.term_at(at) != entry.term:
-                assert at > self.commit, "what counts is cut off"
-                del self.entries[at - self.base.index - 1 :]
-                self._cut(at - 1)
-                self.entries += entries[place:]
-                self._write(start=at, entries=tuple(entries[place:]))
+        for offset, entry in enumerate(entries):
+            index = prev_index + 1 + offset
+            if self.term_at(index) != entry.term:
+                assert index > self.commit, "a committed entry would be overwritten"
+                del self.entries[index - self.base.index - 1 :]
+                self._truncate_durable(index - 1)
+                self.entries += entries[offset:]
+                self._queue_write(start=index, entries=tuple(entries[offset:]))
                 break
-        match = max(before + len(entries), self.base.index)
+        match = max(prev_index + len(entries), self.base.index)
         self.commit = max(self.commit, min(append.commit, match))
-        self._send(append.by, AppendReply(self.kept.term, self.me, True, match, append.round))
+        self._send(append.leader, AppendReply(self.kept.term, self.me, True, match, append.round))
 
-    def _install(self, install: Install, now: int) -> None:
+    def _handle_install(self, install: Install, now: int) -> None:
         if install.term == 0:
             if self.base is None and self.me in install.base.voters:
-                self._stand_on(install.base)
-                self._wait_anew(now)
+                self._install_base(install.base)
+                self._reset_election_timer(now)
             return
         if install.term < self.kept.term:
-            self._send(install.by, AppendReply(self.kept.term, self.me, False, self.last, install.round))
+            self._send(install.leader, AppendReply(self.kept.term, self.me, False, self.last, install.round))
             return
-        self._heard(install.term, install.by, now)
+        self._accept_leader(install.term, install.leader, now)
         if self.base is None or install.base.index > self.commit:
-            self._stand_on(install.base)
-        self._send(install.by, AppendReply(self.kept.term, self.me, True, install.base.index, install.round))
+            self._install_base(install.base)
+        self._send(install.leader, AppendReply(self.kept.term, self.me, True, install.base.index, install.round))
 
-    def _stand_on(self, base: Base) -> None:
+    def _install_base(self, base: Base) -> None:
+        """Replaces the whole log by a snapshot."""
         self.base, self.entries, self.commit = base, [], base.index
-        self._cut(base.index)
-        self._write(self.kept, base, base.index + 1)
+        self._truncate_durable(base.index)
+        self._queue_write(self.kept, base, base.index + 1)
 
-    def _appended(self, answer: AppendReply, now: int) -> None:
-        self._later_term(answer.term, now)
-        if self.role != LEADS or answer.term != self.kept.term:
+    def _handle_append_reply(self, reply: AppendReply, now: int) -> None:
+        self._adopt_later_term(reply.term, now)
+        if self.role != LEADS or reply.term != self.kept.term:
             return
-        progress = self._progress.get(answer.by)
+        progress = self._progress.get(reply.follower)
         if progress is None:
             return
-        progress.round = max(progress.round, answer.round)
-        if answer.ok:
-            progress.match = max(progress.match, answer.match)
+        progress.round = max(progress.round, reply.round)
+        if reply.success:
+            progress.match = max(progress.match, reply.match)
             progress.next = max(progress.next, progress.match + 1)
-            self._count_commit()
+            self._advance_commit()
         else:
-            progress.next = max(1, min(progress.next - 1, answer.match + 1), progress.match + 1)
+            progress.next = max(1, min(progress.next - 1, reply.match + 1), progress.match + 1)
             if self.role == LEADS:
-                self._feed(answer.by)
+                self._replicate_to(reply.follower)
         if self.role == LEADS:
-            self._count_rounds()
-            if answer.ok and progress.next <= self.last:
-                self._feed(answer.by)
+            self._advance_lease()
+            if reply.success and progress.next <= self.last:
+                self._replicate_to(reply.follower)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -1,5 +1,5 @@
-"""Voters that agree: histories by chance and in virtual time, and bugs put in on purpose, each of which is
-found.
+"""Raft voters in random histories and in virtual time. Deliberate bugs check that the histories would reveal
+each of them.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from pepperusher.consensus.raft import ASKS, FOLLOWS, LEADS, RaftVoter, Bounds
+from pepperusher.consensus.raft import CANDIDATE, FOLLOWER, LEADS, RaftVoter, Bounds
 from pepperusher.consensus.messages import (
     Append,
     AppendReply,
@@ -27,7 +27,7 @@
 
 
 class ForgetsItsVote(RaftVoter):
-    """Over a restart."""
+    """Loses its vote at a restart."""
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
@@ -35,18 +35,24 @@
 
 
 class VotesTwice(RaftVoter):
-    def _asked(self, ask: VoteRequest, now: int) -> None:
-        if not ask.pre and ask.term == self.kept.term and self.role == FOLLOWS:
+    """Grants a second vote in a term."""
+
+    def _handle_vote_request(self, request: VoteRequest, now: int) -> None:
+        if not request.pre_vote and request.term == self.kept.term and self.role == FOLLOWER:
             self.kept = PersistentState(self.kept.term, "")
-        super()._asked(ask, now)
+        super()._handle_vote_request(request, now)
 
 
 class VotesForAnOlderLog(RaftVoter):
-    def _asked(self, ask: VoteRequest, now: int) -> None:
-        super()._asked(ask._replace(last=99, last_term=99), now)
+    """Grants its vote to a candidate whose log is older than its own."""
+
+    def _handle_vote_request(self, request: VoteRequest, now: int) -> None:
+        super()._handle_vote_request(request._replace(last_index=99, last_term=99), now)
 
 
 class CountsItsVoteBeforeTheDisk(RaftVoter):
+    """Counts its vote for itself before the vote is on disk."""
+
     def _ask(self, now: int) -> None:
         super()._ask(now)
         self._votes.add(self.me)
@@ -60,61 +66,81 @@
 
 
 class AnswersBeforeTheDisk(RaftVoter):
+    """Sends messages before the writes that they depend on are on disk."""
+
     def _send(self, to: str, message: Message) -> None:
         self.out.append(OutgoingMessage(to, message, 0))
 
 
 class AppendsWithoutALook(RaftVoter):
-    """Whatever stands before."""
+    """Appends entries without a check of the term of the previous one."""
 
-    def _append(self, append: Append, now: int) -> None:
-        if append.term >= self.kept.term and append.before <= self.last:
-            append = append._replace(before_term=self.term_at(append.before) or 0)
-        super()._append(append, now)
+    def _handle_append(self, append: Append, now: int) -> None:
+        if append.term >= self.kept.term and append.prev_index <= self.last:
+            append = append._replace(prev_term=self.term_at(append.prev_index) or 0)
+        super()._handle_append(append, now)
 
 
 class KeepsWhatConflicts(RaftVoter):
-    def _append(self, append: Append, now: int) -> None:
-        fresh = tuple(entry for place, entry in enumerate(append.entries) if append.before + 1 + place > self.last)
-        has = len(append.entries) - len(fresh)
-        super()._append(append._replace(entries=()), now)
-        if append.term >= self.kept.term and fresh and append.before + has == self.last:
-            self.entries += fresh
-            self._write(start=self.last - len(fresh) + 1, entries=fresh)
-            self._send(append.by, AppendReply(self.kept.term, self.me, True, self.last, append.round))
+    """Keeps entries that conflict with the leader's."""
+
+    def _handle_append(self, append: Append, now: int) -> None:
+        new_entries = tuple(
+            entry for offset, entry in enumerate(append.entries) if append.prev_index + 1 + offset > self.last
+        )
+        known_count = len(append.entries) - len(new_entries)
+        super()._handle_append(append._replace(entries=()), now)
+        if append.term >= self.kept.term and new_entries and append.prev_index + known_count == self.last:
+            self.entries += new_entries
+            self._queue_write(start=self.last - len(new_entries) + 1, entries=new_entries)
+            self._send(append.leader, AppendReply(self.kept.term, self.me, True, self.last, append.round))
 
 
 class CountsBeyondWhatIsTheLeaders(RaftVoter):
-    def _append(self, append: Append, now: int) -> None:
-        super()._append(append, now)
+    """Commits entries that the leader has not confirmed to be equal to its own."""
+
+    def _handle_append(self, append: Append, now: int) -> None:
+        super()._handle_append(append, now)
         if append.term == self.kept.term:
             self.commit = max(self.commit, min(append.commit, self.last))
 
 
 class TakesAnswersToAskingFirstForVotes(RaftVoter):
-    def _voted(self, voted: VoteReply, now: int) -> None:
-        super()._voted(voted, now)
-        if voted.pre and voted.yes and self.role == ASKS:
-            self._votes.add(voted.by)
+    """Counts pre-votes as votes."""
+
+    def _handle_vote_reply(self, reply: VoteReply, now: int) -> None:
+        super()._handle_vote_reply(reply, now)
+        if reply.pre_vote and reply.granted and self.role == CANDIDATE:
+            self._votes.add(reply.voter)
             self._count_votes(now)
 
 
 class CountsHalf(RaftVoter):
-    def _majority(self, those: set[str]) -> bool:
-        return 2 * len(those.intersection(self.voters)) >= len(self.voters) - 1
+    """Takes half of the voters for a majority."""
+
+    def _is_majority(self, supporters: set[str]) -> bool:
+        return 2 * len(supporters.intersection(self.voters)) >= len(self.voters) - 1
 
 
 class TakesVotesOfAnOlderTerm(RaftVoter):
-    def _voted(self, voted: VoteReply, now: int) -> None:
-        super()._voted(voted._replace(term=self.kept.term) if voted.yes and not voted.pre else voted, now)
+    """Counts votes that were granted in an older term."""
+
+    def _handle_vote_reply(self, reply: VoteReply, now: int) -> None:
+        super()._handle_vote_reply(
+            reply._replace(term=self.kept.term) if reply.granted and not reply.pre_vote else reply, now
+        )
 
 
 class HearsAnOlderLeader(RaftVoter):
-    def _append(self, append: Append, now: int) -> None:
-        super()._append(append._replace(term=max(append.term, self.kept.term)), now)
+    """Accepts entries from the leader of an older term."""
+
+    def _handle_append(self, append: Append, now: int) -> None:
+        super()._handle_append(append._replace(term=max(append.term, self.kept.term)), now)
 
 
 class LogLostOverARestart(RaftVoter):
+    """Loses its log at a restart."""
+
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.entries = []
@@ -122,6 +148,8 @@
 
 
 class TermForgotten(RaftVoter):
+    """Loses its term at a restart."""
+
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.kept = PersistentState(0, "")
@@ -149,62 +177,74 @@
 
 class Disks(unittest.TestCase):
     def test_a_late_write_tells_nothing_of_what_replaced_it(self) -> None:
-        """A write of places 11 and 12 is acknowledged after others took their place: those are not on disk yet."""
-        one = RaftVoter(
+        """A write of entries 11 and 12 is acknowledged after others have replaced them. The voter must not take the
+        new entries to be on disk.
+        """
+        voter = RaftVoter(
             "b", ("a", "b", "c"), Bounds(1, 0, 0), Random(1), 0, 0, PersistentState(1, ""), Base(10, 0, ("a", "b", "c"))
         )
-        one.receive(Append(1, "a", 10, 0, (Entry(1), Entry(1)), 10, 1), 0)
-        late = one.writes[-1].number
-        one.receive(Append(2, "c", 10, 0, (Entry(2), Entry(2)), 10, 1), 0)
-        one.on_disk(late, 0)
-        self.assertEqual(10, one._on_disk)
-        one.on_disk(one.writes[-1].number, 0)
-        self.assertEqual(12, one._on_disk)
+        voter.receive(Append(1, "a", 10, 0, (Entry(1), Entry(1)), 10, 1), 0)
+        late_write = voter.writes[-1].number
+        voter.receive(Append(2, "c", 10, 0, (Entry(2), Entry(2)), 10, 1), 0)
+        voter.on_disk(late_write, 0)
+        self.assertEqual(10, voter._on_disk)
+        voter.on_disk(voter.writes[-1].number, 0)
+        self.assertEqual(12, voter._on_disk)
 
 
 class Histories(unittest.TestCase):
     def test_nothing_that_may_never_be(self) -> None:
         self.assertIsNone(explore(limits=Limits(states=6_000)).wrong)
-        found = wander(limits=DEEP, walks=300, length=100)
-        self.assertIsNone(found.wrong, found)
+        result = wander(limits=DEEP, walks=300, length=100)
+        self.assertIsNone(result.wrong, result)
 
     def test_each_bug_is_found(self) -> None:
         for bug in BUGS:
             with self.subTest(bug.__name__):
-                first = bug is TakesAnswersToAskingFirstForVotes
-                # What a restart forgets shows in elections, and in short histories soonest.
+                with_pre_votes = bug is TakesAnswersToAskingFirstForVotes
+                # Bugs that lose state at a restart show in elections, which short histories reach soonest.
                 limits, length = (SHORT, 25) if bug in (ForgetsItsVote, TermForgotten) else (DEEP, 100)
-                found = wander(bug, limits._replace(asks_first=first), walks=20_000 // length * 25, length=length)
+                found = wander(
+                    bug, limits._replace(asks_first=with_pre_votes), walks=20_000 // length * 25, length=length
+                )
                 self.assertIsNotNone(found.wrong, f"{found.states} steps")
 
 
 class Played(unittest.TestCase):
-    """Three with clocks and a network that loses, in virtual time."""
+    """Three voters with their own clocks and a lossy network, in virtual time."""
 
-    def play(self, seed: int, lose: float = 0.0) -> Cluster:
-        return Cluster(seed, lose)
+    def play(self, seed: int, loss: float = 0.0) -> Cluster:
+        return Cluster(seed, loss)
 
     def test_founded_led_and_followed(self) -> None:
-        """All have nothing; one leads, is killed, another leads within a few times the longest wait; what
-        counted stays.
+        """Three voters with empty disks bootstrap a group and elect a leader. The leader is killed, and another one
+        follows within a few times the longest election timeout; committed entries stay.
         """
         cluster = self.play(1, 0.1)
-        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
+        self.assertTrue(
+            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().has_committed_in_term)
+        )
         first = cluster.leader()
-        at = first.propose("one")
-        self.assertTrue(cluster.run(5 * SECOND, lambda: all(one.commit >= at for one in cluster.up.values())))
-        del cluster.up[first.me.partition("#")[0]]
-        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
+        index = first.propose("one")
+        self.assertTrue(
+            cluster.run(5 * SECOND, lambda: all(voter.commit >= index for voter in cluster.running.values()))
+        )
+        del cluster.running[first.me.partition("#")[0]]
+        self.assertTrue(
+            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().has_committed_in_term)
+        )
         second = cluster.leader()
         self.assertGreater(second.kept.term, first.kept.term)
-        self.assertEqual(["one"], [one.what for one in second.between(0, second.commit) if one.what])
-        self.assertGreater(second.propose("two"), at)
+        self.assertEqual(["one"], [voter.command for voter in second.between(0, second.commit) if voter.command])
+        self.assertGreater(second.propose("two"), index)
 
     def test_a_voter_that_lost_its_disk_votes_for_nothing_until_it_was_taken_in_again(self) -> None:
         cluster = self.play(2)
-        self.assertTrue(cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().settled))
-        name = next(name for name, one in cluster.up.items() if one.role != LEADS)
-        old = cluster.up[name].me
+        self.assertTrue(
+            cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().has_committed_in_term)
+        )
+        name = next(name for name, voter in cluster.running.items() if voter.role != LEADS)
+        old = cluster.running[name].me
         new = cluster.start(name)
         self.assertNotIn(new.me, cluster.leader().voters)
         self.assertEqual((None, ""), (new.base, new.kept.vote))
@@ -212,143 +252,147 @@
             cluster.run(
                 20 * SECOND,
                 lambda: all(
-                    new.me in one.voters and old not in one.voters and len(one.voters) == 3
-                    for one in cluster.up.values()
+                    new.me in voter.voters and old not in voter.voters and len(voter.voters) == 3
+                    for voter in cluster.running.values()
                 ),
             )
         )
 
     def test_two_never_answer_at_once_while_links_break_and_clocks_drift(self) -> None:
-        """By their leases, at every step of forty histories of cuts, kills and stops, with clocks 2% apart
-        either way.
+        """Never do two voters hold a lease at once. Forty histories of partitions, restarts and stalls check this at
+        every step, with clocks that run up to 2% fast or slow.
         """
         for seed in range(40):
-            cluster = Cluster(seed, 0.1, late=60 if seed % 2 else 8)
+            cluster = Cluster(seed, 0.1, max_delay=60 if seed % 2 else 8)
             cluster.break_at_random = True
             cluster.run(
                 30 * SECOND,
-                lambda: sum(one.may_answer(cluster.clock(name)) for name, one in cluster.up.items()) > 1,
+                lambda: sum(voter.holds_lease(cluster.clock(name)) for name, voter in cluster.running.items()) > 1,
             )
-            self.assertLessEqual(cluster.most_at_once, 1, f"seed {seed}")
+            self.assertLessEqual(cluster.max_lease_holders, 1, f"seed {seed}")
 
     def test_two_would_if_a_lease_began_with_the_answer(self) -> None:
-        """For the majority too by which a leader stays one."""
+        """Shows that the test above can fail. If the lease began when a reply arrives instead of when the round was
+        sent, two voters would hold a lease at once.
+        """
 
         class FromTheAnswer(RaftVoter):
-            def _count_rounds(self) -> None:
+            def _advance_lease(self) -> None:
                 heard = self._heard_round
-                super()._count_rounds()
+                super()._advance_lease()
                 if self._heard_round > heard and self.role == LEADS:
-                    self._sent_at[self._heard_round] = self.now
-                    self.lease_until = self.now + self.bounds.least
+                    self._round_sent_at[self._heard_round] = self.now
+                    self.lease_until = self.now + self.bounds.min_election_timeout
 
             def receive(self, message: Message, now: int) -> None:
                 self.now = now
                 super().receive(message, now)
 
         for seed in range(300):
-            cluster = Cluster(seed, 0.02, FromTheAnswer, late=60)
+            cluster = Cluster(seed, 0.02, FromTheAnswer, max_delay=60)
             cluster.break_at_random = True
-            cluster.run(30 * SECOND, lambda: cluster.most_at_once > 1)
-            if cluster.most_at_once > 1:
+            cluster.run(30 * SECOND, lambda: cluster.max_lease_holders > 1)
+            if cluster.max_lease_holders > 1:
                 return
         self.fail("two never answered at once")
 
 
 class Cluster:
-    """Three voters with disks that write a little late, links that lose and are late, and clocks that run
-    apart.
+    """Three voters with disks that write a little late, a network that loses and delays messages, and drifting
+    clocks.
     """
 
     NAMES = ("a", "b", "c")
 
-    def __init__(self, seed: int, lose: float, make: type[RaftVoter] = RaftVoter, late: int = 8) -> None:
-        self.chance, self.lose, self.make = Random(seed), lose, make
-        # One way may be quick and the way back slow: a lease that begins with the answer is then too long.
-        self.ways = {(a, b): self.chance.choice((3, late)) for a in self.NAMES for b in self.NAMES}
+    def __init__(self, seed: int, loss: float, voter_type: type[RaftVoter] = RaftVoter, max_delay: int = 8) -> None:
+        self.chance, self.loss, self.voter_type = Random(seed), loss, voter_type
+        # One direction may be fast and the other slow. A lease that begins with the reply is then too long.
+        self.max_delays = {(a, b): self.chance.choice((3, max_delay)) for a in self.NAMES for b in self.NAMES}
         self.now = 1_700_000_000 * SECOND
         self.rates = {name: self.chance.uniform(0.98, 1.02) for name in self.NAMES}
-        self.began = self.now
-        self.up: dict[str, RaftVoter] = {}
+        self.started_at = self.now
+        self.running: dict[str, RaftVoter] = {}
         self.disks: dict[str, agreemodel.Disk | None] = dict.fromkeys(self.NAMES)
-        self.ids: dict[str, str] = {}
+        self.voter_ids: dict[str, str] = {}
         self.due: dict[str, int] = {}
-        self.still: dict[str, int] = {}  # who stands still, and until when
-        self.flying: list[tuple[int, str, str, Message]] = []
-        self.cut: set[str] = set()
+        self.paused_until: dict[str, int] = {}  # by name; a paused voter does nothing until then
+        self.in_flight: list[tuple[int, str, str, Message]] = []
+        self.partitioned: set[str] = set()
         self.break_at_random = False
-        self.most_at_once = 0
+        self.max_lease_holders = 0
         for name in self.NAMES:
             self.start(name)
 
     def clock(self, name: str) -> int:
-        return self.began + round((self.now - self.began) * self.rates[name])
+        return self.started_at + round((self.now - self.started_at) * self.rates[name])
 
     def start(self, name: str, disk: agreemodel.Disk | None = None) -> RaftVoter:
-        """With a disk as it was, or with none."""
+        """Starts a voter with the given disk, or with an empty one and a new id."""
         if disk is None:
-            self.ids[name] = f"{name}#{self.chance.getrandbits(32):x}"
-        given = (disk.kept, disk.base, disk.entries) if disk is not None else ()
-        made = self.make(
-            self.ids[name],
+            self.voter_ids[name] = f"{name}#{self.chance.getrandbits(32):x}"
+        stored = (disk.kept, disk.base, disk.entries) if disk is not None else ()
+        voter = self.voter_type(
+            self.voter_ids[name],
             self.NAMES,
             Bounds(50_000, 300_000, 600_000),
             Random(self.chance.getrandbits(32)),
             self.clock(name),
             self.clock(name),
-            *given,
+            *stored,
         )
-        self.up[name], self.disks[name], self.due[name] = made, disk, self.now
-        return made
+        self.running[name], self.disks[name], self.due[name] = voter, disk, self.now
+        return voter
 
     def leader(self) -> Any:
-        return next((one for one in self.up.values() if one.role == LEADS and one.settled), None)
+        return next(
+            (voter for voter in self.running.values() if voter.role == LEADS and voter.has_committed_in_term), None
+        )
 
-    def run(self, span: int, until: Any) -> bool:
-        end = self.now + span
+    def run(self, duration: int, condition: Any) -> bool:
+        end = self.now + duration
         while self.now < end:
             self.now += 5_000
             if self.break_at_random and self.chance.random() < 0.01:
-                self.harm()
-            for name in list(self.up):
-                if self.still.get(name, 0) > self.now:
+                self.inject_fault()
+            for name in list(self.running):
+                if self.paused_until.get(name, 0) > self.now:
                     continue
                 self.turn(name)
-            answering = sum(one.may_answer(self.clock(name)) for name, one in self.up.items())
-            self.most_at_once = max(self.most_at_once, answering)
-            if until():
+            lease_holders = sum(voter.holds_lease(self.clock(name)) for name, voter in self.running.items())
+            self.max_lease_holders = max(self.max_lease_holders, lease_holders)
+            if condition():
                 return True
         return False
 
     def turn(self, name: str) -> None:
-        one = self.up[name]
-        for flight in [flight for flight in self.flying if flight[2] == name and flight[0] <= self.now]:
-            self.flying.remove(flight)
-            # What was for one that stood here under another token is not for this one.
-            if flight[1] in (name, one.me):
-                one.receive(flight[3], self.clock(name))
-        one.wake(self.clock(name))
-        # Written before it is said.
-        if one.writes:
-            before = self.disks[name] or agreemodel.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
-            self.disks[name] = agreemodel.flushed(before, one)
-            number = one.writes[-1].number
-            one.writes = []
-            one.on_disk(number, self.clock(name))
-        out, one.out = one.out, []
+        voter = self.running[name]
+        for delivery in [delivery for delivery in self.in_flight if delivery[2] == name and delivery[0] <= self.now]:
+            self.in_flight.remove(delivery)
+            # A message to an earlier id of this voter, with another disk token, is dropped.
+            if delivery[1] in (name, voter.me):
+                voter.receive(delivery[3], self.clock(name))
+        voter.wake(self.clock(name))
+        # The disk writes before messages are sent.
+        if voter.writes:
+            previous = self.disks[name] or agreemodel.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
+            self.disks[name] = agreemodel.flushed(previous, voter)
+            number = voter.writes[-1].number
+            voter.writes = []
+            voter.on_disk(number, self.clock(name))
+        out, voter.out = voter.out, []
         for sent in out:
-            to = sent.to.partition("#")[0]
-            if self.chance.random() >= self.lose and not {name, to} & self.cut:
-                late = self.chance.randrange(1, self.ways.get((name, to), 8)) * 5_000
-                self.flying.append((self.now + late, sent.to, to, sent.message))
-
-    def harm(self) -> None:
-        what, name = self.chance.randrange(4), self.chance.choice(self.NAMES)
-        if what == 0:
-            self.cut = {name}
-        elif what == 1:
-            self.cut = set()
-        elif what == 2:
-            self.still[name] = self.now + self.chance.randrange(100, 1500) * 1_000
+            recipient_name = sent.to.partition("#")[0]
+            if self.chance.random() >= self.loss and not {name, recipient_name} & self.partitioned:
+                delay = self.chance.randrange(1, self.max_delays.get((name, recipient_name), 8)) * 5_000
+                self.in_flight.append((self.now + delay, sent.to, recipient_name, sent.message))
+
+    def inject_fault(self) -> None:
+        fault, name = self.chance.randrange(4), self.chance.choice(self.NAMES)
+        if fault == 0:
+            self.partitioned = {name}
+        elif fault == 1:
+            self.partitioned = set()
+        elif fault == 2:
+            self.paused_until[name] = self.now + self.chance.randrange(100, 1500) * 1_000
         elif self.disks[name] is not None and self.disks[name].base.voters:  # type: ignore[union-attr]
             self.start(name, self.disks[name])
