--- a/pepperusher/consensus/raft.py
+++ b/pepperusher/consensus/raft.py
@@ -98,8 +98,8 @@
         self.lease_until = 0  # by this voter's clock; only valid while it leads
         self._chance = rng
         self._started_at = started_at
-        self._number = 0
-        self._flushed = 0
+        self._number = 0  # of the last write that was queued
+        self._flushed = 0  # number of the last write on disk
         self._write_ends: list[tuple[int, int]] = []  # of each pending write: its number, and the last index after it
         self._on_disk = self.last  # the last log index on disk
         # A leader may hold a lease because of a reply that this voter sent before its restart, so it grants no
@@ -109,7 +109,7 @@
         self._heartbeat_at = now
         self._hello_at = now
         self._votes: set[str] = set()
-        self._vote_write = 0
+        self._vote_write = 0  # number of the write with its vote for itself
         self._round = 0
         self._round_sent_at: dict[int, int] = {}  # of rounds since the last that a majority has replied to
         self._heard_round = 0  # the last heartbeat round that a majority has replied to
--- a/pepperusher/group/membership.py
+++ b/pepperusher/group/membership.py
@@ -81,7 +81,7 @@
         self.list_version = 0  # the version of its endpoint list, by its last packet
         self.refuted_count = 0  # how many of its suspicions were refuted
         self.refuted_decay_at = now
-        self.challenged_at = 0  # when another process under its name was last pinged for verification
+        self.challenged_at = 0  # when an unverified sender under its name was last pinged
 
     @property
     def is_silent(self) -> bool:
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -1,4 +1,6 @@
-"""Whole `serve` processes in one group, with our links between them, under load and with books on both sides."""
+"""Runs whole `serve` processes as one group, with simulated links between them and under load. Records of both
+sides are checked at the end.
+"""
 
 from __future__ import annotations
 
@@ -18,35 +20,35 @@
 
 from tests.rehearsal_scene import small
 
-LOOK = 0.05
+POLL_INTERVAL_S = 0.05
 
 
-class Play(unittest.IsolatedAsyncioTestCase):
-    """`stand` starts all; faults are struck by the test itself, which waits for what it sees and for no time;
-    `over` waits for the end of the load and checks the books.
+class GroupTestCase(unittest.IsolatedAsyncioTestCase):
+    """`start_group` starts the processes. The test itself injects faults and waits for observed states rather than
+    for fixed times. `finish` waits for the end of the load and checks the records.
     """
 
-    async def stand(self, size: int, seconds: int, group: dict[str, Any] | None = None, **changes: Any) -> None:
-        asyncio.get_running_loop().set_debug(False)  # several times as slow, and all links pass through here
-        span = f"{seconds}s"
+    async def start_group(self, size: int, seconds: int, group: dict[str, Any] | None = None, **changes: Any) -> None:
+        asyncio.get_running_loop().set_debug(False)  # debug mode is several times slower, and this loop runs all links
+        duration = f"{seconds}s"
         script = small(
-            span=span,
+            span=duration,
             tiers=[{"name": "desk", "cell": 2, "proxies": size, "kinds": [{"name": "std", "count": 4}]}],
             proxies={"group": group or {}},
-            load={"phases": [{"span": span, "rate": 8 * size, "arrivals": "even"}], "notice": "200ms"},
+            load={"phases": [{"span": duration, "rate": 8 * size, "arrivals": "even"}], "notice": "200ms"},
             **changes,
         )
-        stack, keeping = AsyncExitStack(), ExitStack()
-        self.addCleanup(keeping.close)
+        stack, resources = AsyncExitStack(), ExitStack()
+        self.addCleanup(resources.close)
         self.addAsyncCleanup(stack.aclose)
-        net = keeping.enter_context(own_net())
-        self.work = Path(keeping.enter_context(tempfile.TemporaryDirectory(prefix="group-")))
+        net = resources.enter_context(own_net())
+        self.work = Path(resources.enter_context(tempfile.TemporaryDirectory(prefix="group-")))
         self.script = script
         self.director = Director(script, net, self.work)
         stack.push_async_callback(self.director.end)
         await self.director.stand()
         self.names = [gate.name for gate in self.director.plan.gates]
-        await self.until(
+        await self.wait_until(
             lambda views: all(
                 len(view["members"]) == size and view["reach"]["word"] == "majority" for view in views.values()
             )
@@ -62,66 +64,66 @@
         return self.director.runner(name)
 
     async def views(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
-        """What `ctl members` says at each; of those whose process runs."""
+        """The output of `ctl members` at each proxy whose process is running."""
         wanted = [name for name in (self.names if names is None else names) if self.runner(name).pid is not None]
-        made = await asyncio.gather(*(self.runner(name).ask("members") for name in wanted), return_exceptions=True)
-        return {name: view for name, view in zip(wanted, made) if isinstance(view, dict)}
+        replies = await asyncio.gather(*(self.runner(name).ask("members") for name in wanted), return_exceptions=True)
+        return {name: view for name, view in zip(wanted, replies) if isinstance(view, dict)}
 
-    async def until(
+    async def wait_until(
         self,
-        true: Callable[[dict[str, dict[str, Any]]], bool],
+        condition: Callable[[dict[str, dict[str, Any]]], bool],
         names: Iterable[str] | None = None,
         within: float = 60.0,
     ) -> dict[str, dict[str, Any]]:
-        """The views once something holds of them."""
+        """Waits until the views meet a condition, and returns them."""
         names = list(self.names if names is None else names)
         views: dict[str, dict[str, Any]] = {}
         try:
             async with asyncio.timeout(within):
                 while True:
                     views = await self.views(names)
-                    if len(views) == len(names) and true(views):
+                    if len(views) == len(names) and condition(views):
                         return views
-                    await asyncio.sleep(LOOK)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             self.fail(
-                "it never held: "
+                "the condition was never met: "
                 + "; ".join(
                     f"{name} {view['reach']} {[(row['name'], row['is'], row['found']) for row in view['members'][1:]]}"
                     for name, view in views.items()
                 )
             )
 
-    async def found(self, names: Iterable[str], of: Iterable[str], how: str) -> None:
-        """Each of `names` finds each of `of` so."""
-        of = set(of)
-        await self.until(
+    async def wait_until_found(self, names: Iterable[str], subjects: Iterable[str], health: str) -> None:
+        """Waits until each of `names` finds all of `subjects` in this health."""
+        subjects = set(subjects)
+        await self.wait_until(
             lambda views: all(
-                {row["found"] for row in view["members"] if row["name"] in of and row["name"] != name} <= {how}
-                and of - {name} <= {row["name"] for row in view["members"]}
+                {row["found"] for row in view["members"] if row["name"] in subjects and row["name"] != name} <= {health}
+                and subjects - {name} <= {row["name"] for row in view["members"]}
                 for name, view in views.items()
             ),
             names,
         )
 
-    def said(self, what: str, by: str | None = None) -> list[tuple[str, str]]:
-        """Who has said that of whom."""
+    def observed(self, change: str, observer: str | None = None) -> list[tuple[str, str]]:
+        """The changes of this kind that the proxies reported, as pairs of observer and member."""
         return [
-            (name, one.of)
+            (name, event.of)
             for name in self.names
-            if by in (None, name)
-            for one in self.runner(name).believed
-            if one.what == what
+            if observer in (None, name)
+            for event in self.runner(name).believed
+            if event.what == change
         ]
 
-    async def over(self) -> books.Records:
-        """Plays on to the end of the load; tickets flowed through every proxy, and no rule is broken."""
+    async def finish(self) -> books.Records:
+        """Waits for the end of the load, then checks that no rule is broken and that every proxy served tickets."""
         await self.director.over()
         await self.director.end()
-        kept = self.director.records()
-        book = books.check(self.script, kept)
-        self.assertEqual([], book.entries)
+        records = self.director.records()
+        report = books.check(self.script, records)
+        self.assertEqual([], report.entries)
         for gate in self.director.plan.gates:
-            done = sum(one.how == "done" for one in kept.tries if one.proxy == gate.number)
-            self.assertGreater(done, 5, f"through {gate.name}")
-        return kept
+            done_count = sum(attempt.how == "done" for attempt in records.tries if attempt.proxy == gate.number)
+            self.assertGreater(done_count, 5, f"through {gate.name}")
+        return records
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -116,7 +116,7 @@
 
 
 class CountsHalf(RaftVoter):
-    """Takes half of the voters for a majority."""
+    """Takes one of three voters for a majority."""
 
     def _is_majority(self, supporters: set[str]) -> bool:
         return 2 * len(supporters.intersection(self.voters)) >= len(self.voters) - 1
@@ -235,7 +235,7 @@
         )
         second = cluster.leader()
         self.assertGreater(second.kept.term, first.kept.term)
-        self.assertEqual(["one"], [voter.command for voter in second.between(0, second.commit) if voter.command])
+        self.assertEqual(["one"], [entry.command for entry in second.between(0, second.commit) if entry.command])
         self.assertGreater(second.propose("two"), index)
 
     def test_a_voter_that_lost_its_disk_votes_for_nothing_until_it_was_taken_in_again(self) -> None:
