--- a/pepperusher/consensus/raft.py
+++ b/pepperusher/consensus/raft.py
@@ -122,6 +122,7 @@
 
     @property
     def last(self) -> int:
+        """The index of the last log entry."""
         return (self.base.index if self.base is not None else 0) + len(self.entries)
 
     def term_at(self, index: int) -> int | None:
@@ -288,6 +289,7 @@
             self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
+        """Takes over leadership and starts the first heartbeat round."""
         self.role, self.leader = LEADS, self.me
         self.lease_until = 0
         self._progress = {}
@@ -467,6 +469,7 @@
             self._send(hello.voter, Install(0, self.me, self.base, 0))
 
     def _handle_vote_request(self, request: VoteRequest, now: int) -> None:
+        """Grants or refuses a vote or pre-vote by Raft's rules and the leader's lease."""
         if request.candidate not in self.voters and self._latest_voters()[1] <= self.commit:
             return  # the candidate was removed from the voters
         hears_leader = self.role == LEADS or now - self._leader_heard_at < self.bounds.min_election_timeout
@@ -513,6 +516,7 @@
         self._leader_heard_at = now
 
     def _handle_append(self, append: Append, now: int) -> None:
+        """Appends the leader's entries, replacing conflicting ones, and replies."""
         if append.term < self.kept.term:
             self._send(append.leader, AppendReply(self.kept.term, self.me, False, self.last, append.round))
             return
--- a/pepperusher/group/broadcasts.py
+++ b/pepperusher/group/broadcasts.py
@@ -51,6 +51,7 @@
         return True
 
     def expire(self, now: int) -> None:
+        """Forgets broadcasts that have been off for longer than the retention."""
         expired = [
             key
             for key, broadcast in self._broadcasts.items()
--- a/pepperusher/group/membership.py
+++ b/pepperusher/group/membership.py
@@ -85,6 +85,7 @@
 
     @property
     def is_silent(self) -> bool:
+        """Whether others find it suspected or lost, or its name is doubled, and it has not said that it is gone."""
         return not self.said.gone and self.said.phase != LEFT and (self.health != ALIVE or self.said.doubled)
 
     def record_packet(self, packet_number: int) -> bool:
@@ -190,6 +191,7 @@
         return changes
 
     def _make_room(self) -> bool:
+        """Deletes the member that left longest ago if the list is full. False if no member has left."""
         if len(self._members) < MOST:
             return True
         left = [member for member in self if member.said.phase == LEFT]
@@ -207,6 +209,7 @@
     # --- suspicion --------------------------------------------------------------------------------
 
     def _decayed_refuted_count(self, member: Member, now: int) -> int:
+        """Applies the decay to a member's refuted suspicions and returns their number."""
         decayed = (now - member.refuted_decay_at) // REFUTED_DECAY_US
         if decayed > 0:
             member.refuted_count = max(0, member.refuted_count - decayed)
@@ -282,6 +285,7 @@
         return changes
 
     def next_expiry(self) -> int | None:
+        """The time at which the next suspected member is declared lost."""
         return min((member.lost_at for member in self._suspected.values()), default=None)
 
     def postpone_suspicions(self, delay: int) -> None:
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -169,6 +169,7 @@
     # --- interface of the proxy --------------------------------------------------------------------
 
     def _answered_recently(self, now: int) -> bool:
+        """Whether any member has acked within MAX_UNANSWERED_PERIODS."""
         return now - self._last_answer_at <= MAX_UNANSWERED_PERIODS * self.health.scale(self.settings.period)
 
     def _few_answer(self) -> bool:
@@ -324,9 +325,11 @@
     # --- probes ---------------------------------------------------------------------------------------
 
     def _live_members(self) -> list[Member]:
+        """The members that are neither lost nor have left."""
         return [member for member in self.roll if member.health != LOST and member.said.phase != LEFT]
 
     def _begin_probe(self, now: int) -> None:
+        """Starts the probe of the next member of the round, and sometimes pings a lost one."""
         period = self.health.scale(self.settings.period)
         self._probe_at = now + period
         self._probe_count += 1
@@ -387,6 +390,7 @@
             self._send(PING_REQ, helper.said.address, probe.seq, helper.said.name, target.said)
 
     def _end_probe(self, now: int) -> None:
+        """Ends the running probe, and suspects its target if neither it nor a helper has acked."""
         probe, self._probe = self._probe, None
         if probe is None:
             return
@@ -402,6 +406,7 @@
             self._suspect(Suspicion(record.name, record.number, record.token, record.incarnation, self.me.name), now)
 
     def _suspect(self, suspicion: Suspicion, now: int) -> None:
+        """Records a suspicion, and gossips it if it is new."""
         if changed := self.roll.record_suspicion(suspicion, now):
             self.changes += changed
             # Suspicions are queued per accuser, not per sender: an accuser counts once, however many relay it.
@@ -459,6 +464,7 @@
         self._rumours.put(RECORD, self.me.name, self._own_encoded)
 
     def _encoded_record(self, member: Member) -> bytes:
+        """The encoded record of a member, cached until the record changes."""
         record = member.said
         cached = self._parts.get(record.name)
         if cached is None or cached[0] is not record:
@@ -701,6 +707,7 @@
         self._update_own_record()
 
     def _handle_ack(self, packet: Packet, now: int) -> None:
+        """Handles the ack of a direct ping, or one that a helper relays; the latter carries the target's record."""
         awaited = self._awaited.pop(packet.seq, None)
         sender = packet.sender
         if packet.target is None and awaited is not None and awaited.name in ("", sender.name):
