--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -231,7 +231,9 @@
 class Found(unittest.TestCase):
     """Failure detection among members m0, m1, ..., which start at about the same time."""
 
-    def group(self, size: int, seed: int = 1, manner: LinkProperties = LinkProperties(), wait_until_met: bool = True) -> Model:
+    def group(
+        self, size: int, seed: int = 1, manner: LinkProperties = LinkProperties(), wait_until_met: bool = True
+    ) -> Model:
         model = Model(seed, manner=manner)
         for number in range(size):
             model.add(f"m{number}", told=size)
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -47,7 +47,11 @@
         held_at = self.director._now()
         records = await self.finish()
         # A proxy that holds the ban sends no ticket there, although discovery lists the backend as ready throughout.
-        late = [attempt for attempt in records.backend_attempts if attempt.id == backend and attempt.first > held_at + 500_000]
+        late = [
+            attempt
+            for attempt in records.backend_attempts
+            if attempt.id == backend and attempt.first > held_at + 500_000
+        ]
         self.assertEqual([], late)
         self.assertTrue([attempt for attempt in records.backend_attempts if attempt.id == backend])
 
@@ -263,7 +267,9 @@
         self.director._admitted.add(0)
         self.director._admit()
         records = await self.finish()
-        through = {attempt.name for attempt in records.client_attempts if attempt.proxy == 0 and attempt.sent > restarted_at}
+        through = {
+            attempt.name for attempt in records.client_attempts if attempt.proxy == 0 and attempt.sent > restarted_at
+        }
         sent = [attempt for attempt in records.backend_attempts if attempt.name in through]
         self.assertGreater(len(sent), 10)
         self.assertEqual([], [attempt for attempt in sent if attempt.id == backend])
