--- a/pepperusher/net/call_schedule.py
+++ b/pepperusher/net/call_schedule.py
@@ -1,7 +1,7 @@
-"""When the next call for the list goes out at one address of discovery. Decisions alone: no I/O, and no clock of its own.
+"""Decides when the next watch call goes out at one discovery address. Free of I/O, without a clock of its own.
 
-Times are seconds of one clock that only advances. A *term* is the span within which discovery's word has to have come:
-from its end on, what the list lacks counts as told (docs/design.md, "Terms for the list").
+Times are seconds of one monotonic clock. A *deadline* is the time by which discovery must have confirmed the list: from
+then on, changes that the list lacks count as delivered (docs/design.md, "Terms for the list").
 """
 
 from __future__ import annotations
@@ -9,124 +9,137 @@
 from collections.abc import Callable
 from random import Random
 
-# An empty line comes every 2 s: a watch with no line for longer is dead, whatever its connection says. What it
-# misses is held against this proxy 6 s after its last line, and by then another watch has to have told it: after
-# 4.5 s, and a wait of up to 500 ms, a call that stood 2.8 s in discovery's queue was too late. The second figure is
-# spread over proxies, since all watches may fall silent at once; asked is then without a further wait.
+# Discovery sends an empty line every 2 s, so a watch without a line for longer is dead, whatever the state of its
+# connection. Updates that it misses count as delivered 6 s after its last line, and another watch must have delivered
+# them by then. With a timeout of 4.5 s and a wait of up to 500 ms, a call that stood 2.8 s in discovery's queue was too
+# late. The spread differs per proxy, since all watches may fall silent at once; the next call then goes out without a
+# further wait.
 WATCH_SILENCE_TIMEOUT_S = 2.5
-SPREAD = 0.5
-# Calls wait in turn at discovery, and one that waits looks like one that is lost: it is never left to begin
-# anew at the queue's end. Another goes out beside it, since a change counts 6 s after discovery had it and
-# could be reached. After a silence the call is most likely lost as well: the next goes out when that lasted
-# as long as makes a watch dead. After a failure, or where nothing is known, a queue of many callers is as
-# likely, and each call more makes it longer for all: the next goes out so late that it leaves 1.5 s for the
-# answer. The spread is added to either.
+CALL_SPREAD_S = 0.5
+# Discovery queues calls, and a queued call looks like a lost one. It is not closed, as a new call would start at the
+# end of the queue; another call goes out in parallel, since a change counts 6 s after discovery had it and could be
+# reached. After a silence the open call is most likely lost too, so the next goes out after the silence timeout. After
+# a failure, or at a start, a queue of many callers is as likely, and every further call lengthens it for all: the next
+# goes out late, leaving 1.5 s for its answer. The spread is added to either.
 FIRST_ANSWER_TIMEOUT_S = 4.0
-# A call that was kept so long and then refused stood in a queue that is longer than discovery lets anybody wait,
-# and is worked through all the same: once all that it works through was refused before, calls that come again
-# soon, and all at the same time, keep it so for good. So the next goes out by chance within 2.5 times as long,
-# not in the first tenth of that: far enough apart that the calls of a crowd come one after another. Within 6 s of
-# the one refused, since it may have gone out just before discovery could be reached, and a change counts so long
-# after; but never in haste for having been kept for longer.
-KEPT_LONG = 1.0
-PAUSE, PAUSE_LEAST = 2.5, 0.1
-APART_MOST = 6.0
-# Where what the list lacks counts from a known time on, the next goes out so early that so many seconds are left for its
-# answer, unless that leaves less than the last figure to spread such calls over.
-ANSWERED_WITHIN = 0.5
-FIRST_ANSWERED_WITHIN = 1.5
-SPREAD_LEAST = 1.0
-# While a term runs a call that was refused at once is made again soon, since what counts is to be early in the queue:
-# the first wait, its growth with each further failure, and the longest. Half of each is by chance, against calls of
-# all proxies at once. Refused so, a call has cost discovery no turn.
-RETRY_FIRST = 0.2
+# A call refused after at least this long stood in a queue that is longer than discovery lets callers wait, but is
+# worked through all the same. If all refused calls came back soon and together, they would keep the queue that long for
+# good. The next call therefore goes out at a random time within 2.5 times the wait, excluding the first tenth, so that
+# the calls of many proxies arrive one after another. It goes out within 6 s of the refused call, since that may have
+# gone out just before discovery became reachable, and a change counts 6 s after that. A longer wait never shortens the
+# pause below 2.5 s.
+QUEUED_LONG_S = 1.0
+QUEUED_PAUSE_FACTOR, QUEUED_PAUSE_MIN_FRACTION = 2.5, 0.1
+QUEUED_PAUSE_MAX_S = 6.0
+# With a known deadline the next call goes out early enough to leave this time for its answer, unless less than
+# RETRY_SPREAD_MIN_S remains to spread such calls over.
+RETRY_ANSWER_TIME_S = 0.5
+PARALLEL_ANSWER_TIME_S = 1.5
+RETRY_SPREAD_MIN_S = 1.0
+# While a deadline runs, a call that was refused at once is repeated soon, because an early place in the queue matters:
+# the first wait, its growth with each further failure, and the longest wait. Half of each wait is random, to keep the
+# proxies' calls apart. Such a refusal has cost discovery no turn of its queue.
+RETRY_INITIAL_S = 0.2
 RETRY_GROWTH = 1.5
-RETRY_MOST = 0.5
-# A term that ends while discovery is down leaves all sends after it at risk: the pace holds for so many of its length.
-PACE_HELD = 3
+RETRY_MAX_S = 0.5
+# A deadline that passes while discovery is down leaves all later requests at risk, so fast retries go on for this many
+# times its length.
+FAST_RETRY_DEADLINES = 3
 
 
 class CallSchedule:
-    """Of one address. `backoff` gives the wait after failures outside a term, in seconds."""
+    """The call schedule of one address. `backoff` gives the wait after failures while no deadline runs, in seconds."""
 
-    def __init__(self, chance: Random, backoff: Callable[[], float]) -> None:
-        self._chance = chance
+    def __init__(self, random: Random, backoff: Callable[[], float]) -> None:
+        self._random = random
         self._backoff = backoff
-        self._due_at = 0.0  # what the list lacks may count from then on
-        self._soon_till = 0.0  # failed calls are made again soon
-        self._call_owed = False  # no call of this term was made yet, and no word has come in it
-        self._beside_soon = False  # the first call of a term is out alone: lost, it would be missed past the term
-        self._cut_short = False  # the newest call was, while others are out without an answer
-        self._retry = RETRY_FIRST
+        self._confirm_by = 0.0  # from then on changes that the list lacks may count as delivered; 0 for none
+        self._fast_retry_until = 0.0  # until then failed calls are repeated soon
+        self._call_due = False  # since the deadline began no call was made and no message has come
+        # The first call since the deadline began is open alone; if it is lost, the next must not wait past the
+        # deadline.
+        self._parallel_call_soon = False
+        self._newest_cut_short = False  # the newest call was cut short while others are open without an answer
+        self._retry_wait = RETRY_INITIAL_S
         self.asked_at = 0.0  # when the newest call went out
-        self.silent = False  # since the last word silence ended a watch, and no call was refused, reset or failed
-        self.paused_till = 0.0  # no call before
-
-    def begin_term(self, now: float, term: float) -> None:
-        """Discovery's word has to have come within so many seconds."""
-        self._soon_till = now + PACE_HELD * term
-        self._due_at = 0.0  # a term has a pace of its own
-        self._call_owed = True
-        self._beside_soon = True
-        self._retry = RETRY_FIRST
-
-    def expect_by(self, due: float) -> None:
-        """What the list lacks may count from then on; until a word comes, or a term begins."""
-        self._due_at = due
-
-    def pause(self, till: float) -> None:
-        self.paused_till = till
-
-    def called(self, now: float, beside: bool) -> None:
-        """Another goes out, `beside` calls that had no word."""
+        # Since the last message a watch ended by silence, and no call was refused, reset or failed.
+        self.watch_fell_silent = False
+        self.paused_until = 0.0  # no call goes out before this time
+
+    def start_deadline(self, now: float, within: float) -> None:
+        """Starts a deadline: discovery has to confirm the list within `within` seconds."""
+        self._fast_retry_until = now + FAST_RETRY_DEADLINES * within
+        self._confirm_by = 0.0  # the retry pace of the deadline applies instead
+        self._call_due = True
+        self._parallel_call_soon = True
+        self._retry_wait = RETRY_INITIAL_S
+
+    def confirm_by(self, deadline: float) -> None:
+        """Sets the time from which changes that the list lacks may count as delivered. Cleared by a message or by
+        `start_deadline`.
+        """
+        self._confirm_by = deadline
+
+    def pause_until(self, until: float) -> None:
+        """Lets no call go out before `until`."""
+        self.paused_until = until
+
+    def note_call(self, now: float, parallel: bool) -> None:
+        """Records that a call goes out; `parallel` says whether others are open without a message."""
         self.asked_at = now
-        self._call_owed = self._cut_short = False
-        self._beside_soon = self._beside_soon and not beside
-
-    def spoken(self) -> None:
-        self.silent = self._call_owed = self._cut_short = False
-        self._due_at = 0.0
-        self._retry = RETRY_FIRST
-
-    def failed(self, now: float, kept: float) -> None:
-        """The last call that was out ended: `kept` seconds after it was made, 0 where it was none that waited."""
-        if kept >= KEPT_LONG:
-            longest = min(PAUSE * kept, max(PAUSE, APART_MOST - kept))
-            in_time = self._due_at - ANSWERED_WITHIN - now
-            if in_time >= SPREAD_LEAST:
-                longest = min(longest, in_time)
-            self.paused_till = now + self._chance.uniform(PAUSE_LEAST * longest, longest)
-        elif now < self._soon_till:
-            self.paused_till = now + self._retry * self._chance.uniform(0.5, 1.0)
-            self._retry = min(RETRY_MOST, RETRY_GROWTH * self._retry)
-
-    def cut_short(self, now: float) -> None:
-        """A call was answered and ended without a word, while others are out without an answer: discovery answers, so these
-        are more likely lost than waiting for their turn."""
-        self.failed(now, 0.0)
-        self._cut_short = True
-
-    def wait(self, now: float, out: bool, spread: float) -> float:
-        """Seconds until the next call, none or less for at once; `out` tells whether calls are out without a word, and
-        `spread` is this proxy's part of SPREAD."""
-        if out:
-            beside = self._beside_at(now, spread) - now
-            return min(beside, self._wait_alone(now)) if self._cut_short else beside
-        return self._wait_alone(now)
-
-    def _beside_at(self, now: float, spread: float) -> float:
-        """When another goes out beside calls that have no answer."""
+        self._call_due = self._newest_cut_short = False
+        self._parallel_call_soon = self._parallel_call_soon and not parallel
+
+    def note_message(self) -> None:
+        """Records a message of discovery."""
+        self.watch_fell_silent = self._call_due = self._newest_cut_short = False
+        self._confirm_by = 0.0
+        self._retry_wait = RETRY_INITIAL_S
+
+    def note_failure(self, now: float, waited: float) -> None:
+        """Records that the last open call ended, `waited` seconds after its request was sent; 0 if it did not wait in a
+        queue.
+        """
+        if waited >= QUEUED_LONG_S:
+            longest = min(QUEUED_PAUSE_FACTOR * waited, max(QUEUED_PAUSE_FACTOR, QUEUED_PAUSE_MAX_S - waited))
+            time_left = self._confirm_by - RETRY_ANSWER_TIME_S - now
+            if time_left >= RETRY_SPREAD_MIN_S:
+                longest = min(longest, time_left)
+            self.paused_until = now + self._random.uniform(QUEUED_PAUSE_MIN_FRACTION * longest, longest)
+        elif now < self._fast_retry_until:
+            self.paused_until = now + self._retry_wait * self._random.uniform(0.5, 1.0)
+            self._retry_wait = min(RETRY_MAX_S, RETRY_GROWTH * self._retry_wait)
+
+    def note_cut_short(self, now: float) -> None:
+        """Records a call that was answered but ended without a message while others are open unanswered. Discovery does
+        answer, so these are more likely lost than queued.
+        """
+        self.note_failure(now, 0.0)
+        self._newest_cut_short = True
+
+    def seconds_to_next_call(self, now: float, calls_open: bool, spread: float) -> float:
+        """Seconds until the next call; 0 or less for at once.
+
+        `calls_open` says whether calls are open without a message, and `spread` is this proxy's part of CALL_SPREAD_S.
+        """
+        if calls_open:
+            parallel_wait = self._parallel_call_at(now, spread) - now
+            return min(parallel_wait, self._wait_without_open_calls(now)) if self._newest_cut_short else parallel_wait
+        return self._wait_without_open_calls(now)
+
+    def _parallel_call_at(self, now: float, spread: float) -> float:
+        """When a call goes out in parallel to unanswered ones."""
         soonest, latest = (
             self.asked_at + within + spread for within in (WATCH_SILENCE_TIMEOUT_S, FIRST_ANSWER_TIMEOUT_S)
         )
-        if self.silent or self._beside_soon:
+        if self.watch_fell_silent or self._parallel_call_soon:
             return soonest
-        if now >= self._due_at:
+        if now >= self._confirm_by:
             return latest
-        return max(soonest, min(latest, self._due_at - FIRST_ANSWERED_WITHIN - spread))
+        return max(soonest, min(latest, self._confirm_by - PARALLEL_ANSWER_TIME_S - spread))
 
-    def _wait_alone(self, now: float) -> float:
-        if self.paused_till > now:
-            return self.paused_till - now
-        # However late this is looked at: where no call has failed, the decisions ask for none.
-        return 0.0 if self._call_owed or now < self._soon_till else self._backoff()
+    def _wait_without_open_calls(self, now: float) -> float:
+        if self.paused_until > now:
+            return self.paused_until - now
+        # This also holds if it is first evaluated late: as long as no call has failed, the decisions ask for none.
+        return 0.0 if self._call_due or now < self._fast_retry_until else self._backoff()
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery of endpoints: which address is asked, by which calls, and whose word counts."""
+"""Endpoint discovery: holds the watch at the discovery service and decides which messages update the endpoint list."""
 
 from __future__ import annotations
 
@@ -11,295 +11,351 @@
 from pepperusher.endpoint import Endpoint, FilterEndpoints
 from pepperusher.net import call_schedule, clock
 from pepperusher.net.call_schedule import CallSchedule
-from pepperusher.net.discovery_source import ABREAST, Call, Refused, Silent, Source
+from pepperusher.net.discovery_source import CONCURRENT_CALLS_MAX, Call, CallRefusedError, WatchSilentError, Source
 from pepperusher.net.endpoint_metrics import EndpointMetrics
-from pepperusher.net.endpoint_table import Decides, EndpointTable, Reaches
-from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_endpoint_update, merged, format_address
+from pepperusher.net.endpoint_table import EndpointListener, EndpointTable, EndpointConnections
+from pepperusher.net.endpoint_update import (
+    BadList,
+    EndpointUpdate,
+    parse_endpoint_update,
+    merge_updates,
+    format_address,
+)
 from pepperusher.net.connection import StreamConnection, connect
-from pepperusher.net.list_confirmation import LOST_TERM, RECONFIGURED_TERM, TAKEN_OVER_TERM, Cause, ListConfirmation
+from pepperusher.net.list_confirmation import (
+    LOST_DEADLINE_S,
+    RECONFIGURED_DEADLINE_S,
+    TAKEN_OVER_DEADLINE_S,
+    Cause,
+    ListConfirmation,
+)
 from pepperusher.net.log import Log
 from pepperusher.net.watch_stream import WatchStream
 
-CONNECT_WITHIN = 1.5
-# Those that are started together with a list that they were given ask within so long, by chance: they are as many as
-# discovery had callers, and come while those that lost their watches still wait.
-START_SPREAD = 2.0
-# A new address is asked so many seconds later while a call at the one before waits for its turn. That is under
-# a third of the time for which an address stays open once it is replaced.
-WAITS_ELSEWHERE = 0.5
-# A connection fails by these for want of something on this machine, whether or not discovery could be reached.
-OWN_WANTS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-# Seconds after which watching goes on that an unexpected error has ended.
-FOLLOW_AGAIN = 1.0
-# Addresses that were replaced and are still heard.
-REPLACED_MOST = 3
+CONNECT_TIMEOUT_S = 1.5
+# Processes that start with a configured or handed-over list open their first call after a random delay of up to this
+# long. Many proxies may start at once, and their calls would arrive while proxies that lost their watches still wait in
+# discovery's queue.
+START_SPREAD_S = 2.0
+# After a move to a new address the first call waits this long while a call at the previous address is still queued. It
+# is under a third of the time for which a replaced address stays open.
+REPLACED_CALL_HEAD_START_S = 0.5
+# Errors that mean that this machine lacks a resource. They say nothing about whether discovery is reachable.
+LOCAL_RESOURCE_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+# Delay before the watch loop restarts after an unexpected error.
+WATCH_RESTART_DELAY_S = 1.0
+# Number of replaced addresses whose calls are kept open.
+REPLACED_SOURCES_MAX = 3
 
 
 class Discovery:
+    """Keeps the proxy's endpoint list up to date from the discovery service.
+
+    It opens a watch at the configured address, applies the updates that arrive, and reopens the watch when it ends. The
+    list can also come from elsewhere: borrowed from a peer, relayed by control machines, or handed over by the previous
+    process of this proxy.
+    """
+
     def __init__(
         self,
         address: tuple[str, int],
-        facade: Decides,
-        backends: Reaches,
+        facade: EndpointListener,
+        backends: EndpointConnections,
         log: Log,
-        narrows: Sequence[FilterEndpoints] = (),
+        filters: Sequence[FilterEndpoints] = (),
         seed: int = 0,
     ) -> None:
-        self._chance = Random(seed)
-        self._spread = call_schedule.SPREAD * self._chance.random()
-        self._heard = asyncio.Event()  # once any watch has spoken
-        self._lost = False  # since a watch ended, until another speaks
-        self._table = EndpointTable(facade, backends, log, narrows)
+        self._random = Random(seed)
+        self._spread = call_schedule.CALL_SPREAD_S * self._random.random()
+        self._first_message = asyncio.Event()  # set by the first message of any watch
+        self._lost = False  # a watch has ended and no message has arrived since
+        self._table = EndpointTable(facade, backends, log, filters)
         self._facade = facade
-        self._source = Source(address, 0, self._schedule())
-        # Whom new configurations have replaced, each with its watch or the calls that wait there: till the new one has
-        # told, these are better than none, and their places in the queue are the older. Emptied then; bounded.
-        self._replaced: list[Source] = []
-        # Who told the list as it stands, and its version there.
+        self._source = Source(address, 0, self._new_schedule())
+        # Sources that a new configuration has replaced, each with its watch or its queued calls. Until the new address
+        # answers, their updates are better than none and their calls are ahead in the queue. Emptied once the new
+        # address answers; at most REPLACED_SOURCES_MAX.
+        self._replaced_sources: list[Source] = []
+        # The source that delivered the current list, and the list's version there.
         self._list_source, self._list_version = self._source, 0
         self._log = log
-        # When its source last said anything, or that of whom the list was borrowed; None where nobody ever has.
+        # When the list was last confirmed, in microseconds: the last message of its source, or of the source from which
+        # a borrowed list came. None if it was never confirmed.
         self.confirmed_at: int | None = None
-        self._borrowed = False
-        # Where the list comes from elsewhere: set while discovery is to be asked. None where nothing else tells it.
-        self._asks: asyncio.Event | None = None
+        self._list_borrowed = False
+        # Set while calls to discovery are allowed. None where only discovery delivers the list.
+        self._calls_allowed: asyncio.Event | None = None
         self.metrics = EndpointMetrics()
         self.confirmation = ListConfirmation(self.metrics, log)
-        self._took_over = False  # another process's place
-        self._taken_over_due_at: float | None = None  # when the list expires that it passed on
-        self.on_update: Callable[[], None] | None = None  # a watch has spoken; what it told stands in the list
+        self._replaces_process = False  # this process replaces a running one
+        self._handover_deadline: float | None = None  # when the handed-over list expires, by the loop's clock
+        # Called after each message of the watch, once its update is applied.
+        self.on_update: Callable[[], None] | None = None
 
-    def _schedule(self) -> CallSchedule:
-        return CallSchedule(self._chance, self._backoff)
+    def _new_schedule(self) -> CallSchedule:
+        return CallSchedule(self._random, self._backoff)
 
     def _backoff(self) -> float:
-        """What the decisions say, in seconds."""
+        """The wait before the next call that the load-balancing decisions ask for, in seconds."""
         wait = self._facade.endpoint_request_delay(clock.now())
         return wait / 1e6 if wait >= 0 else 1.0
 
     def apply_update(self, update: EndpointUpdate, source: Source | None = None) -> None:
         source = source or self._source
-        if self._borrowed:
-            # Also where it tells changes alone, since it was asked before: they are all that it has, and what another had
-            # beside them is gone.
-            update, self._borrowed = update._replace(whole=True), False
+        if self._list_borrowed:
+            # The first update from discovery replaces a borrowed list, also where it holds only changes because the
+            # call asked from a known version: the lender's other entries are stale.
+            update, self._list_borrowed = update._replace(whole=True), False
         source.version = update.version
         self._list_source, self._list_version = source, update.version
         self._table.apply(update, source.address)
 
-    def publish(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
-        """As `EndpointTable.put`."""
-        self._table.publish(entries, whole, past)
+    def publish(self, entries: list[Endpoint], whole: bool = False, filters_applied: int = 0) -> None:
+        """Passes entries through the filters to the decisions; see `EndpointTable`."""
+        self._table.publish(entries, whole, filters_applied)
 
     @property
     def size(self) -> int:
-        """How many endpoints the list has."""
+        """Number of endpoints in the list."""
         return self._table.size
 
     @property
     def source(self) -> str:
+        """The address of discovery, as `host:port`."""
         return format_address(self._source.address)
 
     def own_list(self) -> dict[str, Any] | None:
-        """The list as it stands, in discovery's own form; None before its source has told anything."""
+        """The current list in discovery's JSON form; None before the current source has delivered one."""
         if self._source.version is None:
             return None
         return {"version": self._source.version, "full": True, "servers": self._table.servers()}
 
     def handover_list(self) -> tuple[dict[str, Any] | None, bool]:
-        """The list that requests go by, whoever told it, None where it is empty; and whether its source has."""
+        """The list in use, whatever its origin, or None where it is empty; and whether the current source delivered it."""
         if self._table.empty:
             return None, False
-        told_by_source = self._source.version is not None
-        return {"version": max(0, self._list_version), "full": True, "servers": self._table.servers()}, told_by_source
+        from_current_source = self._source.version is not None
+        return {
+            "version": max(0, self._list_version),
+            "full": True,
+            "servers": self._table.servers(),
+        }, from_current_source
 
     @property
     def version(self) -> int:
-        """Of the list as it stands; 0 where none was told."""
+        """The version of the list that the current source delivered; 0 if it delivered none."""
         return max(0, self._source.version or 0)
 
     @property
     def needs_list(self) -> bool:
-        """Whether there is no list at all."""
+        """Whether the list is empty."""
         return self._table.empty
 
     def borrow_list(self, update: EndpointUpdate, confirmed_at: int) -> None:
-        """Another proxy's list, for as long as discovery has told nothing: its own first word then replaces it, and it is asked
-        on as before."""
+        """Uses another proxy's list until discovery answers.
+
+        The first update from discovery replaces it, and calls to discovery go on as before. Ignored where there is a
+        list already.
+        """
         if self._table.empty:
             age = max(0, clock.now() - confirmed_at) / 1e6
-            self.confirmation.expect(Cause.STARTED, LOST_TERM, asyncio.get_running_loop().time() - age)
+            self.confirmation.require_confirmation(
+                Cause.STARTED, LOST_DEADLINE_S, asyncio.get_running_loop().time() - age
+            )
             self.confirmed_at = confirmed_at
             self.apply_update(update)
-            self._source.version, self._borrowed = None, True
+            self._source.version, self._list_borrowed = None, True
             self._facade.endpoint_request_failed(clock.now())
 
     @property
     def watched(self) -> bool:
-        """Whether a watch of its own has spoken and stands."""
+        """Whether a watch at the current address is open and has received a message."""
         return self._source.watch is not None
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether words of discovery wait on a connection that stands, in the kernel or behind it."""
-        calls = [call for source in (self._source, *self._replaced) for call in source.calls]
+        """Whether data from discovery waits unread on an open connection, in the kernel's buffer or in this process."""
+        calls = [call for source in (self._source, *self._replaced_sources) for call in source.calls]
         return any(call.has_unread_data for call in calls)
 
     def suspend_calls(self) -> None:
-        """From here on another tells the list: no call goes out, and none is waited for, until `ask`."""
-        if self._asks is None:
-            self._asks = asyncio.Event()
-        self._asks.clear()
-        for source in (self._source, *self._replaced):
-            self._give_up(source.take_calls(), "another tells the list")
+        """Closes all calls and opens no more until `resume_calls`: the list comes from another source."""
+        if self._calls_allowed is None:
+            self._calls_allowed = asyncio.Event()
+        self._calls_allowed.clear()
+        for source in (self._source, *self._replaced_sources):
+            self._close_calls(source.detach_calls(), "the list is relayed by control machines")
 
     @property
-    def _rests(self) -> bool:
-        return self._asks is not None and not self._asks.is_set()
+    def _calls_suspended(self) -> bool:
+        return self._calls_allowed is not None and not self._calls_allowed.is_set()
 
     def resume_calls(self) -> None:
-        """At once, and from then on as ever."""
-        if self._asks is not None:
-            self._asks.set()
+        """Opens a call at once, and keeps the watch open from then on."""
+        if self._calls_allowed is not None:
+            self._calls_allowed.set()
 
     def take_relayed_list(self, update: EndpointUpdate, confirmed_at: int) -> None:
-        """The whole list as another had it of the discovery that this one would ask. Only what is different is acted on."""
-        if not self._table.empty and not self._borrowed and self._source.version is not None:
+        """Applies a full list that a control machine read from the same discovery address. Only the differences are
+        passed on.
+        """
+        if not self._table.empty and not self._list_borrowed and self._source.version is not None:
             update = self._table.changes_to(update)
         self.confirmed_at = max(confirmed_at, self.confirmed_at or 0)
         self.apply_update(update)
-        self._let_go()
-        self._said()
+        self._drop_all_replaced()
+        self._note_message()
 
     def start(self, at_once: bool = True) -> None:
-        """Asks at once, or where there is a list to go by, within START_SPREAD seconds by chance."""
+        """Starts the watch loop. The first call goes out at once, or after a random delay of up to START_SPREAD_S where
+        there is a list to serve from and `at_once` is false.
+        """
         now = asyncio.get_running_loop().time()
-        if self._took_over:
-            self._source.schedule.begin_term(now, TAKEN_OVER_TERM)
-            self.confirmation.expect(Cause.TAKEN_OVER, TAKEN_OVER_TERM, now)
-            if self._taken_over_due_at is not None:
-                self.confirmation.end_by(self._taken_over_due_at)
+        if self._replaces_process:
+            self._source.schedule.start_deadline(now, TAKEN_OVER_DEADLINE_S)
+            self.confirmation.require_confirmation(Cause.TAKEN_OVER, TAKEN_OVER_DEADLINE_S, now)
+            if self._handover_deadline is not None:
+                self.confirmation.expire_by(self._handover_deadline)
         elif not self._table.empty:
-            self.confirmation.expect(Cause.STARTED, LOST_TERM, now)
-            self._source.schedule.expect_by(now + LOST_TERM)
+            self.confirmation.require_confirmation(Cause.STARTED, LOST_DEADLINE_S, now)
+            self._source.schedule.confirm_by(now + LOST_DEADLINE_S)
             if not at_once:
-                self._source.schedule.pause(now + START_SPREAD * self._chance.random())
-        self._source.following = asyncio.get_running_loop().create_task(self._follow(self._source, False))
+                self._source.schedule.pause_until(now + START_SPREAD_S * self._random.random())
+        self._source.following = asyncio.get_running_loop().create_task(self._keep_watching(self._source, False))
 
     async def wait_for_update(self, within: float) -> None:
-        """Until a watch has spoken, but `within` seconds at the most."""
+        """Waits for the first message of any watch, at most `within` seconds."""
         try:
             async with asyncio.timeout(within):
-                await self._heard.wait()
+                await self._first_message.wait()
         except TimeoutError:
             pass
 
     def stop(self) -> None:
         self._source.following.cancel()
-        self._let_go()
+        self._drop_all_replaced()
 
-    def _give_up(self, calls: Sequence[Call], why: str, at_once: bool = False) -> None:
-        """Others have their places. What was written on them counts as told, so it is read first, unless `at_once`."""
+    def _close_calls(self, calls: Sequence[Call], why: str, at_once: bool = False) -> None:
+        """Closes calls that another call has superseded. What discovery has already written on them counts as
+        delivered, so it is read first, unless `at_once`.
+        """
         now = asyncio.get_running_loop().time()
         for call in calls:
-            if not call.spoken:
+            if not call.has_message:
                 self.metrics.given_up += 1
-                self._log.say(f"call given up; {why}: {call.described(now)}")
+                self._log.say(f"call given up; {why}: {call.describe(now)}")
             if at_once:
-                call.drop()
+                call.close_now()
             else:
-                call.leave()
+                call.close_after_read()
 
     def take_over(self, due_at: float | None) -> None:
-        """Before its start: in the place of another process, whose list expires then by the loop's clock; None where no term
-        of it ends."""
-        self._took_over, self._taken_over_due_at = True, due_at
+        """Marks this process as the successor of a running one; called before `start`.
+
+        `due_at` is when the handed-over list expires, by the loop's clock; None where no deadline of it is running.
+        """
+        self._replaces_process, self._handover_deadline = True, due_at
 
     def resume_from_handover(self, address: tuple[str, int], update: EndpointUpdate, told_there: bool) -> None:
-        """Before its start: from another process's list; discovery is asked at that address, for what came after this list
-        where it was told there, or else for the whole."""
-        self._source = Source(address, 0, self._schedule())
+        """Starts from the list of the previous process; called before `start`.
+
+        The first call goes to `address`. It asks for changes after this list where `told_there` says that the list came
+        from there, and for the full list otherwise.
+        """
+        self._source = Source(address, 0, self._new_schedule())
         self.apply_update(update)
         if not told_there:
             self._source.version = None
 
-    def configuration_changed(self, address: tuple[str, int] | None, waited: float) -> None:
-        """A new configuration with that address, None where it can't be read: the signal came at most `waited` seconds ago,
-        and what discovery has counts RECONFIGURED_TERM seconds after that."""
+    def configuration_changed(self, address: tuple[str, int] | None, signal_age: float) -> None:
+        """Handles a configuration change.
+
+        `address` is the new address of discovery, None where the configuration cannot be read. `signal_age` is how long
+        ago the signal may have arrived, in seconds: the deadline of RECONFIGURED_DEADLINE_S counts from then.
+        """
         now = asyncio.get_running_loop().time()
         if address is not None and address != self._source.address:
-            self._turn_to(address, now)
-            self.confirmation.expect(Cause.RECONFIGURED, RECONFIGURED_TERM, now - waited)
+            self._switch_to(address, now)
+            self.confirmation.require_confirmation(Cause.RECONFIGURED, RECONFIGURED_DEADLINE_S, now - signal_age)
             return
-        self._source.schedule.begin_term(now, RECONFIGURED_TERM)
+        self._source.schedule.start_deadline(now, RECONFIGURED_DEADLINE_S)
         if self._source.watch is not None:
-            self.confirmation.keep_term(RECONFIGURED_TERM, now - waited)
-        elif not self._rests:  # whoever tells the list of that address then has terms of its own
-            self.confirmation.expect(Cause.RECONFIGURED, RECONFIGURED_TERM, now - waited)
-
-    def _turn_to(self, address: tuple[str, int], now: float) -> None:
-        """Asked there at once, while the list and all that is out stand till it has told."""
+            self.confirmation.add_hard_deadline(RECONFIGURED_DEADLINE_S, now - signal_age)
+        elif not self._calls_suspended:  # otherwise the relay that delivers the list tracks its own deadlines
+            self.confirmation.require_confirmation(Cause.RECONFIGURED, RECONFIGURED_DEADLINE_S, now - signal_age)
+
+    def _switch_to(self, address: tuple[str, int], now: float) -> None:
+        """Moves to a new address at once. The list and the open calls at the previous address stay in use until the new
+        address answers.
+        """
         if self._source.calls:
-            self._replace(self._source)
+            self._keep_replaced(self._source)
         else:
             self._source.following.cancel()
-        self._source = Source(address, None, self._schedule())
-        self._source.schedule.begin_term(now, RECONFIGURED_TERM)
-        if self._waits_elsewhere:
-            # With each of many configurations in a row another call would lengthen the queue that this one stands in.
-            self._source.schedule.pause(now + WAITS_ELSEWHERE)
-        self._source.following = asyncio.get_running_loop().create_task(self._follow(self._source, False))
+        self._source = Source(address, None, self._new_schedule())
+        self._source.schedule.start_deadline(now, RECONFIGURED_DEADLINE_S)
+        if self._queued_at_replaced_address:
+            # In a series of configuration changes a call for each would lengthen the queue in which this proxy already
+            # waits.
+            self._source.schedule.pause_until(now + REPLACED_CALL_HEAD_START_S)
+        self._source.following = asyncio.get_running_loop().create_task(self._keep_watching(self._source, False))
 
     @property
-    def _waits_elsewhere(self) -> bool:
-        """Whether a call without a word has a place in the queue by way of an address that was replaced."""
-        return any(not call.spoken for source in self._replaced for call in source.calls)
-
-    def _replace(self, source: Source) -> None:
-        """Keeps its watch, or the call that has waited longest; of too many addresses the oldest without a watch goes. Each
-        holds a descriptor."""
-        kept = source.watch or source.calls[0]
-        others = [call for call in source.calls if call is not kept]
-        source.calls = [kept]
-        self._give_up(others, "a newer configuration", at_once=True)
-        self._replaced.append(source)
-        if len(self._replaced) > REPLACED_MOST:
-            oldest = next((one for one in self._replaced if one.watch is None), self._replaced[0])
-            self._leave(oldest, "newer configurations", at_once=True)
-
-    def _leave(self, source: Source, why: str, at_once: bool = False) -> None:
-        self._replaced.remove(source)
-        self._give_up(source.take_calls(), why, at_once)
+    def _queued_at_replaced_address(self) -> bool:
+        """Whether a call without a message is queued at a replaced address."""
+        return any(not call.has_message for source in self._replaced_sources for call in source.calls)
+
+    def _keep_replaced(self, source: Source) -> None:
+        """Keeps the watch of a replaced source, or else its oldest call, and closes the others.
+
+        Beyond REPLACED_SOURCES_MAX the oldest source without a watch is dropped, since each holds a descriptor.
+        """
+        kept_call = source.watch or source.calls[0]
+        others = [call for call in source.calls if call is not kept_call]
+        source.calls = [kept_call]
+        self._close_calls(others, "a newer configuration", at_once=True)
+        self._replaced_sources.append(source)
+        if len(self._replaced_sources) > REPLACED_SOURCES_MAX:
+            oldest = next(
+                (replaced for replaced in self._replaced_sources if replaced.watch is None), self._replaced_sources[0]
+            )
+            self._drop_replaced(oldest, "newer configurations", at_once=True)
+
+    def _drop_replaced(self, source: Source, why: str, at_once: bool = False) -> None:
+        self._replaced_sources.remove(source)
+        self._close_calls(source.detach_calls(), why, at_once)
         source.following.cancel()
 
-    def _let_go(self) -> None:
-        while self._replaced:
-            self._leave(self._replaced[0], "the new address has told")
+    def _drop_all_replaced(self) -> None:
+        while self._replaced_sources:
+            self._drop_replaced(self._replaced_sources[0], "the new address answered")
 
-    async def _follow(self, source: Source, at_once: bool) -> None:
-        """Watches for as long as the proxy lives."""
+    async def _keep_watching(self, source: Source, at_once: bool) -> None:
+        """Keeps a watch open for the life of the proxy, and restarts after unexpected errors."""
         while True:
             try:
-                return await self._watch_on(source, at_once)
-            except Exception as error:  # without it no drain would be heard of again
-                self._log.say(f"the watch of the list ended by {type(error).__name__}: {error}")
-                await asyncio.sleep(FOLLOW_AGAIN)
+                return await self._run_calls(source, at_once)
+            except Exception as error:  # without a watch no further drain would arrive
+                self._log.say(f"the watch loop failed: {type(error).__name__}: {error}")
+                await asyncio.sleep(WATCH_RESTART_DELAY_S)
 
-    async def _watch_on(self, source: Source, at_once: bool) -> None:
-        """Asks again as the schedule says, and beside calls that have had no word for long."""
+    async def _run_calls(self, source: Source, at_once: bool) -> None:
+        """Opens calls as the schedule says, also in parallel to calls that have waited long without a message."""
         try:
             while source is self._source or source.calls:
                 wait: float | None = None
-                while self._asks is not None and self._rests:
-                    # Looked at again: it may have been told to rest since it was woken.
-                    await self._asks.wait()
+                while self._calls_allowed is not None and self._calls_suspended:
+                    # Checked again: calls may have been suspended between the event and this task's turn.
+                    await self._calls_allowed.wait()
                     at_once = True
                 if source is self._source and source.watch is None:
                     now = asyncio.get_running_loop().time()
-                    wait = 0.0 if at_once else source.schedule.wait(now, bool(source.calls), self._spread)
+                    wait = (
+                        0.0 if at_once else source.schedule.seconds_to_next_call(now, bool(source.calls), self._spread)
+                    )
                     if wait <= 0:
                         at_once = False
-                        self._call(source)
+                        self._start_call(source)
                         continue
                 if not source.calls:
                     await asyncio.sleep(wait or 0.0)
@@ -308,198 +364,226 @@
                     [call.task for call in source.calls], timeout=wait, return_when=asyncio.FIRST_COMPLETED
                 )
                 for call in [call for call in source.calls if call.task.done()]:
-                    source.over(call)
-                    at_once = self._ended(call, source)
+                    source.remove_call(call)
+                    at_once = self._handle_call_end(call, source)
         finally:
-            for call in source.take_calls():
-                call.drop()
+            for call in source.detach_calls():
+                call.close_now()
 
-    def _call(self, source: Source) -> None:
+    def _start_call(self, source: Source) -> None:
         if source.calls:
-            self._log.say(f"no word of the watch, calls out: {len(source.calls)}")
-        oldest = source.calls[: max(0, len(source.calls) - ABREAST + 1)]
-        for old in oldest:
-            source.over(old)
-        self._give_up(oldest, "too many calls out", at_once=True)
+            self._log.say(f"no message on the watch; calls open: {len(source.calls)}")
+        oldest = source.calls[: max(0, len(source.calls) - CONCURRENT_CALLS_MAX + 1)]
+        for call_to_close in oldest:
+            source.remove_call(call_to_close)
+        self._close_calls(oldest, "too many calls open", at_once=True)
         loop = asyncio.get_running_loop()
         self.metrics.calls += 1
-        source.schedule.called(loop.time(), bool(source.calls))
+        source.schedule.note_call(loop.time(), bool(source.calls))
         call = Call(self.metrics.calls, source.address, loop.time())
-        call.task = loop.create_task(self._watch(source, call))
+        call.task = loop.create_task(self._run_call(source, call))
         source.calls.append(call)
 
-    def _ended(self, call: Call, source: Source) -> bool:
-        """Says and counts why; whether the next is to go out at once."""
+    def _handle_call_end(self, call: Call, source: Source) -> bool:
+        """Logs and counts the end of a call. Returns whether the next call goes out at once."""
         error = call.task.exception()
         now = asyncio.get_running_loop().time()
-        reason = call.task.result() if error is None else _words(error)
+        reason = call.task.result() if error is None else _describe_error(error)
         at_once = self._schedule_next(call, error, source, now)
-        self._log.say(f"watch ended: {reason}; {call.described(now)}{self._next_described(source, now)}")
+        self._log.say(f"watch ended: {reason}; {call.describe(now)}{self._describe_next_call(source, now)}")
         self._count_end(call, error)
-        if call.spoken and source is self._source:
-            self._watch_lost(error, source, now)
+        if call.has_message and source is self._source:
+            self._start_watch_lost_deadline(error, source, now)
         return at_once
 
-    def _watch_lost(self, error: BaseException | None, source: Source, now: float) -> None:
-        """What it missed counts from its last word where it fell silent, whatever discovery does."""
-        if isinstance(error, Silent):
-            source.schedule.begin_term(now, max(0.0, error.since + LOST_TERM - now))
-            self.confirmation.expect(Cause.SILENT, LOST_TERM, error.since)
+    def _start_watch_lost_deadline(self, error: BaseException | None, source: Source, now: float) -> None:
+        """Starts the deadline for the updates that the lost watch may have missed. For a silent watch it counts from
+        the last message, and is a hard deadline.
+        """
+        if isinstance(error, WatchSilentError):
+            source.schedule.start_deadline(now, max(0.0, error.last_message_at + LOST_DEADLINE_S - now))
+            self.confirmation.require_confirmation(Cause.SILENT, LOST_DEADLINE_S, error.last_message_at)
         else:
-            source.schedule.expect_by(now + LOST_TERM)
-            self.confirmation.expect(Cause.LOST, LOST_TERM, now)
+            source.schedule.confirm_by(now + LOST_DEADLINE_S)
+            self.confirmation.require_confirmation(Cause.LOST, LOST_DEADLINE_S, now)
 
-    def _next_described(self, source: Source, now: float) -> str:
-        """What follows a call that ended, for the log; nothing where the decisions say when the next goes out."""
+    def _describe_next_call(self, source: Source, now: float) -> str:
+        """The log text for what follows a call that ended; empty where the decisions set the time of the next call."""
         if source is not self._source:
             return "; its address was replaced"
         if source.calls:
-            return f"; {len(source.calls)} more out"
-        wait = source.schedule.paused_till - now
+            return f"; {len(source.calls)} more calls open"
+        wait = source.schedule.paused_until - now
         return f"; next in {wait:.2f} s" if wait > 0 else ""
 
     def _count_end(self, call: Call, error: BaseException | None) -> None:
-        if call.spoken:
+        if call.has_message:
             self.metrics.lost += 1
             return
         self.metrics.refused += 1
-        if call.line is None:
+        if call.connection is None:
             self.metrics.unconnected += 1
-        elif isinstance(error, Refused):
-            self.metrics.refused_late += error.kept >= call_schedule.KEPT_LONG
-            self.metrics.refused_at_once += error.kept < call_schedule.KEPT_LONG
+        elif isinstance(error, CallRefusedError):
+            self.metrics.refused_late += error.waited >= call_schedule.QUEUED_LONG_S
+            self.metrics.refused_at_once += error.waited < call_schedule.QUEUED_LONG_S
 
     def _schedule_next(self, call: Call, error: BaseException | None, source: Source, now: float) -> bool:
-        """Whether the next is to go out at once."""
-        source.schedule.silent = silent = isinstance(error, Silent)
-        # The end of one that is replaced is expected, and says nothing of the new one.
+        """Schedules the next call after `call` ended. Returns whether it goes out at once."""
+        source.schedule.watch_fell_silent = silent = isinstance(error, WatchSilentError)
+        # A replaced address is expected to end its calls; that says nothing about the new one.
         if source is not self._source:
             return False
         self._lost = True
-        # Those that are still out keep their places, and none goes out for one that was refused: the queue is long.
-        cut_short = call.line is not None and not isinstance(error, (Refused, Silent))
+        # Calls still open keep their place in the queue. No call replaces a refused one, because a refusal after a wait
+        # means a long queue.
+        cut_short = call.connection is not None and not isinstance(error, (CallRefusedError, WatchSilentError))
         if source.calls and not cut_short:
             return False
         if silent:
             return True
-        # Whatever discovery says or does: without a watch drains are not kept.
+        # Without a watch no drains arrive, so the decisions are told that the list is out of date.
         self._facade.endpoint_request_failed(clock.now())
         if source.calls:
-            source.schedule.cut_short(now)
+            source.schedule.note_cut_short(now)
         else:
-            source.schedule.failed(now, error.kept if isinstance(error, Refused) else 0.0)
-        if self._waits_elsewhere:
-            source.schedule.pause(max(source.schedule.paused_till, now + WAITS_ELSEWHERE))
+            source.schedule.note_failure(now, error.waited if isinstance(error, CallRefusedError) else 0.0)
+        if self._queued_at_replaced_address:
+            source.schedule.pause_until(max(source.schedule.paused_until, now + REPLACED_CALL_HEAD_START_S))
         return False
 
-    async def _watch(self, source: Source, call: Call) -> str:
+    async def _run_call(self, source: Source, call: Call) -> str:
         try:
-            async with asyncio.timeout(CONNECT_WITHIN):
-                line = call.line = await connect(source.address)
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                connection = call.connection = await connect(source.address)
         except OSError as error:
-            if error.errno in OWN_WANTS:
-                self.confirmation.reached()
+            if error.errno in LOCAL_RESOURCE_ERRORS:
+                self.confirmation.note_discovery_reachable()
             raise
-        self.confirmation.reached()
+        self.confirmation.note_discovery_reachable()
         loop = asyncio.get_running_loop()
         asked_at = loop.time()
         try:
-            return await self._read(line, source, call)
-        except Refused as refused:
-            refused.kept = loop.time() - asked_at
+            return await self._read_watch(connection, source, call)
+        except CallRefusedError as refused:
+            refused.waited = loop.time() - asked_at
             raise
         except Exception as error:
-            if line.bytes_received:
+            if connection.bytes_received:
                 raise
-            raise Refused(_words(error), loop.time() - asked_at) from None
+            raise CallRefusedError(_describe_error(error), loop.time() - asked_at) from None
         finally:
-            line.abort()
-
-    async def _read(self, line: StreamConnection, source: Source, call: Call) -> str:
-        # Versions of another address mean nothing here, nor those of before a new beginning: without one the whole list
-        # comes.
-        asked = None if source.begun_anew else source.version
-        stream = WatchStream(line, lambda: call_schedule.WATCH_SILENCE_TIMEOUT_S + self._spread)
-        stream.ask(source.address, asked)
+            connection.abort()
+
+    async def _read_watch(self, connection: StreamConnection, source: Source, call: Call) -> str:
+        # Versions of another address, or from before a restart of the version count, are meaningless here. Without a
+        # version discovery sends the full list.
+        asked_version = None if source.versions_restarted else source.version
+        stream = WatchStream(connection, lambda: call_schedule.WATCH_SILENCE_TIMEOUT_S + self._spread)
+        stream.send_request(source.address, asked_version)
         first = True
-        while (heard := await stream.next()) is not None:
+        while (data := await stream.read_next()) is not None:
             if source is self._source:
                 self.confirmed_at = clock.now()
-            if heard.word:
-                call.spoken = True
-                self._give_up(source.spoken_by(call), "another has told")
-            for update in merged(map(self._update, heard.objects)):
-                self._speaks(update, source, call, first, asked)
+            if data.has_message:
+                call.has_message = True
+                self._close_calls(source.promote_to_watch(call), "another call was answered")
+            for update in merge_updates(map(self._parse_update, data.objects)):
+                self._handle_update(update, source, call, first, asked_version)
                 first = False
-            if heard.bad is not None:
-                raise heard.bad
-            if heard.word and source is self._source and not call.leaving:
-                self._said()
+            if data.error is not None:
+                raise data.error
+            if data.has_message and source is self._source and not call.superseded:
+                self._note_message()
         return "closed"
 
-    def _speaks(self, update: EndpointUpdate, source: Source, call: Call, first: bool, asked: int | None) -> None:
-        """One word of discovery. With its first a service that has started again may well be behind; then only a whole list
-        tells where it stands."""
-        current = source is self._source and not call.leaving
+    def _handle_update(
+        self, update: EndpointUpdate, source: Source, call: Call, first: bool, asked_version: int | None
+    ) -> None:
+        """Applies one update.
+
+        If the first update of a watch is incremental and has a lower version than was asked for, discovery has
+        restarted its version count, and only a full list gives a known state.
+        """
+        current = source is self._source and not call.superseded
         if not current:
-            if self._newer(update, source):
-                self.metrics.taken_late += call.leaving
+            if self._is_newer(update, source):
+                self.metrics.taken_late += call.superseded
                 self.apply_update(update, source)
             return
-        if first and not update.whole and asked is not None and update.version < asked:
-            source.begun_anew = True
-            raise BadList(f"its versions begin anew: {update.version} after {asked}")
-        if first and asked is not None and source.version is not None and asked <= update.version < source.version:
-            # On its way while another told what is newer: what it has beyond that follows.
+        if first and not update.whole and asked_version is not None and update.version < asked_version:
+            source.versions_restarted = True
+            raise BadList(f"the version count restarted: {update.version} after {asked_version}")
+        if (
+            first
+            and asked_version is not None
+            and source.version is not None
+            and asked_version <= update.version < source.version
+        ):
+            # The update was in flight while a relayed list with a newer version was applied; later changes follow on
+            # this watch.
             pass
         elif first or source.version is None or update.version >= source.version:
-            self._take_first(update, source)
-            source.begun_anew = False
-        self._let_go()
-
-    def _newer(self, update: EndpointUpdate, source: Source) -> bool:
-        """Whether a word of an address that was replaced, or of a call that has lost its place, goes before the list: an
-        older one would lift a drain. All addresses are of one service, and count alike."""
+            self._apply_keeping_stops(update, source)
+            source.versions_restarted = False
+        self._drop_all_replaced()
+
+    def _is_newer(self, update: EndpointUpdate, source: Source) -> bool:
+        """Whether an update from a replaced address or a superseded call is newer than the list. An older one could
+        undo a drain. All addresses belong to one service and share its version count.
+        """
         if source is self._list_source:
             return update.version >= self._list_version
         return update.version > self._list_version
 
-    def _take_first(self, update: EndpointUpdate, source: Source) -> None:
-        """An older whole list may only be late: what a newer one has stopped stays so for now, unless nobody would be left."""
-        lifted = self._table.lifted_by(update) if update.version < self._list_version else set()
-        if not lifted or all(entry.id in lifted for entry in update.entries if entry.ready):
+    def _apply_keeping_stops(self, update: EndpointUpdate, source: Source) -> None:
+        """Applies an update, but keeps endpoints draining that a newer update has stopped.
+
+        An older full list may have been delayed on its way. The stopped endpoints become ready after LOST_DEADLINE_S
+        unless they are mentioned again. They become ready at once if otherwise no endpoint would be ready.
+        """
+        stopped = self._table.lifted_by(update) if update.version < self._list_version else set()
+        if not stopped or all(entry.id in stopped for entry in update.entries if entry.ready):
             self.apply_update(update, source)
             return
-        self._log.say(f"version {update.version} after {self._list_version}; {len(lifted)} stay stopped for now")
-        entries = [entry._replace(ready=False) if entry.id in lifted else entry for entry in update.entries]
+        self._log.say(
+            f"version {update.version} after {self._list_version}; {len(stopped)} endpoints stay stopped for now"
+        )
+        entries = [entry._replace(ready=False) if entry.id in stopped else entry for entry in update.entries]
         self.apply_update(update._replace(entries=entries), source)
-        held = self._table.hold(entry for entry in update.entries if entry.id in lifted)
-        asyncio.get_running_loop().call_later(LOST_TERM, self._table.release, held)
+        held_entries = self._table.hold(entry for entry in update.entries if entry.id in stopped)
+        asyncio.get_running_loop().call_later(LOST_DEADLINE_S, self._table.release, held_entries)
+
+    def _note_message(self) -> None:
+        """Records a message of the current watch, and confirms the list.
 
-    def _said(self) -> None:
-        """The watch lives. Where it has nothing new that has to be told all the same: the decisions ask later after each
-        watch that ended, and would go on from the failures of days ago."""
-        self._heard.set()
+        After a lost watch the decisions are told even if nothing changed: they lengthen the wait before each call after
+        every failure, and would otherwise continue from failures of long ago.
+        """
+        self._first_message.set()
         if self._source.version is not None:
-            # An empty line of an address that has told nothing yet says nothing of the list.
-            self.confirmation.confirmed(self._watch_described())
+            # An empty line from an address that has not sent a list yet does not confirm one.
+            self.confirmation.note_confirmed(self._describe_watch())
         if self._lost:
             self._lost = False
             self._facade.update_endpoints((), False, clock.now())
         if self.on_update is not None:
             self.on_update()
 
-    def _watch_described(self) -> str:
+    def _describe_watch(self) -> str:
         watch = self._source.watch
-        return watch.described(asyncio.get_running_loop().time()) if watch is not None else "told by another"
+        return watch.describe(asyncio.get_running_loop().time()) if watch is not None else "relayed by control machines"
 
     @staticmethod
-    def _update(told: Any) -> EndpointUpdate:
+    def _parse_update(message: Any) -> EndpointUpdate:
         try:
-            return parse_endpoint_update(told)
+            return parse_endpoint_update(message)
         except ValueError as error:
             raise BadList(f"a line {error}") from None
 
 
-def _words(error: BaseException) -> str:
-    return f"{error}" if isinstance(error, (Silent, Refused)) else f"{type(error).__name__} {error}".strip()
+def _describe_error(error: BaseException) -> str:
+    return (
+        f"{error}"
+        if isinstance(error, (WatchSilentError, CallRefusedError))
+        else f"{type(error).__name__} {error}".strip()
+    )
--- a/pepperusher/net/endpoint_metrics.py
+++ b/pepperusher/net/endpoint_metrics.py
@@ -1,4 +1,4 @@
-"""What a proxy counts of its calls to discovery, and of the age of the list that it goes by."""
+"""Counters of a proxy's calls to discovery and of the age of its endpoint list."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 
 @dataclass(slots=True)
 class EndpointMetrics:
-    """Counts since the start; times are seconds of the loop's clock.
+    """Counters since the start; times are seconds of the loop's clock.
 
-    `refused` are calls that ended without a word. Of these `refused_at_once` were answered so in under KEPT_LONG
-    (net/call_schedule.py), `refused_late` were kept for longer, as in discovery's queue, and `unconnected` never had a
+    `refused` counts calls that ended without a message. Of these, `refused_at_once` were refused in under QUEUED_LONG_S
+    (net/call_schedule.py), `refused_late` waited longer, as in discovery's queue, and `unconnected` never had a
     connection.
-    `given_up` are calls whose place another took before they had an answer; `taken_late` the updates that came by such
-    a call all the same, and were newer than the list.
-    `overdue` counts the times that the list was not confirmed within its term, and `sent_overdue` the requests that
-    went to a backend meanwhile: each of these may have gone to one that drains. `expired` counts the times that the term
-    was a binding one, and `refused_expired` the requests that did not go out for that (net/list_confirmation.py).
+
+    `given_up` counts calls that were superseded before they had an answer, and `taken_late` the updates that arrived on
+    such a call and were newer than the list.
+
+    `overdue` counts how often the list was unconfirmed past a deadline, and `sent_overdue` the requests sent to
+    backends meanwhile, each of which may have gone to a draining one. `expired` counts how often the deadline was a
+    hard one, and `refused_expired` the requests refused because of it (net/list_confirmation.py).
     """
 
     calls: int = 0
@@ -34,7 +36,7 @@
     longest_unconfirmed: float = 0.0
 
     def line(self) -> str:
-        """For the log, in words that docs/on-call.md explains."""
+        """The counters as a log line; docs/on-call.md explains it."""
         return (
             f"list: {self.calls} calls, {self.refused} refused ({self.refused_at_once} at once, {self.refused_late} after a wait,"
             f" {self.unconnected} without a connection), {self.given_up} given up ({self.taken_late} updates taken from these),"
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The list of endpoints as it stands: what updates make of it, and who acts on that."""
+"""The current endpoint list: applies updates to it and passes the changes on to the decisions and the connections."""
 
 from __future__ import annotations
 
@@ -11,53 +11,69 @@
 from pepperusher.net.log import Log
 from pepperusher.net.stopped_endpoints import StoppedEndpoints
 
-# So many endpoints are named in a line of the log at the most.
-NAMED_MOST = 8
+# Number of endpoints named in one log line.
+LOGGED_ENDPOINTS_MAX = 8
 
 
-class Decides(Protocol):
-    """What a list is told to, and what says when to ask again: a proxy's decisions, or a control machine's part for
-    it."""
+class EndpointListener(Protocol):
+    """Receives list changes and sets the wait before the next call to discovery: a proxy's load-balancing decisions, or
+    a control machine's relay.
+    """
 
-    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None: ...
+    def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
+        """Takes changed entries; `whole` says that they are the full list."""
+        ...
 
-    def endpoint_request_failed(self, now: int) -> None: ...
+    def endpoint_request_failed(self, now: int) -> None:
+        """Records that the list may be out of date."""
+        ...
 
-    def endpoint_request_delay(self, now: int) -> int: ...
+    def endpoint_request_delay(self, now: int) -> int:
+        """Returns the wait before the next call to discovery, in microseconds; negative for none."""
+        ...
 
 
-class Reaches(Protocol):
-    """What holds connections to those listed."""
+class EndpointConnections(Protocol):
+    """Holds the connections to the listed endpoints."""
 
-    def set_address(self, name: str, address: tuple[str, int], ready: bool) -> None: ...
+    def set_address(self, name: str, address: tuple[str, int], ready: bool) -> None:
+        """Sets the address of an endpoint, and whether idle connections to it are kept."""
+        ...
 
-    def retain_only(self, names: set[str]) -> None: ...
+    def retain_only(self, names: set[str]) -> None:
+        """Drops all endpoints that are not in `names`."""
+        ...
 
 
 class EndpointTable:
-    """`narrows` are what extensions make of each line, in this order: the last has the last word."""
+    """The endpoint list with the extensions' filters.
 
-    def __init__(self, facade: Decides, backends: Reaches, log: Log, narrows: Sequence[FilterEndpoints]) -> None:
+    `filters` are in the order in which they apply: the last one decides.
+    """
+
+    def __init__(
+        self, facade: EndpointListener, backends: EndpointConnections, log: Log, filters: Sequence[FilterEndpoints]
+    ) -> None:
         self._facade = facade
         self._backends = backends
         self._log = log
-        self._narrows = narrows
-        # What the list says of each, and where it is reached; emptied with the list.
-        self._told: dict[str, tuple[Endpoint, tuple[str, int]]] = {}
-        self._stopped = StoppedEndpoints()
-        # Ready by an older list than the one that stopped them, and taken as draining for now.
-        self._held: dict[str, Endpoint] = {}
+        self._filters = filters
+        # Each endpoint's entry and address; emptied with the list.
+        self._endpoints: dict[str, tuple[Endpoint, tuple[str, int]]] = {}
+        self._stopped_endpoints = StoppedEndpoints()
+        # Endpoints that are ready only in an older list than the one that stopped them; treated as draining for now.
+        self._held_as_draining: dict[str, Endpoint] = {}
 
     @property
     def size(self) -> int:
-        return len(self._told)
+        return len(self._endpoints)
 
     @property
     def empty(self) -> bool:
-        return not self._told
+        return not self._endpoints
 
     def servers(self) -> list[dict[str, Any]]:
-        """In discovery's own form."""
+        """The list in discovery's JSON form."""
         return [
             {
                 "id": entry.id,
@@ -69,53 +85,57 @@
                 "state": "ready" if entry.ready else "draining",
                 "started_ms": entry.started_at / 1000,
             }
-            for entry, address in self._told.values()
+            for entry, address in self._endpoints.values()
         ]
 
-    def apply(self, update: EndpointUpdate, by: tuple[str, int]) -> None:
-        """An update that discovery told at the address `by`."""
+    def apply(self, update: EndpointUpdate, source_address: tuple[str, int]) -> None:
+        """Applies an update that discovery sent from `source_address`."""
         unlisted = self._unlisted_by(update)
-        self._log_changes(update, unlisted, by)
-        self._stopped.note(update, unlisted, clock.now())
+        self._log_changes(update, unlisted, source_address)
+        self._stopped_endpoints.note(update, unlisted, clock.now())
         if update.whole:
-            self._told.clear()
-            self._held.clear()
+            self._endpoints.clear()
+            self._held_as_draining.clear()
         for entry in update.entries:
-            self._held.pop(entry.id, None)
+            self._held_as_draining.pop(entry.id, None)
         for entry, address in zip(update.entries, update.addresses):
-            self._told[entry.id] = entry, address
+            self._endpoints[entry.id] = entry, address
         if update.entries or update.whole:
             self.publish(update.entries, update.whole)
         for entry, address in zip(update.entries, update.addresses):
             if address == GONE:
-                self._told.pop(entry.id, None)
+                self._endpoints.pop(entry.id, None)
 
     def _unlisted_by(self, update: EndpointUpdate) -> list[Endpoint]:
-        """Those known that a whole list leaves out."""
+        """The known endpoints that a full list leaves out."""
         if not update.whole:
             return []
-        named = {entry.id for entry in update.entries}
-        return [entry for name, (entry, _) in self._told.items() if name not in named]
+        listed_ids = {entry.id for entry in update.entries}
+        return [entry for name, (entry, _) in self._endpoints.items() if name not in listed_ids]
 
-    def _log_changes(self, update: EndpointUpdate, unlisted: list[Endpoint], by: tuple[str, int]) -> None:
-        """Which endpoints are to have nothing more from here on, or may have it again, and by which word."""
+    def _log_changes(self, update: EndpointUpdate, unlisted: list[Endpoint], source_address: tuple[str, int]) -> None:
+        """Logs which endpoints stop or resume receiving requests, and by which version."""
         changes = [f"{entry.id} not listed" for entry in unlisted if entry.ready]
         for entry in update.entries:
-            known, _ = self._told.get(entry.id, (None, GONE))
+            known, _ = self._endpoints.get(entry.id, (None, GONE))
             if known is not None and known.ready != entry.ready:
                 state = "ready again" if entry.ready else "gone" if entry.gone else "draining"
                 changes.append(f"{entry.id} {state}")
         if changes:
-            more = f" and {len(changes) - NAMED_MOST} more" if len(changes) > NAMED_MOST else ""
-            self._log.say(f"version {update.version} of {format_address(by)}: {', '.join(changes[:NAMED_MOST])}{more}")
-
-    def publish(self, entries: list[Endpoint], whole: bool = False, past: int = 0) -> None:
-        """Lines to be acted on, once those who narrow them had their say; the first `past` of these had it.
-        What is drained by a mark or an order has no connection kept either."""
-        for narrow in self._narrows[past:]:
-            entries = narrow(entries, whole)
+            omitted = f" and {len(changes) - LOGGED_ENDPOINTS_MAX} more" if len(changes) > LOGGED_ENDPOINTS_MAX else ""
+            self._log.say(
+                f"version {update.version} of {format_address(source_address)}: {', '.join(changes[:LOGGED_ENDPOINTS_MAX])}{omitted}"
+            )
+
+    def publish(self, entries: list[Endpoint], whole: bool = False, filters_applied: int = 0) -> None:
+        """Filters the entries and passes them on; the first `filters_applied` of them have been applied already.
+
+        An endpoint that a filter marks as draining keeps no idle connections either.
+        """
+        for entry_filter in self._filters[filters_applied:]:
+            entries = entry_filter(entries, whole)
         for entry in entries:
-            _, address = self._told.get(entry.id, (None, GONE))
+            _, address = self._endpoints.get(entry.id, (None, GONE))
             self._backends.set_address(entry.id, address, entry.ready)
         if whole:
             self._backends.retain_only({entry.id for entry in entries})
@@ -123,35 +143,41 @@
             self._facade.update_endpoints(entries, whole, clock.now())
 
     def changes_to(self, update: EndpointUpdate) -> EndpointUpdate:
-        """What of a whole list is different here, as an update of changes."""
-        there = {entry.id for entry in update.entries}
+        """The differences between a full list and this one, as an incremental update."""
+        listed_ids = {entry.id for entry in update.entries}
         changed = [
             (entry, address)
             for entry, address in zip(update.entries, update.addresses)
-            if self._told.get(entry.id) != (entry, address)
+            if self._endpoints.get(entry.id) != (entry, address)
         ]
         changed += [
             (entry._replace(ready=False, gone=True), GONE)
-            for name, (entry, _) in self._told.items()
-            if name not in there
+            for name, (entry, _) in self._endpoints.items()
+            if name not in listed_ids
         ]
-        return EndpointUpdate(update.version, False, [one for one, _ in changed], [one for _, one in changed])
+        return EndpointUpdate(
+            update.version, False, [entry for entry, _ in changed], [address for _, address in changed]
+        )
 
     def lifted_by(self, update: EndpointUpdate) -> set[str]:
-        """Those that an older update has as ready, though a newer one has stopped them and they have not started since."""
-        return self._stopped.lifted_by(update, clock.now())
+        """Endpoints that an older update lists as ready although a newer one stopped them and they have not restarted
+        since.
+        """
+        return self._stopped_endpoints.lifted_by(update, clock.now())
 
     def hold(self, entries: Iterable[Endpoint]) -> dict[str, Endpoint]:
-        """They are ready by an older list alone, and were applied as draining; `release` takes what this returns."""
+        """Remembers endpoints that only an older list has as ready; they have been applied as draining. Pass the result
+        to `release`.
+        """
         held = {entry.id: entry for entry in entries}
-        self._held.update(held)
+        self._held_as_draining.update(held)
         return held
 
     def release(self, held: dict[str, Endpoint]) -> None:
-        """It was no late list: what it had as ready, and nobody has told of since, is."""
-        back = [entry for name, entry in held.items() if self._held.get(name) is entry]
-        for entry in back:
-            del self._held[entry.id]
-            self._told[entry.id] = entry, self._told[entry.id][1]
-        if back:
-            self.publish(back)
+        """Makes held endpoints ready that no update has mentioned since: the older list was not merely delayed."""
+        still_held = [entry for name, entry in held.items() if self._held_as_draining.get(name) is entry]
+        for entry in still_held:
+            del self._held_as_draining[entry.id]
+            self._endpoints[entry.id] = entry, self._endpoints[entry.id][1]
+        if still_held:
+            self.publish(still_held)
--- a/pepperusher/net/endpoint_update.py
+++ b/pepperusher/net/endpoint_update.py
@@ -1,4 +1,4 @@
-"""What discovery tells: endpoint updates, read from JSON and checked."""
+"""Endpoint updates from discovery: parsed from JSON and validated."""
 
 from __future__ import annotations
 
@@ -8,16 +8,20 @@
 
 from pepperusher.endpoint import Endpoint
 
-# The address of an endpoint that is gone.
+# Placeholder address of an endpoint that is gone.
 GONE = ("", 0)
 DECODER = json.JSONDecoder()
 
 
 class BadList(ValueError):
-    """Not a list of backends; the text says what is wrong."""
+    """The input is not a valid endpoint list; the text says why."""
 
 
 class EndpointUpdate(NamedTuple):
+    """One message of discovery: a full list where `whole`, otherwise the entries that changed. `addresses` are parallel
+    to `entries`.
+    """
+
     version: int
     whole: bool
     entries: list[Endpoint]
@@ -25,6 +29,7 @@
 
 
 def parse_address(text: Any) -> tuple[str, int]:
+    """Parses `host:port`; IPv6 hosts are in brackets. Raises BadList."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not colon or not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise BadList(f"{text!r} is not an address and port")
@@ -35,75 +40,89 @@
     return f"[{address[0]}]:{address[1]}" if ":" in address[0] else f"{address[0]}:{address[1]}"
 
 
-def parse_endpoint_update(told: Any) -> EndpointUpdate:
-    if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
-        raise BadList("is not an object with servers")
+def parse_endpoint_update(document: Any) -> EndpointUpdate:
+    """Validates a decoded JSON object as an endpoint update. Raises BadList."""
+    if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
+        raise BadList("is not an object with a list of servers")
     entries, addresses = [], []
-    for one in told["servers"]:
-        if not isinstance(one, dict) or not isinstance(one.get("id"), str):
+    for server in document["servers"]:
+        if not isinstance(server, dict) or not isinstance(server.get("id"), str):
             raise BadList("has a server without an id")
-        name = one["id"]
-        weight, cell, started = one.get("weight", 1.0), one.get("cell", 0), one.get("started_ms", 0)
+        endpoint_id = server["id"]
+        weight, cell, started = server.get("weight", 1.0), server.get("cell", 0), server.get("started_ms", 0)
         for value, kind in ((weight, (int, float)), (cell, int), (started, (int, float))):
             if isinstance(value, bool) or not isinstance(value, kind) or not abs(value) < 1e15:
-                raise BadList(f"{name}: {value!r} is not a number")
-        gone = one.get("state") == "gone"
-        addresses.append(GONE if gone else parse_address(one.get("addr")))
+                raise BadList(f"{endpoint_id}: {value!r} is not a number")
+        gone = server.get("state") == "gone"
+        addresses.append(GONE if gone else parse_address(server.get("addr")))
         entries.append(
             Endpoint(
-                name,
-                str(one.get("zone", "")),
+                endpoint_id,
+                str(server.get("zone", "")),
                 cell,
                 weight if weight > 0 else 1.0,
                 round(started * 1000),
-                one.get("state") == "ready",
-                str(one.get("kind", "")),
+                server.get("state") == "ready",
+                str(server.get("kind", "")),
                 gone,
             )
         )
-    version = told.get("version", 0)
+    version = document.get("version", 0)
     if not isinstance(version, int):
         raise BadList("has a version that is not a number")
-    return EndpointUpdate(version, told.get("full") is True, entries, addresses)
+    return EndpointUpdate(version, document.get("full") is True, entries, addresses)
 
 
-def merged(lines: Iterable[EndpointUpdate]) -> Iterator[EndpointUpdate]:
-    """Changes that came at once, as one: each alone would lay the ring anew. A whole list stands by
-    itself."""
-    held: EndpointUpdate | None = None
+def merge_updates(updates: Iterable[EndpointUpdate]) -> Iterator[EndpointUpdate]:
+    """Merges consecutive incremental updates into one, as each update rebuilds the hash ring. A full list starts a new
+    update.
+    """
+    pending: EndpointUpdate | None = None
     try:
-        for update in lines:
-            if held is not None and not update.whole and update.version >= held.version:
-                held = EndpointUpdate(
-                    update.version, held.whole, [*held.entries, *update.entries], [*held.addresses, *update.addresses]
+        for update in updates:
+            if pending is not None and not update.whole and update.version >= pending.version:
+                pending = EndpointUpdate(
+                    update.version,
+                    pending.whole,
+                    [*pending.entries, *update.entries],
+                    [*pending.addresses, *update.addresses],
                 )
                 continue
-            if held is not None:
-                yield held
-            held = update
+            if pending is not None:
+                yield pending
+            pending = update
     except BadList:
-        # What came whole before it counts.
-        if held is not None:
-            yield held
+        # The updates before the invalid one still apply.
+        if pending is not None:
+            yield pending
         raise
-    if held is not None:
-        yield held
+    if pending is not None:
+        yield pending
 
 
 def complete_objects(text: bytes | bytearray) -> tuple[list[Any], bytes, BadList | None]:
-    """What stands whole in `text`, the rest that has no end yet, and what is wrong behind what came whole. An object may stand
-    in several lines, none of them empty: an empty one says that the watch lives, and so that the object was cut short."""
-    held, newline, rest = bytes(text).rpartition(b"\n")
-    found: list[Any] = []
+    """Splits received text into decoded JSON objects, the incomplete rest, and the error in what follows the objects,
+    if any.
+
+    An object may span several lines, none of them empty: an empty line is a heartbeat between objects, so one inside an
+    object means that the object was truncated.
+    """
+    lines, newline, rest = bytes(text).rpartition(b"\n")
+    objects: list[Any] = []
     try:
-        told = held.decode()
-        while told := told.lstrip():
-            one, end = DECODER.raw_decode(told)
-            found.append(one)
-            told = told[end:]
+        remaining = lines.decode()
+        while remaining := remaining.lstrip():
+            decoded, end = DECODER.raw_decode(remaining)
+            objects.append(decoded)
+            remaining = remaining[end:]
     except ValueError as error:
-        # At the end of a line no word is cut: what is only not whole yet fails behind all that has come.
-        if isinstance(error, json.JSONDecodeError) and error.pos >= len(told.rstrip()) and "\n\n" not in told + "\n":
-            return found, told.encode() + newline + rest, None
-        return found, b"", BadList(f"a line {error}")
-    return found, rest, None
+        # Lines end between JSON tokens, so an object that is merely incomplete fails to decode at the very end of the
+        # text.
+        if (
+            isinstance(error, json.JSONDecodeError)
+            and error.pos >= len(remaining.rstrip())
+            and "\n\n" not in remaining + "\n"
+        ):
+            return objects, remaining.encode() + newline + rest, None
+        return objects, b"", BadList(f"a line {error}")
+    return objects, rest, None
--- a/tests/reconfiguration_scene.py
+++ b/tests/reconfiguration_scene.py
@@ -1,7 +1,7 @@
-"""Whole proxies as processes, told new configurations by SIGHUP, with a fault proxy at each address of discovery.
+"""A scene of proxy processes that are reconfigured by SIGHUP, with a fault-injecting proxy at each discovery address.
 
-Discovery, the fault proxies, the backends and the clients stand in the test's own process. Each backend keeps when a
-request reached it and from which proxy, so that a test can hold the drain rule against what was sent.
+Discovery, the fault proxies, the backends and the clients run in the test's own process. Each backend records when a
+request arrived and from which proxy, so that a test can check the drain rule.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 from tests.scene import LONG_TIMEOUT_SETTINGS, configuration, own_address
 
 HOST = "127.0.0.1"
-# The rules on sockets: what discovery has counts as told so long after SIGHUP, 6 s after it could be reached
-# whatever happens, and 2 s after a process that takes another's place has said that it is ready; a send is a break so long after that, with the sockets' slack.
+# The rules checked on real sockets: a change at discovery counts as delivered 4 s after SIGHUP, 6 s after discovery
+# could be reached, and 2 s after a successor process reported ready. A request sent later than GRACE after that,
+# including slack for the sockets, violates the rule.
 RECONFIGURED_TERM = 4.0
 REACHED_TERM = 6.0
 TAKEN_OVER_TERM = 2.0
 GRACE = 0.5 + 0.05
-# So long a call waits in discovery's queue before it is refused.
+# Time in seconds that a call waits in discovery's queue before it is refused.
 QUEUE_PATIENCE = 3.0
-# An address that was replaced takes no new connection, and ends those open after so long.
+# A replaced address accepts no new connections, and closes the open ones after this time.
 RETIRED_AFTER = 1.5
 EMPTY_LINE_EVERY = 2.0
 REQUEST_EVERY = 0.025
@@ -42,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Received:
-    """A request as it reached a backend: when, by the loop's clock, and which proxy sent it."""
+    """A request that reached a backend: the time by the loop's clock, and the proxy that sent it."""
 
     at: float
     backend: str
@@ -50,7 +51,7 @@
 
 
 class Backend:
-    """Answers every request at once, draining or not."""
+    """A backend that answers every request at once, draining or not."""
 
     def __init__(self, name: str, received: list[Received]) -> None:
         self.name = name
@@ -76,13 +77,13 @@
 
 
 class Discovery:
-    """One service, whatever address it is asked at: the list as it is now, then each change."""
+    """A discovery service, the same at every address: sends the full list, then each change."""
 
     def __init__(self, backends: list[Backend]) -> None:
         self.version = 1
         self._backends = {backend.name: backend for backend in backends}
         self._states = dict.fromkeys(self._backends, "ready")
-        self._watches: set[asyncio.StreamWriter] = set()  # emptied as they end
+        self._watches: set[asyncio.StreamWriter] = set()  # emptied as watches end
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
@@ -115,7 +116,7 @@
             self._watches.add(writer)
             await reader.read()
         except (asyncio.IncompleteReadError, OSError, asyncio.CancelledError):
-            pass  # as below
+            pass  # asyncio's servers log a cancelled task as an error
         finally:
             beats.cancel()
             self._watches.discard(writer)
@@ -133,11 +134,14 @@
 
 
 class FaultProxy:
-    """An address of discovery. `refusing`: calls are answered 503 at once. `delay`: so many seconds pass between a call
-    and its answer, as in a queue. `full`: its queue is longer than a call may wait, so that each is refused after
-    QUEUE_PATIENCE. `unanswered`, `cut_short`: so many of the next calls get no answer at all, and so many after these the
-    head of one that ends without a word. `replica`: the line that each call is answered with before its watch ends. `held`: what discovery
-    says stops here until it is False again."""
+    """A discovery address with fault injection.
+
+    `refusing`: calls are answered 503 at once. `delay`: seconds between a call and its answer, as in a queue. `full`:
+    the queue is longer than a call may wait, so that each call is refused after QUEUE_PATIENCE. `unanswered`,
+    `cut_short`: this many of the next calls get no answer, and this many after these get a response head without any
+    message. `replica`: the line that each call is answered with before its watch ends. `held`: discovery's data is held
+    back until this is False again.
+    """
 
     def __init__(self, discovery: Discovery) -> None:
         self._discovery = discovery
@@ -147,7 +151,7 @@
         self.unanswered = self.cut_short = 0
         self.replica: bytes | None = None
         self.held = False
-        self.wrote_at = 0.0  # when it last passed on what discovery said
+        self.wrote_at = 0.0  # when it last forwarded data of discovery
         self.calls: list[float] = []
         self._open: set[asyncio.StreamWriter] = set()  # emptied as connections end
 
@@ -179,7 +183,7 @@
             if await self._refused_by_queue():
                 writer.write(REFUSAL)
                 return
-            # Worked through in its turn, whether or not its caller still waits.
+            # The queue serves each call in turn, whether or not its caller still waits.
             await asyncio.sleep(self.delay)
             answer, onward = await asyncio.open_connection(HOST, self._discovery.port)
             onward.write(head)
@@ -206,7 +210,7 @@
         return False
 
     def cut(self) -> None:
-        """Every connection is reset."""
+        """Resets every connection."""
         for writer in list(self._open):
             writer.transport.abort()
 
@@ -221,17 +225,17 @@
 
 
 class ProxyProcess:
-    """`serve`, started as in service, and a client that asks it at a steady rate."""
+    """A `serve` process, started as in production, and a client that sends it requests at a steady rate."""
 
-    def __init__(self, folder: Path, number: int, of: int, discovery: str, known: dict[str, object]) -> None:
+    def __init__(self, folder: Path, number: int, group_size: int, discovery: str, known: dict[str, object]) -> None:
         self.name = f"p{number}"
         self._folder = folder
         self._listen = own_address()
-        self._made = configuration(
+        self._configuration = configuration(
             name=self.name, listen=self._listen, discovery=discovery, seed=f"{number + 1:x}", known=known,
-            settings={**SETTINGS, "group-size": of, "ordinal": number})  # fmt: skip
+            settings={**SETTINGS, "group-size": group_size, "ordinal": number})  # fmt: skip
         self._config = folder / f"{self.name}.json"
-        self._config.write_text(json.dumps(self._made))
+        self._config.write_text(json.dumps(self._configuration))
         self._sent = 0
         self.may_send = asyncio.Event()
         self.may_send.set()
@@ -249,7 +253,7 @@
                 stdout=log, stderr=log)  # fmt: skip
 
     async def replace(self) -> None:
-        """Another process takes the place of this one, which is told to end once the other serves."""
+        """Starts a successor process, and terminates this one once the successor serves."""
         self._replaced = self._process
         serving = self.log.count(f"{self.name}: serving at")
         self._process = await self._launch()
@@ -262,8 +266,8 @@
         return (self._folder / f"{self.name}.log").read_text()
 
     def reconfigure(self, discovery: str) -> None:
-        self._made["discovery"] = discovery
-        self._config.write_text(json.dumps(self._made))
+        self._configuration["discovery"] = discovery
+        self._config.write_text(json.dumps(self._configuration))
         self._process.send_signal(signal.SIGHUP)
 
     def signal(self, number: signal.Signals) -> None:
@@ -274,7 +278,9 @@
             await asyncio.sleep(0.02)
 
     async def send_requests(self) -> None:
-        """One after another on one connection, while `may_send` is set; on a new one where an answer says that it ends."""
+        """Sends requests one after another on one connection while `may_send` is set, and reconnects where an answer
+        says that the connection closes.
+        """
         host, _, port = self._listen.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         while True:
@@ -301,7 +307,9 @@
 
 
 class ReconfigurationScene(unittest.IsolatedAsyncioTestCase):
-    """`PROXIES` processes that watch the first of `ADDRESSES` addresses, four backends, steady requests."""
+    """A scene of `PROXIES` processes that watch the first of `ADDRESSES` discovery addresses, four backends and steady
+    requests.
+    """
 
     PROXIES = 4
     ADDRESSES = 2
@@ -340,8 +348,8 @@
         self.discovery.stop()
         for backend in self.backends:
             backend.stop()
-        await asyncio.sleep(0.05)  # what was cancelled ends
-        # A client that ended by itself lost a request.
+        await asyncio.sleep(0.05)  # lets cancelled tasks end
+        # A client that ended before it was cancelled has lost a request.
         self.assertTrue(all(isinstance(one, asyncio.CancelledError) for one in ended), ended)
 
     def now(self) -> float:
@@ -351,24 +359,24 @@
         await asyncio.sleep(max(0.0, at - self.now()))
 
     def reconfigure_all(self, number: int) -> None:
-        """Discovery moves from the address before to this one."""
+        """Moves discovery from the previous address to this one."""
         for proxy in self.proxies:
             proxy.reconfigure(self.addresses[number].address)
         self.addresses[number - 1].retire()
 
     def sent_late(self, backend: str, told_at: float) -> dict[str, float]:
-        """How long after the grace that follows `told_at` each proxy still sent to that backend, in seconds."""
+        """Returns how long after the grace following `told_at` each proxy still sent to that backend, in seconds."""
         late: dict[str, float] = {}
-        for one in self.received:
-            if one.backend == backend and one.at > told_at + GRACE:
-                late[one.proxy] = round(one.at - told_at - GRACE, 2)
+        for request in self.received:
+            if request.backend == backend and request.at > told_at + GRACE:
+                late[request.proxy] = round(request.at - told_at - GRACE, 2)
         return late
 
     def assert_drained(self, backend: str, told_at: float) -> None:
-        """Nobody sent to it after the grace, and each was sending to others all the while."""
+        """Asserts that no proxy sent to the backend after the grace, and that each went on sending to others."""
         late = self.sent_late(backend, told_at)
         if late:
             lines = [f"{proxy.name}:\n{proxy.log}" for proxy in self.proxies if proxy.name in late]
             self.fail(f"{backend} was sent requests after the grace, by so many seconds: {late}\n" + "\n".join(lines))
-        sending = {one.proxy for one in self.received if one.at > told_at + GRACE}
+        sending = {request.proxy for request in self.received if request.at > told_at + GRACE}
         self.assertEqual({proxy.name for proxy in self.proxies}, sending)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -312,7 +312,7 @@
         environment.start()
         self.addCleanup(environment.stop)
         # Most tests are about what follows the first call; with 0 it goes out at once, by the same code.
-        spread = mock.patch("pepperusher.net.discovery.START_SPREAD", self.start_spread)
+        spread = mock.patch("pepperusher.net.discovery.START_SPREAD_S", self.start_spread)
         spread.start()
         self.addCleanup(spread.stop)
         self.lines = []
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -1,4 +1,6 @@
-"""A proxy's `Discovery` whose list another tells: rest, ask and relayed, over a whole proxy on loopback."""
+"""A proxy whose list is relayed by control machines: suspending and resuming calls to discovery, and relayed lists,
+with a complete proxy on loopback.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +20,7 @@
     def update(self, version: int, *servers: dict[str, object]) -> EndpointUpdate:
         return parse_endpoint_update({"version": version, "full": True, "servers": list(servers)})
 
-    def listed(self) -> str:
+    def ready_backends(self) -> str:
         ready = [str(row["id"]) for row in self.proxy.facade.backends() if row["ready"]]
         return " ".join(sorted(ready))
 
@@ -28,12 +30,12 @@
         await self.until(lambda: discovery.watched)
         discovery.suspend_calls()
         self.assertFalse(discovery.watched)
-        # The watch ends, and no other goes out; nobody counts it as lost.
+        # The watch ends, no other call goes out, and the watch is not counted as lost.
         self.assertEqual(b"", await asyncio.wait_for(self.heard[0].read(), 5.0))
         discovery.take_relayed_list(self.update(7, self.line("a1"), self.line("b1", "draining")), clock.now())
         await asyncio.sleep(1.5)
         self.assertEqual(
-            (1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.listed(), discovery.version)
+            (1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.ready_backends(), discovery.version)
         )
         self.assertFalse([line for line in self.logged if "watch ended" in line])
         self.assertFalse(self.proxy.facade._balancer._list_lost)
@@ -42,18 +44,20 @@
         self.assertIn("after=7", [line for line in self.lines if "discovery gets" in line][-1])
 
     async def test_at_rest_a_new_configuration_with_the_same_address_begins_no_term_of_its_own(self) -> None:
-        """Nobody is asked who could confirm the list: each request would be logged as sent by one past its term."""
+        """While calls are suspended no discovery could confirm the list: each request would be logged as sent by an
+        overdue list.
+        """
         await self.open("a1")
         discovery = self.proxy.discovery
         discovery.suspend_calls()
-        with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.1):
+        with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", 0.1):
             self.proxy.reload_configuration()
         await asyncio.sleep(0.2)
         self.assertEqual((False, False), (discovery.confirmation.overdue, discovery.confirmation.expired))
         self.assertFalse([line for line in self.logged if "unconfirmed" in line])
 
     async def test_asked_and_told_to_rest_in_one_turn_of_the_loop_it_rests(self) -> None:
-        """As after the process stood still: a watch stood beside control machines' list for good."""
+        """Guards against a watch that stays open besides the control machines' list, as happened after a process pause."""
         await self.open("a1")
         discovery = self.proxy.discovery
         await self.until(lambda: discovery.watched)
@@ -70,26 +74,28 @@
         await self.open("a1", "b1", "c1")
         discovery = self.proxy.discovery
         discovery.suspend_calls()
-        told: list[tuple[list[str], bool]] = []
+        passed_on: list[tuple[list[str], bool]] = []
         listed = self.proxy._facade.update_endpoints
         self.proxy._facade.update_endpoints = lambda entries, whole, now: (  # type: ignore[method-assign]
-            told.append(([one.id + (" gone" if one.gone else "") for one in entries], whole)),
+            passed_on.append(([entry.id + (" gone" if entry.gone else "") for entry in entries], whole)),
             listed(entries, whole, now),
         )
         lines = [self.line("a1"), self.line("b1", "draining"), self.line("c1")]
         discovery.take_relayed_list(self.update(2, *lines), clock.now())
         discovery.take_relayed_list(self.update(3, *lines), clock.now())
         discovery.take_relayed_list(self.update(4, *lines[:2]), clock.now())
-        self.assertEqual([(["b1"], False), (["c1 gone"], False)], told)
-        self.assertEqual(("a1", 4), (self.listed(), discovery.version))
+        self.assertEqual([(["b1"], False), (["c1 gone"], False)], passed_on)
+        self.assertEqual(("a1", 4), (self.ready_backends(), discovery.version))
         made = discovery.own_list()
         assert made is not None
-        self.assertEqual(["a1", "b1"], [one["id"] for one in made["servers"]])
-        # In discovery's own form, as it is handed on.
+        self.assertEqual(["a1", "b1"], [entry["id"] for entry in made["servers"]])
+        # The list in discovery's JSON form, as it is handed over.
         self.assertEqual(self.update(4, *lines[:2]), parse_endpoint_update(json.loads(json.dumps(made))))
 
     async def test_a_word_that_was_on_its_way_lowers_nothing(self) -> None:
-        """Asked after 1, told 5 by another, and then discovery's answer of before that is read."""
+        """The watch asked for changes after version 1, and a relayed list brought version 5; an older answer of
+        discovery is read after that.
+        """
         self.beats = False
         await self.open("a1", "b1")
         discovery = self.proxy.discovery
@@ -101,15 +107,15 @@
         await self.until(lambda: discovery.watched)
         self.endpoint_update(3, self.line("b1"))
         for _ in range(20):
-            self.assertEqual(("a1", 5), (self.listed(), discovery.version))
+            self.assertEqual(("a1", 5), (self.ready_backends(), discovery.version))
             await asyncio.sleep(0.01)
         self.endpoint_update(6, self.line("a1", "draining"), self.line("b1"))
-        await self.until(lambda: (self.listed(), discovery.version) == ("b1", 6))
-        # What begins anew counts from the start, as ever.
+        await self.until(lambda: (self.ready_backends(), discovery.version) == ("b1", 6))
+        # A restarted version count is accepted with its full list.
         self.watches[-1].close()
         await self.until(lambda: len(self.watches) == 3)
         self.endpoint_update(1, self.line("a1"), self.line("b1"), full=True)
-        await self.until(lambda: (self.listed(), discovery.version) == ("a1 b1", 1))
+        await self.until(lambda: (self.ready_backends(), discovery.version) == ("a1 b1", 1))
 
     async def test_a_list_that_was_lost_is_not_when_another_tells_it(self) -> None:
         await self.open("a1")
@@ -124,40 +130,42 @@
 
 class Owner(unittest.IsolatedAsyncioTestCase):
     async def test_what_another_wrote_is_written_over_before_discovery_speaks_again(self) -> None:
-        """Its next word would be 2 s later, and by then proxies had left for discovery."""
+        """Guards against waiting for discovery's next message, up to 2 s, in which proxies would already switch to
+        discovery.
+        """
         written: list[bytes] = []
-        words: list[Version] = []
-        stands = True
+        messages: list[Version] = []
+        accepted = True
 
         def write(name: str, body: bytes) -> Version | None:
             written.append(body)
             return Version(1, len(written))
 
         def word(name: str, version: Version, told_at: int) -> bool:
-            words.append(version)
-            return stands
+            messages.append(version)
+            return accepted
 
         relay = Relay(("127.0.0.1", 1), "east/web", write, word, lambda what, **figures: None, 1)
         servers = [{"id": "a1", "addr": "127.0.0.1:5", "state": "ready"}]
         relay._discovery.apply_update(parse_endpoint_update({"version": 7, "full": True, "servers": servers}))
         relay._spoke()
         await asyncio.sleep(0.01)
-        self.assertEqual((1, [Version(1, 1)]), (len(written), words))
+        self.assertEqual((1, [Version(1, 1)]), (len(written), messages))
         self.assertEqual((7, "127.0.0.1:1"), (json.loads(written[0])["version"], json.loads(written[0])["discovery"]))
-        # A word with nothing new is said of the version there is; between words nothing is.
+        # A message without changes refreshes the current version; between messages nothing is written.
         relay._spoke()
         await asyncio.sleep(0.01)
         relay.look()
-        self.assertEqual((1, [Version(1, 1)] * 2), (len(written), words))
-        stands = False
+        self.assertEqual((1, [Version(1, 1)] * 2), (len(written), messages))
+        accepted = False
         relay._spoke()
         await asyncio.sleep(0.01)
-        stands = True
+        accepted = True
         relay.look()
-        self.assertEqual((2, Version(1, 2)), (len(written), words[-1]))
+        self.assertEqual((2, Version(1, 2)), (len(written), messages[-1]))
 
     async def test_before_discovery_told_a_list_nothing_is_written(self) -> None:
-        """An empty line alone is no empty list."""
+        """An empty line is a heartbeat and not an empty list."""
         written: list[bytes] = []
         relay = Relay(
             ("127.0.0.1", 1),
--- a/tests/test_stopped_endpoints.py
+++ b/tests/test_stopped_endpoints.py
@@ -1,4 +1,4 @@
-"""What a newer list has stopped an older one does not lift."""
+"""Unit tests: an older list does not undo the stops of a newer one."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from pepperusher.endpoint import Endpoint
 from pepperusher.net.endpoint_update import EndpointUpdate
-from pepperusher.net.stopped_endpoints import KEPT_FOR, StoppedEndpoints
+from pepperusher.net.stopped_endpoints import STOP_KEPT_US, StoppedEndpoints
 
 READY = Endpoint("b0", "here", 0, 1.0, 1000, True)
 NOW = 50_000_000
@@ -35,14 +35,14 @@
 
     def test_a_stop_is_forgotten_by_age_and_once_it_is_lifted(self) -> None:
         self.stopped.note(update(5), [READY], NOW)
-        self.assertEqual({"b0"}, self.stopped.lifted_by(update(4, READY), NOW + KEPT_FOR - 1))
-        self.assertEqual(set(), self.stopped.lifted_by(update(4, READY), NOW + KEPT_FOR))
+        self.assertEqual({"b0"}, self.stopped.lifted_by(update(4, READY), NOW + STOP_KEPT_US - 1))
+        self.assertEqual(set(), self.stopped.lifted_by(update(4, READY), NOW + STOP_KEPT_US))
         self.stopped.note(update(6, READY, whole=False), [], NOW)
         self.assertEqual(set(), self.stopped.lifted_by(update(4, READY), NOW))
 
     def test_what_is_kept_is_bounded_by_age(self) -> None:
         for number in range(100):
-            at = NOW + number * KEPT_FOR
+            at = NOW + number * STOP_KEPT_US
             self.stopped.note(update(number, READY._replace(id=f"b{number}", ready=False), whole=False), [], at)
         self.assertEqual(1, len(self.stopped._stops))
 
