--- a/pepperusher/console/__init__.py
+++ b/pepperusher/console/__init__.py
@@ -1,2 +1,1 @@
-"""The operators' door: calls that take backends out, send clients away, and tell whether this process can
-serve."""
+"""The admin interface: calls that ban backends, send clients away, and report whether this process can serve."""
--- a/pepperusher/console/admin_commands.py
+++ b/pepperusher/console/admin_commands.py
@@ -1,7 +1,7 @@
-"""What operators have ordered: which backends are banned, and whether clients are sent away. Free of I/O.
+"""The operators' current commands: which backends are banned, and whether clients are sent away. Free of I/O.
 
-An order has a time, and the later of two counts: a second call out needs no second call back, and what two processes
-were ordered comes together whoever tells the other first.
+Each command has a time and the latest one wins. Repeated bans therefore need only one lift, and two processes' commands
+merge to the same result in any order.
 """
 
 from __future__ import annotations
@@ -14,6 +14,8 @@
 
 
 class AdminCommand(NamedTuple):
+    """A command that was turned on or off at a time, in microseconds."""
+
     on: bool
     at: int
 
@@ -22,29 +24,31 @@
 
 
 class AdminCommands:
-    """`kept` is for how long a lifted ban is remembered: at least until whom it was lifted from is warm."""
+    """Bans and the drain of one proxy. `kept_us` is how long a lifted ban is remembered: at least until the backend is
+    warm again.
+    """
 
-    def __init__(self, kept: int) -> None:
-        self._kept = kept
-        self.bans: dict[str, AdminCommand] = {}  # one in force stays till it is lifted, a lifted one for `kept`
+    def __init__(self, kept_us: int) -> None:
+        self._kept_us = kept_us
+        self.bans: dict[str, AdminCommand] = {}  # a ban stays until it is lifted, a lifted one for `kept_us`
         self.drain = NEVER
-        self._narrowed = EndpointFilter(self._marked)
-        self.lines = self._narrowed.filter
+        self._filter = EndpointFilter(self._apply_ban)
+        self.lines = self._filter.filter
 
-    def _marked(self, entry: Endpoint) -> Endpoint:
-        order = self.bans.get(entry.id)
-        if order is None or not entry.ready:
+    def _apply_ban(self, entry: Endpoint) -> Endpoint:
+        command = self.bans.get(entry.id)
+        if command is None or not entry.ready:
             return entry
-        if order.on:
+        if command.on:
             return entry._replace(ready=False)
-        # It was restarted while it was out, and discovery may tell so late or never: it comes back cold.
-        return entry._replace(started_at=max(entry.started_at, order.at))
+        # It may have restarted while it was banned, and discovery may report that late or never: it counts as cold.
+        return entry._replace(started_at=max(entry.started_at, command.at))
 
     def banned(self, backend: str) -> bool:
         return self.bans.get(backend, NEVER).on
 
     def ban(self, backend: str, on: bool, now: int) -> list[Endpoint]:
-        """The lines that change by it; none where it was so already."""
+        """Bans or unbans a backend. Returns the entries that change; empty if it was so already."""
         if self.banned(backend) == on:
             return []
         return self.merge({backend: AdminCommand(on, max(now, self.bans.get(backend, NEVER).at + 1))}, NEVER)
@@ -54,18 +58,19 @@
             self.drain = AdminCommand(on, max(now, self.drain.at + 1))
 
     def merge(self, bans: Mapping[str, AdminCommand], drain: AdminCommand) -> list[Endpoint]:
-        """Another's orders beside these. The lines that change by it."""
+        """Merges another process's commands. Returns the entries that change."""
 
-        def turn() -> None:
-            for backend, order in bans.items():
-                if order.at > self.bans.get(backend, NEVER).at:
-                    self.bans[backend] = order
+        def apply() -> None:
+            for backend, command in bans.items():
+                if command.at > self.bans.get(backend, NEVER).at:
+                    self.bans[backend] = command
 
         if drain.at > self.drain.at:
             self.drain = drain
-        return self._narrowed.replace_marks(turn)
+        return self._filter.replace_marks(apply)
 
     def forget(self, now: int) -> None:
-        for backend, order in list(self.bans.items()):
-            if not order.on and now - order.at >= self._kept:
+        """Forgets lifted bans that are older than `kept_us`."""
+        for backend, command in list(self.bans.items()):
+            if not command.on and now - command.at >= self._kept_us:
                 del self.bans[backend]
--- a/pepperusher/console/admin_handlers.py
+++ b/pepperusher/console/admin_handlers.py
@@ -1,5 +1,6 @@
-"""Joins the console with the proxy: what operators call is put in force here, and what is in force is
-kept."""
+"""Connects the admin interface with the proxy: applies operators' commands, stores them, and hands them over between
+two processes of one proxy.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 
 from pepperusher.console import console_calls
-from pepperusher.console.admin_listener import PLACES, AdminListener
+from pepperusher.console.admin_listener import CONNECTIONS_MAX, AdminListener
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.console.process_slot import ProcessSlot, process_slots
 from pepperusher.console.process_liveness import ProcessLiveness
@@ -21,290 +22,300 @@
 from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.terms import PolicySettings
 
-NOT_YET = text_answer(503, "no backends known yet, or about to stop")
-NOT_KEPT = text_answer(500, "in force, but not kept for the next process: see the log")
-# A lifted ban is remembered for so long at the least.
-KEPT = 60_000_000
+NOT_READY_ANSWER = text_answer(503, "no backends known yet, or about to stop")
+NOT_STORED_ANSWER = text_answer(500, "in force, but not kept for the next process: see the log")
+# Minimum time for which a lifted ban is remembered, in microseconds.
+LIFTED_BAN_KEPT_MIN_US = 60_000_000
 
 
-# How often the other process is looked at, and for how long the one before is waited for.
-LOOK_EVERY = 0.05
-SEEN_WITHIN = 1.0
-# The part of the descriptors that each of two processes keeps to.
-HALF = 0.5
+# How often the other process's state is read, and how long the predecessor is waited for.
+POLL_INTERVAL_S = 0.05
+PREDECESSOR_TIMEOUT_S = 1.0
+# The share of connections that each of two processes may use.
+SHARED_PART = 0.5
 
 
 class AdminHandlers(Extension):
-    # Its listener, two locks, and room for connections that just lost their place.
-    descriptors = 5 + PLACES
+    """The admin interface of a proxy, and its coordination with another process of the same proxy.
+
+    While a process is replaced, two of them run. The holder of the first slot is the active one, the holder of the
+    second its successor. Each publishes its state in a file beside its lock, where the other reads it.
+    """
+
+    # The listener, two lock files, and connections that were just closed in favor of others.
+    descriptors = 5 + CONNECTIONS_MAX
     shares_address = True
 
     def __init__(self, address: tuple[str, int], policy_settings: PolicySettings, log: Log) -> None:
         self._address = address
         self._log = log
-        self.orders = AdminCommands(max(KEPT, policy_settings.warm_after))
-        self._door = AdminListener(self.answer, log)
-        self.filter_endpoints = self.orders.lines
+        self.commands = AdminCommands(max(LIFTED_BAN_KEPT_MIN_US, policy_settings.warm_after))
+        self._listener = AdminListener(self.answer, log)
+        self.filter_endpoints = self.commands.lines
         self._proxy: ExtensionHost
         self.port = 0
-        # The first is whose holder reigns, the second whose holder is next; None without a folder for them.
-        self._first: ProcessSlot | None = None
-        self._next: ProcessSlot | None = None
-        # How many proxies hold this one's orders, of how many; None where it is in no group.
+        # The slots of the active process and of its successor; None without a folder for them.
+        self._active_slot: ProcessSlot | None = None
+        self._successor_slot: ProcessSlot | None = None
+        # Returns how many proxies of the group hold this one's commands, and of how many; None outside a group.
         self.held: Callable[[], Awaitable[tuple[int, int] | None]] | None = None
         self._token = f"{os.getpid()}-{clock.now()}"
-        self._serves = False
-        self._seen = ""  # the next process, once it has been noticed
-        self._next_serves = False
-        self._sits = False  # whether this process reigns
-        self._looking: asyncio.Task[None] | None = None
-        self._pulse = ProcessLiveness()  # of the other process, where that one leaves marks
-        self._beats = False
+        self._serving = False
+        self._successor_token = ""  # the successor's token, once the successor has been noticed
+        self._successor_serves = False
+        self._active = False  # whether this process is the active one
+        self._poll_task: asyncio.Task[None] | None = None
+        self._liveness = ProcessLiveness()  # of the other process, if it publishes heartbeats
+        self._other_beats = False
         self._other_serves = False
-        self._took = False  # whether this one has all new connections, since the other stands still
+        self._steering = False  # whether all new connections are steered here because the other process hangs
 
-    # --- the places ---------------------------------------------------------------------------------
+    # --- the two slots ------------------------------------------------------------------------------
 
     async def attach(self, host: ExtensionHost) -> None:
-        """Before anything is served: takes the first place, or the next one and what the process before has
-        to pass on."""
+        """Takes the first slot, or else the second one together with the state that the active process hands over."""
         self._proxy = host
         folder = os.environ.get("TMPDIR")
         if not folder:
-            self._log.say("no $TMPDIR: bans end with this process, and none can take its place")
+            self._log.say("no $TMPDIR: bans end with this process, and no other can take over from it")
             return
         try:
-            self._first, self._next = process_slots(folder, host.name)
+            self._active_slot, self._successor_slot = process_slots(folder, host.name)
         except OSError as error:
             self._log.say(
-                f"{folder}: {error.strerror or error}: bans end with this process, and none can take its place"
+                f"{folder}: {error.strerror or error}: bans end with this process, and no other can take over from it"
             )
             return
-        self._sits = self._first.take()
-        if self._sits:
-            # A drain ends with its process: whoever starts a stopped proxy wants it to serve.
-            if (left := self._read(self._first)) is not None:
-                self._merge(left._replace(drain=NEVER))
+        self._active = self._active_slot.take()
+        if self._active:
+            # A drain ends with its process: starting a stopped proxy again means that it should serve.
+            if (handed_over := self._read(self._active_slot)) is not None:
+                self._merge(handed_over._replace(drain=NEVER))
             return
-        host.limit_descriptors(HALF)
-        self._kept()
-        left = await self._told()
-        if left is not None:
-            self._merge(left)
-        self._proxy.take_over_from(left.passed_on if left is not None else HandoverState())
+        host.limit_descriptors(SHARED_PART)
+        self._store_state()
+        handed_over = await self._wait_for_handover()
+        if handed_over is not None:
+            self._merge(handed_over)
+        self._proxy.take_over_from(handed_over.handover_state if handed_over is not None else HandoverState())
         self._log.say(
-            "taking the place of a process that serves" + ("" if left is not None else ", which tells nothing")
+            "taking over from a running process" + ("" if handed_over is not None else ", which published no state")
         )
 
-    async def _told(self) -> State | None:
-        """What the process before tells once it has noticed this one; what it told last where it does not."""
+    async def _wait_for_handover(self) -> State | None:
+        """The active process's state once that has noticed this process, or its last state if it does not in time."""
         loop = asyncio.get_running_loop()
-        until, left = loop.time() + SEEN_WITHIN, None
+        deadline, state = loop.time() + PREDECESSOR_TIMEOUT_S, None
         while True:
-            assert self._first is not None
-            left = self._read(self._first) or left
-            if left is not None and left.seen == self._token or loop.time() >= until:
-                return left
-            if self._next is not None and not self._next.held:
-                self._kept()  # another may be ending in that place
-            await asyncio.sleep(LOOK_EVERY / 5)
-
-    def _read(self, seat: ProcessSlot) -> State | None:
+            assert self._active_slot is not None
+            state = self._read(self._active_slot) or state
+            if state is not None and state.seen == self._token or loop.time() >= deadline:
+                return state
+            if self._successor_slot is not None and not self._successor_slot.held:
+                self._store_state()  # another process may be just releasing the slot
+            await asyncio.sleep(POLL_INTERVAL_S / 5)
+
+    def _read(self, slot: ProcessSlot) -> State | None:
         try:
-            read = seat.read()
-            if read is not None and not seat.held:
-                self._beats, self._other_serves = read.beats, read.serves
-            return read
+            state = slot.read()
+            if state is not None and not slot.held:
+                self._other_beats, self._other_serves = state.beats, state.serves
+            return state
         except BadState as error:
-            self._log.say(f"what another process left is not taken: {error}")
+            self._log.say(f"the state of the other process is rejected: {error}")
             return None
 
     def _merge(self, other: State) -> None:
-        drained = self.orders.drain
-        self._proxy.reapply_filters(self, self.orders.merge(other.bans, other.drain))
-        if self.orders.drain != drained:
-            self._proxy.send_away(self.orders.drain.on)
+        drained = self.commands.drain
+        self._proxy.reapply_filters(self, self.commands.merge(other.bans, other.drain))
+        if self.commands.drain != drained:
+            self._proxy.send_away(self.commands.drain.on)
 
     def _state(self) -> State:
-        passed = self._proxy.handover_state() if self._sits and self._seen else HandoverState()
-        seen = self._seen if self._sits else self._token
-        return State(self.orders.bans, self.orders.drain, seen, self._serves, beats=True, **passed._asdict())
-
-    def _tell(self) -> None:
-        """Raises OSError where it can't be kept."""
-        seat = self._first if self._sits else self._next
-        if seat is not None and seat.take():
-            seat.write(self._state())
-
-    def look(self) -> None:
-        """At the other process, where there is one."""
-        if self._first is None or self._next is None:
+        handover = self._proxy.handover_state() if self._active and self._successor_token else HandoverState()
+        other_token = self._successor_token if self._active else self._token
+        return State(
+            self.commands.bans, self.commands.drain, other_token, self._serving, beats=True, **handover._asdict()
+        )
+
+    def _write_state(self) -> None:
+        """Writes this process's state to its slot. Raises OSError."""
+        slot = self._active_slot if self._active else self._successor_slot
+        if slot is not None and slot.take():
+            slot.write(self._state())
+
+    def check_other_process(self) -> None:
+        """Reads the state of the other process if there is one, and takes over if it has ended."""
+        if self._active_slot is None or self._successor_slot is None:
             return
-        seat = self._first if self._sits else self._next
-        if seat.held:
-            seat.beat()
-        if not self._sits and self._first.take():
-            self._sits = True
-            self._alone()
-            if (left := self._read(self._first)) is not None:
-                self._merge(left)
-            self._tell()
-            self._next.give_up()
+        slot = self._active_slot if self._active else self._successor_slot
+        if slot.held:
+            slot.publish_heartbeat()
+        if not self._active and self._active_slot.take():
+            self._active = True
+            self._reset_steering()
+            if (last_state := self._read(self._active_slot)) is not None:
+                self._merge(last_state)
+            self._write_state()
+            self._successor_slot.release()
             self._proxy.limit_descriptors(1.0)
-            self._log.say("the process before has ended")
+            self._log.say("the previous process has ended")
             return
-        if not self._sits:
-            if not self._next.held:
-                self._tell()
-            if (other := self._read(self._first)) is not None:
-                self._merge(other)
-            self._feel(self._first)
+        if not self._active:
+            if not self._successor_slot.held:
+                self._write_state()
+            if (other_state := self._read(self._active_slot)) is not None:
+                self._merge(other_state)
+            self._steer_around_hang(self._active_slot)
             return
-        if not self._next.taken():
-            self._alone()
-            if self._seen:
-                self._seen, self._next_serves = "", False
+        if not self._successor_slot.held_by_other():
+            self._reset_steering()
+            if self._successor_token:
+                self._successor_token, self._successor_serves = "", False
                 self._proxy.limit_descriptors(1.0)
-                self._tell()
-                self._log.say("the process that was to take this one's place has ended")
+                self._write_state()
+                self._log.say("the successor process has ended")
             return
-        if (other := self._read(self._next)) is not None:
-            self._merge(other)
-            self._next_serves = other.serves
-            if other.seen != self._seen:
-                self._seen = other.seen
-                self._proxy.limit_descriptors(HALF)
-                self._tell()
-        self._feel(self._next)
-
-    def _feel(self, other: ProcessSlot) -> None:
-        """While the other process stands still all new connections are this one's; its queue is lost for as
-        long as it stands, but for what the kernel gives back as it ends.
+        if (other_state := self._read(self._successor_slot)) is not None:
+            self._merge(other_state)
+            self._successor_serves = other_state.serves
+            if other_state.seen != self._successor_token:
+                self._successor_token = other_state.seen
+                self._proxy.limit_descriptors(SHARED_PART)
+                self._write_state()
+        self._steer_around_hang(self._successor_slot)
+
+    def _steer_around_hang(self, other: ProcessSlot) -> None:
+        """Steers all new connections to this process while the other one hangs.
+
+        Connections already in the other's accept queue are lost for as long as it hangs, except those that the kernel
+        returns when it ends.
         """
-        still = self._pulse.still(other.mark(), clock.now()) and self._beats
-        if still == self._took or still and not self._serves:
+        hangs = self._liveness.hangs(other.last_heartbeat(), clock.now()) and self._other_beats
+        if hangs == self._steering or hangs and not self._serving:
             return
-        if still:
-            if not self._proxy.steer_connections(0 if self._sits else 1):
+        if hangs:
+            if not self._proxy.steer_connections(0 if self._active else 1):
                 return
         elif self._other_serves:
-            # Not where it is on its way out: a connection handed to it again would be reset as it closes.
+            # Not while it shuts down: a connection handed to it would be reset when it closes its listener.
             self._proxy.steer_connections(None)
-        self._took = still
+        self._steering = hangs
         self._log.say(
-            "the other process stands still: new connections come here"
-            if still
-            else "the other process goes on: it has its part of new connections again"
+            "the other process hangs: new connections come here"
+            if hangs
+            else "the other process runs again: it has its part of new connections again"
         )
 
-    def _alone(self) -> None:
-        """Nobody sits beside this process: a filter that stayed would keep connections from whoever comes
-        next.
+    def _reset_steering(self) -> None:
+        """Undoes the steering when the other process has ended: a remaining filter would keep connections from the next
+        process.
         """
-        self._pulse.anew()
-        self._beats = False
-        if self._took:
-            self._took = False
+        self._liveness.reset()
+        self._other_beats = False
+        if self._steering:
+            self._steering = False
             self._proxy.steer_connections(None)
 
     def process_resumed(self) -> None:
         try:
-            self.look()
+            self.check_other_process()
         except OSError as error:
-            self._log.say(f"a look at the other process failed: {error}")
+            self._log.say(f"the check of the other process failed: {error}")
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
             try:
-                self.look()
-            except Exception as error:  # what it sees nobody else does: it goes on
-                self._log.say(f"a look at the other process ended by {type(error).__name__}: {error}")
+                self.check_other_process()
+            except Exception as error:  # nothing else watches the other process, so the loop goes on
+                self._log.say(f"the check of the other process failed: {type(error).__name__}: {error}")
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process takes the clients from here on."""
+        """Whether another process serves the clients from now on."""
         try:
-            self.look()
+            self.check_other_process()
         except OSError as error:
-            self._log.say(f"a look at the other process failed: {error}")
-        return self._sits and bool(self._seen) and self._next_serves
+            self._log.say(f"the check of the other process failed: {error}")
+        return self._active and bool(self._successor_token) and self._successor_serves
 
     # --- start and end ------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Once clients can come."""
-        self._serves = True
-        self._kept()
-        self._looking = asyncio.get_running_loop().create_task(self._look())
-        self.port = await self._door.listen(self._address)
+        self._serving = True
+        self._store_state()
+        self._poll_task = asyncio.get_running_loop().create_task(self._poll())
+        self.port = await self._listener.listen(self._address)
         self._log.say(f"console at {self._address[0]}:{self.port}")
 
     def drain_started(self, until: int) -> None:
-        """Whoever looks from here on finds one that takes no more clients."""
-        self._serves = False
-        self._kept()
+        """Publishes that this process takes no more clients."""
+        self._serving = False
+        self._store_state()
 
     async def stop(self) -> None:
-        self._door.close()
-        if self._looking is not None:
-            self._looking.cancel()
-        for seat in (self._first, self._next):
-            if seat is not None:
-                seat.close()
+        self._listener.close()
+        if self._poll_task is not None:
+            self._poll_task.cancel()
+        for slot in (self._active_slot, self._successor_slot):
+            if slot is not None:
+                slot.close()
 
     def sweep(self) -> None:
-        self.orders.forget(clock.now())
+        self.commands.forget(clock.now())
 
-    def _kept(self) -> bool:
-        """Whether what is in force now is also known to whoever takes this process's place."""
+    def _store_state(self) -> bool:
+        """Writes the state for the successor, and returns whether that worked."""
         try:
-            self._tell()
+            self._write_state()
         except OSError as error:
             self._log.say(f"the state is not kept: {error.strerror or error}")
             return False
         return True
 
-    def take(self, bans: dict[str, AdminCommand]) -> None:
-        """Orders that were called at another proxy, beside those here."""
-        self._proxy.reapply_filters(self, self.orders.merge(bans, NEVER))
-        self._kept()
+    def merge_commands(self, bans: dict[str, AdminCommand]) -> None:
+        """Merges commands that were given at another proxy."""
+        self._proxy.reapply_filters(self, self.commands.merge(bans, NEVER))
+        self._store_state()
 
     async def answer(self, method: bytes, target: bytes) -> Answer:
-        """In force here at once; where there is a group, said with how many hold it."""
-        made, ordered = self._answered(method, target)
-        held = await self.held() if ordered and self.held is not None and made.status == 200 else None
-        if held is not None:
-            made = text_answer(200, f"{made.body.decode().strip()}, held by {held[0]} of {held[1]} proxies")
-        return made
-
-    def _answered(self, method: bytes, target: bytes) -> tuple[Answer, bool]:
-        """The answer, and whether others are to hold what was called."""
+        """Answers an admin call. A command applies here at once; in a group the answer says how many proxies hold it."""
+        response, is_command = self._dispatch(method, target)
+        holders = await self.held() if is_command and self.held is not None and response.status == 200 else None
+        if holders is not None:
+            response = text_answer(
+                200, f"{response.body.decode().strip()}, held by {holders[0]} of {holders[1]} proxies"
+            )
+        return response
+
+    def _dispatch(self, method: bytes, target: bytes) -> tuple[Answer, bool]:
+        """The answer, and whether the call is a command for the whole group."""
         try:
-            word = console_calls.console_call_of(method, target)
+            call = console_calls.console_call_of(method, target)
         except console_calls.BadConsoleCall as bad:
             return text_answer(bad.status, str(bad)), False
-        if word.what == console_calls.READY:
+        if call.action == console_calls.READY:
             ready = self._proxy.can_serve
-            return (text_answer(200, "ready") if ready else NOT_YET), False
-        if word.what in (console_calls.DRAIN, console_calls.RESUME):
-            on = word.what == console_calls.DRAIN
-            self.orders.send_away(on, clock.now())
+            return (text_answer(200, "ready") if ready else NOT_READY_ANSWER), False
+        if call.action in (console_calls.DRAIN, console_calls.RESUME):
+            on = call.action == console_calls.DRAIN
+            self.commands.send_away(on, clock.now())
             self._proxy.send_away(on)
-            if not self._kept():
-                return NOT_KEPT, False
+            if not self._store_state():
+                return NOT_STORED_ANSWER, False
             return text_answer(200, "clients are sent away" if on else "clients may come"), False
-        on, backend = word.what == console_calls.BAN, word.backend
-        if not self._proxy.has_backend(backend) and not self.orders.banned(backend):
+        on, backend = call.action == console_calls.BAN, call.backend
+        if not self._proxy.has_backend(backend) and not self.commands.banned(backend):
             return text_answer(404, "no backend has this id"), False
-        if self.orders.banned(backend) != on:
+        if self.commands.banned(backend) != on:
             self._log.say(f"{backend} {'banned' if on else 'put back'} at the console")
-        self._proxy.reapply_filters(self, self.orders.ban(backend, on, clock.now()))
-        if not self._kept():
-            return NOT_KEPT, True
+        self._proxy.reapply_filters(self, self.commands.ban(backend, on, clock.now()))
+        if not self._store_state():
+            return NOT_STORED_ANSWER, True
         return text_answer(200, "banned" if on else "in use"), True
 
 
 def admin_handlers_alone(bootstrap: BootstrapConfiguration, log: Log) -> list[Extension]:
-    """What a proxy has beside it whose operators have an address, and no file of its own."""
+    """The extensions of a proxy that has an admin address and no configuration file."""
     return [] if bootstrap.console is None else [AdminHandlers(bootstrap.console, bootstrap.policy_settings, log)]
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -1,5 +1,4 @@
-"""The console's listener: one call to a connection, each answered at once, whoever else holds one open and
-says nothing."""
+"""The admin listener: one call per connection, each answered at once, even while other connections are open and idle."""
 
 from __future__ import annotations
 
@@ -22,61 +21,63 @@
     buffer_body,
 )
 
-# Connections at once. A further one takes the place of whoever has said least for longest.
-PLACES = 6
-# A call is whole so long after its connect.
-WITHIN = 3.0
-# After its answer so much time to take it and close, so that what it still writes does not reset the answer
-# away.
-LINGER = 0.5
-BROKEN = text_answer(500, "an error in the console")
+# Concurrent connections. A further one replaces the oldest that has sent nothing.
+CONNECTIONS_MAX = 6
+# Time limit for a complete call after its connection was accepted.
+CALL_TIMEOUT_S = 3.0
+# Time for the client to read the answer and close, so that data that it still sends does not reset the connection
+# before that.
+CLOSE_TIMEOUT_S = 0.5
+ERROR_ANSWER = text_answer(500, "an error in the console")
 
 
 class AdminListener:
+    """Accepts admin connections and answers one call on each."""
+
     def __init__(self, answer: Callable[[bytes, bytes], Awaitable[Answer]], log: Log) -> None:
         self._answer = answer
         self._log = log
         self._pool = Pool(1)
-        # No whole call yet, the oldest first; emptied as calls come and lines end.
-        self._asking: dict[StreamConnection, None] = {}
-        self._open: set[asyncio.Task[None]] = set()  # PLACES at the most, and those that just lost theirs
+        # Connections without a complete call yet, the oldest first; emptied as calls complete and connections end.
+        self._incomplete: dict[StreamConnection, None] = {}
+        self._open: set[asyncio.Task[None]] = set()  # at most CONNECTIONS_MAX, and those that were just replaced
         self._server: asyncio.Server
 
     async def listen(self, address: tuple[str, int]) -> int:
-        """The port it listens at."""
+        """Starts listening. Returns the port."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self._taken, *address, reuse_address=True, backlog=128)
+        self._server = await loop.create_server(self._accept, *address, reuse_address=True, backlog=128)
         port: int = self._server.sockets[0].getsockname()[1]
         return port
 
     def close(self) -> None:
         self._server.close()
 
-    def _taken(self) -> StreamConnection:
-        line = StreamConnection()
-        if len(self._open) >= PLACES:
-            # Not one whose call is in the kernel.
-            oldest = next((one for one in self._asking if one.quiet()), None)
+    def _accept(self) -> StreamConnection:
+        connection = StreamConnection()
+        if len(self._open) >= CONNECTIONS_MAX:
+            # Only a connection without unread data in the kernel is replaced.
+            oldest = next((candidate for candidate in self._incomplete if candidate.quiet()), None)
             if oldest is not None:
-                del self._asking[oldest]
+                del self._incomplete[oldest]
                 oldest.abort()
-        self._asking[line] = None
-        serving = asyncio.get_running_loop().create_task(self._serve(line))
+        self._incomplete[connection] = None
+        serving = asyncio.get_running_loop().create_task(self._serve(connection))
         self._open.add(serving)
         serving.add_done_callback(self._open.discard)
-        return line
+        return connection
 
-    async def _serve(self, line: StreamConnection) -> None:
+    async def _serve(self, connection: StreamConnection) -> None:
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         body = Body(self._pool)
         try:
             answer = text_answer(408, "the call did not end in time")
             try:
-                async with asyncio.timeout(WITHIN):
-                    head = await read_head(parser, line)
+                async with asyncio.timeout(CALL_TIMEOUT_S):
+                    head = await read_head(parser, connection)
                     if head is None:
                         return
-                    if not await buffer_body(parser, line, body):
+                    if not await buffer_body(parser, connection, body):
                         raise BadMessage(413, "a call has no body")
                     assert isinstance(head, h11.Request)
                     answer = await self._answer(head.method, head.target)
@@ -84,21 +85,21 @@
                 answer = text_answer(bad.status, str(bad))
             except TimeoutError:
                 pass
-            except Exception as error:  # ends this call alone, with an answer
-                self._log.say(f"a call at the console ended by {type(error).__name__}: {error}")
-                answer = BROKEN
-            self._asking.pop(line, None)
+            except Exception as error:  # an error ends only this call, with an answer
+                self._log.say(f"a call at the console failed: {type(error).__name__}: {error}")
+                answer = ERROR_ANSWER
+            self._incomplete.pop(connection, None)
             if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-                line.send(encode_answer(parser, answer, True))
-                line.send_end()
-                async with asyncio.timeout(LINGER):
-                    while await line.read():
+                connection.send(encode_answer(parser, answer, True))
+                connection.send_end()
+                async with asyncio.timeout(CLOSE_TIMEOUT_S):
+                    while await connection.read():
                         pass
         except TimeoutError:
             pass
-        except Exception as error:  # this connection's trouble, and nobody else's
-            self._log.say(f"a connection at the console ended: {type(error).__name__}: {error}")
+        except Exception as error:  # an error ends only this connection
+            self._log.say(f"a connection at the console failed: {type(error).__name__}: {error}")
         finally:
-            self._asking.pop(line, None)
+            self._incomplete.pop(connection, None)
             body.release()
-            line.abort()
+            connection.abort()
--- a/pepperusher/console/process_liveness.py
+++ b/pepperusher/console/process_liveness.py
@@ -1,39 +1,40 @@
-"""Whether another process of this proxy turns its loop, by the marks that it leaves on its lock; free of I/O.
+"""Detects by its heartbeats whether another process of this proxy hangs; free of I/O.
 
-A stopped or dead-locked process keeps its lock and its listener, and the kernel goes on handing it
-connections that nobody answers. Its marks are compared with each other and never with a clock, so that
-neither clocks that are set nor those of two processes that differ tell anything. Only one that says that it
-leaves them is judged by them.
+A stopped or deadlocked process keeps its lock and its listener, and the kernel goes on handing it connections that
+nobody answers. Its heartbeats are only compared with each other and never with a clock, so clock changes and clock
+differences have no effect. A process is judged only if it says that it publishes heartbeats.
 """
 
 from __future__ import annotations
 
-# So long without a mark it stands still. Twice the longest turn that a loop has had under a crowd (0.16 s,
-# docs/results.md).
-STILL = 300_000
-# Whoever looks later than this after its last look stood still itself, and has to look anew.
-LATE = 120_000
+# A process without a heartbeat for this long hangs, in microseconds. That is about twice the longest turn of the event
+# loop under heavy load (0.16 s, docs/results.md).
+HANG_AFTER_US = 300_000
+# A process whose own checks are further apart than this was paused itself, and starts the observation anew.
+LATE_CHECK_US = 120_000
 
 
 class ProcessLiveness:
+    """Judges by its heartbeats whether another process hangs. Times are microseconds of this process's clock."""
+
     def __init__(self) -> None:
-        self.anew()
-
-    def anew(self) -> None:
-        """Another process may sit there from here on."""
-        self._mark = 0
-        self._since = 0  # when this mark was first seen, or the looking began anew
-        self._looked = 0
-        self._still = False
-
-    def still(self, mark: int, now: int) -> bool:
-        """Whether it stands still, as far as a look at its mark at `now` (us) tells."""
-        late, self._looked = now - self._looked > LATE, now
-        if mark != self._mark:
-            self._mark, self._since, self._still = mark, now, False
-        elif late and not self._still:
-            # What was found holds until a new mark: a look that came late would else give half of the
-            # connections back to one that stands still, as on a busy machine it did.
-            self._since = now
-        self._still = self._still or now - self._since >= STILL
-        return self._still
+        self.reset()
+
+    def reset(self) -> None:
+        """Forgets the observations, as another process may hold the slot from now on."""
+        self._heartbeat = 0
+        self._heartbeat_seen_at = 0  # when this heartbeat was first seen, or the observation began
+        self._checked_at = 0
+        self._hangs = False
+
+    def hangs(self, heartbeat: int, now: int) -> bool:
+        """Whether the other process hangs, given its last heartbeat as read at `now` (us)."""
+        paused, self._checked_at = now - self._checked_at > LATE_CHECK_US, now
+        if heartbeat != self._heartbeat:
+            self._heartbeat, self._heartbeat_seen_at, self._hangs = heartbeat, now, False
+        elif paused and not self._hangs:
+            # A hang that was found lasts until a new heartbeat: on a busy machine a late check otherwise gave half of
+            # the connections back to the hanging process.
+            self._heartbeat_seen_at = now
+        self._hangs = self._hangs or now - self._heartbeat_seen_at >= HANG_AFTER_US
+        return self._hangs
--- a/pepperusher/console/process_slot.py
+++ b/pepperusher/console/process_slot.py
@@ -1,6 +1,6 @@
-"""The files in $TMPDIR by which one process takes another's place: two locks, and a state beside each.
+"""Files in $TMPDIR through which one process takes over from another: two locks, with a state file for each.
 
-A lock goes with its holder, however that ends; a file stays, and may be of the day before.
+A lock is released when its holder ends, however it ends; a file remains, and may be days old.
 """
 
 from __future__ import annotations
@@ -10,20 +10,21 @@
 import re
 from pathlib import Path
 
-from pepperusher.console.state import LONGEST, BadState, State, state_of, text_of
+from pepperusher.console.state import STATE_MAX_BYTES, BadState, State, decode_state, encode_state
 
 
 class ProcessSlot:
-    """One lock, and the state that its holder alone writes."""
+    """One lock file, and a state file that only the lock's holder writes."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self._lock = os.open(folder / f"{name}.lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC | os.O_NOFOLLOW, 0o600)
         self._path = folder / f"{name}.state"
-        self._beside = folder / f"{name}.state.new"
-        self._read: tuple[int, int, int] | None = None
+        self._temporary_path = folder / f"{name}.state.new"
+        self._last_read: tuple[int, int, int] | None = None
         self.held = False
 
     def take(self) -> bool:
+        """Tries to lock the slot. Returns whether this process holds it."""
         if not self.held:
             try:
                 fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -32,29 +33,29 @@
                 pass
         return self.held
 
-    def give_up(self) -> None:
-        """With its state, which else would be taken for that of whoever sits here next."""
+    def release(self) -> None:
+        """Releases the lock and deletes the state, which would otherwise be attributed to the next holder."""
         if self.held:
             self._path.unlink(missing_ok=True)
             fcntl.flock(self._lock, fcntl.LOCK_UN)
             self.held = False
 
-    def beat(self) -> None:
-        """Its holder's mark that it turns its loop."""
+    def publish_heartbeat(self) -> None:
+        """Publishes a heartbeat of the holder's event loop, as the modification time of the lock file."""
         try:
             os.utime(self._lock)
         except OSError:
-            pass  # nobody is told, and whoever looks sees marks end as those of one that stands still
+            pass  # not reported: the other process sees the heartbeats stop, as if this one hung
 
-    def mark(self) -> int:
-        """The last one; 0 where it can't be seen."""
+    def last_heartbeat(self) -> int:
+        """The time of the last heartbeat; 0 where it cannot be read."""
         try:
             return os.fstat(self._lock).st_mtime_ns
         except OSError:
             return 0
 
-    def taken(self) -> bool:
-        """Whether somebody else holds it."""
+    def held_by_other(self) -> bool:
+        """Whether another process holds the lock."""
         try:
             fcntl.flock(self._lock, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except OSError:
@@ -63,37 +64,38 @@
         return False
 
     def write(self, state: State) -> None:
-        """For its holder alone. Renamed into place: whoever reads finds the old or the new whole. Raises
-        OSError."""
-        with open(self._beside, "w", encoding="utf-8") as file:
-            file.write(text_of(state))
-        os.replace(self._beside, self._path)
+        """Writes the state; only for the holder. The file is renamed into place, so a reader sees either the old or the
+        new one. Raises OSError.
+        """
+        with open(self._temporary_path, "w", encoding="utf-8") as file:
+            file.write(encode_state(state))
+        os.replace(self._temporary_path, self._path)
 
     def read(self) -> State | None:
-        """What is new since it was last read, None where nothing is. Raises BadState."""
+        """The state if it changed since the last read, otherwise None. Raises BadState."""
         try:
             with open(self._path, "rb") as file:
-                stood = os.fstat(file.fileno())
-                stamp = (stood.st_ino, stood.st_mtime_ns, stood.st_size)
-                if stamp == self._read:
+                status = os.fstat(file.fileno())
+                stamp = (status.st_ino, status.st_mtime_ns, status.st_size)
+                if stamp == self._last_read:
                     return None
-                self._read = stamp
-                text = file.read(LONGEST + 1)
+                self._last_read = stamp
+                text = file.read(STATE_MAX_BYTES + 1)
         except FileNotFoundError:
             return None
         except OSError as error:
             raise BadState(f"can't be read: {error.strerror or error}") from None
-        if len(text) > LONGEST:
+        if len(text) > STATE_MAX_BYTES:
             raise BadState("is too long")
-        return state_of(text)
+        return decode_state(text)
 
     def close(self) -> None:
         os.close(self._lock)
 
 
 def process_slots(folder: str, proxy: str) -> tuple[ProcessSlot, ProcessSlot]:
-    """Whoever reigns sits on the first, the next one on the second. Raises OSError."""
-    name = "pepperusher." + re.sub(r"[^A-Za-z0-9_-]", lambda one: f"%{ord(one[0]):x}", proxy)[:100]
+    """The slots of the active process and of its successor. Raises OSError."""
+    name = "pepperusher." + re.sub(r"[^A-Za-z0-9_-]", lambda match: f"%{ord(match[0]):x}", proxy)[:100]
     first = ProcessSlot(Path(folder), name)
     try:
         return first, ProcessSlot(Path(folder), f"{name}.next")
--- a/pepperusher/console/state.py
+++ b/pepperusher/console/state.py
@@ -1,6 +1,6 @@
-"""What passes from one process to the next, as one JSON text; free of I/O.
+"""The state that passes from one process to the next, as JSON; free of I/O.
 
-Read as if a stranger had written it: the release before this one may have, or a process that died meanwhile.
+It is validated like untrusted input: an earlier release may have written it, or a process that died while writing.
 """
 
 from __future__ import annotations
@@ -11,19 +11,21 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand
 from pepperusher.net.handover_state import HandoverState
 
-FORM = 1
-LONGEST = 16 * 1024 * 1024
-# Times beyond this are none: the year 2200 in microseconds.
-LATEST = 7_258_118_400_000_000
+FORMAT = 1
+STATE_MAX_BYTES = 16 * 1024 * 1024
+# Latest valid time: the year 2200 in microseconds.
+LATEST_TIME_US = 7_258_118_400_000_000
 
 
 class BadState(ValueError):
-    """Nothing to take over; the text says why."""
+    """The state is invalid; the text says why."""
 
 
 class State(NamedTuple):
-    """`seen` names the next process that its writer knows of, `serves` whether its writer takes clients,
-    `beats` whether it leaves marks as it turns its loop. The others are those of `HandoverState`.
+    """The state that a process publishes.
+
+    `seen` is the token of the other process that the writer knows of, `serves` says whether the writer takes clients,
+    and `beats` whether it publishes heartbeats. The other fields are those of `HandoverState`.
     """
 
     bans: dict[str, AdminCommand]
@@ -38,59 +40,60 @@
     expires_at: int | None = None
 
     @property
-    def passed_on(self) -> HandoverState:
+    def handover_state(self) -> HandoverState:
         return HandoverState(self.source, self.listed, self.learned, self.told_by_source, self.expires_at)
 
 
-def text_of(state: State) -> str:
-    return json.dumps({"form": FORM, **state._asdict()}, separators=(",", ":"))
+def encode_state(state: State) -> str:
+    return json.dumps({"form": FORMAT, **state._asdict()}, separators=(",", ":"))
 
 
-def _order(told: Any, of: str) -> AdminCommand:
+def _decode_command(value: Any, where: str) -> AdminCommand:
     if (
-        not isinstance(told, list)
-        or len(told) != 2
-        or not isinstance(told[0], bool)
-        or isinstance(told[1], bool)
-        or not isinstance(told[1], int)
-        or not 0 <= told[1] <= LATEST
+        not isinstance(value, list)
+        or len(value) != 2
+        or not isinstance(value[0], bool)
+        or isinstance(value[1], bool)
+        or not isinstance(value[1], int)
+        or not 0 <= value[1] <= LATEST_TIME_US
     ):
-        raise BadState(f"{of} is no order")
-    return AdminCommand(told[0], told[1])
+        raise BadState(f"{where} is not a command")
+    return AdminCommand(value[0], value[1])
 
 
-def state_of(text: str | bytes) -> State:
+def decode_state(text: str | bytes) -> State:
+    """Parses and validates a state. Raises BadState."""
     try:
-        told = json.loads(text)
+        document = json.loads(text)
     except (ValueError, RecursionError):
         raise BadState("is not JSON") from None
-    if not isinstance(told, dict) or told.get("form") != FORM:
-        raise BadState(f"is not of form {FORM}")
-    bans = told.get("bans")
+    if not isinstance(document, dict) or document.get("form") != FORMAT:
+        raise BadState(f"is not of format {FORMAT}")
+    bans = document.get("bans")
     if not isinstance(bans, dict):
         raise BadState("bans: missing")
-    made = {name: _order(one, f"bans: {name}") for name, one in bans.items()}
-    words = [told.get(name, "") for name in ("seen", "source")]
-    if not all(isinstance(word, str) for word in words):
-        raise BadState("seen or source is no text")
-    listed, learned = told.get("listed"), told.get("learned")
+    commands = {name: _decode_command(value, f"bans: {name}") for name, value in bans.items()}
+    texts = [document.get(name, "") for name in ("seen", "source")]
+    if not all(isinstance(text_value, str) for text_value in texts):
+        raise BadState("seen or source is not a string")
+    listed, learned = document.get("listed"), document.get("learned")
     for part in (listed, learned):
         if part is not None and not isinstance(part, dict):
-            raise BadState("listed or learned is no object")
-    expires_at = told.get("expires_at")
+            raise BadState("listed or learned is not an object")
+    expires_at = document.get("expires_at")
     if expires_at is not None and (
-        isinstance(expires_at, bool) or not isinstance(expires_at, int) or not 0 <= expires_at <= LATEST
+        isinstance(expires_at, bool) or not isinstance(expires_at, int) or not 0 <= expires_at <= LATEST_TIME_US
     ):
-        raise BadState("expires_at is no time")
+        raise BadState("expires_at is not a valid time")
     return State(
-        made,
-        _order(told.get("drain", list(NEVER)), "drain"),
-        words[0],
-        told.get("serves") is True,
-        words[1],
+        commands,
+        _decode_command(document.get("drain", list(NEVER)), "drain"),
+        texts[0],
+        document.get("serves") is True,
+        texts[1],
         listed,
         learned,
-        told.get("beats") is True,
-        told.get("told_by_source") is not False,
+        document.get("beats") is True,
+        document.get("told_by_source") is not False,
         expires_at,
     )
--- a/pepperusher/extensions.py
+++ b/pepperusher/extensions.py
@@ -1,4 +1,4 @@
-"""The companions that the own file asks for, and the console's, each loaded only where it is asked for."""
+"""The extensions that the configuration file and the admin address ask for, each loaded only if needed."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from pepperusher.net.extension import Extension
-from pepperusher.net.configuration_manager import ConfigurationManager, given_of
+from pepperusher.net.configuration_manager import ConfigurationManager, command_line_values
 from pepperusher.net.log import Log
 from pepperusher.net.bootstrap import BootstrapConfiguration
 from pepperusher.configuration.tables import Own
@@ -15,44 +15,52 @@
     from pepperusher.net.distributed_configuration import DistributedConfiguration
 
 
-def _kept(own: Own) -> str:
-    """What is kept of what is shared with other proxies, where the file names control machines."""
-    if not own.distribution.machines:
+def _stored_shared_section(configuration: Own) -> str:
+    """The stored shared section, where the file names control machines."""
+    if not configuration.distribution.machines:
         return ""
-    from pepperusher.net.distributed_configuration import kept
+    from pepperusher.net.distributed_configuration import stored_shared_section
 
-    return kept(own)
+    return stored_shared_section(configuration)
 
 
 def extensions_of(
-    own: str | Path, given: tuple[str, ...], bootstrap: BootstrapConfiguration, log: Log
+    own: str | Path, assignments: tuple[str, ...], bootstrap: BootstrapConfiguration, log: Log
 ) -> list[Extension]:
-    """In the order in which they narrow the list: operators' orders have the last word. Raises ConfigurationError."""
-    house = ConfigurationManager(own, given_of(given), bootstrap.policy_settings, log, _kept)
-    made: list[Extension] = [house]
-    desk = node = None
+    """Returns the extensions in the order in which they filter the endpoint list: admin commands apply last. Raises
+    ConfigurationError.
+    """
+    manager = ConfigurationManager(
+        own, command_line_values(assignments), bootstrap.policy_settings, log, _stored_shared_section
+    )
+    extensions: list[Extension] = [manager]
+    admin_handlers = node = None
     if bootstrap.console is not None:
         from pepperusher.console.admin_handlers import AdminHandlers
 
-        desk = AdminHandlers(bootstrap.console, bootstrap.policy_settings, log)
-    if house.own.group.listen is not None:
+        admin_handlers = AdminHandlers(bootstrap.console, bootstrap.policy_settings, log)
+    if manager.own.group.listen is not None:
         from pepperusher.net.node import Node
 
-        with_desk = (desk.orders, desk.take) if desk is not None else (None, None)
-        node = Node(house.own.group, bootstrap.policy_settings, bootstrap.name, log.write_event, *with_desk)
-        made.append(node)
-        if desk is not None:
-            desk.held = node.held
+        admin_commands = (
+            (admin_handlers.commands, admin_handlers.merge_commands) if admin_handlers is not None else (None, None)
+        )
+        node = Node(manager.own.group, bootstrap.policy_settings, bootstrap.name, log.write_event, *admin_commands)
+        extensions.append(node)
+        if admin_handlers is not None:
+            admin_handlers.held = node.held
     distributed: DistributedConfiguration | None = None
-    if house.own.distribution.machines:
+    if manager.own.distribution.machines:
         from pepperusher.net.distributed_configuration import DistributedConfiguration
 
-        distributed = DistributedConfiguration(house.own.distribution, house, bootstrap.name, str(own), log.write_event)
-        made.append(distributed)
-    if house.own.control.socket is not None:
+        distributed = DistributedConfiguration(
+            manager.own.distribution, manager, bootstrap.name, str(own), log.write_event
+        )
+        extensions.append(distributed)
+    if manager.own.control.socket is not None:
         from pepperusher.net.answers import Answers
 
-        made.append(Answers(house, node, log.write_event, distributed))
-    if desk is not None:
-        made.append(desk)
-    return made
+        extensions.append(Answers(manager, node, log.write_event, distributed))
+    if admin_handlers is not None:
+        extensions.append(admin_handlers)
+    return extensions
--- a/pepperusher/net/bootstrap.py
+++ b/pepperusher/net/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at its start: the configuration file, read once and checked whole."""
+"""The configuration file of a proxy: read once at the start and validated as a whole."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_address, parse_endpoint_update
 from pepperusher.terms import PolicySettings
 
-SOCKETS = 1024
-MEMORY_MB = 512
-CONNECT_WITHIN = 1000.0
-KEEPALIVE = 10_000.0
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 512
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
+DEFAULT_KEEPALIVE_MS = 10_000.0
 
 
-# Objects of the file whose keys are fixed, and lists whose entries' keys are.
-FIXED = (
+# Paths of the file's objects with a fixed set of keys, and of the lists whose objects have one.
+OBJECT_PATHS = (
     (),
     ("limits",),
     ("settings",),
@@ -25,14 +25,16 @@
     ("settings", "family-info"),
     ("settings", "reporting"),
 )
-EACH = (("settings", "use-cases"), ("settings", "customers"))
+LIST_PATHS = (("settings", "use-cases"), ("settings", "customers"))
 
 
 class BootstrapError(ValueError):
-    """A configuration that cannot be served from; its text is one clear line."""
+    """The configuration is unusable; the text is one line that says why."""
 
 
 class BootstrapConfiguration:
+    """The validated configuration of a proxy."""
+
     __slots__ = (
         "name",
         "listen",
@@ -50,53 +52,59 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
-    sockets: int
+    sockets: int  # descriptors for connections
     initial_endpoints: EndpointUpdate | None
     policy_settings: PolicySettings
-    connect_timeout: int
-    idle_timeout: int
-    console: tuple[str, int] | None  # None where operators have no address of their own
-    memory: int  # bytes that the process may take
-    keys: dict[str, frozenset[str]]  # which each object of the file has, for the next file to be held against
+    connect_timeout: int  # microseconds
+    idle_timeout: int  # microseconds
+    console: tuple[str, int] | None  # None without an admin listener
+    memory: int  # memory limit of the process in bytes
+    keys: dict[str, frozenset[str]]  # keys present in each object of the file, to compare the next file with
 
 
-def _address(given: str | None, of: dict[str, Any], name: str) -> tuple[str, int]:
+def _parse_address_option(override: str | None, document: dict[str, Any], name: str) -> tuple[str, int]:
     try:
-        return parse_address(given or of.get(name))
+        return parse_address(override or document.get(name))
     except BadList as error:
         raise BootstrapError(f"{name}: {error}") from None
 
 
-def _at(of: Any, where: tuple[str, ...]) -> Any:
-    for name in where:
-        of = of.get(name) if isinstance(of, dict) else None
-    return of
-
-
-def _keys(of: dict[str, Any]) -> dict[str, frozenset[str]]:
-    made = {}
-    for where in FIXED:
-        if isinstance(one := _at(of, where), dict):
-            made[": ".join(where)] = frozenset(one)
-    for where in EACH:
-        if isinstance(several := _at(of, where), list) and several and all(isinstance(one, dict) for one in several):
-            made[": ".join(where)] = frozenset.intersection(*map(frozenset, several))
-    return made
-
-
-def _check(made: BootstrapConfiguration, settings: dict[str, Any]) -> None:
-    """What can't be worked by, though each figure can be read."""
-    names = [use.name for use in made.policy_settings.use_cases]
-    for use in made.policy_settings.use_cases:
-        if use.outer_limit <= 0:
-            raise BootstrapError(f"settings: use-cases: {use.name}: outer-limit is no number above 0")
-        if use.latency_target < 0:
-            raise BootstrapError(f"settings: use-cases: {use.name}: promised-time is under 0")
-        if names.count(use.name) > 1:
-            raise BootstrapError(f"settings: use-cases: {use.name} stands there twice")
-    most = typed_field(settings, "policy-limits", dict).get("most-transmissions", 1)
-    if not most >= 1 or most != int(most):
-        raise BootstrapError(f"settings: policy-limits: most-transmissions: {most!r} is no whole number above 0")
+def _value_at(value: Any, path: tuple[str, ...]) -> Any:
+    for name in path:
+        value = value.get(name) if isinstance(value, dict) else None
+    return value
+
+
+def _keys_by_section(document: dict[str, Any]) -> dict[str, frozenset[str]]:
+    keys = {}
+    for path in OBJECT_PATHS:
+        if isinstance(value := _value_at(document, path), dict):
+            keys[": ".join(path)] = frozenset(value)
+    for path in LIST_PATHS:
+        if (
+            isinstance(items := _value_at(document, path), list)
+            and items
+            and all(isinstance(value, dict) for value in items)
+        ):
+            keys[": ".join(path)] = frozenset.intersection(*map(frozenset, items))
+    return keys
+
+
+def _validate(configuration: BootstrapConfiguration, settings: dict[str, Any]) -> None:
+    """Rejects values that parse but cannot be used."""
+    names = [use_case.name for use_case in configuration.policy_settings.use_cases]
+    for use_case in configuration.policy_settings.use_cases:
+        if use_case.outer_limit <= 0:
+            raise BootstrapError(f"settings: use-cases: {use_case.name}: outer-limit is no number above 0")
+        if use_case.latency_target < 0:
+            raise BootstrapError(f"settings: use-cases: {use_case.name}: promised-time is negative")
+        if names.count(use_case.name) > 1:
+            raise BootstrapError(f"settings: use-cases: {use_case.name} stands there twice")
+    max_transmissions = typed_field(settings, "policy-limits", dict).get("most-transmissions", 1)
+    if not max_transmissions >= 1 or max_transmissions != int(max_transmissions):
+        raise BootstrapError(
+            f"settings: policy-limits: most-transmissions: {max_transmissions!r} is no whole number above 0"
+        )
 
 
 def read_bootstrap(
@@ -107,56 +115,61 @@
     console: str | None = None,
     before: BootstrapConfiguration | None = None,
 ) -> BootstrapConfiguration:
-    """The file at `path`; what is given beside it goes before it.
+    """Reads the file at `path`; the other arguments override its values.
 
-    `before` is what a file that was replaced under way had told: the discovery that the new one names is the newer word, and
-    each key that the old one has must be there, since a default would stand for what was cut off by mistake.
+    `before` is the configuration that a file replaced at run time had. The discovery address of the new file then
+    overrides the command line's, as the more recent one. Each key of the old file must be present, since a default
+    would otherwise replace what was truncated by mistake.
     """
     try:
         with open(path, encoding="utf-8") as file:
-            of = json.load(file)
+            document = json.load(file)
     except OSError as error:
         raise BootstrapError(f"{path}: {error.strerror or error}") from None
     except (ValueError, RecursionError):
         raise BootstrapError(f"{path}: is not JSON") from None
-    if not isinstance(of, dict):
+    if not isinstance(document, dict):
         raise BootstrapError(f"{path}: is not an object")
-    made = BootstrapConfiguration()
-    made.keys = _keys(of)
-    for where, keys in (before.keys if before is not None else {}).items():
-        if missing := sorted(keys - made.keys.get(where, frozenset())):
-            raise BootstrapError(f"{where}: {missing[0]}: missing" if where else f"{missing[0]}: missing")
-    made.name = name or str(of.get("name", "proxy"))
-    made.listen = _address(listen, of, "listen")
-    made.discovery = _address(None if before is not None and "discovery" in of else discovery, of, "discovery")
-    made.console = _address(console, of, "console") if console or of.get("console") is not None else None
+    configuration = BootstrapConfiguration()
+    configuration.keys = _keys_by_section(document)
+    for section, keys in (before.keys if before is not None else {}).items():
+        if missing := sorted(keys - configuration.keys.get(section, frozenset())):
+            raise BootstrapError(f"{section}: {missing[0]}: missing" if section else f"{missing[0]}: missing")
+    configuration.name = name or str(document.get("name", "proxy"))
+    configuration.listen = _parse_address_option(listen, document, "listen")
+    configuration.discovery = _parse_address_option(
+        None if before is not None and "discovery" in document else discovery, document, "discovery"
+    )
+    configuration.console = (
+        _parse_address_option(console, document, "console") if console or document.get("console") is not None else None
+    )
     try:
-        seed = int(str(of.get("seed", "0")), 16)
+        seed = int(str(document.get("seed", "0")), 16)
     except ValueError:
-        raise BootstrapError(f"seed: {of['seed']!r} is not a hexadecimal number") from None
+        raise BootstrapError(f"seed: {document['seed']!r} is not a hexadecimal number") from None
     try:
-        limits, settings = typed_field(of, "limits", dict), typed_field(of, "settings", dict)
+        limits, settings = typed_field(document, "limits", dict), typed_field(document, "settings", dict)
         if not settings:
             raise BootstrapError("settings: missing")
-        sockets = limits.get("sockets", SOCKETS)
+        sockets = limits.get("sockets", DEFAULT_SOCKETS)
         if not isinstance(sockets, (int, float)) or not 64 <= sockets <= 1_000_000:
             raise BootstrapError(f"limits: sockets: {sockets!r} is not a number from 64 up")
-        made.sockets = int(sockets)
-        memory = limits.get("memory_mb", MEMORY_MB)
+        configuration.sockets = int(sockets)
+        memory = limits.get("memory_mb", DEFAULT_MEMORY_MB)
         if isinstance(memory, bool) or not isinstance(memory, (int, float)) or not 16 <= memory <= 1_000_000:
             raise BootstrapError(f"limits: memory_mb: {memory!r} is not a number from 16 up")
-        made.memory = int(memory * 1024 * 1024)
-        made.policy_settings = read_settings(settings, seed)
-        if not made.policy_settings.use_cases:
-            raise BootstrapError("settings: use-cases: there is none")
-        _check(made, settings)
-        allowed = typed_field(settings, "policy-limits", dict)
-        made.connect_timeout = duration_field(allowed, "connect-timeout", CONNECT_WITHIN)
-        made.idle_timeout = duration_field(allowed, "keepalive", KEEPALIVE)
+        configuration.memory = int(memory * 1024 * 1024)
+        configuration.policy_settings = read_settings(settings, seed)
+        if not configuration.policy_settings.use_cases:
+            raise BootstrapError("settings: use-cases: missing or empty")
+        _validate(configuration, settings)
+        policy_limits = typed_field(settings, "policy-limits", dict)
+        configuration.connect_timeout = duration_field(policy_limits, "connect-timeout", DEFAULT_CONNECT_TIMEOUT_MS)
+        configuration.idle_timeout = duration_field(policy_limits, "keepalive", DEFAULT_KEEPALIVE_MS)
     except SettingsError as error:
         raise BootstrapError(f"settings: {error}") from None
     try:
-        made.initial_endpoints = parse_endpoint_update(of["known"]) if of.get("known") else None
+        configuration.initial_endpoints = parse_endpoint_update(document["known"]) if document.get("known") else None
     except BadList as error:
         raise BootstrapError(f"known: {error}") from None
-    return made
+    return configuration
--- a/pepperusher/net/call_schedule.py
+++ b/pepperusher/net/call_schedule.py
@@ -141,5 +141,5 @@
     def _wait_without_open_calls(self, now: float) -> float:
         if self.paused_until > now:
             return self.paused_until - now
-        # This also holds if it is first evaluated late: as long as no call has failed, the decisions ask for none.
+        # This also holds if it is first evaluated late: as long as no call has failed, the balancer asks for none.
         return 0.0 if self._call_due or now < self._fast_retry_until else self._backoff()
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -1,7 +1,7 @@
-"""The proxy under its own file: admits tickets by their route, carries changes out, watches them, keeps the
-confirmed.
+"""Runs a proxy under its configuration file: admits tickets by route, carries out configuration changes, watches them
+and stores the confirmed one.
 
-Loaded only where there is such a file. It decides nothing: `changes.active_configuration` does.
+Loaded only where there is such a file. The decisions are made in `changes.active_configuration`.
 """
 
 from __future__ import annotations
@@ -39,53 +39,60 @@
 if TYPE_CHECKING:
     from pepperusher.net.request_store import RequestStore
 
-LOOK_EVERY = 0.1
-LONGEST_ADVICE = 10_000_000
-# With less than this left a ticket is let in to no purpose, however quick answers are.
-LEAST_LEFT = 30_000
-# 429 tells a client that it is its own doing, 503 that it is not; both are bounces.
+POLL_INTERVAL_S = 0.1
+DEFAULT_RETRY_AFTER_MAX_US = 10_000_000
+# With less time left than this in microseconds a ticket is not admitted: it could not finish, however quick answers
+# are.
+MIN_TIME_LEFT_US = 30_000
+# 429 means that the client caused the refusal, 503 that it did not; both count as bounces.
 STATUS = {RATE: 429, FULL: 503, TOO_LATE: 503}
-# A drain by hand is put behind the file's text.
-DRAIN = "\n[[backends]]\nid = {id}\ndrain = true\n"
-WHY = {RATE: "over its rate", FULL: "too many at once", TOO_LATE: "could not be in time"}
+# A manual drain is appended to the file's text.
+DRAIN_BLOCK = "\n[[backends]]\nid = {id}\ndrain = true\n"
+REASONS = {RATE: "over its rate", FULL: "too many at once", TOO_LATE: "could not be in time"}
 
 
-def given_of(words: tuple[str, ...]) -> dict[str, Any]:
-    """What the command line sets. Raises ConfigurationError."""
-    return loader.from_command_line(words)
+def command_line_values(assignments: tuple[str, ...]) -> dict[str, Any]:
+    """The values set on the command line. Raises ConfigurationError."""
+    return loader.from_command_line(assignments)
 
 
 class ConfigurationManager(Extension):
-    """`path` is the file, `given` the command line's values. `shared` gives what is kept of what is shared with
-    other proxies, where the file says that any is."""
+    """Manages the configuration file of a proxy.
+
+    `path` is the file and `command_line` holds the command line's values. `shared` returns the stored copy of the
+    shared section where the file names control machines.
+    """
 
     def __init__(
         self,
         path: str | Path,
-        given: Mapping[str, Any],
+        command_line: Mapping[str, Any],
         policy_settings: PolicySettings,
         log: Log,
         shared: Callable[[Own], str] | None = None,
     ) -> None:
         say = log.write_event
-        self._hanging: asyncio.Task[None] | None = None
-        self.kept_out: dict[str, int] = {}  # by the words of STATUS, so it grows with the code alone
-        self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
+        self._reload_task: asyncio.Task[None] | None = None
+        self.kept_out: dict[str, int] = {}  # by the keys of STATUS, so its size is fixed
+        self._retry_after_max = policy_settings.max_retry_after or DEFAULT_RETRY_AFTER_MAX_US
         self._path = Path(path)
-        self._given = dict(given)
+        self._command_line = dict(command_line)
         self._environment = loader.from_environment(os.environ)
         self._policy_settings = policy_settings
         self._say = say
-        self._kept: ConfirmedFile | None = None
+        self._confirmed_file: ConfirmedFile | None = None
         self._host: ExtensionHost | None = None
-        self._watching: asyncio.Task[None] | None = None
-        # One carrying out of a change at a time: its writes are waited for.
-        self._turn = asyncio.Lock()
-        self._instead = ""
-        self.shared = ""  # behind the file's own text, as `changes.shared_section` puts it there
-        self._kept_shared = shared
-        self._sharing: tuple[Change, str] | None = None  # the last change of it, and what was shared before
-        self.active_configuration = ActiveConfiguration(self._begin(), clock.now(), self._list_again, say)
+        self._watch_task: asyncio.Task[None] | None = None
+        # Serializes changes, since each waits for its writes.
+        self._change_lock = asyncio.Lock()
+        self._fallback_reason = ""
+        self.shared = ""  # the section from control machines, which `changes.shared_section` appends to the file's text
+        self._read_stored_shared = shared
+        # The last change of the shared section, and the section before it.
+        self._shared_change: tuple[Change, str] | None = None
+        self.active_configuration = ActiveConfiguration(
+            self._initial_configuration(), clock.now(), self._reapply_entries, say
+        )
         self.gate = self
         self.filter_endpoints = self.active_configuration.overlay.lines
         self.request_store: RequestStore | None = None
@@ -101,100 +108,101 @@
 
     @property
     def own(self) -> Own:
-        """The file in force."""
+        """The active configuration."""
         return self.active_configuration.version.read.own
 
-    def _count(self, what: str) -> None:
-        self.kept_out[what] = self.kept_out.get(what, 0) + 1
+    def _count(self, reason: str) -> None:
+        self.kept_out[reason] = self.kept_out.get(reason, 0) + 1
 
-    def _begin(self) -> Read:
-        """What to start with. Raises ConfigurationError, or OSError of the folder that is to last."""
-        read = self._read()
-        if self._kept_shared is not None:
-            read = self._begin_shared(read, self._kept_shared(read.own))
+    def _initial_configuration(self) -> Read:
+        """The configuration to start with. Raises ConfigurationError, or OSError for the state folder."""
+        read = self._read_file()
+        if self._read_stored_shared is not None:
+            read = self._add_stored_shared(read, self._read_stored_shared(read.own))
         folder = read.own.changes.state
         if folder is None:
             return read
-        self._kept = ConfirmedFile(Path(folder))
+        self._confirmed_file = ConfirmedFile(Path(folder))
         try:
-            begin = self._kept.begin(read.text)
-            if begin.instead:
-                self._instead = begin.instead
-                self.shared = shared_section.shared_part(begin.text)
-                return self._parse(begin.text, "the last confirmed")
-            self._kept.confirm(read.text)
+            start = self._confirmed_file.begin(read.text)
+            if start.instead:
+                self._fallback_reason = start.instead
+                self.shared = shared_section.shared_part(start.text)
+                return self._parse(start.text, "the last confirmed file")
+            self._confirmed_file.confirm(read.text)
         except OSError as error:
-            # A disk that fails must not keep a proxy from serving; a restart then goes by the file.
+            # A failing disk must not keep a proxy from serving; a restart then uses the file as it is.
             self._say(
-                "the folder for what is confirmed can't be used",
+                "the state folder cannot be used; confirmed files are not stored",
                 folder=folder,
                 why=error.strerror or str(error),
             )
-            self._kept = None
+            self._confirmed_file = None
         return read
 
-    def _begin_shared(self, read: Read, shared: str) -> Read:
-        """With what was in force before, where the file goes with it still."""
+    def _add_stored_shared(self, read: Read, shared: str) -> Read:
+        """Adds the stored shared section if the file still works with it."""
         try:
-            made = self._parse(self._put(read.text, shared, str(self._path)), str(self._path))
+            combined = self._parse(self._put_shared(read.text, shared, str(self._path)), str(self._path))
         except ValueError as error:
-            self._say("what was shared is left out: it does not go with the file", why=str(error))
+            self._say("the stored shared section is ignored: it does not fit the file", why=str(error))
             return read
         self.shared = shared
-        return made
+        return combined
 
-    def _read(self) -> Read:
-        read = loader.read(self._path, self._policy_settings, self._environment, self._given)
+    def _read_file(self) -> Read:
+        read = loader.read(self._path, self._policy_settings, self._environment, self._command_line)
         return self._parse(read.text, str(self._path)) if self.shared else read
 
     def _parse(self, text: str, source: str) -> Read:
-        """With what is shared as it stands, whatever a text has of it."""
-        text = self._put(text, self.shared, source) if self.shared else text
-        return loader.parse(text, source, self._policy_settings, self._environment, self._given)
+        """Parses `text` with the current shared section, in place of any that the text contains."""
+        text = self._put_shared(text, self.shared, source) if self.shared else text
+        return loader.parse(text, source, self._policy_settings, self._environment, self._command_line)
 
     @staticmethod
-    def _put(text: str, shared: str, source: str) -> str:
-        """Raises ConfigurationError."""
+    def _put_shared(text: str, shared: str, source: str) -> str:
+        """Replaces the shared section of `text`. Raises ConfigurationError."""
         try:
             return shared_section.put(text, shared)
         except shared_section.NotSharedError as error:
-            raise ConfigurationError([loader.Fault(source, 0, "", "form", f"what is shared {error}")]) from None
+            raise ConfigurationError([loader.Fault(source, 0, "", "form", f"the shared section {error}")]) from None
 
     def settings_changed(self, policy_settings: PolicySettings) -> None:
-        """The operators' settings as they are now; the own file is read against them from here on, and proposed
-        as it stands."""
+        """Takes the operators' new settings: the configuration file is validated against them from now on, and proposed
+        as it stands.
+        """
         self._policy_settings = policy_settings
-        self._longest_advice = policy_settings.max_retry_after or LONGEST_ADVICE
+        self._retry_after_max = policy_settings.max_retry_after or DEFAULT_RETRY_AFTER_MAX_US
         self.hang_up()
 
     def drain_started(self, until: int) -> None:
         self.active_configuration.limit_deadlines(until)
 
-    def _list_again(self, lines: list[Endpoint]) -> None:
+    def _reapply_entries(self, entries: list[Endpoint]) -> None:
         if self._host is not None:
-            self._host.reapply_filters(self, lines)
+            self._host.reapply_filters(self, entries)
 
     async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
     async def start(self) -> None:
-        if self._instead:
-            self._say("started with the last confirmed file", why=self._instead)
+        if self._fallback_reason:
+            self._say("started with the last confirmed file", why=self._fallback_reason)
         if self.request_store is not None:
             self.request_store.start()
-        self._watching = asyncio.get_running_loop().create_task(self._watch())
+        self._watch_task = asyncio.get_running_loop().create_task(self._watch_changes())
 
     async def stop(self) -> None:
         if self.request_store is not None:
             await self.request_store.stop()
-        if self._watching is not None:
-            self._watching.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
 
     def hang_up(self) -> None:
-        """SIGHUP is one way to propose the file as it stands now."""
-        self._hanging = asyncio.get_running_loop().create_task(self._hung_up())
+        """Proposes the file as it stands now, as SIGHUP does."""
+        self._reload_task = asyncio.get_running_loop().create_task(self._reload())
 
-    async def _hung_up(self) -> None:
+    async def _reload(self) -> None:
         try:
             await self.propose_file("SIGHUP", "the file was read anew")
         except ConfigurationError as error:
@@ -206,7 +214,7 @@
     # --- tickets ----------------------------------------------------------------------------------
 
     def request_admission(
-        self, request: Request, use_case: str, customer: str, given: int | None, usual: int
+        self, request: Request, use_case: str, customer: str, wait_limit: int | None, usual_limit: int
     ) -> AdmittedTicket:
         version = self.active_configuration.version
         headers: dict[str, str] = {}
@@ -223,236 +231,240 @@
             headers,
             use_case,
             customer,
-            given,
-            usual,
+            wait_limit,
+            usual_limit,
             clock.now(),
         )
 
-    async def admit(self, made: AdmittedTicket, call: Call) -> bool:
-        """Whether it may go in, waited for where it must be. One that may not is over with it."""
-        if not await self._admitted(made, call):
-            self.active_configuration.finish(made, "left" if call.left else "bounced", False, clock.now())
+    async def admit(self, ticket: AdmittedTicket, call: Call) -> bool:
+        """Waits where needed, and returns whether the ticket is admitted. A refused one ends here."""
+        if not await self._wait_for_admission(ticket, call):
+            self.active_configuration.finish(ticket, "left" if call.left else "bounced", False, clock.now())
             return False
         return True
 
-    async def _admitted(self, made: AdmittedTicket, call: Call) -> bool:
+    async def _wait_for_admission(self, ticket: AdmittedTicket, call: Call) -> bool:
         if call.left:
             return False
-        if made.how != QUEUED or made.waiting is None:
-            return made.how == ADMITTED
-        told: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        if ticket.how != QUEUED or ticket.waiting is None:
+            return ticket.how == ADMITTED
+        outcome: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
-        def tell(how: str) -> None:
-            self.active_configuration.admission_decided(made, how, clock.now())
-            if not told.done():
-                told.set_result(how)
+        def resolve(decision: str) -> None:
+            self.active_configuration.admission_decided(ticket, decision, clock.now())
+            if not outcome.done():
+                outcome.set_result(decision)
 
         def leave() -> None:
-            if made.how == QUEUED:
-                self.active_configuration.withdraw(made)
-                made.how = "left"
-                if not told.done():
-                    told.set_result("left")
-
-        def late() -> None:
-            if made.how == QUEUED:
-                self.active_configuration.withdraw(made)
-                tell(TOO_LATE)
-
-        made.waiting.on_decision = tell
+            if ticket.how == QUEUED:
+                self.active_configuration.withdraw(ticket)
+                ticket.how = "left"
+                if not outcome.done():
+                    outcome.set_result("left")
+
+        def give_up() -> None:
+            if ticket.how == QUEUED:
+                self.active_configuration.withdraw(ticket)
+                resolve(TOO_LATE)
+
+        ticket.waiting.on_decision = resolve
         call.on_leave = leave
-        # Of its own, and not with the next look at all: that is up to LOOK_EVERY later, and its client has
-        # left by then.
-        left = made.until - clock.now() - max(LEAST_LEFT, self.active_configuration.mean_service_time(made))
-        timer = asyncio.get_running_loop().call_later(max(0, left) / 1e6, late)
+        # A timer of its own, because the periodic check may come up to POLL_INTERVAL_S later, when the client has
+        # already left.
+        time_left = (
+            ticket.until - clock.now() - max(MIN_TIME_LEFT_US, self.active_configuration.mean_service_time(ticket))
+        )
+        timer = asyncio.get_running_loop().call_later(max(0, time_left) / 1e6, give_up)
         try:
-            return await told == ADMITTED and not call.left
+            return await outcome == ADMITTED and not call.left
         finally:
             timer.cancel()
             call.on_leave = None
 
-    def refusal(self, made: AdmittedTicket) -> Answer | None:
-        """What one that may not go in is told; None where its client left."""
-        if made.how not in STATUS:
+    def refusal(self, ticket: AdmittedTicket) -> Answer | None:
+        """The answer for a refused ticket; None where its client left."""
+        if ticket.how not in STATUS:
             return None
-        self._count(f"kept out {made.how}")
+        self._count(f"kept out {ticket.how}")
         advice = (
-            [(b"retry-after", f"{min(made.advice, self._longest_advice) / 1e6:.3f}".encode())]
+            [(b"retry-after", f"{min(ticket.advice, self._retry_after_max) / 1e6:.3f}".encode())]
             if self._policy_settings.retry_after_allowed
             else []
         )
-        return self.add_version_header(made, text_answer(STATUS[made.how], WHY[made.how], *advice))
+        return self.add_version_header(ticket, text_answer(STATUS[ticket.how], REASONS[ticket.how], *advice))
 
-    def start_attempt(self, made: AdmittedTicket, wait: int) -> int:
-        """It goes out now; for how long at the most."""
-        self.active_configuration.record_first_attempt(made, clock.now())
-        return made.terms.attempt_timeout(wait)
+    def start_attempt(self, ticket: AdmittedTicket, time_limit: int) -> int:
+        """Records that the first attempt is sent. Returns how long it may take."""
+        self.active_configuration.record_first_attempt(ticket, clock.now())
+        return ticket.terms.attempt_timeout(time_limit)
 
-    def retry_allowed(self, made: AdmittedTicket, how: str) -> bool:
-        return self.active_configuration.retry_allowed(made, how, clock.now())
+    def retry_allowed(self, ticket: AdmittedTicket, outcome: str) -> bool:
+        return self.active_configuration.retry_allowed(ticket, outcome, clock.now())
 
-    def refund_retry(self, made: AdmittedTicket, how: str) -> None:
-        """It might have gone out once more and did not."""
-        self.active_configuration.refund_retry(made, how, clock.now())
+    def refund_retry(self, ticket: AdmittedTicket, outcome: str) -> None:
+        """Returns a granted retry that was not sent."""
+        self.active_configuration.refund_retry(ticket, outcome, clock.now())
 
-    def finish(self, made: AdmittedTicket, end: str, worked: bool) -> None:
-        self.active_configuration.finish(made, end, worked, clock.now())
+    def finish(self, ticket: AdmittedTicket, outcome: str, worked: bool) -> None:
+        self.active_configuration.finish(ticket, outcome, worked, clock.now())
 
-    def add_version_header(self, made: AdmittedTicket, answer: Answer | None) -> Answer | None:
-        """An answer that names the version of its terms, where the file has it so."""
-        if answer is None or not made.version.read.own.said.version:
+    def add_version_header(self, ticket: AdmittedTicket, answer: Answer | None) -> Answer | None:
+        """Adds the version of the ticket's terms to the answer, if configured."""
+        if answer is None or not ticket.version.read.own.said.version:
             return answer
-        return answer._replace(headers=[*answer.headers, (b"terms-version", b"%d" % made.version.number)])
+        return answer._replace(headers=[*answer.headers, (b"terms-version", b"%d" % ticket.version.number)])
 
     # --- changes ----------------------------------------------------------------------------------
 
     async def propose_file(self, who: str, why: str) -> Change:
-        """As it stands now. Raises ConfigurationError, TransactionError."""
-        return await self._propose(await asyncio.to_thread(self._read), who, why)
+        """Proposes the file as it stands now. Raises ConfigurationError, TransactionError."""
+        return await self._propose(await asyncio.to_thread(self._read_file), who, why)
 
     async def propose_text(self, text: str, who: str, why: str) -> Change:
-        """Raises ConfigurationError, TransactionError."""
+        """Proposes `text`. Raises ConfigurationError, TransactionError."""
         return await self._propose(await asyncio.to_thread(self._parse, text, "what is proposed"), who, why)
 
     async def propose_shared(self, shared: str, who: str, why: str) -> Change | None:
-        """Another text in place of what is shared; None where all stands as it would have it. Raises ConfigurationError,
-        and TransactionError where another change is open."""
+        """Proposes `shared` as the new shared section. Returns None if it changes nothing. Raises ConfigurationError,
+        and TransactionError where another change is open.
+        """
 
-        def parsed() -> Read:
-            text = self._put(self.active_configuration.version.read.text, shared, "what is shared")
-            return loader.parse(text, "what is shared", self._policy_settings, self._environment, self._given)
+        def parse() -> Read:
+            text = self._put_shared(self.active_configuration.version.read.text, shared, "what is shared")
+            return loader.parse(text, "what is shared", self._policy_settings, self._environment, self._command_line)
 
-        read = await asyncio.to_thread(parsed)
+        read = await asyncio.to_thread(parse)
         if self.active_configuration.ledger.open is not None:
-            # It does not wait as others may: what it is put behind could be another by then.
+            # Unlike other changes it does not wait, since the file that it is appended to could change meanwhile.
             raise TransactionError(f"change {self.active_configuration.ledger.open.number} is open")
         if read.digest == self.active_configuration.version.read.digest:
             self.shared = shared
             return None
         change = self.active_configuration.propose(read, who, why, clock.now())
-        self._sharing, self.shared = (change, self.shared), shared
-        await self._carry_out(change)
+        self._shared_change, self.shared = (change, self.shared), shared
+        await self._apply(change)
         if change.over:
-            self._unshare(change)
+            self._restore_shared(change)
         return change
 
-    def _unshare(self, change: Change) -> None:
-        """What is shared as it was before a change that was undone."""
-        if self._sharing is not None and self._sharing[0] is change and change.state == UNDONE:
-            self.shared, self._sharing = self._sharing[1], None
+    def _restore_shared(self, change: Change) -> None:
+        """Restores the shared section from before a change that was undone."""
+        if self._shared_change is not None and self._shared_change[0] is change and change.state == UNDONE:
+            self.shared, self._shared_change = self._shared_change[1], None
 
-    async def drain(self, id: str, lift: bool, who: str, why: str) -> Change:
-        """A mark by hand, as a change like any other; `lift` takes one off again that was put on so. Raises
-        ConfigurationError, TransactionError."""
+    async def drain(self, backend: str, lift: bool, who: str, why: str) -> Change:
+        """Proposes a manual drain of a backend as a change; `lift` removes one. Raises ConfigurationError,
+        TransactionError.
+        """
         text = self.active_configuration.version.read.text
-        block = DRAIN.format(id=json.dumps(id))
+        block = DRAIN_BLOCK.format(id=json.dumps(backend))
         if lift:
             if block not in text:
-                raise TransactionError(f"{id} was not drained by hand")
+                raise TransactionError(f"{backend} was not drained by hand")
             return await self.propose_text(text.replace(block, "", 1), who, why)
-        if not any(one.id == id for one in self.active_configuration.overlay.ready()):
-            raise TransactionError(f"{id} is no backend that is listed as ready")
-        if id in self.active_configuration.version.marks:
-            raise TransactionError(f"{id} has a mark already")
+        if not any(entry.id == backend for entry in self.active_configuration.overlay.ready()):
+            raise TransactionError(f"{backend} is no backend that is listed as ready")
+        if backend in self.active_configuration.version.marks:
+            raise TransactionError(f"{backend} has a mark already")
         return await self.propose_text(text + block, who, why)
 
     async def _propose(self, read: Read, who: str, why: str) -> Change:
         change = self.active_configuration.propose(read, who, why, clock.now())
         if change is self.active_configuration.ledger.open:
-            await self._carry_out(change)
+            await self._apply(change)
         return change
 
-    async def _carry_out(self, change: Change) -> None:
-        """From proposed to applied. What must last is written before anything changes."""
-        async with self._turn:
+    async def _apply(self, change: Change) -> None:
+        """Takes a change from proposed to applied. Persistent state is written before anything changes."""
+        async with self._change_lock:
             if change.over:
                 return
-            if self._kept is not None:
+            if self._confirmed_file is not None:
                 try:
-                    await asyncio.to_thread(self._kept.open, change.number, change.what.text)
+                    await asyncio.to_thread(self._confirmed_file.open, change.number, change.what.text)
                 except OSError as error:
                     self.active_configuration.undo(
                         change,
                         "the proxy",
-                        f"its mark can't be written: {error.strerror or error}",
+                        f"the change cannot be written: {error.strerror or error}",
                         clock.now(),
                     )
                     return
             if change.over:
-                # Undone by hand while its mark was written.
-                await self._mark_undone(change)
+                # It was undone by an operator while it was being written.
+                await self._record_undone(change)
                 return
             self.active_configuration.stage(change, clock.now())
             self.active_configuration.apply(change, clock.now())
 
     async def confirm(self, number: int | None, who: str, why: str) -> Change:
-        """Raises TransactionError."""
+        """Confirms an applied change. Raises TransactionError."""
         change = self.active_configuration.ledger.find(number)
-        async with self._turn:
+        async with self._change_lock:
             if change.state != APPLIED:
                 raise TransactionError(
                     f"change {change.number} is {change.state}, and only an applied one can be confirmed"
                 )
-            if self._kept is not None:
+            if self._confirmed_file is not None:
                 try:
-                    await asyncio.to_thread(self._kept.confirm, change.what.text)
+                    await asyncio.to_thread(self._confirmed_file.confirm, change.what.text)
                 except OSError as error:
-                    raise TransactionError(f"it can't be written: {error.strerror or error}") from None
+                    raise TransactionError(f"the change cannot be written: {error.strerror or error}") from None
             if change.state != APPLIED:
                 raise TransactionError(f"change {change.number} was undone meanwhile")
             self.active_configuration.confirm(change, who, why, clock.now())
-            # The history tells of it; a file's text for each of its changes would be memory for nothing.
+            # The history records the change; keeping the file's text of every change would waste memory.
             change.what = None
-        await self._next()
+        await self._start_next_change()
         return change
 
     async def undo(self, number: int | None, who: str, why: str) -> Change:
-        """At once; what lasts is written after. Raises TransactionError."""
+        """Undoes a change at once; persistent state is written afterwards. Raises TransactionError."""
         change = self.active_configuration.ledger.find(number)
         self.active_configuration.undo(change, who, why, clock.now())
-        self._unshare(change)
-        async with self._turn:
-            await self._mark_undone(change)
+        self._restore_shared(change)
+        async with self._change_lock:
+            await self._record_undone(change)
             change.what = None
-        await self._next()
+        await self._start_next_change()
         return change
 
-    async def _mark_undone(self, change: Change) -> None:
-        if self._kept is not None and change.what is not None:
+    async def _record_undone(self, change: Change) -> None:
+        if self._confirmed_file is not None and change.what is not None:
             try:
-                await asyncio.to_thread(self._kept.undo, change.what.text)
-                await asyncio.to_thread(self._kept.restore, self.active_configuration.confirmed.read.text)
+                await asyncio.to_thread(self._confirmed_file.undo, change.what.text)
+                await asyncio.to_thread(self._confirmed_file.restore, self.active_configuration.confirmed.read.text)
             except OSError as error:
-                self._say("what was undone can't be written", why=error.strerror or str(error))
+                self._say("an undone change cannot be written", why=error.strerror or str(error))
 
-    async def _next(self) -> None:
-        """The change that waited for this one, checked anew against what stands."""
+    async def _start_next_change(self) -> None:
+        """Carries out the next waiting change after parsing it again on top of the active configuration."""
         change = self.active_configuration.ledger.next()
         while change is not None:
             try:
                 change.what = await asyncio.to_thread(self._parse, change.what.text, "what is proposed")
                 if change.what.digest == self.active_configuration.version.read.digest:
                     raise TransactionError("it is what stands already")
-                await self._carry_out(change)
+                await self._apply(change)
                 return
             except (ConfigurationError, TransactionError) as error:
                 self.active_configuration.undo(change, "the proxy", str(error), clock.now())
                 change = self.active_configuration.ledger.next()
 
-    async def _watch(self) -> None:
+    async def _watch_changes(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
             try:
                 now = clock.now()
                 self.active_configuration.sweep(now)
-                due = self.active_configuration.due(now)
-                if due is not None:
+                outcome = self.active_configuration.due(now)
+                if outcome is not None:
                     change = self.active_configuration.ledger.find(None)
-                    if due[0] == CONFIRMED:
-                        await self.confirm(change.number, "the proxy", due[1])
+                    if outcome[0] == CONFIRMED:
+                        await self.confirm(change.number, "the proxy", outcome[1])
                     else:
-                        await self.undo(change.number, "the proxy", due[1])
+                        await self.undo(change.number, "the proxy", outcome[1])
             except TransactionError as error:
-                self._say("a change goes on", why=str(error))
-            except Exception as error:  # without the watch a bad change would stand
-                self._say("the watch on changes met an error", why=f"{type(error).__name__}: {error}")
+                self._say("a change could not be confirmed or undone automatically", why=str(error))
+            except Exception as error:  # without this loop a bad change would stay active
+                self._say("the change watch loop failed", why=f"{type(error).__name__}: {error}")
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -96,7 +96,7 @@
         return CallSchedule(self._random, self._backoff)
 
     def _backoff(self) -> float:
-        """The wait before the next call that the load-balancing decisions ask for, in seconds."""
+        """The wait before the next call that the balancer asks for, in seconds."""
         wait = self._facade.endpoint_request_delay(clock.now())
         return wait / 1e6 if wait >= 0 else 1.0
 
@@ -111,7 +111,7 @@
         self._table.apply(update, source.address)
 
     def publish(self, entries: list[Endpoint], whole: bool = False, filters_applied: int = 0) -> None:
-        """Passes entries through the filters to the decisions; see `EndpointTable`."""
+        """Filters the entries and passes them to the balancer; see `EndpointTable`."""
         self._table.publish(entries, whole, filters_applied)
 
     @property
@@ -408,7 +408,7 @@
             self.confirmation.require_confirmation(Cause.LOST, LOST_DEADLINE_S, now)
 
     def _describe_next_call(self, source: Source, now: float) -> str:
-        """The log text for what follows a call that ended; empty where the decisions set the time of the next call."""
+        """The log text for what follows a call that ended; empty where the balancer sets the time of the next call."""
         if source is not self._source:
             return "; its address was replaced"
         if source.calls:
@@ -441,7 +441,7 @@
             return False
         if silent:
             return True
-        # Without a watch no drains arrive, so the decisions are told that the list is out of date.
+        # Without a watch no drains arrive, so the balancer is told that the list is out of date.
         self._facade.endpoint_request_failed(clock.now())
         if source.calls:
             source.schedule.note_cut_short(now)
@@ -556,7 +556,7 @@
     def _note_message(self) -> None:
         """Records a message of the current watch, and confirms the list.
 
-        After a lost watch the decisions are told even if nothing changed: they lengthen the wait before each call after
+        After a lost watch the balancer is told even if nothing changed: it lengthens the wait before each call after
         every failure, and would otherwise continue from failures of long ago.
         """
         self._first_message.set()
--- a/pepperusher/net/distributed_configuration.py
+++ b/pepperusher/net/distributed_configuration.py
@@ -1,8 +1,8 @@
-"""A proxy that takes part of its file from control machines: as a change like any other, watched and undone
-like any other.
+"""Receives a section of a proxy's configuration file from control machines, and applies it as a configuration change
+that is watched and undone like any other.
 
-Loaded only where the own file names control machines. No ticket waits for any of it; with all of them gone the
-proxy serves on by what is in force, and says how old that is.
+Loaded only where the configuration file names control machines. No ticket waits for any of it. With all of them
+unreachable the proxy serves with its active configuration, and logs its age.
 """
 
 from __future__ import annotations
@@ -31,71 +31,75 @@
 if TYPE_CHECKING:
     from pepperusher.net.endpoint_relay import EndpointRelay
 
-LOOK_EVERY = 0.1
-# A change by hand that is open goes before it; after this it is refused for it.
-OPEN_WITHIN = 60.0
-# With no control machine there, so often is said how old that is which is in force.
-SAID_EVERY = 60_000_000
+POLL_INTERVAL_S = 0.1
+# How long an update waits for an open manual change; after this it is refused.
+OPEN_CHANGE_TIMEOUT_S = 60.0
+# How often the age of the configuration is logged while no control machine is reachable, in microseconds.
+LOG_INTERVAL_US = 60_000_000
 
 
-def _title(one: Resource) -> str:
-    return f"{one.kind}/{one.name} {one.version} {one.digest}"
+def _title(resource: Resource) -> str:
+    return f"{resource.kind}/{resource.name} {resource.version} {resource.digest}"
 
 
-def _shared(one: Resource) -> str:
-    """Raises NotSharedError."""
+def _shared_section(resource: Resource) -> str:
+    """The shared section made from a resource. Raises NotSharedError."""
     try:
-        text = one.body.decode()
+        text = resource.body.decode()
     except UnicodeDecodeError:
         raise shared_section.NotSharedError("is not text in UTF-8") from None
     shared_section.tables(text)
-    return shared_section.block(_title(one), text)
+    return shared_section.block(_title(resource), text)
 
 
-def kept(own: Own) -> str:
-    """What was in force before, of what is shared; nothing where it can't be had, which the client says."""
-    said = own.distribution
-    if not said.machines or said.keep is None or said.config is None:
+def stored_shared_section(own: Own) -> str:
+    """The shared section that was stored last; empty where there is none to read, which the client logs."""
+    settings = own.distribution
+    if not settings.machines or settings.keep is None or settings.config is None:
         return ""
     try:
-        for one in resource_cache.read(Path(said.keep), {(CONFIG, said.config)})[0]:
-            return _shared(one)
+        for resource in resource_cache.read(Path(settings.keep), {(CONFIG, settings.config)})[0]:
+            return _shared_section(resource)
     except shared_section.NotSharedError:
         pass
     return ""
 
 
 class DistributedConfiguration(Extension):
+    """Subscribes to the shared section and to the endpoint list, where the file names them."""
+
     descriptors = UPSTREAMS + CONNECTING_MOST
 
     def __init__(
-        self, said: Distribution, house: ConfigurationManager, name: str, source: str, say: Callable[..., None]
+        self, settings: Distribution, manager: ConfigurationManager, name: str, source: str, say: Callable[..., None]
     ) -> None:
-        """Raises ConfigurationError for a key that can't be read."""
-        assert said.key_file is not None and (said.config or said.endpoints)
+        """Raises ConfigurationError for a key that cannot be read."""
+        assert settings.key_file is not None and (settings.config or settings.endpoints)
         try:
-            key = read_key(said.key_file)
+            key = read_key(settings.key_file)
         except ValueError as error:
             raise ConfigurationError(
                 [Fault(source, 0, "distribution.key_file", "sound distribution", str(error))]
             ) from None
-        self._house, self._say = house, say
-        self._key: Key | None = None if said.config is None else (CONFIG, said.config)
+        self._manager, self._say = manager, say
+        self._key: Key | None = None if settings.config is None else (CONFIG, settings.config)
         self._relay: EndpointRelay | None = None
         seed = int.from_bytes(os.urandom(8))
-        if said.endpoints is not None:
+        if settings.endpoints is not None:
             from pepperusher.net.endpoint_relay import EndpointRelay
 
-            self._relay = EndpointRelay(said.endpoints, seed, say)
+            self._relay = EndpointRelay(settings.endpoints, seed, say)
         names = [key for key in (self._key, self._relay and self._relay.key) if key is not None]
-        self._watched: Change | None = None
-        self._ending: asyncio.Task[None] | None = None
-        self._said_at = clock.now()
-        addresses = [(*address_of(one), said.region if one in said.near else "") for one in said.machines]
+        self._pending_change: Change | None = None
+        self._stop_task: asyncio.Task[None] | None = None
+        self._logged_at = clock.now()
+        addresses = [
+            (*address_of(machine), settings.region if machine in settings.near else "") for machine in settings.machines
+        ]
         self._client = Client(
-            addresses, names, self._apply, key=key, name=name, region=said.region, zone="",
-            seed=seed, keep=None if said.keep is None else Path(said.keep), local="", say=say,
-            provisional=True, words=None if self._relay is None else self._relay.words,
+            addresses, names, self._apply, key=key, name=name, region=settings.region, zone="",
+            seed=seed, keep=None if settings.keep is None else Path(settings.keep), local="", say=say,
+            provisional=True, words=None if self._relay is None else self._relay.take_freshness,
         )  # fmt: skip
 
     async def attach(self, host: ExtensionHost) -> None:
@@ -104,80 +108,83 @@
 
     def settings_changed(self, policy_settings: PolicySettings) -> None:
         if self._relay is not None:
-            self._relay.look()
+            self._relay.discovery_address_changed()
 
     async def start(self) -> None:
         self._client.start()
 
     def drain_started(self, until: int) -> None:
-        """What is changed from now on is for whoever takes its place, under its name. Where the list comes this way and
-        the end takes long, discovery is asked as after any silence.
+        """Unsubscribes: later updates are for the next process of this proxy, under the same name.
+
+        Where the endpoint list comes this way and shutdown takes long, discovery is called as after any silence.
         """
-        self._ending = asyncio.get_running_loop().create_task(self._client.stop())
+        self._stop_task = asyncio.get_running_loop().create_task(self._client.stop())
 
     async def stop(self) -> None:
         if self._relay is not None:
             self._relay.stop()
-        if self._ending is None:
-            self._ending = asyncio.get_running_loop().create_task(self._client.stop())
-        await self._ending
+        if self._stop_task is None:
+            self._stop_task = asyncio.get_running_loop().create_task(self._client.stop())
+        await self._stop_task
+
+    async def _apply(self, resource: Resource) -> str | None:
+        """Applies an update. Returns the reason if it is rejected.
 
-    async def _apply(self, one: Resource) -> str | None:
-        """As a change; in force from when it is applied, and refused where it is undone before or after. A list as
-        discovery's word, at once.
+        A shared section becomes a configuration change: active once applied, refused if it is undone before or after.
+        An endpoint list takes effect at once, as a message of discovery does.
         """
-        if self._relay is not None and one.key == self._relay.key:
-            return self._relay.take(one)
+        if self._relay is not None and resource.key == self._relay.key:
+            return self._relay.take_list(resource)
         assert self._key is not None
         key = self._key
         try:
-            shared = _shared(one)
+            shared = _shared_section(resource)
         except shared_section.NotSharedError as error:
             return str(error)
-        house = self._house
-        if house.shared == shared:
+        manager = self._manager
+        if manager.shared == shared:
             return None
-        until = asyncio.get_running_loop().time() + OPEN_WITHIN
+        deadline = asyncio.get_running_loop().time() + OPEN_CHANGE_TIMEOUT_S
         while True:
-            self._look()
+            self._report_outcome()
             try:
-                change = await house.propose_shared(shared, "a control machine", _title(one))
+                change = await manager.propose_shared(shared, "a control machine", _title(resource))
                 break
             except ConfigurationError as error:
                 return str(error)
             except TransactionError as error:
-                if asyncio.get_running_loop().time() >= until:
+                if asyncio.get_running_loop().time() >= deadline:
                     return str(error)
-                await asyncio.sleep(LOOK_EVERY)
+                await asyncio.sleep(POLL_INTERVAL_S)
         if change is None:
             asyncio.get_running_loop().call_soon(self._client.confirm, key)
         elif change.state == UNDONE:
             return change.steps[-1].why
         else:
-            self._watched = change
+            self._pending_change = change
         return None
 
     def sweep(self) -> None:
-        self._look()
+        self._report_outcome()
         now = clock.now()
-        if not self._client.upstreams and now - self._said_at >= SAID_EVERY:
-            self._said_at = now
-            self._say("no control machine is there: serving by what is in force", **self.status())
+        if not self._client.upstreams and now - self._logged_at >= LOG_INTERVAL_US:
+            self._logged_at = now
+            self._say("no control machine is reachable: serving with the configuration in force", **self.status())
 
-    def _look(self) -> None:
-        """What became of the change that was taken last."""
-        change = self._watched
+    def _report_outcome(self) -> None:
+        """Reports the outcome of the last change to the control machines."""
+        change = self._pending_change
         if change is None or self._key is None or self._client.in_force.get(self._key) is None:
             return
         if change.state == CONFIRMED:
-            self._watched = None
+            self._pending_change = None
             self._client.confirm(self._key)
         elif change.state == UNDONE:
-            self._watched = None
+            self._pending_change = None
             self._client.undone(self._key, f"undone: {change.steps[-1].why}")
 
     def status(self) -> dict[str, Any]:
-        """For people: what is in force, how old that is, what was refused, and who is there."""
+        """The state for operators: active version and its age, the last refusal, and the reachable control machines."""
         version = refused = None
         if self._key is not None:
             version, refused = self._client.in_force.get(self._key), self._client.refused.get(self._key)
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -1,6 +1,7 @@
-"""A whole proxy's list of backends by subscription, beside the watch of discovery that it goes back to.
+"""Receives a proxy's endpoint list by subscription from control machines, with discovery's watch as the fallback.
 
-Loaded only where the own file names such a list. `distribution.endpoint_source` decides by whom it goes.
+Loaded only where the proxy's configuration file names such a list. `distribution.endpoint_source` decides which source
+is in use.
 """
 
 from __future__ import annotations
@@ -18,125 +19,133 @@
 from pepperusher.net.extension import ExtensionHost
 from pepperusher.net.endpoint_update import BadList, EndpointUpdate, parse_endpoint_update
 
-# Its timer came later than that: the process stood still, and what waits in its sockets is read before a word counts
-# as missing.
-STOOD_STILL = 200_000
-READ_WITHIN = 0.02
-SOONEST = 0.001
+# A timer that fires this late means that the process was paused: its sockets are read before a message counts as
+# missing.
+LATE_TIMER_US = 200_000
+SOCKET_READ_S = 0.02
+TIMER_MIN_S = 0.001
 
 
 class EndpointRelay:
+    """Switches the proxy's list between control machines and discovery, as EndpointSource decides."""
+
     def __init__(self, name: str, seed: int, say: Callable[..., None]) -> None:
         self.key: Key = (ENDPOINTS, name)
         self._name, self._say = name, say
-        self._chance = Random(seed)
-        self._freshness = Freshness()  # of this one fact
+        self._random = Random(seed)
+        self._freshness = Freshness()  # of this resource alone
         self._host: ExtensionHost | None = None
         self._source: EndpointSource | None = None
-        self._list: tuple[EndpointUpdate, str] | None = None  # as control machines have it, and of which discovery
-        self._number: int | None = None  # discovery's, of what is in force
-        self._asks = False
+        # The list that control machines sent, and the discovery address that it comes from.
+        self._relayed_list: tuple[EndpointUpdate, str] | None = None
+        self._version_in_use: int | None = None  # discovery's version of the list in use
+        self._calls_discovery = False
         self._timer: asyncio.TimerHandle | None = None
-        self._due = 0
-        self._by: int | None = None  # as it was said last
+        self._timer_due_at = 0
+        self._logged_source: int | None = None  # the source that was logged last
 
     def attach(self, host: ExtensionHost) -> None:
-        """Before discovery is asked for the first time."""
+        """Chooses the first source, before the first call to discovery."""
         self._host = host
         now, discovery, policy_settings = clock.now(), host.discovery, host.policy_settings
-        self._number = None if discovery.needs_list else discovery.version
-        # Where lists are pushed, nobody is let in before discovery was asked.
+        self._version_in_use = None if discovery.needs_list else discovery.version
+        # Where lists are pushed, the proxy admits no requests before discovery was called.
         self._source = EndpointSource(
-            now, self._chance, self._number, 0 if policy_settings.list_is_pushed else START_AFTER
+            now, self._random, self._version_in_use, 0 if policy_settings.list_is_pushed else START_AFTER
         )
         if not policy_settings.list_is_pushed:
             discovery.suspend_calls()
-        self._asks = policy_settings.list_is_pushed
-        self._look()
+        self._calls_discovery = policy_settings.list_is_pushed
+        self._update_source()
 
     def stop(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
         self._source = None
 
-    def take(self, one: Resource) -> str | None:
-        """The newest that the subscription has. Why it is none."""
+    def take_list(self, resource: Resource) -> str | None:
+        """Takes the newest list of the subscription. Returns the reason if it is rejected."""
         try:
-            listed = json.loads(one.body)
-            update = parse_endpoint_update(listed)
-            address = listed.get("discovery")
+            document = json.loads(resource.body)
+            update = parse_endpoint_update(document)
+            address = document.get("discovery")
             if not update.whole or not isinstance(address, str):
-                raise BadList("is no whole list with its discovery")
+                raise BadList("is not a full list with its discovery address")
         except (ValueError, RecursionError) as error:
             return f"the list {error}"
         if self._source is None:
-            return "this process ends"
-        self._list = update, address
-        self._source.held(one.version, self._number_of())
-        self._look()
+            return "this process is shutting down"
+        self._relayed_list = update, address
+        self._source.held(resource.version, self._relayed_version())
+        self._update_source()
         return None
 
-    def _number_of(self) -> int | None:
-        """Discovery's number of the list held, where it is of the discovery that this proxy would ask."""
-        if self._list is None or self._host is None or self._list[1] != self._host.discovery.source:
+    def _relayed_version(self) -> int | None:
+        """Discovery's version of the list held, None unless it comes from the discovery address that this proxy uses."""
+        if self._relayed_list is None or self._host is None or self._relayed_list[1] != self._host.discovery.source:
             return None
-        return self._list[0].version
+        return self._relayed_list[0].version
 
-    def words(self, words: Sequence[FreshnessWord]) -> None:
+    def take_freshness(self, words: Sequence[FreshnessWord]) -> None:
+        """Handles messages that say when control machines last heard of the list."""
         now = clock.now()
-        if [word for word in words if word.name == self._name and self._freshness.said(word, now)]:
-            heard = self._freshness.get(self._name)
-            if heard is not None and self._source is not None:
-                self._source.word(heard.version, heard.told_at)
-                self._look()
-
-    def look(self) -> None:
-        """Where discovery answers may have changed."""
+        if [message for message in words if message.name == self._name and self._freshness.said(message, now)]:
+            report = self._freshness.get(self._name)
+            if report is not None and self._source is not None:
+                self._source.word(report.version, report.told_at)
+                self._update_source()
+
+    def discovery_address_changed(self) -> None:
+        """Handles a possible change of discovery's address."""
         if self._source is not None:
-            self._source.number(self._number_of())
-            self._look()
+            self._source.number(self._relayed_version())
+            self._update_source()
 
-    def _look(self) -> None:
+    def _update_source(self) -> None:
         source, host = self._source, self._host
         if source is None or host is None:
             return
         discovery, now = host.discovery, clock.now()
-        if not discovery.needs_list and discovery.version != self._number:
-            self._number = discovery.version
+        if not discovery.needs_list and discovery.version != self._version_in_use:
+            self._version_in_use = discovery.version
             source.told(discovery.version, now)
         step = source.step(now, discovery.watched)
-        if step.take and self._list is not None:
-            update = self._list[0]
-            self._number = update.version
+        if step.take and self._relayed_list is not None:
+            update = self._relayed_list[0]
+            self._version_in_use = update.version
             discovery.take_relayed_list(update, now - (source.age(now) or 0))
         elif source.by == CONTROL and (age := source.age(now)) is not None:
-            # As an empty line of a watch of its own does.
+            # This confirms the list as an empty line on a watch does.
             discovery.confirmed_at = max(now - age, discovery.confirmed_at or 0)
-        if step.ask != self._asks:
-            self._asks = step.ask
+        if step.ask != self._calls_discovery:
+            self._calls_discovery = step.ask
             if step.ask:
                 discovery.resume_calls()
             else:
                 discovery.suspend_calls()
-        if source.by != self._by:
-            self._by = source.by
+        if source.by != self._logged_source:
+            self._logged_source = source.by
             if source.by in (CONTROL, DISCOVERY):
-                self._say("the list is told by " + NAMES[source.by], word_us_ago=source.age(now), version=self._number)
-        self._due = step.wake_at
+                self._say(
+                    "the list now comes from " + NAMES[source.by],
+                    word_us_ago=source.age(now),
+                    version=self._version_in_use,
+                )
+        self._timer_due_at = step.wake_at
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(SOONEST, (step.wake_at - now) / 1e6)
-        self._timer = asyncio.get_running_loop().call_later(wait, self._woke)
+        wait = max(TIMER_MIN_S, (step.wake_at - now) / 1e6)
+        self._timer = asyncio.get_running_loop().call_later(wait, self._timer_fired)
 
-    def _woke(self) -> None:
-        if clock.now() - self._due >= STOOD_STILL and self._by == CONTROL:
-            self._due = clock.now()
-            self._timer = asyncio.get_running_loop().call_later(READ_WITHIN, self._look)
+    def _timer_fired(self) -> None:
+        if clock.now() - self._timer_due_at >= LATE_TIMER_US and self._logged_source == CONTROL:
+            self._timer_due_at = clock.now()
+            self._timer = asyncio.get_running_loop().call_later(SOCKET_READ_S, self._update_source)
         else:
-            self._look()
+            self._update_source()
 
     def status(self) -> dict[str, Any] | None:
-        """For people."""
+        """The state of the relay, for operators."""
         if self._source is None or self._host is None:
             return None
         now = clock.now()
@@ -145,7 +154,7 @@
             "by": NAMES[self._source.by],
             "since_us_ago": now - self._source.since,
             "word_us_ago": self._source.age(now),
-            "version": self._number,
+            "version": self._version_in_use,
             "watched": self._host.discovery.watched,
             "discovery_calls": self._host.discovery.metrics.calls,
             "left": self._source.left,
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The current endpoint list: applies updates to it and passes the changes on to the decisions and the connections."""
+"""The current endpoint list: applies updates to it and passes the changes on to the balancer and the connections."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 class EndpointListener(Protocol):
-    """Receives list changes and sets the wait before the next call to discovery: a proxy's load-balancing decisions, or
-    a control machine's relay.
+    """Receives list changes and sets the wait before the next call to discovery: a proxy's balancer, or a control
+    machine's relay.
     """
 
     def update_endpoints(self, entries: Iterable[Endpoint], whole: bool, now: int) -> None:
--- a/pepperusher/net/extension.py
+++ b/pepperusher/net/extension.py
@@ -1,8 +1,8 @@
-"""What a proxy may have beside it, and what each of these may ask of the proxy.
+"""The interface between the proxy and its optional extensions.
 
-The own file, the console, the control socket, the store and the group all join the proxy here: it knows none
-of them by name, and on the platform none is loaded. Each narrows, hears, says, or holds up the end; what it
-leaves out does nothing.
+The proxy configuration file, the admin listener, the control socket, the store and the gossip group all attach to the
+proxy here. The proxy knows none of them by name, and loads only those that are configured. An extension overrides the
+hooks that it needs; the defaults do nothing.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ExtensionHost(Protocol):
-    """The proxy, as its companions see it."""
+    """The proxy, as its extensions see it."""
 
     @property
     def name(self) -> str: ...
@@ -30,113 +30,155 @@
     def facade(self) -> Facade: ...
 
     @property
-    def stopping(self) -> bool: ...
+    def stopping(self) -> bool:
+        """Whether the proxy is shutting down."""
+        ...
 
     @property
     def has_successor(self) -> bool:
-        """Whether, as this one stops, another process serves on at its address."""
+        """Whether another process goes on serving at this address when this one stops."""
 
     @property
-    def can_serve(self) -> bool: ...
+    def can_serve(self) -> bool:
+        """Whether endpoints are known and the proxy is not shutting down."""
+        ...
 
-    def has_backend(self, backend: str) -> bool: ...
+    def has_backend(self, backend: str) -> bool:
+        """Whether the endpoint list has a backend of this id."""
+        ...
 
-    def limit_descriptors(self, part: float) -> None: ...
+    def limit_descriptors(self, part: float) -> None:
+        """Limits this process to a part of its connections, while two processes share the machine's descriptors."""
+        ...
 
-    def handover_state(self) -> HandoverState: ...
+    def handover_state(self) -> HandoverState:
+        """The state to hand over to the next process."""
+        ...
 
-    def take_over_from(self, passed: HandoverState) -> None:
-        """Takes the place of another process, which passed this on, or nothing."""
+    def take_over_from(self, state: HandoverState) -> None:
+        """Starts as the successor of another process, from the state that it handed over, which may be empty."""
 
-    def reapply_filters(self, by: Extension, lines: list[Endpoint]) -> None:
-        """The lines that change by what `by` narrows now; those behind it have their say of them."""
+    def reapply_filters(self, extension: Extension, entries: list[Endpoint]) -> None:
+        """Applies entries that changed because the filter of `extension` changed; the filters after it apply to them
+        too.
+        """
 
     @property
     def policy_settings(self) -> PolicySettings: ...
 
     @property
     def discovery(self) -> Discovery:
-        """For whoever has the list from elsewhere: `relayed`, `rest` and `ask` are meant."""
+        """For an extension that delivers the endpoint list itself; only `take_relayed_list`, `suspend_calls` and
+        `resume_calls` are meant for it.
+        """
 
     @property
-    def list_version(self) -> int: ...
+    def list_version(self) -> int:
+        """The version of the endpoint list; 0 without one."""
+        ...
 
     @property
     def needs_list(self) -> bool:
-        """Whether it has no list at all."""
+        """Whether the endpoint list is empty and the proxy is not shutting down."""
 
     def list_for_peers(self) -> tuple[int, dict[str, Any]] | None:
-        """The list and when discovery last confirmed it; None where nobody has, and where it has expired."""
+        """The list and when discovery last confirmed it, for another proxy to borrow; None where it was never confirmed
+        or has expired.
+        """
 
     def borrow_list(self, listed: dict[str, Any], confirmed_at: int) -> None:
-        """Another's list, until discovery tells one. Raises ValueError where it is none."""
+        """Uses another proxy's list until discovery delivers one. Raises ValueError where the list is invalid."""
 
     def steer_connections(self, to: int | None) -> bool:
-        """All new connections to the first (0) or second (1) process at this address, or as the kernel has
-        it.
+        """Steers all new connections to the first (0) or second (1) process at this address; None leaves the choice to
+        the kernel. Returns whether that worked.
         """
 
-    def send_away(self, on: bool) -> None: ...
+    def send_away(self, on: bool) -> None:
+        """Starts or stops sending clients away: not ready, and connections close after their answers."""
+        ...
 
-    def sent_away(self) -> bool: ...
+    def sent_away(self) -> bool:
+        """Whether clients are being sent away."""
+        ...
 
 
 class AdmissionGate(Protocol):
-    """Through whom each ticket goes, where there is one: in, out again, and over."""
+    """Admission control: every ticket passes through it before its first attempt, before each retry, and at its end."""
 
     request_store: Any
 
     def request_admission(
-        self, request: Request, use_case: str, customer: str, given: int | None, usual: int
-    ) -> Any: ...
+        self, request: Request, use_case: str, customer: str, wait_limit: int | None, usual_limit: int
+    ) -> Any:
+        """Matches the request to its route. `wait_limit` and `usual_limit` are the caller's and the use case's time
+        limits in microseconds.
+        """
+        ...
 
-    async def admit(self, made: Any, call: Any) -> bool: ...
+    async def admit(self, ticket: Any, call: Any) -> bool:
+        """Waits until the ticket is admitted. False where it is refused or its client left."""
+        ...
 
-    def refusal(self, made: Any) -> Answer | None: ...
+    def refusal(self, ticket: Any) -> Answer | None:
+        """The answer for a refused ticket; None where its client left."""
+        ...
 
-    def start_attempt(self, made: Any, wait: int) -> int: ...
+    def start_attempt(self, ticket: Any, time_limit: int) -> int:
+        """Records that an attempt is sent. Returns how long it may take, at most `time_limit` microseconds."""
+        ...
 
-    def retry_allowed(self, made: Any, how: str) -> bool: ...
+    def retry_allowed(self, ticket: Any, outcome: str) -> bool:
+        """Whether the route allows another attempt after one that ended with `outcome`."""
+        ...
 
-    def refund_retry(self, made: Any, how: str) -> None: ...
+    def refund_retry(self, ticket: Any, outcome: str) -> None:
+        """Returns the retry that `retry_allowed` granted and that was not sent."""
+        ...
 
-    def finish(self, made: Any, end: str, worked: bool) -> None: ...
+    def finish(self, ticket: Any, outcome: str, worked: bool) -> None:
+        """Records the end of the ticket."""
+        ...
 
-    def add_version_header(self, made: Any, answer: Answer | None) -> Answer | None: ...
+    def add_version_header(self, ticket: Any, answer: Answer | None) -> Answer | None:
+        """Adds the version of the ticket's terms to the answer, if configured."""
+        ...
 
 
 class Extension:
-    """One of them. The proxy calls these in the order of the list, `stop` in the other."""
+    """Base class of extensions. The proxy calls the hooks in the order of its list of extensions, `stop` in reverse
+    order.
+    """
 
-    descriptors = 0  # that it takes for itself, beside those of tickets
+    descriptors = 0  # file descriptors of the extension itself, besides those of tickets
     shares_address = False  # whether another process may listen at the proxy's address
-    filter_endpoints: FilterEndpoints | None = None  # what it makes of lines of the list
+    filter_endpoints: FilterEndpoints | None = None  # filter for entries of the endpoint list
     gate: AdmissionGate | None = None
 
     async def attach(self, host: ExtensionHost) -> None:
-        """Before anything is served."""
+        """Called before the proxy listens."""
 
     async def start(self) -> None:
-        """Once callers can connect. Raises OSError where it can't be had."""
+        """Called once the proxy listens. Raises OSError where the extension cannot start."""
 
     def settings_changed(self, policy_settings: PolicySettings) -> None:
-        """Other settings are in force."""
+        """Called once new settings are active."""
 
     def drain_started(self, until: int) -> None:
-        """The proxy stops: whom it has to tell it tells now. What waits is given up at `until`."""
+        """Called when shutdown begins, for notifying others. Tickets still waiting are given up at `until`."""
 
     async def stop(self) -> None:
-        """The last ticket has its answer."""
+        """Called once the last ticket is answered."""
 
     def sweep(self) -> None:
-        """A few times a second."""
+        """Called a few times a second."""
 
     def process_resumed(self) -> None:
-        """The process did not run for a while: before another ticket is taken, what others did meanwhile
-        counts.
+        """Called after a pause of the process, before the next ticket, so that what other processes did meanwhile is
+        taken into account.
         """
 
     @property
     def has_successor(self) -> bool:
-        """Whether another process takes the clients from here on."""
+        """Whether another process serves the clients from now on."""
         return False
--- a/pepperusher/net/handover_state.py
+++ b/pepperusher/net/handover_state.py
@@ -1,4 +1,4 @@
-"""What a process passes on to the one that takes its place."""
+"""The state that a process hands over to its successor."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class HandoverState(NamedTuple):
-    """`source` is where discovery answers its writer, and `listed` the list that this goes by, in discovery's own form.
-    `told_by_source` where that list's version is one of `source`, so that only changes after it need to be asked for.
-    `expires_at` is when the list expires unless discovery confirms it, in microseconds of the machine's monotonic clock;
-    None where no term of it ends. `learned` is the facade's, and read there.
+    """State handed over to the next process of the same proxy.
+
+    `source` is the address of discovery that the writer uses, and `listed` the writer's list in discovery's JSON form.
+    `told_by_source` says that the list's version is one of `source`, so that only later changes need to be requested.
+    `expires_at` is when the list expires unless discovery confirms it, in microseconds of the machine's monotonic
+    clock; None without a running deadline. `learned` is the facade's state and is validated there.
     """
 
     source: str = ""
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -1,8 +1,8 @@
-"""The proxy's place in its group: a socket for datagrams, one for streams, and what is made of what the group
-knows.
+"""The proxy's membership in its gossip group: a UDP socket for gossip, a TCP listener for larger transfers, and what
+follows from the membership.
 
-Loaded only where the own file has a group. Decides nothing: `group.swim` says who is there, `group.shares`
-what follows. No ticket waits for any of it.
+Loaded only where the configuration file has a group. `group.swim` decides who is alive, `group.shares` what follows
+from it. No ticket waits for any of it.
 """
 
 from __future__ import annotations
@@ -38,83 +38,87 @@
 from pepperusher.configuration.tables import Group
 from pepperusher.terms import PolicySettings
 
-# Datagrams read in one turn of the loop: a flood of them has its turn among tickets, and no more.
-BATCH = 64
-# A process that takes another's place waits for its address as long as that one serves.
-AGAIN_EVERY = 0.05
-# Streams at once, each whole within this.
-STREAMS = 4
-STREAM_WITHIN = 3.0
-# Parts of one stream at the most.
-PARTS = 2_000
-LENGTH = struct.Struct(">I")
-# A proxy with no list asks others for theirs: so long after it became a member, again after so long, so many
-# of them.
-LIST_AFTER = 1_000_000
-LIST_EVERY = 1.0
-LENDERS = 3
-PART = 60_000
-LONGEST_LIST = 8 * 1024 * 1024
-# On its way out a member waits so long for some to have heard that it left.
-FAREWELL = 0.15
-FAREWELL_LOOK = 0.01
-ENOUGH = 3
-# What came and was not believed is said in the log, so seldom.
-TOLD_EVERY = 10_000_000
+# Datagrams read in one turn of the event loop, so that a flood of them does not hold up tickets.
+DATAGRAMS_PER_TURN = 64
+# The successor of a process retries to bind the group's address while its predecessor still uses it.
+BIND_RETRY_S = 0.05
+# Concurrent incoming streams, and the time limit of each.
+STREAMS_MAX = 4
+STREAM_TIMEOUT_S = 3.0
+# Maximum number of parts in one stream.
+STREAM_PARTS_MAX = 2_000
+PART_LENGTH = struct.Struct(">I")
+# A proxy without a list asks other members for theirs: this long after it joined (us), again at this interval (s), this
+# many of them.
+LIST_REQUEST_DELAY_US = 1_000_000
+LIST_RETRY_S = 1.0
+LENDERS_MAX = 3
+PART_BYTES = 60_000
+LIST_MAX_BYTES = 8 * 1024 * 1024
+# When it leaves, a member waits up to this long until some others have acknowledged that.
+LEAVE_TIMEOUT_S = 0.15
+LEAVE_POLL_S = 0.01
+LEAVE_ACKS = 3
+# Interval at which the number of rejected packets is logged, in microseconds.
+LOG_INTERVAL_US = 10_000_000
 BAN = "ban"
-# How long a call at the console waits for others to hold an order.
-HELD_WITHIN = 0.5
-# Others take this proxy's part once it is free: fronts go on sending for so long after clients are sent away.
-AWAY_AFTER = 600_000
-# A lifted ban is told to who was cut off for as long as this.
-KEPT = 3_600_000_000
+# How long an admin call waits for other members to confirm a command.
+HELD_TIMEOUT_S = 0.5
+# Other members take over this proxy's share only this long after it sends clients away, since fronts go on sending
+# until then.
+SENT_AWAY_DELAY_US = 600_000
+# A lifted ban is remembered this long, for members that were partitioned meanwhile.
+LIFTED_BAN_KEPT_US = 3_600_000_000
 
 
 class Node(Extension):
-    """`orders` are the operators' orders where there is a console, which puts them in force; else this has
-    its own.
+    """Joins the proxy to its gossip group.
+
+    `commands` are those of the admin listener, and `apply_commands` makes it apply commands of other members; without
+    an admin listener the node keeps and applies commands itself.
     """
 
-    # Two listeners, streams that others opened, and its own: for the roll, and for lists.
-    descriptors = 2 + STREAMS + 1 + LENDERS
+    # Two listening sockets, the incoming streams, and its own outgoing ones: one for the member list, and those for
+    # endpoint lists.
+    descriptors = 2 + STREAMS_MAX + 1 + LENDERS_MAX
 
     def __init__(
         self,
-        said: Group,
+        settings: Group,
         policy_settings: PolicySettings,
         name: str,
         say: Callable[..., None],
-        orders: AdminCommands | None = None,
-        put: Callable[[dict[str, AdminCommand]], None] | None = None,
+        commands: AdminCommands | None = None,
+        apply_commands: Callable[[dict[str, AdminCommand]], None] | None = None,
     ) -> None:
-        assert said.listen is not None
-        self._said, self._policy_settings, self._name, self._say = said, policy_settings, name, say
-        self._listen = validation.address_of(said.listen)
-        self._wire = Wire(said.key)
+        assert settings.listen is not None
+        self._settings, self._policy_settings, self._name, self._say = settings, policy_settings, name, say
+        self._listen = validation.address_of(settings.listen)
+        self._wire = Wire(settings.key)
         self._host: ExtensionHost
-        self.swim: Swim | None = None  # None until this process has the proxy's address in the group
+        self.swim: Swim | None = None  # None until this process has bound the proxy's group address
         self.sharers: int | None = None
-        self._version = -1
-        self._away_at: int | None = None
+        self._membership_version = -1
+        self._sent_away_at: int | None = None
         self._socket: socket.socket | None = None
         self._server: asyncio.Server | None = None
-        self._sitting: asyncio.Task[None] | None = None
-        self._fetching: asyncio.Task[None] | None = None
-        self._listing: asyncio.Task[None] | None = None
+        self._join_task: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
+        self._list_task: asyncio.Task[None] | None = None
         self._streams = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._counted: dict[str, int] = {}
-        self._told_at = 0
+        self._logged_counts: dict[str, int] = {}
+        self._logged_at = 0
         self._unsent = 0
-        if orders is None:
-            orders = AdminCommands(max(KEPT, policy_settings.warm_after))
-            self.filter_endpoints = orders.lines
-            put = self._put
-        self._own_orders = put == self._put
-        assert put is not None
-        self._orders, self._in_force = orders, put
-
-    def _put(self, bans: dict[str, AdminCommand]) -> None:
+        if commands is None:
+            commands = AdminCommands(max(LIFTED_BAN_KEPT_US, policy_settings.warm_after))
+            self.filter_endpoints = commands.lines
+            apply_commands = self._apply_own_commands
+        self._owns_commands = apply_commands == self._apply_own_commands
+        assert apply_commands is not None
+        self._orders, self._apply_commands = commands, apply_commands
+
+    def _apply_own_commands(self, bans: dict[str, AdminCommand]) -> None:
         self._host.reapply_filters(self, self._orders.merge(bans, NEVER))
 
     # --- start and end ------------------------------------------------------------------------------
@@ -123,32 +127,36 @@
         self._host = host
 
     async def start(self) -> None:
-        """At once, or once the process before has left the address: until then that one is the member."""
-        if not await self._sit(True):
-            self._sitting = asyncio.get_running_loop().create_task(self._wait())
+        """Joins the group at once, or once the previous process has released the address: until then that process is
+        the member.
+        """
+        if not await self._join(True):
+            self._join_task = asyncio.get_running_loop().create_task(self._join_when_free())
 
-    async def _wait(self) -> None:
-        while not await self._sit(False):
-            await asyncio.sleep(AGAIN_EVERY)
+    async def _join_when_free(self) -> None:
+        while not await self._join(False):
+            await asyncio.sleep(BIND_RETRY_S)
 
-    async def _sit(self, first: bool) -> bool:
-        made = None
+    async def _join(self, first: bool) -> bool:
+        datagram_socket = None
         try:
-            made = self._bound()
-            port = made.getsockname()[1]
-            self._server = await asyncio.start_server(self._told, self._listen[0], port)
+            datagram_socket = self._bound()
+            port = datagram_socket.getsockname()[1]
+            self._server = await asyncio.start_server(self._serve_stream, self._listen[0], port)
         except OSError as error:
-            if made is not None:
-                made.close()
+            if datagram_socket is not None:
+                datagram_socket.close()
             if first:
-                self._say("not yet in the group", at=self._said.listen, why=error.strerror or str(error))
+                self._say("not yet in the group", at=self._settings.listen, why=error.strerror or str(error))
             return False
-        self._socket = made
+        self._socket = datagram_socket
         now = clock.now()
         address = (
-            (self._listen[0], port) if self._said.advertise is None else validation.address_of(self._said.advertise)
+            (self._listen[0], port)
+            if self._settings.advertise is None
+            else validation.address_of(self._settings.advertise)
         )
-        me = MemberRecord(
+        member = MemberRecord(
             self._name,
             *address,
             now,
@@ -159,41 +167,43 @@
             self._policy_settings.tier_index,
             self._policy_settings.proxy_index,
         )
-        seeds = tuple(map(validation.address_of, self._said.seeds))
-        terms = SwimSettings(self._said.period, self._said.within, seeds, self._policy_settings.group_size, KEPT)
-        self._chance = Random(me.token)
-        self.swim = Swim(me, terms, self._wire, self._chance, now)
-        asyncio.get_running_loop().add_reader(made, self._come)
+        seeds = tuple(map(validation.address_of, self._settings.seeds))
+        swim_settings = SwimSettings(
+            self._settings.period, self._settings.within, seeds, self._policy_settings.group_size, LIFTED_BAN_KEPT_US
+        )
+        self._random = Random(member.token)
+        self.swim = Swim(member, swim_settings, self._wire, self._random, now)
+        asyncio.get_running_loop().add_reader(datagram_socket, self._datagrams_ready)
         self._say(
             "in the group",
             listen=f"{self._listen[0]}:{port}",
             advertise=f"{address[0]}:{address[1]}",
-            token=f"{me.token:016x}",
-            number=me.number,
+            token=f"{member.token:016x}",
+            number=member.number,
         )
         self._wake()
         return True
 
     def _bound(self) -> socket.socket:
         family = socket.AF_INET6 if ":" in self._listen[0] else socket.AF_INET
-        made = socket.socket(family, socket.SOCK_DGRAM)
+        datagram_socket = socket.socket(family, socket.SOCK_DGRAM)
         try:
-            made.bind(self._listen)
-            made.setblocking(False)
+            datagram_socket.bind(self._listen)
+            datagram_socket.setblocking(False)
         except OSError:
-            made.close()
+            datagram_socket.close()
             raise
-        return made
+        return datagram_socket
 
     def settings_changed(self, policy_settings: PolicySettings) -> None:
-        """A size that the settings have now goes before what was reckoned from the one before."""
+        """Applies the group size of the new settings in place of the one computed so far."""
         self._policy_settings = policy_settings
         if self.swim is not None:
             self.swim.reconfigure(policy_settings.group_size, policy_settings.tier_index, policy_settings.proxy_index)
             self._share()
 
     def drain_started(self, until: int) -> None:
-        """Another process that takes this one's place is the member from now on; else the others are told."""
+        """Leaves membership to the successor if there is one; otherwise tells the other members."""
         if self._host.has_successor:
             self._close()
         elif self.swim is not None:
@@ -204,17 +214,17 @@
         if self.swim is not None and self._socket is not None:
             self.swim.say(LEFT, clock.now())
             self._wake()
-            until = asyncio.get_running_loop().time() + FAREWELL
-            while asyncio.get_running_loop().time() < until:
-                heard, of = self.swim.farewells
-                if heard >= min(of, ENOUGH):
+            deadline = asyncio.get_running_loop().time() + LEAVE_TIMEOUT_S
+            while asyncio.get_running_loop().time() < deadline:
+                acknowledged, expected = self.swim.farewells
+                if acknowledged >= min(expected, LEAVE_ACKS):
                     break
-                await asyncio.sleep(FAREWELL_LOOK)
+                await asyncio.sleep(LEAVE_POLL_S)
         self._close()
 
     def _close(self) -> None:
         loop = asyncio.get_running_loop()
-        for task in (self._sitting, self._fetching, self._listing):
+        for task in (self._join_task, self._fetch_task, self._list_task):
             if task is not None:
                 task.cancel()
         if self._timer is not None:
@@ -229,18 +239,18 @@
 
     # --- datagrams and time -------------------------------------------------------------------------
 
-    def _come(self) -> None:
+    def _datagrams_ready(self) -> None:
         assert self._socket is not None and self.swim is not None
-        for _ in range(BATCH):
+        for _ in range(DATAGRAMS_PER_TURN):
             try:
-                # One byte more than is read: what is cut to fit is no packet.
+                # One byte more than the limit, so that a truncated datagram is recognized as too long.
                 data = self._socket.recv(DATAGRAM + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
-                continue  # an earlier datagram of ours reached nobody
+                continue  # ICMP error for an earlier datagram of ours
             self.swim.receive(data, clock.now())
-        self._done()
+        self._flush()
 
     def _wake(self) -> None:
         if self.swim is None or self._socket is None:
@@ -249,45 +259,47 @@
             self._timer.cancel()
         now = clock.now()
         due = self.swim.wake(now)
-        self._timer = asyncio.get_running_loop().call_later((due - now) / 1e6, self._woken)
-        self._done()
+        self._timer = asyncio.get_running_loop().call_later((due - now) / 1e6, self._timer_fired)
+        self._flush()
 
-    def _woken(self) -> None:
+    def _timer_fired(self) -> None:
         self._timer = None
         try:
             self._wake()
-        except Exception as error:  # without its timer it would be silent for good
-            self._say("the group met an error", why=f"{type(error).__name__}: {error}")
+        except Exception as error:  # without its timer the member would stay silent for good
+            self._say("unexpected error in the group", why=f"{type(error).__name__}: {error}")
             if self._timer is None and self._socket is not None:
-                self._timer = asyncio.get_running_loop().call_later(self._said.period / 1e6, self._woken)
+                self._timer = asyncio.get_running_loop().call_later(self._settings.period / 1e6, self._timer_fired)
 
-    def _done(self) -> None:
-        """What came of the last turn goes out, is said, and put in force."""
+    def _flush(self) -> None:
+        """Sends the packets, logs the changes and applies the commands that the last step produced."""
         swim = self.swim
         assert swim is not None
-        out, swim.out = swim.out, []
-        for address, data in out:
+        packets, swim.out = swim.out, []
+        for address, data in packets:
             try:
                 if self._socket is not None:
                     self._socket.sendto(data, address)
             except (OSError, UnicodeError):
-                self._unsent += 1  # as if it were lost under way; an address may also be none
+                self._unsent += 1  # treated as lost in transit; a member's address may also be invalid
         changes, swim.changes = swim.changes, []
         for change in changes:
             if change.what == "suspected by one more":
-                continue  # the line on loss names them all
+                continue  # the log line about the loss names them all
             self._say(f"group: {change.what}", of=change.name, **change.figures)
         if swim.news:
             news, swim.news = swim.news, []
-            self._in_force({one.key: AdminCommand(one.on, one.at) for one in news if one.kind == BAN})
-            for one in news:
-                self._say("group: an order", kind=one.kind, key=one.key, on=one.on, at=one.at)
-        if swim.roll.version != self._version:
-            self._version = swim.roll.version
+            self._apply_commands(
+                {broadcast.key: AdminCommand(broadcast.on, broadcast.at) for broadcast in news if broadcast.kind == BAN}
+            )
+            for broadcast in news:
+                self._say("group: an order", kind=broadcast.kind, key=broadcast.key, on=broadcast.on, at=broadcast.at)
+        if swim.roll.version != self._membership_version:
+            self._membership_version = swim.roll.version
             self._share()
-        if swim.wants_roll is not None and self._fetching is None:
+        if swim.wants_roll is not None and self._fetch_task is None:
             address, swim.wants_roll = swim.wants_roll, None
-            self._fetching = asyncio.get_running_loop().create_task(self._fetch(address))
+            self._fetch_task = asyncio.get_running_loop().create_task(self._fetch(address))
 
     def _share(self) -> None:
         assert self.swim is not None
@@ -300,37 +312,37 @@
     # --- streams --------------------------------------------------------------------------------------
 
     async def _fetch(self, address: tuple[str, int]) -> None:
-        """The whole roll of another, once; what of it does not come goes about by itself, if later."""
+        """Fetches the full member list of another member, once. What is missing arrives by gossip later."""
         writer = None
         try:
-            async with asyncio.timeout(STREAM_WITHIN):
+            async with asyncio.timeout(STREAM_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
                 hello = self.swim.hello(WANTS_ROLL)
-                writer.write(LENGTH.pack(len(hello)) + hello)
-                for _ in range(PARTS):
-                    data = await _part(reader, DATAGRAM)
+                writer.write(PART_LENGTH.pack(len(hello)) + hello)
+                for _ in range(STREAM_PARTS_MAX):
+                    data = await _read_part(reader, DATAGRAM)
                     self.swim.receive(data, clock.now())
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             pass
         finally:
             if writer is not None:
                 writer.transport.abort()
-            self._fetching = None
+            self._fetch_task = None
         if self.swim is not None and self._socket is not None:
-            self._done()
+            self._flush()
 
-    async def _told(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """To whoever can show the group's key."""
+    async def _serve_stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves the member list or the endpoint list to peers that hold the group's key."""
         try:
-            if self._streams >= STREAMS or self.swim is None:
+            if self._streams >= STREAMS_MAX or self.swim is None:
                 return
             self._streams += 1
             try:
-                async with asyncio.timeout(STREAM_WITHIN):
-                    hello = self._wire.unpack(await _part(reader, DATAGRAM))
+                async with asyncio.timeout(STREAM_TIMEOUT_S):
+                    hello = self._wire.unpack(await _read_part(reader, DATAGRAM))
                     for data in self._list_parts() if hello.seq == WANTS_LIST else self.swim.whole():
-                        writer.write(LENGTH.pack(len(data)) + data)
+                        writer.write(PART_LENGTH.pack(len(data)) + data)
                         await writer.drain()
                     await writer.drain()
                     writer.write_eof()
@@ -338,76 +350,80 @@
             finally:
                 self._streams -= 1
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError, InvalidPacketError):
-            pass  # its caller's trouble
+            pass  # the peer's failure
         finally:
             writer.transport.abort()
 
-    # --- the list, where discovery is away ------------------------------------------------------------
+    # --- the list, where discovery is unreachable -----------------------------------------------------
 
     def _list_parts(self) -> list[bytes]:
-        """This proxy's list as sealed parts, with when it was last confirmed; none where it has none."""
-        lent = self._host.list_for_peers()
-        if lent is None:
+        """This proxy's endpoint list as sealed parts, with the time since its last confirmation; empty without a list."""
+        own_list = self._host.list_for_peers()
+        if own_list is None:
             return []
-        text = json.dumps({"age": max(0, clock.now() - lent[0]), "listed": lent[1]}, separators=(",", ":")).encode()
-        return [self._wire.seal(text[at : at + PART]) for at in range(0, len(text), PART)]
+        text = json.dumps(
+            {"age": max(0, clock.now() - own_list[0]), "listed": own_list[1]}, separators=(",", ":")
+        ).encode()
+        return [self._wire.seal(text[offset : offset + PART_BYTES]) for offset in range(0, len(text), PART_BYTES)]
+
+    async def _borrow_list(self) -> None:
+        """While there is no list, asks a few members of this tier for theirs.
 
-    async def _lists(self) -> None:
-        """As long as there is no list: asked of a few members of this tier. What each of them has as ready is
-        taken; what one knows to drain, or no longer lists, is not.
+        An endpoint is taken as ready if every one of them lists it as ready, and not if one of them knows that it
+        drains or no longer lists it.
         """
         assert self.swim is not None
         try:
             while self._host.needs_list and self._socket is not None:
-                there = [
-                    one.said.address
-                    for one in self.swim.roll
-                    if one.health == ALIVE
-                    and one.said.phase in (SERVING, SENT_AWAY)
-                    and one.said.tier == self._policy_settings.tier_index
+                serving = [
+                    candidate.said.address
+                    for candidate in self.swim.roll
+                    if candidate.health == ALIVE
+                    and candidate.said.phase in (SERVING, SENT_AWAY)
+                    and candidate.said.tier == self._policy_settings.tier_index
                 ]
-                asked = self._chance.sample(there, min(LENDERS, len(there)))
-                made = await asyncio.gather(*map(self._list_of, asked))
+                addresses = self._random.sample(serving, min(LENDERS_MAX, len(serving)))
+                lists = await asyncio.gather(*map(self._request_list, addresses))
                 try:
-                    joined = endpoint_borrowing.joined([one for one in made if one is not None])
-                    if joined is not None and self._host.needs_list:
-                        age, listed = joined
+                    merged = endpoint_borrowing.joined([candidate for candidate in lists if candidate is not None])
+                    if merged is not None and self._host.needs_list:
+                        age, listed = merged
                         self._host.borrow_list(listed, clock.now() - age)
                         self._say(
-                            "group: serving by the list of other members, since discovery has told none",
+                            "group: serving by the list of other members, since discovery has sent none",
                             backends=len(listed["servers"]),
                             confirmed_us_ago=age,
                         )
                         return
                 except ValueError as error:
-                    self._say("group: a list of another member is not taken", why=str(error))
-                await asyncio.sleep(LIST_EVERY)
+                    self._say("group: a list of another member is rejected", why=str(error))
+                await asyncio.sleep(LIST_RETRY_S)
         finally:
-            self._listing = None
+            self._list_task = None
 
-    async def _list_of(self, address: tuple[str, int]) -> dict[str, Any] | None:
+    async def _request_list(self, address: tuple[str, int]) -> dict[str, Any] | None:
         writer = None
         text = bytearray()
         try:
-            async with asyncio.timeout(STREAM_WITHIN):
+            async with asyncio.timeout(STREAM_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
                 hello = self.swim.hello(WANTS_LIST)
-                writer.write(LENGTH.pack(len(hello)) + hello)
-                while len(text) < LONGEST_LIST:
-                    text += self._wire.open(await _part(reader, PART + DATAGRAM))
+                writer.write(PART_LENGTH.pack(len(hello)) + hello)
+                while len(text) < LIST_MAX_BYTES:
+                    text += self._wire.open(await _read_part(reader, PART_BYTES + DATAGRAM))
         except asyncio.IncompleteReadError:
-            pass  # its end
+            pass  # end of the stream
         except (OSError, TimeoutError, ValueError):
             return None
         finally:
             if writer is not None:
                 writer.transport.abort()
         try:
-            told = json.loads(text)
+            document = json.loads(text)
         except (ValueError, RecursionError):
             return None
-        return told if isinstance(told, dict) else None
+        return document if isinstance(document, dict) else None
 
     # --- with the proxy ---------------------------------------------------------------------------------
 
@@ -418,58 +434,60 @@
         self.swim.list = self._host.list_version
         if not self._host.stopping:
             self.swim.say(self._phase(), now)
-        if self._listing is None and self._host.needs_list and now - self.swim.me.number >= LIST_AFTER:
-            self._listing = asyncio.get_running_loop().create_task(self._lists())
-        if self._own_orders:
+        if self._list_task is None and self._host.needs_list and now - self.swim.me.number >= LIST_REQUEST_DELAY_US:
+            self._list_task = asyncio.get_running_loop().create_task(self._borrow_list())
+        if self._owns_commands:
             self._orders.forget(now)
         self.spread(now)
         self._wake()
-        if now - self._told_at >= TOLD_EVERY:
-            more = {
-                what: many - self._counted.get(what, 0)
-                for what, many in self.swim.counts.items()
-                if what.startswith("packets") and many > self._counted.get(what, 0)
+        if now - self._logged_at >= LOG_INTERVAL_US:
+            rejected = {
+                reason: count - self._logged_counts.get(reason, 0)
+                for reason, count in self.swim.counts.items()
+                if reason.startswith("packets") and count > self._logged_counts.get(reason, 0)
             }
-            if more:
-                self._told_at = now
-                self._counted = dict(self.swim.counts)
-                self._say("group: not believed", **{what.replace(" ", "_"): many for what, many in more.items()})
+            if rejected:
+                self._logged_at = now
+                self._logged_counts = dict(self.swim.counts)
+                self._say(
+                    "group: not believed", **{reason.replace(" ", "_"): count for reason, count in rejected.items()}
+                )
 
     def _phase(self) -> int:
         if not self._host.sent_away():
-            self._away_at = None
-        elif self._away_at is None:
-            self._away_at = clock.now()
+            self._sent_away_at = None
+        elif self._sent_away_at is None:
+            self._sent_away_at = clock.now()
         if not self._host.can_serve:
             return STARTING
-        away = self._away_at is not None and clock.now() - self._away_at >= AWAY_AFTER
+        away = self._sent_away_at is not None and clock.now() - self._sent_away_at >= SENT_AWAY_DELAY_US
         return SENT_AWAY if away else SERVING
 
     def spread(self, now: int) -> None:
-        """Orders that this proxy has, from its console or from another process at its seat."""
+        """Broadcasts the commands that this proxy has from its admin listener or from its other process."""
         assert self.swim is not None
-        for backend, order in self._orders.bans.items():
+        for backend, command in self._orders.bans.items():
             known = self.swim.notices.get(BAN, backend)
-            if known is None or (order.at, order.on) > known.rank:
-                self.swim.tell(Broadcast(BAN, backend, order.on, order.at), now)
+            if known is None or (command.at, command.on) > known.rank:
+                self.swim.tell(Broadcast(BAN, backend, command.on, command.at), now)
 
     async def held(self) -> tuple[int, int] | None:
-        """How many proxies hold the orders that this one holds, of how many, as far as it is known within a
-        moment; None where it is in no group.
+        """How many proxies hold the same commands as this one, and of how many, as far as known within HELD_TIMEOUT_S;
+        None outside a group.
         """
         if self.swim is None or self._socket is None:
             return None
         self.spread(clock.now())
         self._wake()
-        until = asyncio.get_running_loop().time() + HELD_WITHIN
+        deadline = asyncio.get_running_loop().time() + HELD_TIMEOUT_S
         while True:
-            held, of = self.swim.holders()
-            if held >= of or asyncio.get_running_loop().time() >= until:
-                return held, of
-            await asyncio.sleep(FAREWELL_LOOK)
+            holders, members = self.swim.holders()
+            if holders >= members or asyncio.get_running_loop().time() >= deadline:
+                return holders, members
+            await asyncio.sleep(LEAVE_POLL_S)
 
     def members(self) -> dict[str, Any] | None:
-        """For people: this member's view. None where it is in no group yet."""
+        """This member's view of the group, for operators; None before it has joined."""
         if self.swim is None:
             return None
         now = clock.now()
@@ -480,16 +498,17 @@
             "doubt": self.swim.health.score,
             "counts": dict(self.swim.counts),
             "unsent": self._unsent,
-            "orders": [[one.kind, one.key, one.on, one.at] for one in self.swim.notices],
+            "orders": [[command.kind, command.key, command.on, command.at] for command in self.swim.notices],
             "members": self.swim.rows(now),
         }
 
     def forget(self, name: str) -> bool:
+        """Removes a dead member from the member list. False where it is unknown or alive."""
         return self.swim is not None and self.swim.roll.forget(name)
 
 
-async def _part(reader: asyncio.StreamReader, most: int) -> bytes:
-    (length,) = LENGTH.unpack(await reader.readexactly(LENGTH.size))
-    if length > most:
-        raise ValueError("a part that is none")
+async def _read_part(reader: asyncio.StreamReader, max_length: int) -> bytes:
+    (length,) = PART_LENGTH.unpack(await reader.readexactly(PART_LENGTH.size))
+    if length > max_length:
+        raise ValueError("a stream part is too long")
     return await reader.readexactly(length)
--- a/pepperusher/packet_authentication.py
+++ b/pepperusher/packet_authentication.py
@@ -1,7 +1,6 @@
-"""Bytes that show that they were made by who has a key: a mark, the form's number, a keyed checksum; free of
-I/O.
+"""Authenticates packets with a shared key: magic bytes, a format number and a keyed checksum. Free of I/O.
 
-A stranger's bytes, cut, damaged or of another form are told apart and nothing of them is read.
+A packet from elsewhere, truncated, damaged or of another format is rejected with the reason, and nothing of it is read.
 """
 
 from __future__ import annotations
@@ -13,36 +12,34 @@
 
 
 class InvalidPacketError(ValueError):
-    """Nothing to be believed; the text is why, in words that are few, since they are counted by it."""
+    """The packet was rejected. The text is one of a few reasons, since rejections are counted by it."""
 
 
 class PacketAuthenticator:
-    """`key` has 64 bytes at the most. `mark` tells one program's use of it from another's."""
+    """Seals and opens packets. `key` has at most 64 bytes; `magic` tells apart the uses of a key."""
 
-    def __init__(self, key: bytes, mark: bytes, form: int) -> None:
-        self._key, self._mark, self._form = key, mark, form
-        self._start = b"%s%c" % (mark, form)
-        self.overhead = len(self._start) + CHECKSUM_BYTES
+    def __init__(self, key: bytes, magic: bytes, format_number: int) -> None:
+        self._key, self._magic, self._format = key, magic, format_number
+        self._header = b"%s%c" % (magic, format_number)
+        self.overhead = len(self._header) + CHECKSUM_BYTES
 
-    def _sum(self, before: bytes, body: bytes) -> bytes:
+    def _checksum(self, covered: bytes, body: bytes) -> bytes:
         return hashlib.blake2b(
-            b"%s%c%s" % (before, self._form, body), key=self._key, digest_size=CHECKSUM_BYTES
+            b"%s%c%s" % (covered, self._format, body), key=self._key, digest_size=CHECKSUM_BYTES
         ).digest()
 
-    def seal(self, body: bytes, before: bytes = b"") -> bytes:
-        """Any bytes, for who has the key to open. `before` is covered by the checksum and not sent: the other
-        side knows it.
-        """
-        return b"%s%s%s" % (self._start, self._sum(before, body), body)
+    def seal(self, body: bytes, covered: bytes = b"") -> bytes:
+        """Adds the header to `body`. `covered` is included in the checksum but not sent: the receiver knows it."""
+        return b"%s%s%s" % (self._header, self._checksum(covered, body), body)
 
-    def open(self, data: bytes, before: bytes = b"") -> bytes:
-        """Raises InvalidPacketError."""
-        if len(data) < self.overhead or not data.startswith(self._mark):
+    def open(self, data: bytes, covered: bytes = b"") -> bytes:
+        """Returns the body of an authentic packet. Raises InvalidPacketError."""
+        if len(data) < self.overhead or not data.startswith(self._magic):
             raise InvalidPacketError("not of this program")
-        form, body = data[len(self._mark)], data[self.overhead :]
-        if form != self._form:
-            # Its checksum may be made otherwise; that it speaks another form is all that can be told.
-            raise InvalidPacketError(f"of form {form}, not {self._form}")
-        if not hmac.compare_digest(self._sum(before, body), data[len(self._start) : self.overhead]):
+        format_number, body = data[len(self._magic)], data[self.overhead :]
+        if format_number != self._format:
+            # Another format may use another checksum, so nothing but the format number can be reported.
+            raise InvalidPacketError(f"of form {format_number}, not {self._format}")
+        if not hmac.compare_digest(self._checksum(covered, body), data[len(self._header) : self.overhead]):
             raise InvalidPacketError("with a wrong checksum: another key, or damaged")
         return body
--- a/tests/reconfiguration_scene.py
+++ b/tests/reconfiguration_scene.py
@@ -350,7 +350,7 @@
             backend.stop()
         await asyncio.sleep(0.05)  # lets cancelled tasks end
         # A client that ended before it was cancelled has lost a request.
-        self.assertTrue(all(isinstance(one, asyncio.CancelledError) for one in ended), ended)
+        self.assertTrue(all(isinstance(outcome, asyncio.CancelledError) for outcome in ended), ended)
 
     def now(self) -> float:
         return self.loop.time()
--- a/tests/test_call_schedule.py
+++ b/tests/test_call_schedule.py
@@ -44,8 +44,8 @@
             self.assertEqual({BACKOFF_S}, {later - sooner for sooner, later in zip(late, late[1:])})
 
     def test_the_first_call_of_a_term_goes_out_however_late_it_is_looked_for(self) -> None:
-        """Guards against a new address that is never called: the process was paused past the deadline, and the
-        decisions ask for no call where none has failed.
+        """Guards against a new address that is never called: the process was paused past the deadline, and the balancer
+        asks for no call where none has failed.
         """
         self.schedule.start_deadline(100.0, DEADLINE_S)
         self.assertLessEqual(
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The operators' door: what each call is answered, and what is in force once it is."""
+"""Tests of the admin interface: the answer to each call, and its effect."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from pepperusher.console.admin_listener import PLACES
+from pepperusher.console.admin_listener import CONNECTIONS_MAX
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.facade import Endpoint
 
@@ -16,7 +16,7 @@
 
 
 class Ordered(TraceTestCase):
-    """Orders beside the list, without a proxy."""
+    """The admin commands as a filter of the endpoint list, without a proxy."""
 
     def test_a_ban_stands_whatever_the_list_says(self) -> None:
         self.lines = []
@@ -25,29 +25,30 @@
         def entry(name: str, ready: bool = True, born: int = 0) -> Endpoint:
             return Endpoint(name, "", 0, 1.0, born, ready)
 
-        def say(what: str, lines: list[Endpoint]) -> None:
-            told = ", ".join(
-                f"{one.id} {'ready' if one.ready else 'drained'} born {one.started_at // SECOND}" for one in lines
+        def record(step: str, lines: list[Endpoint]) -> None:
+            states = ", ".join(
+                f"{changed.id} {'ready' if changed.ready else 'drained'} born {changed.started_at // SECOND}"
+                for changed in lines
             )
-            self.lines.append(f"{what}: {told or 'nothing'}")
-
-        say("listed", orders.lines([entry("a"), entry("b")], True))
-        say("a banned", orders.ban("a", True, 10 * SECOND))
-        say("banned again", orders.ban("a", True, 11 * SECOND))
-        say("listed again, restarted", orders.lines([entry("a", born=12 * SECOND)], False))
-        say("gone", orders.lines([entry("a", False)], False))
-        say("a put back while off the list", orders.ban("a", False, 20 * SECOND))
-        say("banned off the list", orders.ban("a", True, 21 * SECOND))
-        say("a whole list", orders.lines([entry("a", born=12 * SECOND), entry("b")], True))
-        say("one call puts it back, cold from then on", orders.ban("a", False, 30 * SECOND))
-        say("a whole list", orders.lines([entry("a", born=12 * SECOND), entry("b")], True))
+            self.lines.append(f"{step}: {states or 'nothing'}")
+
+        record("listed", orders.lines([entry("a"), entry("b")], True))
+        record("a banned", orders.ban("a", True, 10 * SECOND))
+        record("banned again", orders.ban("a", True, 11 * SECOND))
+        record("listed again, restarted", orders.lines([entry("a", born=12 * SECOND)], False))
+        record("gone", orders.lines([entry("a", False)], False))
+        record("a put back while off the list", orders.ban("a", False, 20 * SECOND))
+        record("banned off the list", orders.ban("a", True, 21 * SECOND))
+        record("a whole list", orders.lines([entry("a", born=12 * SECOND), entry("b")], True))
+        record("one call puts it back, cold from then on", orders.ban("a", False, 30 * SECOND))
+        record("a whole list", orders.lines([entry("a", born=12 * SECOND), entry("b")], True))
         orders.forget(90 * SECOND)
-        say("forgotten once it is warm", orders.lines([entry("a", born=12 * SECOND)], False))
-        say("a later order of another's", orders.merge({"a": AdminCommand(True, 21 * SECOND)}, NEVER))
+        record("forgotten once it is warm", orders.lines([entry("a", born=12 * SECOND)], False))
+        record("a later order of another's", orders.merge({"a": AdminCommand(True, 21 * SECOND)}, NEVER))
         self.compare_trace("console_orders")
 
     def test_without_a_console_nothing_of_it_is_loaded(self) -> None:
-        said = subprocess.run(
+        result = subprocess.run(
             [
                 sys.executable,
                 "-c",
@@ -58,18 +59,18 @@
             text=True,
             check=True,
         )
-        self.assertEqual("[]\n", said.stdout)
+        self.assertEqual("[]\n", result.stdout)
 
 
 class Console(ProxyTestCase):
-    async def call(self, what: str, path: str, method: str = "POST", more: str = "") -> str:
+    async def call(self, case: str, path: str, method: str = "POST", extra_headers: str = "") -> str:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.desk.port)
-        writer.write(f"{method} {path} HTTP/1.1\r\nHost: c\r\n{more}\r\n".encode())
-        said = await self.hear(reader)
+        writer.write(f"{method} {path} HTTP/1.1\r\nHost: c\r\n{extra_headers}\r\n".encode())
+        answer = await self.hear(reader)
         writer.close()
-        if what:
-            self.lines.append(f"{what} -> {said}")
-        return said
+        if case:
+            self.lines.append(f"{case} -> {answer}")
+        return answer
 
     async def test_each_call_and_each_that_is_none(self) -> None:
         await self.open("a1", console="127.0.0.1:1")
@@ -82,51 +83,55 @@
         await self.call("drain again", "/-/drain")
         await self.call("ready for the console", "/-/ready", "GET")
         await self.call("resume", "/-/resume")
-        await self.call("resume unasked", "/-/resume", more="Content-Length: 0\r\n")
+        await self.call("resume unasked", "/-/resume", extra_headers="Content-Length: 0\r\n")
         await self.call("nobody's id", "/-/backends/zz/disable")
         await self.call("nobody's id put back", "/-/backends/zz/enable")
         await self.call("an id that is no text", "/-/backends/%ff/disable")
         await self.call("no such call", "/-/backends/a1/drop")
         await self.call("a ticket", "/look/page")
         await self.call("by another method", "/-/drain", "GET")
-        await self.call("framed in two ways", "/-/drain", more="Content-Length: 3\r\nTransfer-Encoding: chunked\r\n")
-        await self.call("not even a head", "/-/drain", more="what is this\r\n")
-        await self.call("a head without end", "/-/drain", more=f"X: {'x' * 60_000}\r\n")
+        await self.call(
+            "framed in two ways", "/-/drain", extra_headers="Content-Length: 3\r\nTransfer-Encoding: chunked\r\n"
+        )
+        await self.call("not even a head", "/-/drain", extra_headers="what is this\r\n")
+        await self.call("a head without end", "/-/drain", extra_headers=f"X: {'x' * 60_000}\r\n")
         await self.ask("ready for clients", READY)
         self.compare_trace("console_calls")
 
     async def test_nothing_goes_to_a_banned_backend(self) -> None:
-        """Not on a connection that was kept either, nor when the list has it anew; what was written may end."""
+        """A banned backend gets no request on a kept connection, nor when an update lists it again; a request already
+        written may finish.
+        """
         await self.open("a1", "b1", console="127.0.0.1:1")
-        at = await self.connect()
+        connection = await self.connect()
         for number in range(4):
-            await self.ask(f"look {number}", self.request("look", number), at)
+            await self.ask(f"look {number}", self.request("look", number), connection)
         self.fake_backends["a1"].does = self.fake_backends["b1"].does = ["slow"]
         under_way = asyncio.create_task(self.ask("look 4", self.request("look", 4)))
         await self.until(lambda: self.lines[-1].startswith("    "))
         del self.lines[:]
-        out_at = "a1" if not self.fake_backends["a1"].does else "b1"
-        other = "b1" if out_at == "a1" else "a1"
-        await self.call("out, while it has a ticket", f"/-/backends/{out_at}/disable")
+        banned = "a1" if not self.fake_backends["a1"].does else "b1"
+        other = "b1" if banned == "a1" else "a1"
+        await self.call("out, while it has a ticket", f"/-/backends/{banned}/disable")
         await under_way
         self.fake_backends[other].does = []
         self.endpoint_update(2, self.line("a1"), self.line("b1"), full=True)
-        self.endpoint_update(3, dict(self.line(out_at), started_ms=1))
+        self.endpoint_update(3, dict(self.line(banned), started_ms=1))
         await asyncio.sleep(0.05)
         for number in range(5, 11):
-            await self.ask("look", self.request("look", number), at)
+            await self.ask("look", self.request("look", number), connection)
         self.lines = [line for line in self.lines if "..." not in line]
-        self.assertFalse([line for line in self.lines if f"    {out_at} gets" in line])
+        self.assertFalse([line for line in self.lines if f"    {banned} gets" in line])
         await self.call("the other out as well", f"/-/backends/{other}/disable")
         await self.ask("look nowhere", self.request("look", 11))
         self.assertIn("503", self.lines[-1])
-        await self.call("back", f"/-/backends/{out_at}/enable")
-        # Cold, it is used again within its budget: not for each ticket, and not never.
+        await self.call("back", f"/-/backends/{banned}/enable")
+        # The backend is cold, so it is used again within its warm-up budget: for some tickets, but not for all.
         number = 12
         async with asyncio.timeout(5):
-            while f"200 '{out_at} {number}'" not in self.lines[-1]:
+            while f"200 '{banned} {number}'" not in self.lines[-1]:
                 number += 1
-                await self.ask("look", self.request("look", number), at)
+                await self.ask("look", self.request("look", number), connection)
                 await asyncio.sleep(0.02)
 
     async def test_clients_are_sent_away_and_may_come_again(self) -> None:
@@ -150,12 +155,14 @@
         self.compare_trace("console_drain")
 
     async def test_callers_that_say_nothing_keep_nobody_out(self) -> None:
-        """Each place taken by silence or half a call: whoever asks has an answer all the same, at once."""
+        """Silent connections and half-sent calls hold every place of the listener; a further call is answered at once
+        all the same.
+        """
         await self.open("a1", console="127.0.0.1:1")
-        held = [await asyncio.open_connection("127.0.0.1", self.desk.port) for _ in range(3 * PLACES)]
+        held = [await asyncio.open_connection("127.0.0.1", self.desk.port) for _ in range(3 * CONNECTIONS_MAX)]
         for _, writer in held[::2]:
             writer.write(b"GET /-/rea")
         async with asyncio.timeout(1):
-            for _ in range(2 * PLACES):
+            for _ in range(2 * CONNECTIONS_MAX):
                 self.assertIn("200", await self.call("", "/-/ready", "GET"))
-        self.assertLessEqual(len(self.desk._door._open), 2 * PLACES)
+        self.assertLessEqual(len(self.desk._listener._open), 2 * CONNECTIONS_MAX)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -91,7 +91,10 @@
             await super().watched(reader, writer)
 
     def ready_backends(self) -> str:
-        return ", ".join(sorted(one["id"] for one in self.proxy._facade.backends() if one["ready"])) or "nobody"
+        return (
+            ", ".join(sorted(backend["id"] for backend in self.proxy._facade.backends() if backend["ready"]))
+            or "nobody"
+        )
 
     def update_line(self, version: int, *servers: dict[str, object], full: bool = False) -> bytes:
         return json.dumps({"version": version, "full": full, "servers": servers}).encode() + b"\n"
@@ -212,8 +215,8 @@
         for number in range(2, 6):
             await self.ask(f"look {number}", self.request("look", number))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
-        said = sorted(line.rpartition("goes to ")[2] for line in self.logged if "goes to" in line)
-        self.assertEqual(["a1 by a list past its deadline", "b1 by a list past its deadline"], said)
+        destinations = sorted(line.rpartition("goes to ")[2] for line in self.logged if "goes to" in line)
+        self.assertEqual(["a1 by a list past its deadline", "b1 by a list past its deadline"], destinations)
         await self.move_discovery()
         self.send_line(self.update_line(2, self.line("a1"), full=True))
         await self.settle()
@@ -257,9 +260,9 @@
         connect = self.proxy._backends._connect
 
         async def expires_meanwhile(*given: object) -> object:
-            made = await connect(*given)
+            connection = await connect(*given)
             await self.until(lambda: self.proxy._discovery.confirmation.expired)
-            return made
+            return connection
 
         with (
             mock.patch.object(self.proxy._backends, "_connect", expires_meanwhile),
@@ -370,13 +373,13 @@
         """Until the new address answers, a proxy has no version to ask from, and its successor has none either."""
         await self.open("a1")
         discovery = self.proxy._discovery
-        told, told_by_source = discovery.handover_list()
-        self.assertEqual((discovery.own_list(), True), (told, told_by_source))
+        handed_over, told_by_source = discovery.handover_list()
+        self.assertEqual((discovery.own_list(), True), (handed_over, told_by_source))
         self.keeps_silent = True
         discovery.configuration_changed(("127.0.0.1", 9), 0.0)
-        self.assertEqual((None, (told, False)), (discovery.own_list(), discovery.handover_list()))
+        self.assertEqual((None, (handed_over, False)), (discovery.own_list(), discovery.handover_list()))
         discovery.stop()
-        discovery.resume_from_handover(("127.0.0.1", 9), parse_endpoint_update(told), told_there=False)
+        discovery.resume_from_handover(("127.0.0.1", 9), parse_endpoint_update(handed_over), told_there=False)
         self.assertIsNone(discovery._source.version)
         self.assertFalse(discovery.needs_list)
 
--- a/tests/test_expired_list.py
+++ b/tests/test_expired_list.py
@@ -58,7 +58,7 @@
         for proxy in self.proxies:
             refused = [line for line in proxy.answers if b" 503 " in line]
             self.assertGreater(len(refused), 10, "nobody refused what it could not send")
-        served = {one.proxy for one in self.received if one.at > self.answers_since}
+        served = {request.proxy for request in self.received if request.at > self.answers_since}
         self.assertEqual({proxy.name for proxy in self.proxies}, served)
 
 
