--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,6 @@
-"""One process in place of another: whole processes on loopback, and the state that passes between them."""
+"""Tests of one process taking over from another: complete processes on loopback, and the state handed over between
+them.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +18,7 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand
 from pepperusher.console.process_slot import process_slots
 from pepperusher.console.process_liveness import ProcessLiveness
-from pepperusher.console.state import BadState, State, state_of, text_of
+from pepperusher.console.state import BadState, State, decode_state, encode_state
 from pepperusher.facade import Endpoint, Facade
 from pepperusher.settings import read_settings
 
@@ -25,27 +27,27 @@
 
 class Marks(unittest.TestCase):
     def test_who_stands_still_by_its_marks_alone(self) -> None:
-        pulse, now = ProcessLiveness(), 0
+        liveness, now = ProcessLiveness(), 0
 
-        def looks(mark: int, span: int, every: int = 50_000) -> bool:
+        def hangs_after(heartbeat: int, duration: int, every: int = 50_000) -> bool:
             nonlocal now
-            until = now + span
+            until = now + duration
             while now < until:
                 now += every
-                found = pulse.still(mark, now)
-            return found
-
-        self.assertFalse(looks(1, 250_000))
-        self.assertFalse(looks(2, 250_000))
-        self.assertTrue(looks(2, 100_000))
-        self.assertFalse(looks(3, 250_000))
-        now += 5_000_000  # this one stood still itself
-        self.assertFalse(looks(3, 250_000))
-        self.assertTrue(looks(3, 100_000))
-        now += 5_000_000  # and again: what was found holds, since there is no new mark
-        self.assertTrue(looks(3, 50_000))
-        pulse.anew()
-        self.assertFalse(looks(3, 250_000))
+                hangs = liveness.hangs(heartbeat, now)
+            return hangs
+
+        self.assertFalse(hangs_after(1, 250_000))
+        self.assertFalse(hangs_after(2, 250_000))
+        self.assertTrue(hangs_after(2, 100_000))
+        self.assertFalse(hangs_after(3, 250_000))
+        now += 5_000_000  # the observing process was paused itself
+        self.assertFalse(hangs_after(3, 250_000))
+        self.assertTrue(hangs_after(3, 100_000))
+        now += 5_000_000  # paused again: the finding holds, since there is no new heartbeat
+        self.assertTrue(hangs_after(3, 50_000))
+        liveness.reset()
+        self.assertFalse(hangs_after(3, 250_000))
 
 
 class Passed(TraceTestCase):
@@ -63,33 +65,35 @@
             False,
             12_000_000,
         )
-        self.assertEqual(good, state_of(text_of(good)))
-        told = json.loads(text_of(good))
-        older = {name: part for name, part in told.items() if name not in ("told_by_source", "expires_at")}
-        self.assertEqual(good._replace(told_by_source=True, expires_at=None), state_of(json.dumps(older)))
-        for what, text in (
+        self.assertEqual(good, decode_state(encode_state(good)))
+        document = json.loads(encode_state(good))
+        older = {name: part for name, part in document.items() if name not in ("told_by_source", "expires_at")}
+        self.assertEqual(good._replace(told_by_source=True, expires_at=None), decode_state(json.dumps(older)))
+        for case, text in (
             ("nothing", ""),
-            ("half", text_of(good)[:70]),
+            ("half", encode_state(good)[:70]),
             ("deep", "[" * 100_000),
             ("a list", "[]"),
-            ("another release's", json.dumps({**told, "form": 2})),
-            ("no bans", json.dumps({**told, "bans": None})),
-            ("a ban without a time", json.dumps({**told, "bans": {"a": [True]}})),
-            ("a ban that is no order", json.dumps({**told, "bans": {"a": [1, 5]}})),
-            ("a time of no sort", json.dumps({**told, "bans": {"a": [True, 1e300]}})),
-            ("a drain that is none", json.dumps({**told, "drain": "yes"})),
-            ("an end of its term that is none", json.dumps({**told, "expires_at": -1})),
-            ("a list that is none", json.dumps({**told, "listed": 3})),
-            ("a name that is none", json.dumps({**told, "seen": {}})),
+            ("another release's", json.dumps({**document, "form": 2})),
+            ("no bans", json.dumps({**document, "bans": None})),
+            ("a ban without a time", json.dumps({**document, "bans": {"a": [True]}})),
+            ("a ban that is no order", json.dumps({**document, "bans": {"a": [1, 5]}})),
+            ("a time of no sort", json.dumps({**document, "bans": {"a": [True, 1e300]}})),
+            ("a drain that is none", json.dumps({**document, "drain": "yes"})),
+            ("an end of its term that is none", json.dumps({**document, "expires_at": -1})),
+            ("a list that is none", json.dumps({**document, "listed": 3})),
+            ("a name that is none", json.dumps({**document, "seen": {}})),
         ):
             try:
-                self.lines.append(f"{what}: {state_of(text)}")
+                self.lines.append(f"{case}: {decode_state(text)}")
             except BadState as error:
-                self.lines.append(f"{what}: {error}")
+                self.lines.append(f"{case}: {error}")
         self.compare_trace("handover_state")
 
     def test_what_was_learned_goes_on_elsewhere(self) -> None:
-        """A breaker that is open stays so for the rest of its period; words that are no figures change nothing."""
+        """An open breaker stays open for the rest of its period in the next process; invalid state is rejected as a
+        whole.
+        """
         facades = [Facade(read_settings(SETTINGS, 5), 100 * SECOND, lambda _: None) for _ in range(2)]
         for facade in facades:
             facade.update_endpoints(
@@ -123,10 +127,10 @@
             first, following = process_slots(folder, "p/1")
             again, _ = process_slots(folder, "p/1")
             self.assertTrue(first.take())
-            self.assertEqual((False, True, False), (again.take(), again.taken(), first.taken()))
+            self.assertEqual((False, True, False), (again.take(), again.held_by_other(), first.held_by_other()))
             first.write(State({}, NEVER, "x"))
             self.assertEqual("x", again.read().seen)
-            self.assertIsNone(again.read())  # nothing new
+            self.assertIsNone(again.read())  # unchanged since the last read
             first.close()
             self.assertTrue(again.take())
             Path(folder, "pepperusher.p%2f1.state").write_bytes(b'{"form":1,"bans"')
@@ -136,10 +140,10 @@
 
 
 class Process:
-    """`serve` as the platform starts it."""
+    """A `serve` process, started as the platform starts it."""
 
-    def __init__(self, street: Replaced, console: str) -> None:
-        self.street, self.console = street, console
+    def __init__(self, owner: Replaced, console: str) -> None:
+        self.owner, self.console = owner, console
 
     async def start(self) -> Process:
         self.log = tempfile.TemporaryFile("w+")
@@ -149,10 +153,10 @@
             "pepperusher",
             "serve",
             "--config",
-            str(self.street.file),
+            str(self.owner.file),
             "--console",
             self.console,
-            env={**os.environ, "TMPDIR": self.street.folder},
+            env={**os.environ, "TMPDIR": self.owner.folder},
             stderr=self.log,
         )
         return self
@@ -169,18 +173,18 @@
         except OSError:
             return "nobody"
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
-        said = (await reader.read()).decode().split("\r\n")[0]
+        answer = (await reader.read()).decode().split("\r\n")[0]
         writer.close()
-        return said
+        return answer
 
-    async def logs(self, words: str, after: int = 0) -> int:
-        """Where its log goes on once it has said so, from a place on."""
+    async def wait_for_log(self, words: str, after: int = 0) -> int:
+        """Waits until the log contains `words` behind position `after`. Returns the position behind them."""
         async with asyncio.timeout(60):
             while True:
-                # Not by seek: the process writes where this one stands.
+                # Not by seek, as the process shares the file position.
                 text = os.pread(self.log.fileno(), 1 << 20, 0).decode()
-                if (at := text.find(words, after)) >= 0:
-                    return at + len(words)
+                if (position := text.find(words, after)) >= 0:
+                    return position + len(words)
                 await asyncio.sleep(0.02)
 
     async def end(self, how: int = signal.SIGTERM) -> int:
@@ -191,10 +195,10 @@
 
 
 class Replaced(ProxyTestCase):
-    """Clients, backends and discovery are the test's, the proxy is as many processes as it takes."""
+    """A scene with clients, backends and discovery in the test process, and the proxy as any number of processes."""
 
-    async def stand(self, *names: str) -> None:
-        await self.open(*names)  # a proxy in this process, for its toys alone
+    async def start_scene(self, *names: str) -> None:
+        await self.open(*names)  # this in-process proxy is used only for its stub backends
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = folder.name
@@ -205,46 +209,48 @@
         self.file = Path(self.folder, "config.json")
         self.file.write_text(json.dumps(given))
         self.processes: list[Process] = []
-        self.ends: dict[str, int] = {}
+        self.outcome_counts: dict[str, int] = {}
         self.number = 1000
 
     async def process(self) -> Process:
-        made = await Process(self, own_address()).start()
-        self.processes.append(made)
-        await made.ready()
-        return made
+        started = await Process(self, own_address()).start()
+        self.processes.append(started)
+        await started.ready()
+        return started
 
     async def client(self, kept: bool, stop: asyncio.Event) -> None:
-        """Asks one ticket after another; a connection that was closed between two is no fault, a ticket cut off is one."""
-        at = None
+        """Sends one ticket after another. A connection closed between two tickets is allowed; a ticket cut off is
+        counted as a failure.
+        """
+        connection = None
         while not stop.is_set():
             self.number += 1
             number = self.number
             try:
-                if at is None:
-                    at = await asyncio.open_connection(*self.at)
-                at[1].write(self.request("look", number))
+                if connection is None:
+                    connection = await asyncio.open_connection(*self.at)
+                connection[1].write(self.request("look", number))
                 async with asyncio.timeout(3):
-                    said = await self.hear(at[0])
+                    answer = await self.hear(connection[0])
             except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
-                said, at = type(error).__name__, None
-            word = said.split()[0] if said[0].isdigit() else said
-            self.ends[word] = self.ends.get(word, 0) + 1
-            if at is not None and (not kept or "closing" in said or said[0] == "t"):
-                at[1].close()
-                at = None
+                answer, connection = type(error).__name__, None
+            outcome = answer.split()[0] if answer[0].isdigit() else answer
+            self.outcome_counts[outcome] = self.outcome_counts.get(outcome, 0) + 1
+            if connection is not None and (not kept or "closing" in answer or answer[0] == "t"):
+                connection[1].close()
+                connection = None
             await asyncio.sleep(0.005)
 
     async def asyncTearDown(self) -> None:
-        for one in self.processes:
-            if one.process.returncode is None:
-                one.process.kill()
-                await one.process.wait()
-            one.log.close()
+        for process in self.processes:
+            if process.process.returncode is None:
+                process.process.kill()
+                await process.process.wait()
+            process.log.close()
         await super().asyncTearDown()
 
     async def test_a_process_is_replaced_under_load_with_a_ban_and_a_drain_in_force(self) -> None:
-        await self.stand("a1", "b1")
+        await self.start_scene("a1", "b1")
         first = await self.process()
         stop = asyncio.Event()
         clients = [asyncio.create_task(self.client(number % 2 == 0, stop)) for number in range(8)]
@@ -255,7 +261,7 @@
             second = await self.process()
             self.assertIsNone(first.process.returncode)
             ending = asyncio.create_task(first.end())
-            # Called at either while both live, an order holds at both, and for whoever comes next.
+            # A command given at either process applies at both, and at the next successor.
             self.assertIn("200", await second.call("POST", "/-/drain"))
             self.assertEqual(0, await ending)
             self.assertIn("200", await second.call("POST", "/-/resume"))
@@ -265,9 +271,10 @@
         await asyncio.gather(*clients)
         self.assertEqual([], [line for line in self.lines if "    a1 gets" in line])
         self.assertGreater(len(self.lines), 100)
-        # Kept connections close between tickets; nothing was refused, reset, bounced, or ended without an answer.
-        self.assertEqual({"200"}, set(self.ends) - {"the"}, self.ends)
-        self.assertLessEqual(self.ends.get("the", 0), 2)
+        # Kept connections may close between tickets, but no ticket was refused, reset, bounced or left without an
+        # answer.
+        self.assertEqual({"200"}, set(self.outcome_counts) - {"the"}, self.outcome_counts)
+        self.assertLessEqual(self.outcome_counts.get("the", 0), 2)
         del self.lines[:]
         self.assertIn("200", await first.call("POST", "/-/backends/a1/enable"))
         async with asyncio.timeout(8):
@@ -276,7 +283,7 @@
                 self.number += 1
 
     async def test_a_next_process_that_dies_leaves_the_first_whole_and_a_killed_one_is_followed(self) -> None:
-        await self.stand("a1", "b1")
+        await self.start_scene("a1", "b1")
         first = await self.process()
         second = await self.process()
         self.assertEqual(-signal.SIGKILL, await second.end(signal.SIGKILL))
@@ -289,13 +296,13 @@
         await first.end(signal.SIGKILL)
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("503", await self.hear(at[0]))  # the drain that it was told of stays in force
+        self.assertIn("503", await self.hear(at[0]))  # the drain handed over stays in force
         self.assertIn("200", await third.call("POST", "/-/resume"))
         for number in range(4):
             at = await asyncio.open_connection(*self.at)
             await self.ask("look", self.request("look", number), at)
         self.assertEqual(4, sum("    a1 gets" in line for line in self.lines))
-        # Alone after all of them, over what the day before left: the ban stands, a drain does not.
+        # A process that starts alone takes over a stored ban, but not a drain.
         self.assertIn("200", await third.call("POST", "/-/drain"))
         await third.end(signal.SIGKILL)
         fourth = await self.process()
@@ -304,64 +311,69 @@
         self.assertIn("200", await self.hear(at[0]))
         self.assertIn("200", await fourth.call("POST", "/-/backends/b1/enable"))
 
-    async def asked(self, tickets: int) -> list[str]:
-        """Each on a new connection, one after another; what comes of each within 3 s."""
-        made = []
+    async def send_tickets(self, tickets: int) -> list[str]:
+        """Sends tickets one after another, each on a new connection. Returns the outcome of each within 3 s."""
+        outcomes = []
         for _ in range(tickets):
             self.number += 1
-            at = await asyncio.open_connection(*self.at)
-            at[1].write(self.request("look", self.number))
+            connection = await asyncio.open_connection(*self.at)
+            connection[1].write(self.request("look", self.number))
             try:
                 async with asyncio.timeout(3):
-                    made.append((await self.hear(at[0])).split()[0])
+                    outcomes.append((await self.hear(connection[0])).split()[0])
             except TimeoutError:
-                made.append("nothing")
-            at[1].close()
-        return made
+                outcomes.append("nothing")
+            connection[1].close()
+        return outcomes
 
     async def test_of_two_at_one_address_the_living_one_has_all_new_connections(self) -> None:
-        """The kernel went on handing them to the one that stood still: 9 of 12 got no answer in 3 s. Either may be it, and
-        both in turn; it has its part again once it goes on, and knows by then what was ordered meanwhile."""
-        await self.stand("a1", "b1")
+        """Guards against the kernel handing new connections to a stopped process: 9 of 12 got no answer in 3 s. Each
+        process is stopped in turn; once it continues it gets its part of the connections again, and knows the commands
+        given meanwhile.
+        """
+        await self.start_scene("a1", "b1")
         first = await self.process()
         second = await self.process()
-        seen: dict[Process, int] = {first: 0, second: 0}
-        for still, lives in ((first, second), (second, first), (first, second)):
+        log_position: dict[Process, int] = {first: 0, second: 0}
+        for stopped, running in ((first, second), (second, first), (first, second)):
             kept = []
-            for _ in range(12):  # about half of them at each
+            for _ in range(12):  # about half of them at each process
                 self.number += 1
                 kept.append(await asyncio.open_connection(*self.at))
                 await self.ask("look", self.request("look", self.number), kept[-1])
-            still.process.send_signal(signal.SIGSTOP)
-            seen[lives] = await lives.logs("new connections come here", seen[lives])
-            self.assertEqual({"200"}, set(await self.asked(30)))
+            stopped.process.send_signal(signal.SIGSTOP)
+            log_position[running] = await running.wait_for_log("new connections come here", log_position[running])
+            self.assertEqual({"200"}, set(await self.send_tickets(30)))
             for reader, writer in kept:
                 self.number += 1
                 writer.write(self.request("look", self.number, left=4000))
-            # What the living one has in hand reaches its backend before the order, and is seen there before it is answered.
+            # The tickets in hand at the running process reach their backend before the ban and are recorded before they
+            # are answered.
             heard = [asyncio.create_task(reader.readuntil(b"\r\n\r\n")) for reader, _ in kept]
             await asyncio.wait(heard, timeout=0.5)
-            self.assertIn("200", await lives.call("POST", "/-/backends/a1/disable"))
+            self.assertIn("200", await running.call("POST", "/-/backends/a1/disable"))
             del self.lines[:]
-            still.process.send_signal(signal.SIGCONT)
-            seen[lives] = await lives.logs("has its part of new connections again", seen[lives])
-            self.assertEqual({"200"}, set(await self.asked(10)))
+            stopped.process.send_signal(signal.SIGCONT)
+            log_position[running] = await running.wait_for_log(
+                "has its part of new connections again", log_position[running]
+            )
+            self.assertEqual({"200"}, set(await self.send_tickets(10)))
             self.assertEqual([], [line for line in self.lines if "    a1 gets" in line])
             await asyncio.wait(heard)
             for _, writer in kept:
                 writer.close()
-            self.assertIn("200", await lives.call("POST", "/-/backends/a1/enable"))
-            # Both have some of these.
+            self.assertIn("200", await running.call("POST", "/-/backends/a1/enable"))
+            # Both processes get some of these connections.
             held = [await asyncio.open_connection(*self.at) for _ in range(40)]
-            for one in (first, second):
+            for process in (first, second):
                 async with asyncio.timeout(10):
-                    while len(os.listdir(f"/proc/{one.process.pid}/fd")) < 20:
+                    while len(os.listdir(f"/proc/{process.process.pid}/fd")) < 20:
                         await asyncio.sleep(0.02)
             for _, writer in held:
                 writer.close()
-        # Killed while it stands still, it is followed by one whose connections nobody keeps from it.
+        # A process killed while stopped leaves no steering behind that keeps connections from its successor.
         first.process.send_signal(signal.SIGSTOP)
-        await second.logs("new connections come here", seen[second])
+        await second.wait_for_log("new connections come here", log_position[second])
         await first.end(signal.SIGKILL)
         third = await self.process()
         self.assertIn("200", await third.call("POST", "/-/resume"))
@@ -373,13 +385,15 @@
             writer.close()
 
     async def test_the_console_answers_while_the_process_is_flooded(self) -> None:
-        """Tickets on new connections as fast as they go, half heads and silence, and descriptors run out: each call within 1 s."""
-        await self.stand("a1", "b1")
+        """Tickets on new connections as fast as possible, half-sent heads, silent connections, and no descriptors left:
+        each admin call is answered within 1 s.
+        """
+        await self.start_scene("a1", "b1")
         given = json.loads(self.file.read_text())
         self.file.write_text(json.dumps({**given, "limits": {"sockets": 128}}))
-        one = await self.process()
-        # The budget counts what it lets in; here the kernel counts too.
-        resource.prlimit(one.process.pid, resource.RLIMIT_NOFILE, (128, 128))
+        process = await self.process()
+        # The proxy's budget counts the connections that it accepts; the kernel's limit counts all descriptors.
+        resource.prlimit(process.process.pid, resource.RLIMIT_NOFILE, (128, 128))
         stop = asyncio.Event()
         flood = [asyncio.create_task(self.client(False, stop)) for _ in range(40)]
         held = []
@@ -394,7 +408,7 @@
                 ("POST", "/-/backends/a1/enable"),
             ):
                 began = asyncio.get_running_loop().time()
-                self.assertIn(" 200 ", await one.call(method, path))
+                self.assertIn(" 200 ", await process.call(method, path))
                 longest = max(longest, asyncio.get_running_loop().time() - began)
         stop.set()
         for _, writer in held:
@@ -403,7 +417,7 @@
         self.assertLess(longest, 1.0)
 
     async def test_a_full_disk_costs_the_keeping_and_not_the_start(self) -> None:
-        """Each writes with its start; a process that comes beside another one once ended by it."""
+        """Each process writes its state at the start. Guards against a successor that ended because of a full disk."""
         self.processes = []
         with (
             tempfile.TemporaryDirectory() as folder,
@@ -412,7 +426,7 @@
             ),
         ):
             first, _ = process_slots(folder, "p1")
-            first.take()  # another one reigns, and says nothing
+            first.take()  # another process holds the first slot and publishes nothing
             await self.open("a1", console="127.0.0.1:1", passed=folder)
             await self.ask("look", self.request("look", 1))
             self.assertIn("200", self.lines[-1])
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -1,5 +1,6 @@
-"""The proxy under its own file, whole and on loopback: limits, changes and the control socket, with their
-failures."""
+"""Tests of a proxy with a configuration file, complete and on loopback: limits, changes and the control socket,
+including failures.
+"""
 
 from __future__ import annotations
 
@@ -32,15 +33,14 @@
 CONTROL = '[control]\nsocket = "HERE/control"\nwithin = "400ms"\nconnections = 3\n'
 
 
-class Counting:
-    """A backend that answers after a while, once it `may`, and notes of each ticket how often it came and with which
-    wait."""
+class RecordingBackend:
+    """A backend that answers after a delay, once `may_answer` is set, and records when each ticket arrived and its time limit."""
 
-    def __init__(self, after: float) -> None:
-        self.after = after
-        self.may = asyncio.Event()
-        self.may.set()
-        self.came: dict[str, list[tuple[float, int]]] = {}
+    def __init__(self, delay: float) -> None:
+        self.delay = delay
+        self.may_answer = asyncio.Event()
+        self.may_answer.set()
+        self.received: dict[str, list[tuple[float, int]]] = {}
 
     async def open(self) -> None:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0, backlog=2000)
@@ -52,62 +52,65 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
                 fields = dict(line.split(": ", 1) for line in head.strip().split("\r\n")[1:])
                 await reader.readexactly(int(fields.get("content-length", 0)))
-                self.came.setdefault(fields["request-id"], []).append(
+                self.received.setdefault(fields["request-id"], []).append(
                     (time.monotonic(), int(fields["request-timeout"][:-1]))
                 )
-                await asyncio.sleep(self.after)
-                await self.may.wait()
+                await asyncio.sleep(self.delay)
+                await self.may_answer.wait()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
         except (asyncio.IncompleteReadError, OSError):
             writer.close()
 
 
 class House(ProxyTestCase):
-    async def stand(self, own: str, after: float = 0.02, *names: str, **changes: object) -> None:
-        asyncio.get_running_loop().set_debug(False)  # three times as slow, and it is the time that these turn on
+    async def start_proxy(self, own: str, delay: float = 0.02, *names: str, **changes: object) -> None:
+        # debug mode is three times as slow, and these tests depend on timing
+        asyncio.get_running_loop().set_debug(False)
         await self.open(own=own, limits={"sockets": 8000}, **changes)
-        self.backends = {name: Counting(after) for name in names or ("a1", "b1")}
-        for one in self.backends.values():
-            await one.open()
+        self.backends = {name: RecordingBackend(delay) for name in names or ("a1", "b1")}
+        for backend in self.backends.values():
+            await backend.open()
         self.fake_backends = self.backends  # type: ignore[assignment]
         await self.until(lambda: self.watches)
         self.endpoint_update(2, *(self.line(name) for name in self.backends), full=True)
         await self.until(lambda: len(self.proxy._facade.backends()) == len(self.backends))
         assert self.proxy._gate is not None
-        self.house = self.proxy._gate
+        self.manager = self.proxy._gate
         self.number = 0
 
-    async def one(self, use: str = "look", more: str = "", left: int = 1500) -> tuple[str, str, str]:
-        """A ticket on a connection of its own: its id, its status and the version that its answer names."""
+    async def send_ticket(
+        self, use_case: str = "look", extra_headers: str = "", time_left_ms: int = 1500
+    ) -> tuple[str, str, str]:
+        """Sends a ticket on its own connection. Returns its id, its status and the version of the terms in its answer."""
         self.number += 1
         name = str(self.number)
         reader, writer = await self.connect()
-        writer.write(self.request(use, int(name), left=left, more=more))
+        writer.write(self.request(use_case, int(name), left=time_left_ms, more=extra_headers))
         head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
         writer.close()
         fields = dict(line.split(": ", 1) for line in head.strip().split("\r\n")[1:])
         return name, head.split()[1], fields.get("terms-version", "")
 
-    async def traffic(self, ends: list[tuple[float, str]], every: float = 0.02) -> None:
-        async def one() -> None:
-            _, status, _ = await self.one()
-            ends.append((time.monotonic(), status))
+    async def send_traffic(self, results: list[tuple[float, str]], every: float = 0.02) -> None:
+        async def send_one() -> None:
+            _, status, _ = await self.send_ticket()
+            results.append((time.monotonic(), status))
 
         async with asyncio.TaskGroup() as tasks:
             while True:
-                tasks.create_task(one())
+                tasks.create_task(send_one())
                 await asyncio.sleep(every)
 
-    def came(self, name: str) -> list[tuple[float, int]]:
-        return [one for backend in self.backends.values() for one in backend.came.get(name, ())]
+    def received(self, name: str) -> list[tuple[float, int]]:
+        return [arrival for backend in self.backends.values() for arrival in backend.received.get(name, ())]
 
     async def test_a_bad_change_is_undone_within_5_s_and_sends_nothing_again(self) -> None:
-        await self.stand(WATCH, 0.05)
+        await self.start_proxy(WATCH, 0.05)
         ends: list[tuple[float, str]] = []
-        going = asyncio.create_task(self.traffic(ends))
+        going = asyncio.create_task(self.send_traffic(ends))
         await asyncio.sleep(1.0)
         began = time.monotonic()
-        change = await self.house.propose_text(
+        change = await self.manager.propose_text(
             WATCH + '[[routes]]\nname = "all"\ntime_out = "5ms"\nattempts = 1\n', "ops", "faster"
         )
         self.assertEqual(change.state, "applied")
@@ -117,116 +120,117 @@
         took = time.monotonic() - began
         self.assertLess(took, 5.0)
         self.assertRegex(change.steps[-1].why, "(scrapped|bounced) went from 0.0% to")
-        sent = {name: len(self.came(name)) for name in map(str, range(1, self.number + 1))}
+        sent = {name: len(self.received(name)) for name in map(str, range(1, self.number + 1))}
         await asyncio.sleep(1.5)
         going.cancel()
         await asyncio.gather(going, return_exceptions=True)
         self.assertEqual({status for at, status in ends if at < began}, {"200"})
         self.assertIn("503", {status for at, status in ends if began < at < began + took})
-        # Breakers that the bad change opened may still be so; what was answered by then never went out again.
+        # Breakers that the bad change opened may still be open. What had been answered by then was not sent again.
         answered = [name for name, count in sent.items() if count]
-        self.assertEqual([name for name in answered if len(self.came(name)) > max(1, sent[name])], [])
+        self.assertEqual([name for name in answered if len(self.received(name)) > max(1, sent[name])], [])
         self.assertTrue(any("undone" in line for line in self.logged))
 
     async def test_a_thousand_in_flight_over_an_apply_and_an_undo_show_no_mixture(self) -> None:
-        # Forty at a time go out; the rest are in hand at the gate, each under the terms that it came with. Backends hold
-        # their answers until all thousand are in hand, however long a busy machine takes to bring them in: a crowd
-        # that was answered as it came was now and then never as large as was waited for.
+        # Forty tickets at a time are sent; the rest wait at the gate, each under the terms with which it arrived.
+        # Backends hold their answers until all thousand are in hand, however long a busy machine takes: with answers as
+        # they came, the crowd was sometimes never as large as was waited for.
         held = '[[routes]]\nname = "all"\nconcurrency = { most = 40, queue = 2000 }\n'
-        await self.stand(
+        await self.start_proxy(
             UNWATCHED + held, 0.05, *(f"{letter}1" for letter in "abcdefgh"), settings=LONG_TIMEOUT_SETTINGS
         )
         for backend in self.backends.values():
-            backend.may.clear()
+            backend.may_answer.clear()
         most = 0
 
         async def burst(count: int) -> list[asyncio.Task[tuple[str, str, str]]]:
             nonlocal most
-            made = [asyncio.create_task(self.one(left=60_000)) for _ in range(count)]
+            tasks = [asyncio.create_task(self.send_ticket(time_left_ms=60_000)) for _ in range(count)]
             most += count
-            gate = self.house.active_configuration.gates
+            gate = self.manager.active_configuration.gates
             async with asyncio.timeout(30):
                 while gate()[0]["inside"] + gate()[0]["waiting"] < most:
                     await asyncio.sleep(0.01)
-            return made
+            return tasks
 
         first = await burst(400)
-        change = await self.house.propose_text(UNWATCHED + held + 'time_out = "70ms"\n', "ops", "shorter")
+        change = await self.manager.propose_text(UNWATCHED + held + 'time_out = "70ms"\n', "ops", "shorter")
         second = await burst(300)
-        await self.house.undo(change.number, "ops", "and back")
+        await self.manager.undo(change.number, "ops", "and back")
         third = await burst(300)
         self.assertEqual(
-            self.house.active_configuration.gates()[0]["inside"]
-            + self.house.active_configuration.gates()[0]["waiting"],
+            self.manager.active_configuration.gates()[0]["inside"]
+            + self.manager.active_configuration.gates()[0]["waiting"],
             1000,
         )
         for backend in self.backends.values():
-            backend.may.set()
+            backend.may_answer.set()
         ends = await asyncio.gather(*first, *second, *third)
-        # Where the second's short time-out opens breakers, some are bounced: answered all the same.
+        # Where the second burst's short time-out opens breakers, some tickets are bounced, but all are answered.
         self.assertLessEqual({status for _, status, _ in ends}, {"200", "503", "504"})
         self.assertEqual({status for _, status, _ in ends[:400]}, {"200"})
-        for version, came in (("1", ends[:400]), ("2", ends[400:700]), ("3", ends[700:])):
-            self.assertEqual({named for _, _, named in came}, {version})
+        for version, received in (("1", ends[:400]), ("2", ends[400:700]), ("3", ends[700:])):
+            self.assertEqual({named for _, _, named in received}, {version})
         waits: dict[str, set[int]] = {"1": set(), "2": set(), "3": set()}
         for name, _, version in ends:
-            waits[version] |= {wait for _, wait in self.came(name)}
-        # The second's time-out, less the time from the choice of a backend to the write, is seen under it and under no other.
+            waits[version] |= {wait for _, wait in self.received(name)}
+        # The second burst's time-out, less the time from choosing a backend to writing, applies to it alone.
         self.assertLessEqual(max(waits["2"]), 70_000)
         self.assertGreater(max(waits["2"]), 60_000)
         self.assertGreater(min(waits["1"] | waits["3"]), 70_000)
         await self.until(lambda: self.proxy._facade.open_tickets == 0)
-        self.assertEqual(list(self.house.active_configuration.versions), [3])
+        self.assertEqual(list(self.manager.active_configuration.versions), [3])
 
     async def test_a_drain_told_just_before_an_apply_holds_through_it_and_its_undo(self) -> None:
-        await self.stand(WATCH)
+        await self.start_proxy(WATCH)
         ends: list[tuple[float, str]] = []
-        going = asyncio.create_task(self.traffic(ends, 0.005))
+        going = asyncio.create_task(self.send_traffic(ends, 0.005))
         await asyncio.sleep(0.3)
         self.endpoint_update(3, self.line("a1", "draining"))
-        told = time.monotonic()
+        control_answers = time.monotonic()
         await asyncio.sleep(0.01)
-        change = await self.house.propose_text(WATCH + '[[backends]]\nid = "a1"\nweight = 5.0\n', "ops", "more to a1")
+        change = await self.manager.propose_text(WATCH + '[[backends]]\nid = "a1"\nweight = 5.0\n', "ops", "more to a1")
         await asyncio.sleep(0.3)
-        await self.house.undo(change.number, "ops", "no")
+        await self.manager.undo(change.number, "ops", "no")
         await asyncio.sleep(0.5)
-        # How many have come by then hangs on the machine.
-        await self.until(lambda: sum(at > told + 0.5 for at, status in ends if status == "200") > 20)
+        # The number of answers by then depends on the machine.
+        await self.until(lambda: sum(at > control_answers + 0.5 for at, status in ends if status == "200") > 20)
         going.cancel()
         await asyncio.gather(going, return_exceptions=True)
-        latest = max(at for times in self.backends["a1"].came.values() for at, _ in times)
-        self.assertLess(latest - told, 0.5)
+        latest = max(at for times in self.backends["a1"].received.values() for at, _ in times)
+        self.assertLess(latest - control_answers, 0.5)
 
     async def test_a_mark_drains_and_its_end_lifts_it(self) -> None:
-        # Not WATCH: on a busy machine the tickets take longer than its 2 s, and a change that is over needs no word.
-        await self.stand(UNWATCHED, settings=LONG_TIMEOUT_SETTINGS)
-        change = await self.house.drain("a1", False, "ops", "a look at it")
-        await asyncio.gather(*(self.one(left=60_000) for _ in range(20)))
-        self.assertEqual(self.backends["a1"].came, {})
+        # Not WATCH: on a busy machine the tickets take longer than its 2 s, after which the change is confirmed
+        # automatically.
+        await self.start_proxy(UNWATCHED, settings=LONG_TIMEOUT_SETTINGS)
+        change = await self.manager.drain("a1", False, "ops", "a look at it")
+        await asyncio.gather(*(self.send_ticket(time_left_ms=60_000) for _ in range(20)))
+        self.assertEqual(self.backends["a1"].received, {})
         with self.assertRaisesRegex(TransactionError, "confirm or undo it first"):
-            await self.house.drain("b1", False, "ops", "")
-        await self.house.confirm(change.number, "ops", "fine")
+            await self.manager.drain("b1", False, "ops", "")
+        await self.manager.confirm(change.number, "ops", "fine")
         with self.assertRaisesRegex(TransactionError, "no backend that is listed"):
-            await self.house.drain("z9", False, "ops", "")
-        await self.house.drain("a1", True, "ops", "well again")
-        await asyncio.gather(*(self.one(left=60_000) for _ in range(20)))
-        self.assertGreater(len(self.backends["a1"].came), 5)
+            await self.manager.drain("z9", False, "ops", "")
+        await self.manager.drain("a1", True, "ops", "well again")
+        await asyncio.gather(*(self.send_ticket(time_left_ms=60_000) for _ in range(20)))
+        self.assertGreater(len(self.backends["a1"].received), 5)
 
     async def test_limits_turn_away_at_once_and_say_when_to_come_back(self) -> None:
-        await self.stand(
+        await self.start_proxy(
             WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 2, queue = 2 }\n'
             '[[routes]]\nname = "book"\nmatch = { path = "/book/{x*}" }\nrate = { per_customer = 1.0, burst = 2.0 }\n',
             0.3,
         )
         began = time.monotonic()
-        ends = await asyncio.gather(*(self.one() for _ in range(8)))
+        ends = await asyncio.gather(*(self.send_ticket() for _ in range(8)))
         self.assertEqual(sorted(status for _, status, _ in ends), ["200"] * 4 + ["503"] * 4)
         self.assertLess(time.monotonic() - began, 1.2)
-        ends = await asyncio.gather(*(self.one("book", "Tenant: t\r\n") for _ in range(4)))
+        ends = await asyncio.gather(*(self.send_ticket("book", "Tenant: t\r\n") for _ in range(4)))
         self.assertEqual(sorted(status for _, status, _ in ends), ["200", "200", "429", "429"])
-        # One that waits and whose client leaves is no longer there.
-        inside = [asyncio.create_task(self.one()) for _ in range(2)]
-        gates = self.house.active_configuration.gates
+        # A waiting ticket whose client leaves is removed.
+        inside = [asyncio.create_task(self.send_ticket()) for _ in range(2)]
+        gates = self.manager.active_configuration.gates
         await self.until(lambda: gates()[0]["inside"] == 2)
         reader, writer = await self.connect()
         writer.write(self.request("look", 999))
@@ -234,22 +238,26 @@
         writer.close()
         await self.until(lambda: gates()[0]["waiting"] == 0)
         await asyncio.gather(*inside)
-        self.assertNotIn("999", self.backends["a1"].came | self.backends["b1"].came)
+        self.assertNotIn("999", self.backends["a1"].received | self.backends["b1"].received)
         self.assertEqual((gates()[0]["inside"], self.proxy._facade.open_tickets), (0, 0))
 
     async def test_one_that_waits_has_its_answer_before_its_time_is_up(self) -> None:
-        """Answers have been quick, so nobody is late by the usual time until just before the end; then one holds the place."""
-        await self.stand(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 0.001)
+        """Answers have been quick, so by the usual service time no ticket counts as late until just before its
+        deadline; then one slow ticket holds the only place.
+        """
+        await self.start_proxy(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 0.001)
         for _ in range(5):
-            await self.one()
+            await self.send_ticket()
         for backend in self.backends.values():
-            backend.after = 0.4
-        holds = asyncio.create_task(self.one("pay", left=2000))
-        await self.until(lambda: self.house.active_configuration.gates()[0]["inside"] == 1)
+            backend.delay = 0.4
+        holds = asyncio.create_task(self.send_ticket("pay", time_left_ms=2000))
+        await self.until(lambda: self.manager.active_configuration.gates()[0]["inside"] == 1)
         stood = 0.0
 
         async def looks() -> None:
-            """How long the loop stood, proxy, client and all: a busy machine's doing, which counts for nobody."""
+            """Sums up how long the event loop was stalled, proxy and client alike, which on a busy machine is not the
+            proxy's fault.
+            """
             nonlocal stood
             while True:
                 due = time.monotonic() + 0.001
@@ -260,8 +268,8 @@
         looking = asyncio.create_task(looks())
         for left in (150, 190, 230, 270):
             began, before = time.monotonic(), stood
-            _, status, _ = await self.one(left=left)
-            await asyncio.sleep(0.002)  # it has looked
+            _, status, _ = await self.send_ticket(time_left_ms=left)
+            await asyncio.sleep(0.002)  # lets the stall detector run
             took = time.monotonic() - began - (stood - before)
             if holds.done():
                 break
@@ -272,44 +280,44 @@
         await holds
 
     async def test_a_stop_answers_those_that_wait(self) -> None:
-        await self.stand(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 1.0)
-        tasks = [asyncio.create_task(self.one(left=9000)) for _ in range(10)]
-        await self.until(lambda: self.house.active_configuration.gates()[0]["waiting"] == 9)
+        await self.start_proxy(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 1.0)
+        tasks = [asyncio.create_task(self.send_ticket(time_left_ms=9000)) for _ in range(10)]
+        await self.until(lambda: self.manager.active_configuration.gates()[0]["waiting"] == 9)
         self.proxy.stop()
         ends = await asyncio.gather(*tasks)
         self.assertEqual({status for _, status, _ in ends} - {"200", "503"}, set())
 
     async def test_sighup_proposes_the_file_and_a_bad_one_is_not_taken(self) -> None:
-        await self.stand(WATCH)
+        await self.start_proxy(WATCH)
         self.own_file.write_text(WATCH + "[[routes]]\nname = 'r'\nattempts = 5\nsecond_copy = true\n")
         self.proxy.reload_configuration()
         await self.until(lambda: sum("not taken" in line for line in self.logged) >= 2)
         self.own_file.write_text(SLOW)
         self.proxy.reload_configuration()
-        await self.until(lambda: self.house.active_configuration.version.number == 2)
-        self.assertEqual(self.house.active_configuration.ledger.open.steps[0].who, "SIGHUP")
+        await self.until(lambda: self.manager.active_configuration.version.number == 2)
+        self.assertEqual(self.manager.active_configuration.ledger.open.steps[0].who, "SIGHUP")
         with self.assertRaises(ConfigurationError):
-            await self.house.propose_text("a = ", "ops", "")
+            await self.manager.propose_text("a = ", "ops", "")
         with self.assertRaisesRegex(TransactionError, r"change 1 \(\w+\) of SIGHUP is applied"):
-            await self.house.propose_text(WATCH + "[weights]\na = 2\n", "ops", "")
+            await self.manager.propose_text(WATCH + "[weights]\na = 2\n", "ops", "")
 
     async def test_a_change_that_waited_is_checked_anew_and_follows(self) -> None:
-        await self.stand(WATCH.replace("least = 20", "least = 20\nwait = true"))
-        text = self.house.active_configuration.version.read.text
-        first = await self.house.propose_text(text + "[weights]\na = 2\n", "one", "")
-        second = await self.house.propose_text(text + "[weights]\na = 3\n", "two", "")
-        third = await self.house.propose_text(text + "[weights]\na = 3\n# the same\n", "three", "")
+        await self.start_proxy(WATCH.replace("least = 20", "least = 20\nwait = true"))
+        text = self.manager.active_configuration.version.read.text
+        first = await self.manager.propose_text(text + "[weights]\na = 2\n", "one", "")
+        second = await self.manager.propose_text(text + "[weights]\na = 3\n", "two", "")
+        third = await self.manager.propose_text(text + "[weights]\na = 3\n# the same\n", "three", "")
         self.assertEqual((first.state, second.state), ("applied", "proposed"))
-        await self.house.undo(first.number, "one", "")
+        await self.manager.undo(first.number, "one", "")
         self.assertEqual(second.state, "applied")
-        await self.house.confirm(second.number, "two", "")
+        await self.manager.confirm(second.number, "two", "")
         self.assertEqual((third.state, third.steps[-1].why), ("undone", "it is what stands already"))
-        # What is over is told of and holds no file's text any more.
-        self.assertEqual([one.what for one in (first, second)], [None, None])
+        # Finished changes are reported, but no longer hold the file's text.
+        self.assertEqual([change.what for change in (first, second)], [None, None])
 
     # --- the control socket -----------------------------------------------------------------------
 
-    async def told(self, path: str, *lines: bytes) -> list[bytes]:
+    async def control_answers(self, path: str, *lines: bytes) -> list[bytes]:
         reader, writer = await asyncio.open_unix_connection(path)
         writer.write(b"".join(lines))
         async with asyncio.timeout(5):
@@ -318,7 +326,7 @@
         return got
 
     async def test_clients_that_hang_flood_or_send_noise_cost_their_own_connection_alone(self) -> None:
-        await self.stand(WATCH + CONTROL)
+        await self.start_proxy(WATCH + CONTROL)
         path = str(self.own_file.parent / "control")
         self.assertEqual(stat.S_IMODE(os.stat(path).st_mode), 0o600)
         for noise, answer in (
@@ -334,27 +342,28 @@
             (b"x" * (1 << 20) + b"x\n", "a line of over"),
         ):
             with self.subTest(noise=noise[:40]):
-                got = json.loads((await self.told(path, noise))[0])
+                got = json.loads((await self.control_answers(path, noise))[0])
                 self.assertFalse(got["ok"])
                 self.assertIn(answer, got["why"])
         hanging = [await asyncio.open_unix_connection(path) for _ in range(3)]
         await asyncio.sleep(0.05)
-        self.assertIn("3 are connected already", (await self.told(path, b""))[0].decode())
-        # One that asks and never reads, one that says half a line: both are ended, and tickets do not notice.
+        self.assertIn("3 are connected already", (await self.control_answers(path, b""))[0].decode())
+        # One client asks and never reads, another sends half a line: both are disconnected, and tickets are not
+        # affected.
         hanging[0][1].write(b'{"do": "backends"}\n' * 20_000)
         hanging[1][1].write(b'{"do": ')
         began = time.monotonic()
-        ends = [await self.one() for _ in range(20)]
+        ends = [await self.send_ticket() for _ in range(20)]
         self.assertEqual({status for _, status, _ in ends}, {"200"})
         self.assertLess(time.monotonic() - began, 20 * 0.1)
         await asyncio.sleep(0.6)
         for _, writer in hanging:
             writer.close()
         await asyncio.sleep(0.5)
-        self.assertTrue(json.loads((await self.told(path, b'{"do": "status"}\n'))[0])["ok"])
+        self.assertTrue(json.loads((await self.control_answers(path, b'{"do": "status"}\n'))[0])["ok"])
 
     async def test_the_socket_is_not_taken_from_another_proxy(self) -> None:
-        await self.stand(WATCH + CONTROL)
+        await self.start_proxy(WATCH + CONTROL)
         from pepperusher.control.socket import Control, ControlError
 
         path = str(self.own_file.parent / "control")
@@ -366,7 +375,7 @@
 
 
 class Processes(unittest.TestCase):
-    """`serve` as a process, with ctl: killed in each state of a change."""
+    """A `serve` process controlled with ctl, killed in each state of a change."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -411,14 +420,14 @@
         if self.process is None:
             return ""
         self.process.send_signal(signal.SIGKILL)
-        _, said = self.process.communicate()
+        _, output = self.process.communicate()
         self.process = None
-        return said
+        return output
 
-    def ctl(self, *words: str, ends: int = 0) -> str:
-        done = CliRunner().invoke(main, ["ctl", "--socket", self.socket, *words])
-        self.assertEqual(done.exit_code, ends, done.output)
-        return done.output
+    def ctl(self, *words: str, exit_code: int = 0) -> str:
+        result = CliRunner().invoke(main, ["ctl", "--socket", self.socket, *words])
+        self.assertEqual(result.exit_code, exit_code, result.output)
+        return result.output
 
     def test_killed_in_each_state_it_starts_with_the_last_confirmed(self) -> None:
         self.start()
@@ -428,20 +437,20 @@
         self.assertIn(": applied", self.ctl("propose", "--why", "to try"))
         changed = client.ask(self.socket, "status")["digest"]
         self.assertNotEqual(changed, digest)
-        self.kill()  # applied, and not confirmed
+        self.kill()  # killed after the change was applied and before it was confirmed
         self.start()
         self.assertEqual(client.ask(self.socket, "status")["digest"], digest)
         self.assertIn(": applied", self.ctl("propose"))
         self.assertIn(": undone", self.ctl("undo"))
-        self.kill()  # undone
+        self.kill()  # killed after the change was undone
         self.start()
         self.assertEqual(client.ask(self.socket, "status")["digest"], digest)
         self.ctl("propose")
         self.assertIn(": confirmed", self.ctl("confirm", "--why", "looks well"))
-        self.kill()  # confirmed
+        self.kill()  # killed after the change was confirmed
         self.start()
         self.assertEqual(client.ask(self.socket, "status")["digest"], changed)
-        # A mark that was written and not yet applied: staged.
+        # Killed after the change was written and before it was applied: staged.
         from pepperusher.changes.confirmed_file import ConfirmedFile as OnDisk
 
         third = self.first + "[weights]\na = 3.0\n"
@@ -456,18 +465,18 @@
         self.start("--set", "said.form=json")
         self.assertRegex(self.ctl("status"), r"^version 1 \(\w{12}\), program \S+, 0 tickets in hand")
         self.assertEqual(json.loads(self.ctl("--json", "breakers")), {"ok": True, "breakers": []})
-        # One after another as fast as it goes: those that have gone hold no place.
+        # Requests one after another as fast as possible: closed connections hold no place.
         for _ in range(30):
             client.ask(self.socket, "status")
         for listing in ("backends", "tickets", "history"):
             self.assertEqual(self.ctl(listing), "none\n")
         bad = self.at / "bad.toml"
         bad.write_text("[[routes]]\nname = 'r'\nattempts = 9\nsecond_copy = true\n")
-        said = self.ctl("propose", str(bad), ends=1)
-        self.assertIn("what is proposed:3: routes[0].attempts: 9 is not from 1 to 3 [three attempts]", said)
-        self.assertIn("what is proposed:4: routes[0].second_copy", said)
-        self.assertIn("none.toml: No such file", self.ctl("propose", "none.toml", ends=1))
-        self.assertIn("no change is open", self.ctl("undo", ends=1))
+        output = self.ctl("propose", str(bad), exit_code=1)
+        self.assertIn("what is proposed:3: routes[0].attempts: 9 is not from 1 to 3 [three attempts]", output)
+        self.assertIn("what is proposed:4: routes[0].second_copy", output)
+        self.assertIn("none.toml: No such file", self.ctl("propose", "none.toml", exit_code=1))
+        self.assertIn("no change is open", self.ctl("undo", exit_code=1))
         good = self.at / "good.toml"
         good.write_text(self.first + "[weights]\na = 2.0\n")
         self.ctl("propose", str(good), "--why", "a try")
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -86,11 +86,11 @@
         discovery.take_relayed_list(self.update(4, *lines[:2]), clock.now())
         self.assertEqual([(["b1"], False), (["c1 gone"], False)], passed_on)
         self.assertEqual(("a1", 4), (self.ready_backends(), discovery.version))
-        made = discovery.own_list()
-        assert made is not None
-        self.assertEqual(["a1", "b1"], [entry["id"] for entry in made["servers"]])
+        own_list = discovery.own_list()
+        assert own_list is not None
+        self.assertEqual(["a1", "b1"], [entry["id"] for entry in own_list["servers"]])
         # The list in discovery's JSON form, as it is handed over.
-        self.assertEqual(self.update(4, *lines[:2]), parse_endpoint_update(json.loads(json.dumps(made))))
+        self.assertEqual(self.update(4, *lines[:2]), parse_endpoint_update(json.loads(json.dumps(own_list))))
 
     async def test_a_word_that_was_on_its_way_lowers_nothing(self) -> None:
         """The watch asked for changes after version 1, and a relayed list brought version 5; an older answer of
