--- a/pepperusher/console/admin_commands.py
+++ b/pepperusher/console/admin_commands.py
@@ -36,6 +36,7 @@
         self.lines = self._filter.filter
 
     def _apply_ban(self, entry: Endpoint) -> Endpoint:
+        """The entry as the bans change it: draining while banned, and cold after that."""
         command = self.bans.get(entry.id)
         if command is None or not entry.ready:
             return entry
--- a/pepperusher/console/admin_handlers.py
+++ b/pepperusher/console/admin_handlers.py
@@ -116,6 +116,7 @@
             await asyncio.sleep(POLL_INTERVAL_S / 5)
 
     def _read(self, slot: ProcessSlot) -> State | None:
+        """Reads the state in a slot; None where it is unchanged or invalid."""
         try:
             state = slot.read()
             if state is not None and not slot.held:
@@ -126,12 +127,14 @@
             return None
 
     def _merge(self, other: State) -> None:
+        """Applies the commands of the other process."""
         drained = self.commands.drain
         self._proxy.reapply_filters(self, self.commands.merge(other.bans, other.drain))
         if self.commands.drain != drained:
             self._proxy.send_away(self.commands.drain.on)
 
     def _state(self) -> State:
+        """The state that this process publishes. The handover state is included once a successor is known."""
         handover = self._proxy.handover_state() if self._active and self._successor_token else HandoverState()
         other_token = self._successor_token if self._active else self._token
         return State(
@@ -224,6 +227,7 @@
             self._log.say(f"the check of the other process failed: {error}")
 
     async def _poll(self) -> None:
+        """Checks the other process periodically."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             try:
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -54,6 +54,7 @@
         self._server.close()
 
     def _accept(self) -> StreamConnection:
+        """Accepts a connection, replacing an idle one if too many are open."""
         connection = StreamConnection()
         if len(self._open) >= CONNECTIONS_MAX:
             # Only a connection without unread data in the kernel is replaced.
@@ -68,6 +69,7 @@
         return connection
 
     async def _serve(self, connection: StreamConnection) -> None:
+        """Reads one call, answers it and closes the connection."""
         parser = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         body = Body(self._pool)
         try:
--- a/pepperusher/console/state.py
+++ b/pepperusher/console/state.py
@@ -49,6 +49,7 @@
 
 
 def _decode_command(value: Any, where: str) -> AdminCommand:
+    """Validates a command of the JSON document; `where` names its place for the error."""
     if (
         not isinstance(value, list)
         or len(value) != 2
--- a/pepperusher/net/bootstrap.py
+++ b/pepperusher/net/bootstrap.py
@@ -76,6 +76,7 @@
 
 
 def _keys_by_section(document: dict[str, Any]) -> dict[str, frozenset[str]]:
+    """The keys present in each section of the file; for a list, the keys that all its objects have."""
     keys = {}
     for path in OBJECT_PATHS:
         if isinstance(value := _value_at(document, path), dict):
--- a/pepperusher/net/call_schedule.py
+++ b/pepperusher/net/call_schedule.py
@@ -1,7 +1,8 @@
 """Decides when the next watch call goes out at one discovery address. Free of I/O, without a clock of its own.
 
-Times are seconds of one monotonic clock. A *deadline* is the time by which discovery must have confirmed the list: from
-then on, changes that the list lacks count as delivered (docs/design.md, "Terms for the list").
+Times are seconds of one monotonic clock. A *deadline* is the time by which discovery must have confirmed the list. From
+then on changes at discovery count as delivered: the drain rules treat this proxy as having received them, whether or
+not it has (docs/design.md, "Terms for the list").
 """
 
 from __future__ import annotations
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -216,6 +216,7 @@
     def request_admission(
         self, request: Request, use_case: str, customer: str, wait_limit: int | None, usual_limit: int
     ) -> AdmittedTicket:
+        """Matches the request to its route, and admits, queues or refuses it."""
         version = self.active_configuration.version
         headers: dict[str, str] = {}
         host = b""
@@ -244,6 +245,7 @@
         return True
 
     async def _wait_for_admission(self, ticket: AdmittedTicket, call: Call) -> bool:
+        """Waits until a queued ticket is admitted, refused, too late, or left by its client."""
         if call.left:
             return False
         if ticket.how != QUEUED or ticket.waiting is None:
@@ -369,6 +371,7 @@
         return await self.propose_text(text + block, who, why)
 
     async def _propose(self, read: Read, who: str, why: str) -> Change:
+        """Opens a change for a parsed configuration, and applies it unless it has to wait for another."""
         change = self.active_configuration.propose(read, who, why, clock.now())
         if change is self.active_configuration.ledger.open:
             await self._apply(change)
@@ -430,6 +433,7 @@
         return change
 
     async def _record_undone(self, change: Change) -> None:
+        """Records on disk that a change was undone, and restores the last confirmed file."""
         if self._confirmed_file is not None and change.what is not None:
             try:
                 await asyncio.to_thread(self._confirmed_file.undo, change.what.text)
@@ -452,6 +456,7 @@
                 change = self.active_configuration.ledger.next()
 
     async def _watch_changes(self) -> None:
+        """Confirms or undoes the open change when its watch period ends, and cleans up periodically."""
         while True:
             await asyncio.sleep(POLL_INTERVAL_S)
             try:
--- a/pepperusher/net/discovery.py
+++ b/pepperusher/net/discovery.py
@@ -101,6 +101,7 @@
         return wait / 1e6 if wait >= 0 else 1.0
 
     def apply_update(self, update: EndpointUpdate, source: Source | None = None) -> None:
+        """Applies an update from `source`, by default from the current one, to the endpoint list."""
         source = source or self._source
         if self._list_borrowed:
             # The first update from discovery replaces a borrowed list, also where it holds only changes because the
@@ -256,15 +257,15 @@
         """
         self._replaces_process, self._handover_deadline = True, due_at
 
-    def resume_from_handover(self, address: tuple[str, int], update: EndpointUpdate, told_there: bool) -> None:
+    def resume_from_handover(self, address: tuple[str, int], update: EndpointUpdate, listed_there: bool) -> None:
         """Starts from the list of the previous process; called before `start`.
 
-        The first call goes to `address`. It asks for changes after this list where `told_there` says that the list came
+        The first call goes to `address`. It asks for changes after this list where `listed_there` says that the list came
         from there, and for the full list otherwise.
         """
         self._source = Source(address, 0, self._new_schedule())
         self.apply_update(update)
-        if not told_there:
+        if not listed_there:
             self._source.version = None
 
     def configuration_changed(self, address: tuple[str, int] | None, signal_age: float) -> None:
@@ -322,6 +323,7 @@
             self._drop_replaced(oldest, "newer configurations", at_once=True)
 
     def _drop_replaced(self, source: Source, why: str, at_once: bool = False) -> None:
+        """Closes the calls of a replaced address and forgets it."""
         self._replaced_sources.remove(source)
         self._close_calls(source.detach_calls(), why, at_once)
         source.following.cancel()
@@ -371,6 +373,7 @@
                 call.close_now()
 
     def _start_call(self, source: Source) -> None:
+        """Opens a call, and closes the oldest one if too many are open."""
         if source.calls:
             self._log.say(f"no message on the watch; calls open: {len(source.calls)}")
         oldest = source.calls[: max(0, len(source.calls) - CONCURRENT_CALLS_MAX + 1)]
@@ -417,6 +420,7 @@
         return f"; next in {wait:.2f} s" if wait > 0 else ""
 
     def _count_end(self, call: Call, error: BaseException | None) -> None:
+        """Counts the end of a call by its cause."""
         if call.has_message:
             self.metrics.lost += 1
             return
@@ -452,6 +456,7 @@
         return False
 
     async def _run_call(self, source: Source, call: Call) -> str:
+        """Connects, sends the watch request and reads the response to its end. Returns why it ended."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 connection = call.connection = await connect(source.address)
@@ -475,6 +480,7 @@
             connection.abort()
 
     async def _read_watch(self, connection: StreamConnection, source: Source, call: Call) -> str:
+        """Applies the updates of one watch until its connection closes."""
         # Versions of another address, or from before a restart of the version count, are meaningless here. Without a
         # version discovery sends the full list.
         asked_version = None if source.versions_restarted else source.version
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -102,6 +102,7 @@
             self._update_source()
 
     def _update_source(self) -> None:
+        """Asks EndpointSource which source is in use now, and applies the answer to discovery."""
         source, host = self._source, self._host
         if source is None or host is None:
             return
--- a/pepperusher/net/endpoint_table.py
+++ b/pepperusher/net/endpoint_table.py
@@ -128,7 +128,8 @@
             )
 
     def publish(self, entries: list[Endpoint], whole: bool = False, filters_applied: int = 0) -> None:
-        """Filters the entries and passes them on; the first `filters_applied` of them have been applied already.
+        """Filters the entries and passes them to the balancer and the connections; the first `filters_applied` filters
+        have been applied already.
 
         An endpoint that a filter marks as draining keeps no idle connections either.
         """
--- a/pepperusher/net/list_confirmation.py
+++ b/pepperusher/net/list_confirmation.py
@@ -1,10 +1,11 @@
 """Tracks whether discovery has confirmed the endpoint list, and whether the list has expired.
 
 After an event such as a lost watch, discovery has to confirm the list by a *deadline* (docs/design.md, "Terms for the
-list"). From then on, changes that the list lacks count as delivered, whether or not they arrived. The *soft* deadline
-of an outage or a start applies only while discovery can be reached, which a proxy cannot know: past it the list is
-still used, and each use is logged and counted. A *hard* deadline applies whatever discovery does. A list that is
-unconfirmed at its hard deadline has expired: any of its endpoints may be draining, so no request is sent by it.
+list"). From then on changes at discovery count as delivered: the drain rules treat this proxy as having received them,
+whether or not it has. The *soft* deadline of an outage or a start applies only while discovery can be reached, which a
+proxy cannot know: past it the list is still used, and each use is logged and counted. A *hard* deadline applies
+whatever discovery does. A list that is unconfirmed at its hard deadline has expired: any of its endpoints may be
+draining, so no request is sent by it.
 """
 
 from __future__ import annotations
@@ -125,6 +126,7 @@
         self._log.say(f"list unconfirmed: {cause.value}; deadline in {deadline - self._now():.2f} s")
 
     def _start_soft_deadline(self, within: float, since: float) -> None:
+        """Starts a soft deadline `within` seconds after `since`, unless an earlier one is running."""
         if self._hard_deadline is not None and self._hard_deadline <= since:
             self._hard_deadline = None  # the list was confirmed when it passed
         deadline = since + within
@@ -154,6 +156,9 @@
         self._discovery_reached = True
 
     def _start_hard_deadline(self, within: float, since: float, supersedes: bool) -> None:
+        """Starts a hard deadline `within` seconds after `since`. It does not extend one that has already expired the
+        list.
+        """
         running = self._hard_deadline
         if running is not None and self._unconfirmed_since is not None and self._now() > running:
             if self._now() <= running + EXPIRED_LIST_MAX_S:
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -138,6 +138,7 @@
             await asyncio.sleep(BIND_RETRY_S)
 
     async def _join(self, first: bool) -> bool:
+        """Binds the group's address and starts the SWIM protocol. Returns False while the address is taken."""
         datagram_socket = None
         try:
             datagram_socket = self._bound()
@@ -203,7 +204,9 @@
             self._share()
 
     def drain_started(self, until: int) -> None:
-        """Leaves membership to the successor if there is one; otherwise tells the other members."""
+        """Leaves the membership to the successor if there is one; otherwise announces to the group that this proxy
+        leaves.
+        """
         if self._host.has_successor:
             self._close()
         elif self.swim is not None:
@@ -240,6 +243,7 @@
     # --- datagrams and time -------------------------------------------------------------------------
 
     def _datagrams_ready(self) -> None:
+        """Reads the datagrams that have arrived, at most DATAGRAMS_PER_TURN at once."""
         assert self._socket is not None and self.swim is not None
         for _ in range(DATAGRAMS_PER_TURN):
             try:
@@ -253,6 +257,7 @@
         self._flush()
 
     def _wake(self) -> None:
+        """Runs the protocol step that is due, and sets the timer for the next one."""
         if self.swim is None or self._socket is None:
             return
         if self._timer is not None:
@@ -302,6 +307,7 @@
             self._fetch_task = asyncio.get_running_loop().create_task(self._fetch(address))
 
     def _share(self) -> None:
+        """Tells the balancer how many proxies share the traffic, if that changed."""
         assert self.swim is not None
         size = self.swim.size()
         if size != self.sharers:
@@ -402,6 +408,7 @@
             self._list_task = None
 
     async def _request_list(self, address: tuple[str, int]) -> dict[str, Any] | None:
+        """Requests the endpoint list of another member; None where that fails."""
         writer = None
         text = bytearray()
         try:
@@ -454,6 +461,7 @@
                 )
 
     def _phase(self) -> int:
+        """The phase that this member announces to the group."""
         if not self._host.sent_away():
             self._sent_away_at = None
         elif self._sent_away_at is None:
@@ -508,6 +516,7 @@
 
 
 async def _read_part(reader: asyncio.StreamReader, max_length: int) -> bytes:
+    """Reads one length-prefixed part. Raises ValueError if it is longer than `max_length`."""
     (length,) = PART_LENGTH.unpack(await reader.readexactly(PART_LENGTH.size))
     if length > max_length:
         raise ValueError("a stream part is too long")
--- a/pepperusher/net/stopped_endpoints.py
+++ b/pepperusher/net/stopped_endpoints.py
@@ -15,6 +15,8 @@
 
 
 class _Stop(NamedTuple):
+    """A stop: the version of the update that reported it, the start time of the endpoint, and when the update arrived."""
+
     version: int
     born: int
     stopped_at: int
--- a/pepperusher/net/watch_stream.py
+++ b/pepperusher/net/watch_stream.py
@@ -38,8 +38,8 @@
 class WatchStream:
     """Reads one watch. `silence_timeout` gives the seconds without a message after which the watch is dead."""
 
-    def __init__(self, line: StreamConnection, silence_timeout: Callable[[], float]) -> None:
-        self._line = line
+    def __init__(self, connection: StreamConnection, silence_timeout: Callable[[], float]) -> None:
+        self._connection = connection
         self._silence_timeout = silence_timeout
         self._parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self._text = bytearray()
@@ -50,7 +50,7 @@
         """Sends the watch request: for changes after version `after`, or for the full list where that is None."""
         host = f"{address[0]}:{address[1]}".encode()
         target = b"/v1/endpoints?watch=1" + (b"" if after is None else b"&after=%d" % after)
-        self._line.send(encode_request(self._parser, Request(b"GET", target, [(b"host", host)], b"")))
+        self._connection.send(encode_request(self._parser, Request(b"GET", target, [(b"host", host)], b"")))
 
     async def read_next(self) -> WatchData | None:
         """Returns the next part of the stream, None at its end. Raises CallRefusedError, WatchSilentError, BadList, and
@@ -71,17 +71,21 @@
                 return None
 
     async def _receive(self) -> None:
+        """Reads from the connection into the parser. Raises WatchSilentError at the deadline if no data is left to
+        read.
+        """
         try:
             async with asyncio.timeout_at(self._deadline):
-                self._parser.receive_data(await self._line.read())
+                self._parser.receive_data(await self._connection.read())
         except TimeoutError:
-            if not self._line.has_unread_data:
+            if not self._connection.has_unread_data:
                 raise WatchSilentError(self._last_message_at) from None
             # The data and the deadline were due at once, as after a process pause: the data is read first and may end
             # the silence.
             self._deadline = asyncio.get_running_loop().time() + LATE_READ_S
 
     def _parse_data(self, data: bytes | bytearray) -> WatchData:
+        """Adds received data to the text so far, and extends the deadline after a message."""
         self._text += data
         if len(self._text) > LINE_MAX_BYTES:
             raise BadList("a line is too long")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -31,11 +31,11 @@
         update = parse_endpoint_update(
             {"version": 1, "full": True, "servers": [{"id": "a1", "addr": "127.0.0.1:2", "state": "ready"}]}
         )
-        waits: dict[str, list[float]] = {"with a list": [], "with a list, told to": [], "without": []}
+        waits: dict[str, list[float]] = {"with a list": [], "with a list, at once": [], "without": []}
         for number in range(60):
             for case, lists, at_once in (
                 ("with a list", True, False),
-                ("with a list, told to", True, True),
+                ("with a list, at once", True, True),
                 ("without", False, False),
             ):
                 discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
@@ -44,7 +44,7 @@
                 discovery.start(at_once=at_once)
                 waits[case].append(discovery._source.schedule.paused_until - loop.time())
                 discovery.stop()
-        self.assertLessEqual(max(waits["without"] + waits["with a list, told to"]), 0.0)
+        self.assertLessEqual(max(waits["without"] + waits["with a list, at once"]), 0.0)
         thirds = Counter(int(3 * wait / START_SPREAD_S) for wait in waits["with a list"])
         self.assertEqual({0, 1, 2}, set(thirds))
         self.assertGreater(min(thirds.values()), 10)
@@ -60,7 +60,7 @@
         for number in range(10):
             discovery = Asker(number, 60, ("127.0.0.1", 1), 1, 10.0).discovery
             discovery.take_over(None)
-            discovery.resume_from_handover(("127.0.0.1", 1), update, told_there=True)
+            discovery.resume_from_handover(("127.0.0.1", 1), update, listed_there=True)
             discovery.start(at_once=False)
             self.assertLessEqual(discovery._source.schedule.seconds_to_next_call(loop.time(), False, 0.0), 0.0)
             discovery.stop()
@@ -332,7 +332,7 @@
             self.proxy.reload_configuration()
         await asyncio.sleep(0.45)
         await self.ask("look 1", self.request("look", 1))
-        self.assertIn("200", self.lines[-1], "its watch stood all the while")
+        self.assertIn("200", self.lines[-1], "its watch was open all the time")
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", 0.4):
             self.proxy.reload_configuration()
         self.keeps_silent = True
@@ -356,7 +356,7 @@
         discovery.stop()
         discovery.take_over(None)
         discovery.resume_from_handover(
-            discovery._source.address, parse_endpoint_update(discovery.own_list()), told_there=True
+            discovery._source.address, parse_endpoint_update(discovery.own_list()), listed_there=True
         )
         self.keeps_silent = True
         with mock.patch("pepperusher.net.discovery.TAKEN_OVER_DEADLINE_S", DEADLINE_S):
@@ -379,7 +379,7 @@
         discovery.configuration_changed(("127.0.0.1", 9), 0.0)
         self.assertEqual((None, (handed_over, False)), (discovery.own_list(), discovery.handover_list()))
         discovery.stop()
-        discovery.resume_from_handover(("127.0.0.1", 9), parse_endpoint_update(handed_over), told_there=False)
+        discovery.resume_from_handover(("127.0.0.1", 9), parse_endpoint_update(handed_over), listed_there=False)
         self.assertIsNone(discovery._source.version)
         self.assertFalse(discovery.needs_list)
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -252,31 +252,31 @@
             backend.delay = 0.4
         holds = asyncio.create_task(self.send_ticket("pay", time_left_ms=2000))
         await self.until(lambda: self.manager.active_configuration.gates()[0]["inside"] == 1)
-        stood = 0.0
+        stalled_for = 0.0
 
-        async def looks() -> None:
+        async def detect_stalls() -> None:
             """Sums up how long the event loop was stalled, proxy and client alike, which on a busy machine is not the
             proxy's fault.
             """
-            nonlocal stood
+            nonlocal stalled_for
             while True:
                 due = time.monotonic() + 0.001
                 await asyncio.sleep(0.001)
                 if (late := time.monotonic() - due) > 0.005:
-                    stood += late
+                    stalled_for += late
 
-        looking = asyncio.create_task(looks())
-        for left in (150, 190, 230, 270):
-            began, before = time.monotonic(), stood
-            _, status, _ = await self.send_ticket(time_left_ms=left)
+        detector = asyncio.create_task(detect_stalls())
+        for time_left_ms in (150, 190, 230, 270):
+            began, before = time.monotonic(), stalled_for
+            _, status, _ = await self.send_ticket(time_left_ms=time_left_ms)
             await asyncio.sleep(0.002)  # lets the stall detector run
-            took = time.monotonic() - began - (stood - before)
+            took = time.monotonic() - began - (stalled_for - before)
             if holds.done():
                 break
             self.assertEqual(status, "503")
-            self.assertLess(took, left / 1000)
-        looking.cancel()
-        self.assertGreater(left, 150)
+            self.assertLess(took, time_left_ms / 1000)
+        detector.cancel()
+        self.assertGreater(time_left_ms, 150)
         await holds
 
     async def test_a_stop_answers_those_that_wait(self) -> None:
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -141,11 +141,11 @@
             written.append(body)
             return Version(1, len(written))
 
-        def word(name: str, version: Version, told_at: int) -> bool:
+        def announce(name: str, version: Version, told_at: int) -> bool:
             messages.append(version)
             return accepted
 
-        relay = Relay(("127.0.0.1", 1), "east/web", write, word, lambda what, **figures: None, 1)
+        relay = Relay(("127.0.0.1", 1), "east/web", write, announce, lambda what, **figures: None, 1)
         servers = [{"id": "a1", "addr": "127.0.0.1:5", "state": "ready"}]
         relay._discovery.apply_update(parse_endpoint_update({"version": 7, "full": True, "servers": servers}))
         relay._spoke()
