--- a/tests/scene.py
+++ b/tests/scene.py
@@ -332,7 +332,7 @@
         environment.start()
         self.addCleanup(environment.stop)
         # Most tests start with the first request for the list; with 0 it is sent immediately, by the same code.
-        spread = mock.patch("pepperusher.net.discovery.START_SPREAD", self.start_spread)
+        spread = mock.patch("pepperusher.net.discovery.START_SPREAD_S", self.start_spread)
         spread.start()
         self.addCleanup(spread.stop)
         self.lines = []
