--- a/pepperusher/capacity/__init__.py
+++ b/pepperusher/capacity/__init__.py
@@ -1,3 +1,3 @@
-"""What a fleet costs by its size: slopes measured, projected on a target, and read from a page. `serve`
-imports none of it.
+"""Capacity planning: measures how costs grow with the size of a fleet and projects them to a target size. `serve`
+imports none of this package.
 """
--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts along a chain of services, each of whose proxies may send a call again: the real decisions, in
+"""Simulates retries along a chain of services, each with a proxy that may retry its calls: the real decisions in
 virtual time.
 
-A tree that is walked depth first, one call from the top at a time: what several at once do to each other is
-not in it.
+The tree of attempts is walked depth first, one call of the client at a time, so the simulation does not include
+how concurrent calls affect each other.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from pepperusher.settings import read_settings
 from pepperusher.net.endpoint_update import parse_endpoint_update
 
-# A service's own work, and how long a client at the top waits.
-WORK, WAITS = 1_000, 2 * SECOND
+# How long a service takes for a call without its calls to other services, and how long the client waits.
+SERVICE_US, CLIENT_TIMEOUT_US = 1_000, 2 * SECOND
 BACKENDS = 24
-# A call from the top that has come to so many sends is not followed further.
-MOST = 20_000
+# The simulation of a call ends after this many sends.
+MAX_SENDS = 20_000
 
 
 class ChainResult(NamedTuple):
-    """For one call at the top: sends in all, and those that reach the last service. `done` is the part of
-    the calls that were, `most` the sends of the worst of them, `cut` how many were not followed to their end.
+    """Means for one call of the client: all sends, and the sends that reach the last service. `done` is the fraction
+    of calls that succeeded, `most` the sends of the call with the most sends, `cut` the number of calls whose
+    simulation ended early at MAX_SENDS.
     """
 
     sends: float
@@ -38,73 +39,73 @@
 
 
 class Chain:
-    """`failing` counts the services from the last one upwards that fail a `share` of their calls. `passed`
-    is what a service says whose own call failed: `error`, or `full`, which says that nothing was done. Each
-    proxy makes `most` attempts; the client at the top `waits` so many us; `work` is what each service takes.
+    """A chain of services. The last `failing` services fail a `share` of their calls. A service whose own call
+    failed answers `failure_reply`: `error`, or `full`, which means that it did nothing for the call. Each proxy makes
+    at most `max_attempts` attempts, the client waits `timeout_us`, and each service takes `service_us`.
     """
 
-    def __init__(self, depth: int, seed: int, passed: str = "error", most: int = 3, waits: int = WAITS,
-        promised: float = 500.0) -> None:  # fmt: skip
+    def __init__(self, depth: int, seed: int, failure_reply: str = "error", max_attempts: int = 3, timeout_us: int = CLIENT_TIMEOUT_US,
+        promised_ms: float = 500.0) -> None:  # fmt: skip
         self.depth = depth
         self.failing, self.share = 0, 0.0
-        self._hung: dict[int, str] = {}  # by level, the address of the one server that answers none
-        self.work, self._waits = WORK, waits
-        self._passed = passed
-        self._chance = Random(seed).random
+        self._hung_backends: dict[int, str] = {}  # by level, the address of the backend that answers no calls
+        self.service_us, self._timeout_us = SERVICE_US, timeout_us
+        self._failure_reply = failure_reply
+        self._random = Random(seed).random
         self._now = NOW
         self.sends = [0] * depth
-        self._spoke_to = [""] * depth
+        self._last_backends = [""] * depth
         self._facades = []
         for level in range(depth):
-            told = fixtures.settings(BACKENDS * 4, promised=promised, most=most)
-            told["tiers"] = [f"tier-{number}" for number in range(depth)]
-            told["stage"] = level
-            facade = Facade(read_settings(told, seed + level), NOW, discard_line)
+            settings = fixtures.settings(BACKENDS * 4, promised_ms=promised_ms, max_attempts=max_attempts)
+            settings["tiers"] = [f"tier-{number}" for number in range(depth)]
+            settings["stage"] = level
+            facade = Facade(read_settings(settings, seed + level), NOW, discard_line)
             facade.update_endpoints(parse_endpoint_update(fixtures.endpoint_list(BACKENDS)).entries, True, NOW)
             self._facades.append(facade)
 
-    def call(self, level: int = 0, until: int | None = None) -> bool:
-        """One call by the proxies of a level; whether it was done."""
+    def call(self, level: int = 0, deadline: int | None = None) -> bool:
+        """Simulates one call by the proxy of a level; returns whether it succeeded."""
         facade = self._facades[level]
-        until = self._now + self._waits if until is None else until
-        ticket = facade.open_ticket("use-0", "", self._now, max(1, until - self._now), 0)
+        deadline = self._now + self._timeout_us if deadline is None else deadline
+        ticket = facade.open_ticket("use-0", "", self._now, max(1, deadline - self._now), 0)
         step = facade.choose_backend(ticket, self._now)
         while step.action == SEND:
             self.sends[level] += 1
-            self._spoke_to[level] = step.backend
-            latest = min(until, self._now + step.wait)
-            done = sum(self.sends) < MOST and self._serve(level, step.backend, latest)
-            if self._now >= latest:
-                self._now = latest
-                how = "timed out"
+            self._last_backends[level] = step.backend
+            attempt_deadline = min(deadline, self._now + step.wait)
+            done = sum(self.sends) < MAX_SENDS and self._serve(level, step.backend, attempt_deadline)
+            if self._now >= attempt_deadline:
+                self._now = attempt_deadline
+                outcome = "timed out"
             else:
-                how = "done" if done else self._passed if level < self.depth - 1 else "error"
-            step = facade.report(ticket, how, self._now)
-            if how == "done":
+                outcome = "done" if done else self._failure_reply if level < self.depth - 1 else "error"
+            step = facade.report(ticket, outcome, self._now)
+            if outcome == "done":
                 facade.close_ticket(ticket, self._now)
                 return True
         facade.close_ticket(ticket, self._now)
         return False
 
-    def _serve(self, level: int, backend: str, until: int) -> bool:
-        self._now = until if self._hung.get(level) == backend else self._now + self.work
-        if self._now >= until:
+    def _serve(self, level: int, backend: str, deadline: int) -> bool:
+        self._now = deadline if self._hung_backends.get(level) == backend else self._now + self.service_us
+        if self._now >= deadline:
             return False
-        if level + 1 < self.depth and not self.call(level + 1, until):
+        if level + 1 < self.depth and not self.call(level + 1, deadline):
             return False
-        return not (self.depth - 1 - level < self.failing and self._chance() < self.share)
+        return not (self.depth - 1 - level < self.failing and self._random() < self.share)
 
-    def hang(self, level: int) -> None:
-        """The server that the proxy of this level spoke to last answers none from now on."""
-        self._hung[level] = self._spoke_to[level]
+    def hang_last_backend(self, level: int) -> None:
+        """From now on the backend that the proxy of this level called last answers no calls."""
+        self._hung_backends[level] = self._last_backends[level]
 
-    def usual(self, level: int) -> int:
-        """What the proxy of a level has learned to be the usual time, in us."""
+    def usual_us(self, level: int) -> int:
+        """Returns the usual call duration that the proxy of a level has learned, in us, or 0 if it knows none."""
         times: Any = self._facades[level].export_learned(self._now)["times"]
         return times["use-0"][0] if "use-0" in times else 0
 
     def warm(self, calls: int = 40) -> None:
-        """Each level has calls of its own, the last first: what is usual is known everywhere."""
+        """Makes calls at each level, from the last to the first, so that every proxy learns the usual call duration."""
         for level in reversed(range(self.depth)):
             for _ in range(calls):
                 self._now += 20_000
@@ -112,55 +113,58 @@
                 self.call(level)
 
     def play(self, calls: int) -> ChainResult:
-        """So many calls at the top, 20 ms apart or as they end."""
-        sends = last = done = most = cut = 0
+        """Simulates `calls` calls of the client. Each starts 20 ms after the previous one ended."""
+        sends = last = succeeded = max_sends = truncated = 0
         for _ in range(calls):
             self._now += 20_000
             self.sends = [0] * self.depth
-            done += self.call()
-            came = sum(self.sends)
-            sends, last, most = sends + came, last + self.sends[-1], max(most, came)
-            cut += came >= MOST
-        return ChainResult(sends / calls, last / calls, done / calls, most, cut)
+            succeeded += self.call()
+            failing_services = sum(self.sends)
+            sends, last, max_sends = sends + failing_services, last + self.sends[-1], max(max_sends, failing_services)
+            truncated += failing_services >= MAX_SENDS
+        return ChainResult(sends / calls, last / calls, succeeded / calls, max_sends, truncated)
 
 
-def came(
-    depth: int, failing: int, share: float, seed: int, passed: str = "error", calls: int = 100
+def failing_services(
+    depth: int, failing: int, share: float, seed: int, failure_reply: str = "error", calls: int = 100
 ) -> tuple[ChainResult, ChainResult]:
-    """The first 20 calls after so many services began to fail, and the `calls` after those."""
-    chain = Chain(depth, seed, passed)
+    """Returns the results of the first 20 calls after the last `failing` services began to fail, and of the next
+    `calls` calls.
+    """
+    chain = Chain(depth, seed, failure_reply)
     chain.warm()
     chain.play(100)
     chain.failing, chain.share = failing, share
     return chain.play(20), chain.play(calls)
 
 
-def cold(depth: int, seed: int, calls: int = 100) -> ChainResult:
-    """The first calls along a chain none of whose proxies knows yet how long a call takes."""
+def cold_chain(depth: int, seed: int, calls: int = 100) -> ChainResult:
+    """Returns the result of the first calls along a chain whose proxies have not learned any call duration."""
     return Chain(depth, seed).play(calls)
 
 
-def slowed(depth: int, factor: int, seed: int, most: int = 3, waits: int = WAITS, promised: float = 500.0,
+def slowed_services(depth: int, factor: int, seed: int, max_attempts: int = 3, timeout_us: int = CLIENT_TIMEOUT_US, promised_ms: float = 500.0,
     calls: int = 100) -> tuple[ChainResult, ChainResult]:  # fmt: skip
-    """A warmed chain whose services, none failing, take `factor` times as long from now on: the first 20
-    calls and the `calls` after those.
+    """Slows all services of a warmed chain by `factor`, none of them failing; returns the results of the first 20 calls
+    and of the next `calls` calls.
     """
-    chain = Chain(depth, seed, "error", most, waits, promised)
+    chain = Chain(depth, seed, "error", max_attempts, timeout_us, promised_ms)
     chain.warm()
     chain.play(100)
-    chain.work = factor * WORK
+    chain.service_us = factor * SERVICE_US
     return chain.play(20), chain.play(calls)
 
 
-def hung(depth: int, levels: Iterable[int], seed: int, calls: int = 200) -> tuple[ChainResult, ChainResult, float]:
-    """A warmed chain at some of whose levels one of the servers that the proxy there speaks to (of 24 listed)
-    answers none from now on: the first 20 calls, the `calls` after those, and how many times what it was the
-    usual time then is at the first level.
+def hung_backends(
+    depth: int, levels: Iterable[int], seed: int, calls: int = 200
+) -> tuple[ChainResult, ChainResult, float]:
+    """Hangs one of the 24 backends at each of `levels` of a warmed chain; returns the results of the first 20 calls and
+    of the next `calls` calls, and the factor by which the usual call duration at the first level has grown by then.
     """
     chain = Chain(depth, seed)
     chain.warm()
     chain.play(100)
-    before = chain.usual(0)
+    usual_before = chain.usual_us(0)
     for level in levels:
-        chain.hang(level)
-    return chain.play(20), chain.play(calls), chain.usual(0) / before
+        chain.hang_last_backend(level)
+    return chain.play(20), chain.play(calls), chain.usual_us(0) / usual_before
--- a/pepperusher/capacity/call_storms.py
+++ b/pepperusher/capacity/call_storms.py
@@ -1,6 +1,6 @@
-"""Calls at one discovery as many proxies start, or as it returns, in virtual time: the decisions' own waits
-(`policy.list_failed`), a discovery that works through calls in turn and turns away those beyond its queue.
-Simulated.
+"""Simulates, in virtual time, the calls to one discovery server while many proxies start, or when it is available
+again after an outage. The proxies use their real retry delays (`policy.list_failed`); the server handles calls one by
+one and rejects those that do not fit into its queue.
 """
 
 from __future__ import annotations
@@ -15,62 +15,64 @@
 from pepperusher.capacity.fixtures import SECOND
 from pepperusher.facade import Facade
 
-# A call takes so long at discovery, and so many wait; an answer is so long under way.
-TAKES, QUEUE, UNDER_WAY = 4_000, 64, 500
-AWAY, STARTED_WITHIN = 3 * SECOND, SECOND
+# How long discovery takes for a call, how many calls its queue holds, and how long a rejection takes to arrive.
+CALL_US, QUEUE_LENGTH, ANSWER_DELAY_US = 4_000, 64, 500
+OUTAGE_US, START_SPREAD_US = 3 * SECOND, SECOND
 
 
 class Storm(NamedTuple):
-    """Calls that reached discovery, and how long (s) from its return, or from the start, until all were
-    told.
+    """The calls that reached discovery, and the seconds from its return, or from the start, until all proxies had an
+    answer.
     """
 
     calls: int
     seconds: float
 
 
-def storm(proxies: int, seed: int, back: bool) -> Storm:
-    """All start within a second; or discovery is `back` after it was away, at which all watches ended at
-    once.
+def storm(proxies: int, seed: int, after_outage: bool) -> Storm:
+    """Simulates all proxies starting within a second or, with `after_outage`, a discovery that returns from an outage
+    whose begin ended all watches at the same time.
     """
-    chance = Random(seed)
+    random = Random(seed)
     facades = [
         Facade(fixtures.policy_settings(1_000, seed * 10_007 + number), NOW, discard_line) for number in range(proxies)
     ]
-    opens = NOW + AWAY if back else NOW
-    due: list[tuple[int, int]] = []  # when, and whose turn to ask it is
+    available_at = NOW + OUTAGE_US if after_outage else NOW
+    wakeups: list[tuple[int, int]] = []  # when a proxy may call next, and its number
     for number, facade in enumerate(facades):
-        if back:
-            facade.endpoint_request_delay(NOW)  # the watch that it had
+        if after_outage:
+            facade.endpoint_request_delay(NOW)  # the watch that the outage ended
             facade.endpoint_request_failed(NOW)
-        heappush(due, (NOW if back else NOW + chance.randrange(STARTED_WITHIN), number))
-    calls, free_at, last = 0, opens, opens
-    while due:
-        now, number = heappop(due)
+        heappush(wakeups, (NOW if after_outage else NOW + random.randrange(START_SPREAD_US), number))
+    calls, free_at, last_answer = 0, available_at, available_at
+    while wakeups:
+        now, number = heappop(wakeups)
         facade = facades[number]
         wait = facade.endpoint_request_delay(now)
         if wait:
-            heappush(due, (now + wait, number))
+            heappush(wakeups, (now + wait, number))
             continue
-        calls += now >= opens
-        if now < opens or (free_at - now) // TAKES >= QUEUE:
-            facade.endpoint_request_failed(now + UNDER_WAY)
-            heappush(due, (now + UNDER_WAY, number))
+        calls += now >= available_at
+        if now < available_at or (free_at - now) // CALL_US >= QUEUE_LENGTH:
+            facade.endpoint_request_failed(now + ANSWER_DELAY_US)
+            heappush(wakeups, (now + ANSWER_DELAY_US, number))
             continue
-        free_at = max(free_at, now) + TAKES
-        last = free_at
-    return Storm(calls, (last - opens) / SECOND)
+        free_at = max(free_at, now) + CALL_US
+        last_answer = free_at
+    return Storm(calls, (last_answer - available_at) / SECOND)
 
 
-# One play gives two figures; as many as sizes are measured.
-_PLAYED: dict[tuple[int, int, bool], Storm] = {}
+# One simulation gives two values. The cache holds one entry for each size and seed measured.
+_STORMS: dict[tuple[int, int, bool], Storm] = {}
 
 
-def played(name: str, back: bool) -> Callable[[int, int], float]:
-    def at(size: int, seed: int) -> float:
-        key = size, seed, back
-        if key not in _PLAYED:
-            _PLAYED[key] = storm(size, seed, back)
-        return float(getattr(_PLAYED[key], name))
+def by_proxies(name: str, after_outage: bool) -> Callable[[int, int], float]:
+    """Returns a measurement of the field `name` of `Storm`, by the number of proxies."""
 
-    return at
+    def measure(size: int, seed: int) -> float:
+        key = size, seed, after_outage
+        if key not in _STORMS:
+            _STORMS[key] = storm(size, seed, after_outage)
+        return float(getattr(_STORMS[key], name))
+
+    return measure
--- a/pepperusher/capacity/commands.py
+++ b/pepperusher/capacity/commands.py
@@ -1,6 +1,4 @@
-"""The command `capacity` and its own commands, each in a module of its own that is loaded when it is asked
-for.
-"""
+"""The command `capacity` and its subcommands, whose modules are imported only when they are used."""
 
 from __future__ import annotations
 
@@ -8,7 +6,7 @@
 
 import click
 
-# Name of the command, and the module that has it under that name.
+# The module of each subcommand; the function in it has the name of the subcommand.
 COMMANDS = {
     "fidelity": "pepperusher.capacity.scenes",
     "scene": "pepperusher.capacity.scenes",
@@ -18,7 +16,7 @@
 
 
 class CapacityCommands(click.Group):
-    """The commands of COMMANDS."""
+    """A command group that imports the subcommands in COMMANDS when they are used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(COMMANDS)
@@ -32,4 +30,4 @@
 
 @click.group(cls=CapacityCommands)
 def capacity() -> None:
-    """Measure what grows with the size of a fleet, and hold it against a target."""
+    """Measure costs that grow with the size of a fleet and compare them with a target."""
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -1,7 +1,8 @@
-"""What control machines take at the target, and a proxy for being told by them, by occasion; free of I/O.
+"""Rows for what control machines need at the target, and for what a proxy needs for its connections to them, by
+occasion. This module does no I/O.
 
-Slopes are by proxies that are connected to two of two machines. Of nine, one has 2 connections in 9 of each
-proxy, so it takes what `proxies / 9` take of both: its load.
+The slopes were measured with two control machines and proxies that connect to both. Of nine machines each has 2 / 9
+of the connections of a proxy on average, so its load is that of `proxies / 9` proxies connected to both machines.
 """
 
 from __future__ import annotations
@@ -11,22 +12,23 @@
 
 from pepperusher.capacity.target import Assumed, Budget, Row, Target, total, product
 
-MACHINE, BESIDE = "control machine", "proxy beside a backend"
-SECOND, MB = 1_000_000.0, 1_000_000.0
-# As distribution.server and distribution.publisher have them: connections admitted a second and at once, a
-# wave that nobody ends, bodies that deltas are made from, connections at the most.
-ADMITTED, ADMITTED_AT_ONCE = 800.0, 400.0
-WAVE_S, WAVES_BEFORE = 3.0, 2
-BASES = 4
-SUBSCRIBERS = 4_000.0
-DAY = 86_400.0
+MACHINE, BACKEND_PROXY = "control machine", "proxy beside a backend"
+US_PER_SECOND, MB = 1_000_000.0, 1_000_000.0
+# The limits of distribution.server and distribution.publisher: connections admitted a second and in a burst, the
+# duration of a wave that a proxy does not acknowledge and the waves before the last one, the older versions that deltas
+# are computed from, and the maximum number of connections.
+ADMITTED_A_SECOND, ADMITTED_AT_ONCE = 800.0, 400.0
+MAX_WAVE_S, WAVES_BEFORE_LAST = 3.0, 2
+DELTA_BASES = 4
+MAX_SUBSCRIBERS = 4_000.0
+SECONDS_PER_DAY = 86_400.0
 SERVER = "`distribution/server.py`, `publisher.py`"
 CLIENT = "`distribution/client.py`, `subscriber.py`"
-At = Callable[[str, float], float | None]
+ValueAt = Callable[[str, float], float | None]
 
 
-class Before(NamedTuple):
-    """The operator's rows as they were: what they are called, and both values in seconds."""
+class OneByOneCosts(NamedTuple):
+    """The operator's rows without control machines: their texts, and their values in seconds."""
 
     in_force: str
     whole_day: str
@@ -35,72 +37,80 @@
 
 
 class Occasion(NamedTuple):
-    """What befalls one control machine: the load that is connected as it is over, the load that connects
-    within it, and how many of those are sent the whole configuration; in proxies with both connections.
+    """The load of one control machine on an occasion, in proxies with both connections: `connected` are connected when
+    it is over, `connecting` connect during it, and `sent_whole` of these are sent the whole configuration.
     """
 
     when: str
-    stays: float
-    comes: float
-    whole: float
+    connected: float
+    connecting: float
+    sent_whole: float
     note: str
 
 
-def proxies_per_machine(at: At, t: Target, harsh: bool) -> tuple[float, float]:
-    """Of one machine, and with one machine lost; the fullest of them in the harsh case."""
-    mean, lost = t.proxies / t.control_machines, t.proxies / (t.control_machines - 1)
+def proxies_per_machine(value_at: ValueAt, target: Target, harsh: bool) -> tuple[float, float]:
+    """Returns the load of one machine, with all machines and with one of them lost: the mean in the mild case, that of
+    the machine with the most connections in the harsh case.
+    """
+    mean, lost = target.proxies / target.control_machines, target.proxies / (target.control_machines - 1)
     if not harsh:
         return mean, lost
-    fullest, fullest_lost = at("control.fullest", t.proxies), at("control.fullest_lost", t.proxies)
+    fullest, fullest_lost = (
+        value_at("control.fullest", target.proxies),
+        value_at("control.fullest_lost", target.proxies),
+    )
     return (mean if fullest is None else fullest / 2), (lost if fullest_lost is None else fullest_lost / 2)
 
 
-def occasions(at: At, t: Target, of: Assumed, harsh: bool) -> Iterator[Occasion]:
-    """Mild: all that come hold what is newest. Harsh: they hold nothing, or what is too old for a delta."""
-    load, lost = proxies_per_machine(at, t, harsh)
-    machines = t.control_machines
-    uneven = load / (t.proxies / machines)
+def occasions(value_at: ValueAt, target: Target, assumed: Assumed, harsh: bool) -> Iterator[Occasion]:
+    """Yields the occasions. In the mild case all proxies that connect hold the newest version; in the harsh case they
+    hold nothing or a version that is too old for a delta.
+    """
+    load, lost = proxies_per_machine(value_at, target, harsh)
+    machines = target.control_machines
+    imbalance = load / (target.proxies / machines)
     yield Occasion(
         "release",
         load,
-        of.released / machines * uneven,
-        of.released / machines * uneven * harsh,
+        assumed.released / machines * imbalance,
+        assumed.released / machines * imbalance * harsh,
         "each proxy that is replaced connects anew",
     )
-    for when, gone, with_it in (
-        ("a rack lost", 40, 0), ("a zone lost", t.proxies // t.zones, 1),
-        ("a region lost", t.proxies * 4 // t.zones, 3),
+    for occasion, lost_proxies, lost_machines in (
+        ("a rack lost", 40, 0), ("a zone lost", target.proxies // target.zones, 1),
+        ("a region lost", target.proxies * 4 // target.zones, 3),
     ):  # fmt: skip
-        away = with_it if harsh else 0
-        left = machines - away
-        stay = (t.proxies - gone) / left * uneven
-        moved = (t.proxies - gone) * away / machines / left * uneven
-        back = gone / left * uneven
+        lost_in_case = lost_machines if harsh else 0
+        remaining = machines - lost_in_case
+        staying = (target.proxies - lost_proxies) / remaining * imbalance
+        moving = (target.proxies - lost_proxies) * lost_in_case / machines / remaining * imbalance
+        returning = lost_proxies / remaining * imbalance
         yield Occasion(
-            when,
-            stay + back,
-            moved + back,
-            back if harsh else 0.0,
-            "and back at one moment" + (f", {with_it} of the nine lost with it in the harsh case" if with_it else ""),
+            occasion,
+            staying + returning,
+            moving + returning,
+            returning if harsh else 0.0,
+            "and back at one moment"
+            + (f", {lost_machines} of the nine lost with it in the harsh case" if lost_machines else ""),
         )
-    # A region's proxies have both upstreams within it while they are cut off, the others none there.
-    inside, theirs = t.proxies * 4 // t.zones, 3
-    outside = t.proxies - inside
-    home = inside * (machines - theirs) / machines / (machines - theirs)
-    foreign = outside * theirs / machines / theirs
-    comes = (foreign if harsh else home) * uneven
-    stale = of.apart_s * t.changes_a_day / DAY > BASES
+    # During the partition the proxies of the region use two upstreams within it, the other proxies none there.
+    proxies_inside, machines_inside = target.proxies * 4 // target.zones, 3
+    proxies_outside = target.proxies - proxies_inside
+    to_machine_inside = proxies_inside * (machines - machines_inside) / machines / (machines - machines_inside)
+    to_machine_outside = proxies_outside * machines_inside / machines / machines_inside
+    connecting = (to_machine_outside if harsh else to_machine_inside) * imbalance
+    stale = assumed.apart_s * target.changes_a_day / SECONDS_PER_DAY > DELTA_BASES
     yield Occasion(
         "healing of a cut",
         load,
-        comes,
-        comes if stale else 0.0,
+        connecting,
+        connecting if stale else 0.0,
         "mild: a machine outside, after 60 s; harsh: one within the region, after 300 s",
     )
     yield Occasion(
         "a control machine lost",
         lost,
-        t.proxies / machines / (machines - 1) * uneven,
+        target.proxies / machines / (machines - 1) * imbalance,
         0.0,
         "one in eight of its connections",
     )
@@ -110,56 +120,61 @@
     )
 
 
-def _whole(at: At, of: Assumed, proxies: float) -> float | None:
-    return product(proxies, at("control.snapshot_bytes", of.routes)) if proxies else 0.0
+def _snapshot_bytes(value_at: ValueAt, assumed: Assumed, proxies: float) -> float | None:
+    return product(proxies, value_at("control.snapshot_bytes", assumed.routes)) if proxies else 0.0
 
 
-def machine(at: At, t: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
-    both = (mild, False), (harsh, True)
-    core = Budget(SECOND, "own choice: one core of the control machine")
-    core_12 = Budget(SECOND * t.in_force_s, "own choice: one core of the control machine, over 12 s")
-    line = Budget(125 * MB, "own choice: one line of 1 Gbit/s")
-    line_12 = Budget(125 * MB * t.in_force_s, "own choice: one line of 1 Gbit/s, over 12 s")
+def machine_rows(value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
+    """Yields the rows of one control machine."""
+    cases = (mild, False), (harsh, True)
+    core_budget = Budget(US_PER_SECOND, "own choice: one core of the control machine")
+    core_budget_12_s = Budget(
+        US_PER_SECOND * target.in_force_s, "own choice: one core of the control machine, over 12 s"
+    )
+    link_budget = Budget(125 * MB, "own choice: one line of 1 Gbit/s")
+    link_budget_12_s = Budget(125 * MB * target.in_force_s, "own choice: one line of 1 Gbit/s, over 12 s")
 
     def row(
-        when: str, what: str, unit: str, of: Callable[[Assumed, bool], float | None], budget: Budget | None,
+        occasion: str, what: str, unit: str, value_of: Callable[[Assumed, bool], float | None], budget: Budget | None,
         mechanism: str, *from_: str, note: str = "",
     ) -> Row:  # fmt: skip
-        made = [of(one, hard) for one, hard in both]
-        return Row(MACHINE, when, what, unit, made[0], made[1], budget, mechanism, from_, note)
+        values = [value_of(assumed, is_harsh) for assumed, is_harsh in cases]
+        return Row(MACHINE, occasion, what, unit, values[0], values[1], budget, mechanism, from_, note)
 
-    known = at("control.fullest", t.proxies) is not None
+    measured = value_at("control.fullest", target.proxies) is not None
 
-    def connections(_: Assumed, hard: bool) -> float | None:
-        return 2 * proxies_per_machine(at, t, hard)[0] if known else None
+    def connections(_: Assumed, is_harsh: bool) -> float | None:
+        return 2 * proxies_per_machine(value_at, target, is_harsh)[0] if measured else None
 
-    def when_lost(_: Assumed, hard: bool) -> float | None:
-        return 2 * proxies_per_machine(at, t, hard)[1] if known else None
+    def connections_after_loss(_: Assumed, is_harsh: bool) -> float | None:
+        return 2 * proxies_per_machine(value_at, target, is_harsh)[1] if measured else None
 
-    def of_connections(name: str, held: float | None) -> float | None:
-        return None if held is None else at(name, held)
+    def value_by_connections(name: str, connections_of: float | None) -> float | None:
+        return None if connections_of is None else value_at(name, connections_of)
 
-    peers = 2.0 * (t.control_machines - 2)  # beside the two of the machines that were measured
-    for when, held, said in (
-        ("always", connections, "fullest of nine"), ("a control machine lost", when_lost, "fullest of eight"),
+    peer_descriptors = 2.0 * (
+        target.control_machines - 2
+    )  # the two measured machines had one peer connection each way already
+    for occasion, connections_of, label in (
+        ("always", connections, "fullest of nine"), ("a control machine lost", connections_after_loss, "fullest of eight"),
     ):  # fmt: skip
         yield row(
-            when,
+            occasion,
             "proxies connected to it",
             "connections",
-            held,
-            Budget(SUBSCRIBERS, "the code: `subscribers` where its file names none"),
+            connections_of,
+            Budget(MAX_SUBSCRIBERS, "the code: `subscribers` where its file names none"),
             "rendezvous hashing (`subscriber.rank`)",
             "control.fullest",
             "control.fullest_lost",
-            note=f"harsh: the {said}",
+            note=f"harsh: the {label}",
         )
         yield row(
-            when,
+            occasion,
             "descriptors of its process",
             "descriptors",
-            lambda of, hard, held=held: total(  # type: ignore[misc]
-                of_connections("control.descriptors", held(of, hard)), peers
+            lambda assumed, is_harsh, connections_of=connections_of: total(  # type: ignore[misc]
+                value_by_connections("control.descriptors", connections_of(assumed, is_harsh)), peer_descriptors
             ),
             Budget(4_096, "own choice: a usual hard limit, to which it raises its own"),
             "`distribution/commands.py` raised",
@@ -167,13 +182,13 @@
             "control.fullest",
         )
         yield row(
-            when,
+            occasion,
             "memory of its process",
             "bytes",
-            lambda of, hard, held=held: of_connections(  # type: ignore[misc]
-                "control.memory", held(of, hard)
+            lambda assumed, is_harsh, connections_of=connections_of: value_by_connections(  # type: ignore[misc]
+                "control.memory", connections_of(assumed, is_harsh)
             ),
-            Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+            Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
             SERVER,
             "control.memory",
             note="one resource; the resources and what is subscribed to are rows of their own",
@@ -182,67 +197,73 @@
         "always",
         "state: subscribers, one resource each",
         "bytes",
-        lambda of, hard: of_connections("control.state.subscriber", connections(of, hard)),
-        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+        lambda assumed, is_harsh: value_by_connections("control.state.subscriber", connections(assumed, is_harsh)),
+        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
         "`publisher.py` Subscriber, Proxy",
         "control.state.subscriber",
         note="without the kernel's and asyncio's part of a connection",
     )
-    each = (at("control.state.subscription", 2), at("control.state.subscription", 1))
-    further = None if each[0] is None or each[1] is None else (each[0] - each[1]) / 100
+    subscription_bytes = (value_at("control.state.subscription", 2), value_at("control.state.subscription", 1))
+    bytes_a_subscription = (
+        None
+        if subscription_bytes[0] is None or subscription_bytes[1] is None
+        else (subscription_bytes[0] - subscription_bytes[1]) / 100
+    )
     yield row(
         "always",
         "state: subscriptions beyond the first",
         "bytes",
-        lambda of, hard: product(connections(of, hard), further, 6.0 if hard else 0.0),
-        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"),
+        lambda assumed, is_harsh: product(
+            connections(assumed, is_harsh), bytes_a_subscription, 6.0 if is_harsh else 0.0
+        ),
+        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
         "`publisher.py` Subscriber, Proxy",
         "control.state.subscription",
         note="mild: the one configuration; harsh: six further, as in the hollow runs",
     )
     yield row(
         "always", "state: a configuration for each of 210 services, with the versions before", "bytes",
-        lambda of, hard: product(
-            at("control.state.resource", t.services), of.routes / 20
+        lambda assumed, is_harsh: product(
+            value_at("control.state.resource", target.services), assumed.routes / 20
         ),
-        Budget(t.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Held",
+        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Held",
         "control.state.resource",
         note="20 routes measured; the harsh case by its 200 routes",
     )  # fmt: skip
 
-    def day(what: str, relay: bool = False) -> Callable[[Assumed, bool], float | None]:
-        """A second: at rest, the day's changes, and the day's restarts."""
+    def daily_rate(what: str, relay: bool = False) -> Callable[[Assumed, bool], float | None]:
+        """Returns a function for the cost a second over a day: at rest, for the changes and for the restarts."""
 
-        def at_day(of: Assumed, hard: bool) -> float | None:
-            load = proxies_per_machine(at, t, hard)[0]
-            changes = t.changes_a_day / DAY
-            came = t.restarts_a_day / DAY / t.control_machines
+        def rate_of(assumed: Assumed, is_harsh: bool) -> float | None:
+            load = proxies_per_machine(value_at, target, is_harsh)[0]
+            changes = target.changes_a_day / SECONDS_PER_DAY
+            restarts = target.restarts_a_day / SECONDS_PER_DAY / target.control_machines
             parts = [
-                at(f"control.rest.{what}", load),
-                product(changes, at(f"control.change.{what}", load * of.concerned)),
-                product(came, _slope(at, f"control.{'start' if hard else 'resume'}.{what}")),
+                value_at(f"control.rest.{what}", load),
+                product(changes, value_at(f"control.change.{what}", load * assumed.concerned)),
+                product(restarts, _slope_at_target(value_at, f"control.{'start' if is_harsh else 'resume'}.{what}")),
             ]
             if relay:
                 parts += [
-                    at("control.relay.rest", t.control_machines),
-                    product(changes, at("control.relay.change", t.control_machines)),
+                    value_at("control.relay.rest", target.control_machines),
+                    product(changes, value_at("control.relay.change", target.control_machines)),
                 ]
             return total(*parts)
 
-        return at_day
+        return rate_of
 
-    for what, said, unit, budget, relay in (
-        ("out_bytes", "bytes a second out", "bytes/s", line, True),
-        ("in_bytes", "bytes a second in", "bytes/s", line, False),
+    for what, label, unit, budget, relay in (
+        ("out_bytes", "bytes a second out", "bytes/s", link_budget, True),
+        ("in_bytes", "bytes a second in", "bytes/s", link_budget, False),
         ("out_messages", "messages a second out", "messages/s", None, False),
         ("in_messages", "messages a second in", "messages/s", None, False),
-        ("cpu", "processor time a second", "us/s", core, False),
+        ("cpu", "processor time a second", "us/s", core_budget, False),
     ):
         yield row(
             "ordinary day",
-            said,
+            label,
             unit,
-            day(what, relay),
+            daily_rate(what, relay),
             budget,
             SERVER,
             f"control.rest.{what}",
@@ -251,137 +272,147 @@
             f"control.start.{what}",
             note="beats, the day's changes and restarts" + ("; as the origin" if relay else ""),
         )
-    for what, said, unit, one in (
-        ("out_bytes", "bytes out for one change, of 12 s", "bytes", line_12),
-        ("in_bytes", "bytes in for one change, of 12 s", "bytes", line_12),
+    for what, label, unit, change_budget in (
+        ("out_bytes", "bytes out for one change, of 12 s", "bytes", link_budget_12_s),
+        ("in_bytes", "bytes in for one change, of 12 s", "bytes", link_budget_12_s),
         ("out_messages", "messages out for one change", "messages", None),
         ("in_messages", "messages in for one change", "messages", None),
-        ("cpu", "processor time for one change, of 12 s", "us", core_12),
+        ("cpu", "processor time for one change, of 12 s", "us", core_budget_12_s),
     ):
         yield row(
             "ordinary day",
-            said,
+            label,
             unit,
-            lambda of, hard, what=what: total(  # type: ignore[misc]
-                at(f"control.change.{what}", proxies_per_machine(at, t, hard)[0] * of.concerned),
-                at("control.relay.change", t.control_machines) if what == "out_bytes" else 0.0,
+            lambda assumed, is_harsh, what=what: total(  # type: ignore[misc]
+                value_at(
+                    f"control.change.{what}", proxies_per_machine(value_at, target, is_harsh)[0] * assumed.concerned
+                ),
+                value_at("control.relay.change", target.control_machines) if what == "out_bytes" else 0.0,
             ),
-            one,
+            change_budget,
             f"{SERVER}: one delta for all that have the same base",
             f"control.change.{what}",
             "control.some.out_bytes",
             note="mild: to the proxies of one service's callers; harsh: to all",
         )
-    yield from _by_occasion(at, t, mild, harsh, line, line_12, core, core_12)
+    yield from _by_occasion(value_at, target, mild, harsh, link_budget, link_budget_12_s, core_budget, core_budget_12_s)
 
 
-def _slope(at: At, name: str) -> float | None:
-    """Of one more, far from where the fixed part weighs."""
-    one, two = at(name, 1_000), at(name, 1_001)
-    return None if one is None or two is None else two - one
+def _slope_at_target(value_at: ValueAt, name: str) -> float | None:
+    """Returns the cost of one more proxy, at a size where the fixed part is negligible."""
+    smaller, larger = value_at(name, 1_000), value_at(name, 1_001)
+    return None if smaller is None or larger is None else larger - smaller
 
 
 def _by_occasion(
-    at: At, t: Target, mild: Assumed, harsh: Assumed, line: Budget, line_12: Budget, core: Budget,
-    core_12: Budget,
+    value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed, link_budget: Budget, link_budget_12_s: Budget, core_budget: Budget,
+    core_budget_12_s: Budget,
 ) -> Iterator[Row]:  # fmt: skip
-    pairs = zip(occasions(at, t, mild, False), occasions(at, t, harsh, True))
-    for easy, hard in pairs:
-        release = easy.when == "release"
-        known = at("control.fullest", t.proxies) is not None
-        spans = (mild.release_s, harsh.release_s) if release else (t.in_force_s, t.in_force_s)
-        over = "a second" if release else "of 12 s"
-        seconds = [2 * one.comes / ADMITTED for one in (easy, hard)]
+    pairs = zip(occasions(value_at, target, mild, False), occasions(value_at, target, harsh, True))
+    for mild_occasion, harsh_occasion in pairs:
+        release = mild_occasion.when == "release"
+        measured = value_at("control.fullest", target.proxies) is not None
+        durations = (mild.release_s, harsh.release_s) if release else (target.in_force_s, target.in_force_s)
+        duration_text = "a second" if release else "of 12 s"
+        admission_seconds = [
+            2 * occasion.connecting / ADMITTED_A_SECOND for occasion in (mild_occasion, harsh_occasion)
+        ]
         if not release:
-            seconds = [max(0.0, 2 * one.comes - ADMITTED_AT_ONCE) / ADMITTED for one in (easy, hard)]
+            admission_seconds = [
+                max(0.0, 2 * occasion.connecting - ADMITTED_AT_ONCE) / ADMITTED_A_SECOND
+                for occasion in (mild_occasion, harsh_occasion)
+            ]
             yield Row(
                 MACHINE,
-                easy.when,
+                mild_occasion.when,
                 "seconds until all that connect are admitted",
                 "s",
-                seconds[0] if known else None,
-                seconds[1] if known else None,
-                Budget(t.in_force_s, "target: in force everywhere within 12 s"),
+                admission_seconds[0] if measured else None,
+                admission_seconds[1] if measured else None,
+                Budget(target.in_force_s, "target: in force everywhere within 12 s"),
                 "`admission.py` ADMITTED_A_SECOND, ADMITTED_AT_ONCE",
                 ("control.fullest",),
-                f"by the code's rates; {easy.note}",
+                f"by the code's rates; {mild_occasion.note}",
             )
-        for what, said, unit in (
+        for what, label, unit in (
             ("out_bytes", "bytes out", "bytes"), ("in_bytes", "bytes in", "bytes"),
             ("out_messages", "messages out", "messages"), ("in_messages", "messages in", "messages"),
             ("cpu", "processor time", "us"),
         ):  # fmt: skip
-            made: list[float | None] = []
-            for one, of, span in zip((easy, hard), (mild, harsh), spans):
-                come = one.comes
-                # What is sent whole is reckoned by its size; what that takes of the processor was measured.
-                name = f"control.{'start' if one.whole and what == 'cpu' else 'resume'}.{what}"
+            values: list[float | None] = []
+            for occasion, assumed, duration in zip((mild_occasion, harsh_occasion), (mild, harsh), durations):
+                connecting = occasion.connecting
+                # The bytes of a whole configuration are computed from its size; the processor time for it was measured.
+                name = f"control.{'start' if occasion.sent_whole and what == 'cpu' else 'resume'}.{what}"
                 value = total(
-                    product(span, at(f"control.rest.{what}", one.stays)), at(name, come),
-                    _whole(at, of, one.whole) if what == "out_bytes" else 0.0,
-                    one.whole if what == "out_messages" else 0.0,
+                    product(duration, value_at(f"control.rest.{what}", occasion.connected)), value_at(name, connecting),
+                    _snapshot_bytes(value_at, assumed, occasion.sent_whole) if what == "out_bytes" else 0.0,
+                    occasion.sent_whole if what == "out_messages" else 0.0,
                 )  # fmt: skip
-                made.append(None if value is None else value / span if release else value)
+                values.append(None if value is None else value / duration if release else value)
             budget = {
-                "out_bytes": line if release else line_12, "in_bytes": line if release else line_12,
-                "cpu": core if release else core_12,
+                "out_bytes": link_budget if release else link_budget_12_s, "in_bytes": link_budget if release else link_budget_12_s,
+                "cpu": core_budget if release else core_budget_12_s,
             }.get(what)  # fmt: skip
             yield Row(
-                MACHINE, easy.when, f"{said}, {over}", unit + "/s" * release, made[0], made[1], budget,
+                MACHINE, mild_occasion.when, f"{label}, {duration_text}", unit + "/s" * release, values[0], values[1], budget,
                 SERVER, (f"control.resume.{what}", f"control.rest.{what}")
-                + (("control.snapshot_bytes",) if what == "out_bytes" else ()), easy.note,
+                + (("control.snapshot_bytes",) if what == "out_bytes" else ()), mild_occasion.note,
             )  # fmt: skip
 
 
-def proxy_rows(at: At, t: Target, mild: Assumed, harsh: Assumed, role: str = BESIDE,
-    also: str = "") -> Iterator[Row]:  # fmt: skip
-    """What being told by control machines takes of a proxy; `also` is said with each row."""
-    wire = Budget(t.proxy_wire, "target: 21 KB a second for control")
-    wire_12 = Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s")
-    cpu = Budget(t.proxy_cpu_us, "target: 1.4% of a core for control")
-    cpu_12 = Budget(t.proxy_cpu_us * t.in_force_s, "target: 1.4% of a core, over 12 s")
-    memory = Budget(t.proxy_bytes, "target: 256 MB")
-
-    def mean(occasion: str, way: str) -> float | None:
-        """Of one proxy, which is what one more adds; both ways of messages or bytes."""
-        if way == "cpu":
-            return _slope(at, f"client.{occasion}.cpu")
-        return total(_slope(at, f"client.{occasion}.out_{way}"), _slope(at, f"client.{occasion}.in_{way}"))
+def proxy_rows(value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed, role: str = BACKEND_PROXY,
+    extra_note: str = "") -> Iterator[Row]:  # fmt: skip
+    """Yields what a proxy needs for its connections to control machines; `extra_note` is added to each note."""
+    bandwidth_budget = Budget(target.proxy_wire, "target: 21 KB a second for control")
+    bandwidth_budget_12_s = Budget(target.proxy_wire * target.in_force_s, "target: 21 KB a second, over 12 s")
+    cpu_budget = Budget(target.proxy_cpu_us, "target: 1.4% of a core for control")
+    cpu_budget_12_s = Budget(target.proxy_cpu_us * target.in_force_s, "target: 1.4% of a core, over 12 s")
+    memory_budget = Budget(target.proxy_bytes, "target: 256 MB")
+
+    def cost_a_proxy(occasion: str, resource: str) -> float | None:
+        """Returns the cost of one proxy, which is what one more adds. Messages and bytes are those of both directions."""
+        if resource == "cpu":
+            return _slope_at_target(value_at, f"client.{occasion}.cpu")
+        return total(
+            _slope_at_target(value_at, f"client.{occasion}.out_{resource}"),
+            _slope_at_target(value_at, f"client.{occasion}.in_{resource}"),
+        )
 
-    def names(occasion: str, way: str) -> tuple[str, ...]:
-        if way == "cpu":
+    def measure_names(occasion: str, resource: str) -> tuple[str, ...]:
+        if resource == "cpu":
             return (f"client.{occasion}.cpu",)
-        return f"client.{occasion}.out_{way}", f"client.{occasion}.in_{way}"
+        return f"client.{occasion}.out_{resource}", f"client.{occasion}.in_{resource}"
 
-    def applying(of: Assumed) -> float | None:
-        return at("client.whole.change_cpu", of.routes)
+    def apply_cost(assumed: Assumed) -> float | None:
+        return value_at("client.whole.change_cpu", assumed.routes)
 
     yield Row(
         role,
         "always",
         "state: what it has of control machines",
         "bytes",
-        at("client.state", mild.routes),
-        at("client.state", harsh.routes),
-        memory,
+        value_at("client.state", mild.routes),
+        value_at("client.state", harsh.routes),
+        memory_budget,
         f"{CLIENT}, `keeping.py`",
         ("client.state",),
-        also,
+        extra_note,
     )
     yield Row(
         role,
         "always",
         "processor time a second of an idle process that control machines tell",
         "us/s",
-        at("client.whole.rest_cpu", mild.routes),
-        at("client.whole.rest_cpu", harsh.routes),
-        cpu,
+        value_at("client.whole.rest_cpu", mild.routes),
+        value_at("client.whole.rest_cpu", harsh.routes),
+        cpu_budget,
         f"{CLIENT}, `net/distributed_configuration.py`, timers of what is in force",
         ("client.whole.rest_cpu",),
-        _said(
+        _join_notes(
             "24 listed; most of what 200 routes add is one sweep that looks through all routes for each"
             " (docs/results.md)",
-            also,
+            extra_note,
         ),
     )
     yield Row(
@@ -389,68 +420,80 @@
         "always",
         "memory of an idle process that control machines tell",
         "bytes",
-        at("client.whole.memory", mild.routes),
-        at("client.whole.memory", harsh.routes),
-        memory,
+        value_at("client.whole.memory", mild.routes),
+        value_at("client.whole.memory", harsh.routes),
+        memory_budget,
         f"{CLIENT}, `net/distributed_configuration.py`",
         ("client.whole.memory",),
-        _said("24 listed; what is listed adds as in the row without control machines", also),
+        _join_notes("24 listed; what is listed adds as in the row without control machines", extra_note),
     )
-    for way, said, unit, budget in (
-        ("bytes", "bytes a second in and out with control machines", "bytes/s", wire),
+    for resource, label, unit, budget in (
+        ("bytes", "bytes a second in and out with control machines", "bytes/s", bandwidth_budget),
         ("messages", "messages a second in and out with control machines", "messages/s", None),
-        ("cpu", "processor time a second for control machines", "us/s", cpu),
+        ("cpu", "processor time a second for control machines", "us/s", cpu_budget),
     ):
-        made = []
-        for of in (mild, harsh):
-            rate = of.concerned * t.changes_a_day / DAY
-            parts = [mean("rest", way), product(rate, mean("change", way))]
-            if way == "cpu":
-                parts.append(product(rate, applying(of)))
-            made.append(total(*parts))
+        values = []
+        for assumed in (mild, harsh):
+            rate = assumed.concerned * target.changes_a_day / SECONDS_PER_DAY
+            parts = [cost_a_proxy("rest", resource), product(rate, cost_a_proxy("change", resource))]
+            if resource == "cpu":
+                parts.append(product(rate, apply_cost(assumed)))
+            values.append(total(*parts))
         yield Row(
             role,
             "ordinary day",
-            said,
+            label,
             unit,
-            made[0],
-            made[1],
+            values[0],
+            values[1],
             budget,
             CLIENT,
-            (*names("rest", way), *names("change", way), *(["client.whole.change_cpu"] * (way == "cpu"))),
-            _said(
+            (
+                *measure_names("rest", resource),
+                *measure_names("change", resource),
+                *(["client.whole.change_cpu"] * (resource == "cpu")),
+            ),
+            _join_notes(
                 "beats and the day's changes; a release, a rack, a zone or a region lost bring no more of"
                 " it, since lists do not come this way",
-                also,
+                extra_note,
             ),
         )
-    for way, said, unit, budget in (
-        ("bytes", "bytes in and out for one change, of 12 s", "bytes", wire_12),
-        ("cpu", "processor time for one change, of 12 s", "us", cpu_12),
+    for resource, label, unit, budget in (
+        ("bytes", "bytes in and out for one change, of 12 s", "bytes", bandwidth_budget_12_s),
+        ("cpu", "processor time for one change, of 12 s", "us", cpu_budget_12_s),
     ):
-        made = [
+        values = [
             total(
-                mean("change", way),
-                product(t.in_force_s, mean("rest", way)),
-                applying(of) if way == "cpu" else 0.0,
+                cost_a_proxy("change", resource),
+                product(target.in_force_s, cost_a_proxy("rest", resource)),
+                apply_cost(assumed) if resource == "cpu" else 0.0,
             )
-            for of in (mild, harsh)
+            for assumed in (mild, harsh)
         ]
         yield Row(
             role,
             "ordinary day",
-            said,
+            label,
             unit,
-            made[0],
-            made[1],
+            values[0],
+            values[1],
             budget,
             CLIENT
-            + (", `net/distributed_configuration.py`, `changes/`, `configuration/loader.py`" if way == "cpu" else ""),
-            (*names("change", way), *names("rest", way), *(["client.whole.change_cpu"] * (way == "cpu"))),
-            also,
+            + (
+                ", `net/distributed_configuration.py`, `changes/`, `configuration/loader.py`"
+                if resource == "cpu"
+                else ""
+            ),
+            (
+                *measure_names("change", resource),
+                *measure_names("rest", resource),
+                *(["client.whole.change_cpu"] * (resource == "cpu")),
+            ),
+            extra_note,
         )
-    # How much of connecting twice befalls it, and whether it is sent the whole configuration.
-    for when, both, note in (
+    # For each case: which part of its two connections a proxy opens again, and whether it is sent the whole configuration.
+    for occasion, cases, note in (
         (
             "healing of a cut",
             ((0.5, False), (1.0, True)),
@@ -460,72 +503,91 @@
         ("all control machines restarted", ((1.0, False), (1.0, False)), "with nothing newer"),
         ("every proxy started", ((1.0, False), (1.0, True)), "mild: from what it kept; harsh: nothing kept"),
     ):
-        for way, said, unit, budget in (
-            ("bytes", "bytes in and out with control machines, of 12 s", "bytes", wire_12),
+        for resource, label, unit, budget in (
+            ("bytes", "bytes in and out with control machines, of 12 s", "bytes", bandwidth_budget_12_s),
             ("messages", "messages in and out with control machines, of 12 s", "messages", None),
-            ("cpu", "processor time for control machines, of 12 s", "us", cpu_12),
+            ("cpu", "processor time for control machines, of 12 s", "us", cpu_budget_12_s),
         ):
-            made = []
-            for of, (part, whole) in zip((mild, harsh), both):
-                more: float | None = 0.0
-                if whole:
-                    more = {"bytes": at("control.snapshot_bytes", of.routes), "messages": 1.0,
-                        "cpu": applying(of)}[way]  # fmt: skip
-                elif way == "cpu" and when == "every proxy started":
-                    more = applying(of)  # what it kept is read and checked as well
-                made.append(total(product(part, mean("resume", way)), product(t.in_force_s, mean("rest", way)), more))
+            values = []
+            for assumed, (reconnections, sent_whole) in zip((mild, harsh), cases):
+                extra_cost: float | None = 0.0
+                if sent_whole:
+                    extra_cost = {"bytes": value_at("control.snapshot_bytes", assumed.routes), "messages": 1.0,
+                        "cpu": apply_cost(assumed)}[resource]  # fmt: skip
+                elif resource == "cpu" and occasion == "every proxy started":
+                    extra_cost = apply_cost(
+                        assumed
+                    )  # the configuration from the local cache is parsed and validated as well
+                values.append(
+                    total(
+                        product(reconnections, cost_a_proxy("resume", resource)),
+                        product(target.in_force_s, cost_a_proxy("rest", resource)),
+                        extra_cost,
+                    )
+                )
             yield Row(
                 role,
-                when,
-                said,
+                occasion,
+                label,
                 unit,
-                made[0],
-                made[1],
+                values[0],
+                values[1],
                 budget,
                 CLIENT,
-                (*names("resume", way), *names("rest", way)),
-                _said(note, also),
+                (*measure_names("resume", resource), *measure_names("rest", resource)),
+                _join_notes(note, extra_note),
             )
 
 
-def _said(*parts: str) -> str:
+def _join_notes(*parts: str) -> str:
     return "; ".join(filter(None, parts))
 
 
-def operator(
-    at: At, t: Target, mild: Assumed, harsh: Assumed, publish: float, before: Before, within: Budget
+def operator_rows(
+    value_at: ValueAt,
+    target: Target,
+    mild: Assumed,
+    harsh: Assumed,
+    publish_us: float,
+    one_by_one: OneByOneCosts,
+    in_force_budget: Budget,
 ) -> Iterator[Row]:
-    """`publish` in us of one change, whatever the number of proxies."""
-    made: list[float | None] = []
-    for of, hard in ((mild, False), (harsh, True)):
-        spent = total(publish, at("control.change.cpu", proxies_per_machine(at, t, hard)[0] * of.concerned))
-        made.append(None if spent is None else spent / SECOND + WAVE_S * WAVES_BEFORE * hard)
+    """Yields the operator's rows with control machines. `publish_us` is the processor time to publish one change, which
+    does not depend on the number of proxies.
+    """
+    values: list[float | None] = []
+    for assumed, is_harsh in ((mild, False), (harsh, True)):
+        cpu_us = total(
+            publish_us,
+            value_at("control.change.cpu", proxies_per_machine(value_at, target, is_harsh)[0] * assumed.concerned),
+        )
+        values.append(None if cpu_us is None else cpu_us / US_PER_SECOND + MAX_WAVE_S * WAVES_BEFORE_LAST * is_harsh)
     yield Row(
         "operator",
         "ordinary day",
-        before.in_force,
+        one_by_one.in_force,
         "s",
-        made[0],
-        made[1],
-        within,
+        values[0],
+        values[1],
+        in_force_budget,
         "`distribution` (9 control machines): `ctl publish`, waves, acknowledgements",
         ("operator.publish", "control.change.cpu"),
         "after: the processor time of `ctl publish` and of one control machine for it, one after the other;"
         " harsh: and two waves that wait to their end for proxies that are frozen. A least: by the clock, at"
         " 5,000 hollow proxies, see After the mechanism",
-        (before.spent, before.spent),
+        (one_by_one.spent, one_by_one.spent),
     )
-    day = publish / SECOND * t.changes_a_day
+    seconds_a_day = publish_us / US_PER_SECOND * target.changes_a_day
     yield Row(
         "operator",
         "ordinary day",
-        before.whole_day,
+        one_by_one.whole_day,
         "s",
-        day,
-        day,
-        Budget(DAY, "a day"),
+        seconds_a_day,
+        seconds_a_day,
+        Budget(SECONDS_PER_DAY, "a day"),
         "`distribution`: one `ctl publish` a change, however many take it",
         ("operator.publish",),
         "after: processor time of `ctl publish`; before, mild: each change concerns one service",
-        (None if before.day is None else before.day / t.services, before.day),
+        (None if one_by_one.day is None else one_by_one.day / target.services, one_by_one.day),
     )
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -1,5 +1,5 @@
-"""What a control machine and a proxy's client hold in their memory, and what one message of a configuration
-takes on a connection; counted in this process by the real code, without sockets.
+"""Measures the memory of a control machine and of a proxy's client, and the bytes of one configuration message on a
+connection. The real code runs in this process, without sockets.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from random import Random
 
 from pepperusher.capacity import fixtures
-from pepperusher.capacity.control_run import NAME, ROUTES, body_of, framed
+from pepperusher.capacity.control_run import NAME, ROUTES, configuration_body, framed_size
 from pepperusher.capacity.decisions import NOW, allocated_bytes
 from pepperusher.distribution import wire
 from pepperusher.distribution.link import Link
@@ -24,34 +24,34 @@
 MACHINES = 9
 
 
-def name_of(number: int) -> str:
+def proxy_name(number: int) -> str:
     return f"service-{number // 24:03d}-{number:05d}"
 
 
-def hello(number: int, names: list[Key], have: list[Resource] | None = None) -> Hello:
-    """As it comes off the wire: nothing in it is shared with another's."""
+def hello_message(number: int, names: list[Key], have: list[Resource] | None = None) -> Hello:
+    """Returns the message as decoded from the wire, so that it shares no objects with other messages."""
     zone = fixtures.ZONES[number % len(fixtures.ZONES)]
-    said = Hello(
-        PROXY, name_of(number), Random(number).getrandbits(62), zone[:2], zone, True, names, [], []
+    message = Hello(
+        PROXY, proxy_name(number), Random(number).getrandbits(62), zone[:2], zone, True, names, [], []
     )  # fmt: skip
-    read = wire.decoded(wire.encoded(said))
-    assert isinstance(read, Hello)
-    return read
+    decoded = wire.decoded(wire.encoded(message))
+    assert isinstance(decoded, Hello)
+    return decoded
 
 
-def opened() -> tuple[Session, Session]:
-    """Both sides of a connection that has begun."""
-    caller, called = Session(KEY, True), Session(KEY, False)
-    assert not [*caller.feed(called.opening()), *called.feed(caller.opening())]
-    return caller, called
+def open_sessions() -> tuple[Session, Session]:
+    """Returns both sides of a connection after the handshake."""
+    client, server = Session(KEY, True), Session(KEY, False)
+    assert not [*client.feed(server.opening()), *server.feed(client.opening())]
+    return client, server
 
 
 def _publisher() -> Publisher:
     return Publisher("control-0", "r0", 1, False, 0, NOW)
 
 
-def _settled(publisher: Publisher, now: int) -> int:
-    """All waves over, with nobody there to wait for."""
+def _end_waves(publisher: Publisher, now: int) -> int:
+    """Ends all waves of a publisher that has no subscribers to wait for; returns the time after that."""
     for _ in range(4):
         now += 2_000_000
         publisher.tick(now)
@@ -59,22 +59,22 @@
 
 
 def subscribers(size: int, names: int = 1) -> object:
-    """A publisher with so many connected, each with `names` resources in force."""
+    """Returns a publisher with `size` subscribers, each with `names` resources in force, and their connections."""
     publisher = _publisher()
     for number in range(names):
-        made = resource(CONFIG, f"{NAME}-{number:03d}", Version(1, 1), body_of(1))
-        publisher.take(made, NOW)
-    _settled(publisher, NOW)
+        first_version = resource(CONFIG, f"{NAME}-{number:03d}", Version(1, 1), configuration_body(1))
+        publisher.take(first_version, NOW)
+    _end_waves(publisher, NOW)
     connections = []
-    for id in range(size):
-        caller, called = opened()
-        greeting = hello(id, [(CONFIG, f"{NAME}-{number:03d}") for number in range(names)])
-        link = Link(called, lambda _: None, lambda *_: None, lambda *_: None, Counter())
-        one = _Connection(link, NOW)
-        one.hello = greeting
-        connections.append(one)
-        publisher.join(id, greeting, NOW)
-        while publisher.next_for(id) is not None:
+    for subscriber_id in range(size):
+        client, server = open_sessions()
+        greeting = hello_message(subscriber_id, [(CONFIG, f"{NAME}-{number:03d}") for number in range(names)])
+        link = Link(server, lambda _: None, lambda *_: None, lambda *_: None, Counter())
+        connection = _Connection(link, NOW)
+        connection.hello = greeting
+        connections.append(connection)
+        publisher.join(subscriber_id, greeting, NOW)
+        while publisher.next_for(subscriber_id) is not None:
             pass
         for key in greeting.names:
             proxy = publisher.proxies[greeting.name]
@@ -83,75 +83,75 @@
 
 
 def by_subscriber(size: int, _: int) -> float:
-    """Bytes of a machine with so many connected, one resource each; without asyncio's and the kernel's
-    part of a connection.
+    """Returns the bytes that a machine holds for `size` subscribers of one resource, without the memory of asyncio and
+    the kernel for a connection.
     """
     return allocated_bytes(lambda: subscribers(size))
 
 
 def by_subscription(size: int, _: int) -> float:
-    """The same for 100 connected, by the resources that each takes."""
+    """Returns the same for 100 subscribers, by the number of resources that each subscribes to."""
     return allocated_bytes(lambda: subscribers(100, size))
 
 
 def by_resource(size: int, _: int) -> float:
-    """Bytes of a machine with so many resources of ROUTES routes, each with all the versions before that are
-    kept, and nobody connected.
+    """Returns the bytes that a machine without subscribers holds for `size` resources of ROUTES routes, each with all
+    the older versions that it keeps.
     """
 
-    def makes() -> object:
+    def create() -> object:
         publisher, now = _publisher(), NOW
         for version in range(1, BEFORE + 3):
             for number in range(size):
-                body = body_of(ROUTES, version)
+                body = configuration_body(ROUTES, version)
                 publisher.take(resource(CONFIG, f"{NAME}-{number:04d}", Version(1, version), body), now)
-            now = _settled(publisher, now)
+            now = _end_waves(publisher, now)
         return publisher
 
-    return allocated_bytes(makes)
+    return allocated_bytes(create)
 
 
-def _update(routes: int, known: bool) -> bytes:
-    """What a publisher sends a proxy: the whole, or from the version before."""
+def _update(routes: int, as_delta: bool) -> bytes:
+    """Returns what a publisher sends a proxy: the whole resource, or a delta from the previous version."""
     publisher = _publisher()
-    first = resource(CONFIG, NAME, Version(1, 1), body_of(routes))
+    first = resource(CONFIG, NAME, Version(1, 1), configuration_body(routes))
     publisher.take(first, NOW)
-    now = _settled(publisher, NOW)
-    publisher.join(1, hello(1, [(CONFIG, NAME)]), now)
-    sent = publisher.next_for(1)
-    assert sent is not None
-    if known:
-        publisher.take(resource(CONFIG, NAME, Version(1, 2), body_of(routes, 30)), now)
+    now = _end_waves(publisher, NOW)
+    publisher.join(1, hello_message(1, [(CONFIG, NAME)]), now)
+    update = publisher.next_for(1)
+    assert update is not None
+    if as_delta:
+        publisher.take(resource(CONFIG, NAME, Version(1, 2), configuration_body(routes, 30)), now)
         publisher.subscribers[1].dirty[CONFIG, NAME] = None
         for _ in range(4):
             now += 2_000_000
             publisher.tick(now)
-        sent = publisher.next_for(1)
-        assert sent is not None
-    return sent
+        update = publisher.next_for(1)
+        assert update is not None
+    return update
 
 
 def snapshot_bytes(routes: int, _: int) -> float:
-    return float(framed(wire.decoded(_update(routes, False))))
+    return float(framed_size(wire.decoded(_update(routes, False))))
 
 
 def delta_bytes(routes: int, _: int) -> float:
-    """For a change of one route."""
-    return float(framed(wire.decoded(_update(routes, True))))
+    """Returns the bytes on the connection for a change of one route."""
+    return float(framed_size(wire.decoded(_update(routes, True))))
 
 
 def client_state(routes: int, seed: int) -> float:
-    """Bytes that a proxy's decisions about control machines and what it took from them hold; without its
-    connections.
+    """Returns the bytes that a proxy holds for its decisions about control machines and the resource that it got from
+    them, without its connections.
     """
 
-    def makes() -> object:
+    def create() -> object:
         upstreams = [f"10.0.0.{number}:7300" for number in range(MACHINES)]
-        one = Subscriber("proxy", 1, "r0", "r0z0", upstreams, [(CONFIG, NAME)], [], Random(seed), NOW)
-        made = resource(CONFIG, NAME, Version(1, 1), body_of(routes))
-        one._take(made, "", NOW)
-        one.applied(made, None, NOW)
-        assert one.held[CONFIG, NAME] is made and mark_of(made).version > NEVER
-        return one, made, dict(one.held)
-
-    return allocated_bytes(makes)
+        subscriber = Subscriber("proxy", 1, "r0", "r0z0", upstreams, [(CONFIG, NAME)], [], Random(seed), NOW)
+        configuration = resource(CONFIG, NAME, Version(1, 1), configuration_body(routes))
+        subscriber._take(configuration, "", NOW)
+        subscriber.applied(configuration, None, NOW)
+        assert subscriber.held[CONFIG, NAME] is configuration and mark_of(configuration).version > NEVER
+        return subscriber, configuration, dict(subscriber.held)
+
+    return allocated_bytes(create)
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -1,5 +1,5 @@
-"""Measured in this process: decisions, the list, the arcs that proxies take of it, and the own file. No
-sockets.
+"""Measurements within this process, without sockets: decisions, the endpoint list, the subset of it that a proxy
+connects to (its arc), and the configuration file.
 """
 
 from __future__ import annotations
@@ -29,56 +29,58 @@
 from pepperusher.terms import Backend, Listing
 
 NOW = 1_700_000_000 * SECOND
-# A call's time at its backend, and between two calls.
-TAKES, BETWEEN = 5_000, 14_000
-# So much processor time at the least for one figure, in us: a single decision is too short for the clock.
-ENOUGH = 60_000
-GROUP = 1_000
+# How long a backend takes for a call, and the time from one call to the next.
+CALL_US, CALL_INTERVAL_US = 5_000, 14_000
+# Each value is measured over at least this much processor time: a single decision is too short for the clock.
+MIN_CPU_US = 60_000
+GROUP_SIZE = 1_000
 
 
 def discard_line(_: str) -> None:
-    """Whatever is said while it is measured."""
+    """Discards the log lines of the code under measurement."""
 
 
 class QuietLog(Log):
+    """A log that discards everything."""
+
     def say(self, line: str, figures: dict[str, Any] | None = None) -> None:
         pass
 
 
-def cost(does: Callable[[], None], enough: int = ENOUGH) -> float:
-    """Processor time of one turn, in us, over as many turns as take `enough`."""
-    turns, began = 0, process_time()
+def cpu_us_per_call(call: Callable[[], None], min_cpu_us: int = MIN_CPU_US) -> float:
+    """Returns the mean processor time of one call in us, over as many calls as take `min_cpu_us`."""
+    turns, started = 0, process_time()
     while True:
-        does()
+        call()
         turns += 1
-        spent = (process_time() - began) * 1e6
-        if spent >= enough:
+        spent = (process_time() - started) * 1e6
+        if spent >= min_cpu_us:
             return spent / turns
 
 
-def allocated_bytes(makes: Callable[[], object]) -> float:
-    """Bytes that stay allocated with what `makes` gives."""
+def allocated_bytes(create: Callable[[], object]) -> float:
+    """Returns the bytes that stay allocated while the object that `create` returns is in use."""
     collect()
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        made = makes()
+        created = create()
         collect()
         after = tracemalloc.get_traced_memory()[0]
-        assert made is not None
+        assert created is not None
         return float(after - before)
     finally:
         tracemalloc.stop()
 
 
-def facade_with(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
+def facade_of_size(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
     facade = Facade(fixtures.policy_settings(group, seed, ordinal, zones=zones), NOW, discard_line)
     facade.update_endpoints(parse_endpoint_update(fixtures.endpoint_list(size, zones)).entries, True, NOW)
     return facade
 
 
-def watch_of(group: int, seed: int, zones: list[str] | None = None) -> Discovery:
-    """The watch on the list with all behind it but the sockets."""
+def new_watch(group: int, seed: int, zones: list[str] | None = None) -> Discovery:
+    """Returns a discovery watch with the facade and backends behind it, but without sockets."""
     facade = Facade(fixtures.policy_settings(group, seed, zones=zones), NOW, discard_line)
     backends = Backends(Budget(1024), Pool(16, 1 << 20), SECOND, 60 * SECOND)
     return Discovery(("127.0.0.1", 1), facade, backends, QuietLog("measured"))
@@ -87,27 +89,29 @@
 # --- a decision -----------------------------------------------------------------------------------
 
 
-def calls(facade: Facade) -> Iterator[int]:
-    """One call a turn, taken, picked, reported and settled."""
+def repeat_calls(facade: Facade) -> Iterator[int]:
+    """Runs one call for each value requested: opens its ticket, chooses a backend, reports the outcome and closes the
+    ticket.
+    """
     now = NOW
     while True:
-        now += BETWEEN
+        now += CALL_INTERVAL_US
         ticket = facade.open_ticket("use-0", "", now, SECOND, 0)
         step = facade.choose_backend(ticket, now)
         if step.action == SEND:
-            facade.report(ticket, "done", now + TAKES)
-        facade.close_ticket(ticket, now + TAKES)
+            facade.report(ticket, "done", now + CALL_US)
+        facade.close_ticket(ticket, now + CALL_US)
         yield now
 
 
 def decision(group: int, zones: list[str] | None = None) -> Callable[[int, int], float]:
-    def at(size: int, seed: int) -> float:
-        turns = calls(facade_with(size, group, seed, zones=zones))
+    def measure(size: int, seed: int) -> float:
+        turns = repeat_calls(facade_of_size(size, group, seed, zones=zones))
         for _ in range(40):
             next(turns)
-        return cost(lambda: next(turns) and None)
+        return cpu_us_per_call(lambda: next(turns) and None)
 
-    return at
+    return measure
 
 
 # --- the list -------------------------------------------------------------------------------------
@@ -119,122 +123,133 @@
 
 def list_parse(size: int, _: int) -> float:
     text = fixtures.json_line(fixtures.endpoint_list(size, fixtures.ZONES))
-    return cost(lambda: parse_endpoint_update(json.loads(text.decode())) and None)
+    return cpu_us_per_call(lambda: parse_endpoint_update(json.loads(text.decode())) and None)
 
 
-def list_take(size: int, seed: int, enough: int = ENOUGH) -> float:
-    """By a watch that has none yet: the same list once more takes under half of that."""
+def list_take(size: int, seed: int, min_cpu_us: int = MIN_CPU_US) -> float:
+    """Measures a watch that applies its first list. Each turn has a new watch, since applying the same list again takes
+    less than half the time.
+    """
     update = parse_endpoint_update(fixtures.endpoint_list(size))
     turns, spent = 0, 0.0
-    while spent < enough:
-        watch = watch_of(GROUP, seed)  # not timed, nor is the end of the one before
-        began = process_time()
+    while spent < min_cpu_us:
+        watch = new_watch(GROUP_SIZE, seed)  # neither this nor the destruction of the previous watch is timed
+        started = process_time()
         watch.apply_update(update)
-        spent += (process_time() - began) * 1e6
+        spent += (process_time() - started) * 1e6
         turns += 1
     return spent / turns
 
 
 def list_change(size: int, seed: int) -> float:
-    """One backend that drains, and one that is ready again: the mean of the two lines, parsed and taken
-    in.
+    """Measures an update that drains one backend and one that makes it ready again, each parsed and applied; returns
+    the mean of both.
     """
-    watch = watch_of(GROUP, seed)
+    watch = new_watch(GROUP_SIZE, seed)
     watch.apply_update(parse_endpoint_update(fixtures.endpoint_list(size)))
     texts = [fixtures.json_line(fixtures.change(size, size // 2, state, 2)) for state in ("draining", "ready")]
 
-    def both() -> None:
+    def apply_both() -> None:
         for text in texts:
             watch.apply_update(parse_endpoint_update(json.loads(text.decode())))
 
-    return cost(both) / 2
+    return cpu_us_per_call(apply_both) / 2
 
 
 def list_memory(size: int, seed: int) -> float:
-    def makes() -> object:
-        watch = watch_of(GROUP, seed)
+    def create() -> object:
+        watch = new_watch(GROUP_SIZE, seed)
         watch.apply_update(parse_endpoint_update(json.loads(fixtures.json_line(fixtures.endpoint_list(size)))))
         return watch
 
-    return allocated_bytes(makes)
+    return allocated_bytes(create)
 
 
-# --- arcs: who connects to whom -------------------------------------------------------------------
+# --- arcs: the backends that a proxy connects to -------------------------------------------------------------------
 
 
-def near_of(backends: int, callers: int, ordinal: int, zones: list[str] | None) -> list[str]:
-    """The backends that the proxy at that place sends to as a rule."""
+def preferred_backends(backends: int, callers: int, ordinal: int, zones: list[str] | None) -> list[str]:
+    """Returns the addresses of the backends that the proxy with this ordinal normally sends to."""
     balancer = Balancer(fixtures.policy_settings(callers, 0, ordinal, zones=zones), NOW, discard_line)
-    told = parse_endpoint_update(fixtures.endpoint_list(backends, zones))
+    update = parse_endpoint_update(fixtures.endpoint_list(backends, zones))
     balancer.update_endpoints(
-        [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
+        [Listing(Backend(entry.id), entry.zone, entry.cell, entry.weight, 0, True) for entry in update.entries],
+        True,
+        NOW,
     )
-    return [one.address for one in balancer._backends if one.near]
+    return [entry.address for entry in balancer._backends if entry.near]
 
 
-def callers_at(backends: int, zones: list[str] | None = None, sampled: int = 400) -> Callable[[int, int], float]:
-    """Proxies that keep a connection to the backend that has most, by the number of proxies that call its
-    service. Of more than `sampled` proxies so many are laid out and the rest counted like them."""
+def connections_by_callers(
+    backends: int, zones: list[str] | None = None, sampled: int = 400
+) -> Callable[[int, int], float]:
+    """Measures the connections of the backend with the most connections, by the number of proxies that call its
+    service. Of more than `sampled` proxies a random sample is computed and scaled up."""
 
-    def at(callers: int, seed: int) -> float:
+    def measure(callers: int, seed: int) -> float:
         ordinals = Random(seed).sample(range(callers), min(callers, sampled))
-        heard = Counter(name for one in ordinals for name in near_of(backends, callers, one, zones))
-        return max(heard.values()) * callers / len(ordinals)
+        connections = Counter(
+            name for ordinal in ordinals for name in preferred_backends(backends, callers, ordinal, zones)
+        )
+        return max(connections.values()) * callers / len(ordinals)
 
-    return at
+    return measure
 
 
 def arc_by_callers(backends: int, zones: list[str] | None = None) -> Callable[[int, int], float]:
-    """Backends of one service that a proxy connects to, by how many proxies call it."""
+    """Measures the backends of one service that a proxy connects to, by the number of proxies that call the service."""
 
-    def at(callers: int, seed: int) -> float:
+    def measure(callers: int, seed: int) -> float:
         ordinals = Random(seed).sample(range(callers), min(callers, 40))
-        return sum(len(near_of(backends, callers, one, zones)) for one in ordinals) / len(ordinals)
+        return sum(len(preferred_backends(backends, callers, ordinal, zones)) for ordinal in ordinals) / len(ordinals)
 
-    return at
+    return measure
 
 
 def arc_by_list(callers: int, zones: list[str] | None = None) -> Callable[[int, int], float]:
-    """Backends that a proxy connects to, by the length of its list."""
+    """Measures the backends that a proxy connects to, by the length of its endpoint list."""
 
-    def at(backends: int, seed: int) -> float:
+    def measure(backends: int, seed: int) -> float:
         ordinals = Random(seed).sample(range(callers), min(callers, 20))
-        return sum(len(near_of(backends, callers, one, zones)) for one in ordinals) / len(ordinals)
+        return sum(len(preferred_backends(backends, callers, ordinal, zones)) for ordinal in ordinals) / len(ordinals)
 
-    return at
+    return measure
 
 
-# --- the own file and the settings -----------------------------------------------------------------
+# --- the configuration file and the settings -----------------------------------------------------------------
 
 
 def config_bytes(routes: int, _: int) -> float:
-    return float(len(fixtures.own_file(routes).encode()))
+    return float(len(fixtures.configuration_file(routes).encode()))
 
 
 def config_check(routes: int, seed: int) -> float:
-    text, told = fixtures.own_file(routes), fixtures.policy_settings(GROUP, seed)
-    return cost(lambda: loader.parse(text, policy_settings=told) and None)
+    text, settings = fixtures.configuration_file(routes), fixtures.policy_settings(GROUP_SIZE, seed)
+    return cpu_us_per_call(lambda: loader.parse(text, policy_settings=settings) and None)
 
 
 def config_take(routes: int, seed: int) -> float:
-    """From a file that was checked to the version in force, one way and back."""
-    told = fixtures.policy_settings(GROUP, seed)
-    first, other = (loader.parse(fixtures.own_file(routes, least), policy_settings=told) for least in (30, 31))
-    standing = ActiveConfiguration(first, NOW, lambda _: None, lambda *_, **__: None)
-    reads = [other, first]
+    """Measures how long a validated configuration takes to become the active one, switching between two of them."""
+    settings = fixtures.policy_settings(GROUP_SIZE, seed)
+    first, second = (
+        loader.parse(fixtures.configuration_file(routes, min_tickets), policy_settings=settings)
+        for min_tickets in (30, 31)
+    )
+    active = ActiveConfiguration(first, NOW, lambda _: None, lambda *_, **__: None)
+    configurations = [second, first]
     now = NOW
 
-    def does() -> None:
+    def switch() -> None:
         nonlocal now
         now += SECOND
-        reads.reverse()
-        standing._enter(reads[0], now)
+        configurations.reverse()
+        active._enter(configurations[0], now)
 
-    return cost(does)
+    return cpu_us_per_call(switch)
 
 
 def settings_take(use_cases: int, seed: int) -> float:
-    """Other settings, in force for a list of 1,000."""
-    facade = facade_with(1000, GROUP, seed)
-    told = fixtures.settings(GROUP, use_cases=use_cases)
-    return cost(lambda: facade.reconfigure(read_settings(told, seed), NOW))
+    """Measures a change of the settings with 1,000 backends listed."""
+    facade = facade_of_size(1000, GROUP_SIZE, seed)
+    changed_settings = fixtures.settings(GROUP_SIZE, use_cases=use_cases)
+    return cpu_us_per_call(lambda: facade.reconfigure(read_settings(changed_settings, seed), NOW))
--- a/pepperusher/capacity/fixtures.py
+++ b/pepperusher/capacity/fixtures.py
@@ -1,4 +1,6 @@
-"""Made-up lists, grounds and files that measurements work on, the same for the same size; free of I/O."""
+"""Generates endpoint lists, settings and configuration files for measurements. The same size gives the same result.
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +16,11 @@
 
 
 def settings(
-    group: int, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None, promised: float = 500.0,
-    most: int = 3,
+    group: int, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None, promised_ms: float = 500.0,
+    max_attempts: int = 3,
 ) -> dict[str, Any]:  # fmt: skip
-    """The platform's settings object for one of `group` proxies, each beside a client process. Calls are
-    `promised` in so many ms, and given up after four times that.
+    """Returns the platform's settings object for one of `group` proxies. Calls have a promised time of `promised_ms` and
+    time out after four times that.
     """
     zones = zones or ONE_ZONE
     effects = ("pure", "token", "side_effect")
@@ -38,8 +40,8 @@
                 "key-scope": "cell",
                 "window": 5000.0,
                 "importance": 1.0 + number % 5,
-                "promised-time": promised,
-                "outer-limit": 4 * promised,
+                "promised-time": promised_ms,
+                "outer-limit": 4 * promised_ms,
             }
             for number in range(use_cases)
         ],
@@ -48,7 +50,7 @@
             "cancel": True,
             "connect-timeout": 250.0,
             "keepalive": 60000.0,
-            "most-transmissions": most,
+            "most-transmissions": max_attempts,
             "retry-after": True,
             "max-retry-after": 1000.0,
         },
@@ -71,7 +73,7 @@
 
 
 def server(number: int, address: str, zones: list[str], state: str = "ready") -> dict[str, Any]:
-    """One entry of the list, in discovery's own form."""
+    """Returns one entry of an endpoint list, as discovery sends it."""
     return {
         "id": f"service-{number // 24:03d}-{number:05d}",
         "addr": address,
@@ -84,7 +86,7 @@
 
 
 def endpoint_list(size: int, zones: list[str] | None = None, address: str = "") -> dict[str, Any]:
-    """A whole list; everybody at one `address`, or each at its own."""
+    """Returns a full endpoint list. All backends have `address` if given, else each has its own."""
     zones = zones or ONE_ZONE
     return {
         "version": 1,
@@ -97,26 +99,26 @@
 
 
 def change(size: int, number: int, state: str, version: int, zones: list[str] | None = None) -> dict[str, Any]:
-    """One line of a watch about one backend."""
-    one = endpoint_list(size, zones)["servers"][number]
-    return {"version": version, "full": False, "servers": [{**one, "state": state}]}
+    """Returns one incremental update of a watch, about one backend."""
+    entry = endpoint_list(size, zones)["servers"][number]
+    return {"version": version, "full": False, "servers": [{**entry, "state": state}]}
 
 
-def json_line(told: dict[str, Any]) -> bytes:
-    return json.dumps(told).encode() + b"\n"
+def json_line(message: dict[str, Any]) -> bytes:
+    return json.dumps(message).encode() + b"\n"
 
 
-def routes(number: int) -> str:
-    """So many routes, each with terms, a rate and a limit."""
+def routes(count: int) -> str:
+    """Returns the text of `count` routes, each with a retry policy, a rate limit and a concurrency limit."""
     return "\n".join(
-        f'[[routes]]\nname = "route-{place:04d}"\nmatch.path = "/service-{place:04d}/{{rest*}}"\n'
-        f'time_out = "{200 + place % 50}ms"\nattempts = 2\nretry_on = ["unreached", "full"]\n'
+        f'[[routes]]\nname = "route-{number:04d}"\nmatch.path = "/service-{number:04d}/{{rest*}}"\n'
+        f'time_out = "{200 + number % 50}ms"\nattempts = 2\nretry_on = ["unreached", "full"]\n'
         f"retry_budget = {{ share = 0.1, floor = 1.0 }}\nrate = {{ per_customer = 50.0, burst = 20.0 }}\n"
-        f"concurrency = {{ most = {20 + place % 7}, queue = 10 }}\n"
-        for place in range(number)
+        f"concurrency = {{ most = {20 + number % 7}, queue = 10 }}\n"
+        for number in range(count)
     )
 
 
-def own_file(number: int, least: int = 30) -> str:
-    """A proxy's own file with so many routes."""
-    return f'[changes]\nleast = {least}\nwatch = "10s"\n\n{routes(number)}'
+def configuration_file(route_count: int, min_tickets: int = 30) -> str:
+    """Returns the text of a proxy's configuration file with `route_count` routes."""
+    return f'[changes]\nleast = {min_tickets}\nwatch = "10s"\n\n{routes(route_count)}'
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -1,7 +1,8 @@
-"""What differs at a front proxy from a proxy beside a backend, and where nothing does; free of I/O.
+"""Rows for a front proxy, compared with a proxy beside a backend. This module does no I/O.
 
-A front proxy is the same program before clients from outside: it has more calls and clients, and it may call
-every service. How many there are and what they carry the target leaves open.
+A front proxy is the same program serving clients from outside the mesh: it has more calls and connections, and it may
+call every service. The target does not say how many front proxies there are or how many calls they carry; see
+`target.Assumed`.
 """
 
 from __future__ import annotations
@@ -9,57 +10,57 @@
 from collections.abc import Iterator
 
 from pepperusher.capacity import control_rows
-from pepperusher.capacity.control_rows import SECOND, At
+from pepperusher.capacity.control_rows import US_PER_SECOND, ValueAt
 from pepperusher.capacity.target import Assumed, Budget, Row, Target, total, product
 
-FRONT = "front proxy"
-CLIENTS = 2_000
-SAME = "not different from a proxy beside a backend"
+FRONT_PROXY = "front proxy"
+CLIENT_CONNECTIONS = 2_000
+SAME_NOTE = "not different from a proxy beside a backend"
 
 
-def rows(at: At, t: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
-    both = mild, harsh
-    arc = "arc.zone", "arc.zones"
-    sockets = Budget(
+def rows(value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
+    cases = mild, harsh
+    arc_measures = "arc.zone", "arc.zones"
+    socket_budget = Budget(
         1_024, "own choice: `net/bootstrap.py` SOCKETS, a proxy's descriptors where its configuration names none"
     )
-    memory = Budget(t.proxy_bytes, "target: 256 MB")
-    core = Budget(SECOND, "own choice: one core, since a proxy is one process")
-    cpu = Budget(t.proxy_cpu_us, "target: 1.4% of a core for control")
-    wire = Budget(t.proxy_wire, "target: 21 KB a second for control")
-    wire_12 = Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s")
-    kept = [at(arc[of.zoned], of.front_listed) for of in both]
+    memory_budget = Budget(target.proxy_bytes, "target: 256 MB")
+    core_budget = Budget(US_PER_SECOND, "own choice: one core, since a proxy is one process")
+    cpu_budget = Budget(target.proxy_cpu_us, "target: 1.4% of a core for control")
+    bandwidth_budget = Budget(target.proxy_wire, "target: 21 KB a second for control")
+    bandwidth_budget_12_s = Budget(target.proxy_wire * target.in_force_s, "target: 21 KB a second, over 12 s")
+    backend_connections = [value_at(arc_measures[assumed.zoned], assumed.front_listed) for assumed in cases]
     yield Row(
-        FRONT,
+        FRONT_PROXY,
         "always",
         "backends it keeps connections to",
         "connections",
-        *kept,
-        sockets,
+        *backend_connections,
+        socket_budget,
         "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND)",
-        arc,
+        arc_measures,
         "its list is longer: see the assumptions",
     )
     yield Row(
-        FRONT, "always", f"memory with {CLIENTS:,} connections of clients", "bytes",
+        FRONT_PROXY, "always", f"memory with {CLIENT_CONNECTIONS:,} connections of clients", "bytes",
         *(
             total(
-                at("connection.memory", CLIENTS),
-                product(_slope(at, "process.memory"), float(of.front_listed - 24)),
+                value_at("connection.memory", CLIENT_CONNECTIONS),
+                product(_slope_at_target(value_at, "process.memory"), float(assumed.front_listed - 24)),
             )
-            for of in both
+            for assumed in cases
         ),
-        memory, "`net/callers.py`, the list as it is sent", ("connection.memory", "process.memory"),
+        memory_budget, "`net/callers.py`, the list as it is sent", ("connection.memory", "process.memory"),
     )  # fmt: skip
     yield Row(
-        FRONT, "always", f"descriptors with {CLIENTS:,} connections of clients", "descriptors",
-        *(total(at("connection.descriptors", CLIENTS), one) for one in kept), sockets,
+        FRONT_PROXY, "always", f"descriptors with {CLIENT_CONNECTIONS:,} connections of clients", "descriptors",
+        *(total(value_at("connection.descriptors", CLIENT_CONNECTIONS), connections) for connections in backend_connections), socket_budget,
         "`net/callers.py`: the idle one of longest is closed at the limit",
-        ("connection.descriptors", *arc), "its configuration must name more sockets",
+        ("connection.descriptors", *arc_measures), "its configuration must name more sockets",
     )  # fmt: skip
-    calls = [t.calls * of.entering / of.fronts for of in both]
+    calls = [target.calls * assumed.entering / assumed.fronts for assumed in cases]
     yield Row(
-        FRONT,
+        FRONT_PROXY,
         "ordinary day",
         "calls a second of one front proxy",
         "calls/s",
@@ -70,72 +71,72 @@
         (),
         "own choice, see the assumptions; beside a backend 72 a second",
     )
-    each = [at("added.calm.cpu", 1_000)] * 2
+    cpu_us_a_call = [value_at("added.calm.cpu", 1_000)] * 2
     yield Row(
-        FRONT,
+        FRONT_PROXY,
         "ordinary day",
         "processor time a second for its calls",
         "us/s",
-        product(calls[0], each[0]),
-        product(calls[1], each[1]),
-        core,
+        product(calls[0], cpu_us_a_call[0]),
+        product(calls[1], cpu_us_a_call[1]),
+        core_budget,
         "the whole proxy, on one core",
         ("added.calm.cpu",),
         "by the processor time of a call at 72 calls a second, load beside the slope",
     )
     yield Row(
-        FRONT, "ordinary day", "processor time a second: process and membership at rest", "us/s",
-        *(total(at("process.idle", of.front_listed), at("group.cpu", of.members)) for of in both), cpu,
+        FRONT_PROXY, "ordinary day", "processor time a second: process and membership at rest", "us/s",
+        *(total(value_at("process.idle", assumed.front_listed), value_at("group.cpu", assumed.members)) for assumed in cases), cpu_budget,
         "`group/swim.py`, `net/discovery.py`", ("process.idle", "group.cpu"), "its list is longer",
     )  # fmt: skip
-    change = at("discovery.change_bytes", 1)
-    for when, rates in (
-        ("ordinary day", [3 * t.restarts_a_day / 86_400] * 2),
-        ("release", [3 * of.released / of.release_s for of in both]),
+    bytes_a_change = value_at("discovery.change_bytes", 1)
+    for occasion, rates in (
+        ("ordinary day", [3 * target.restarts_a_day / 86_400] * 2),
+        ("release", [3 * assumed.released / assumed.release_s for assumed in cases]),
     ):
         yield Row(
-            FRONT, when, "bytes a second in for changes of its list", "bytes/s",
-            *(product(rate * of.front_listed / t.proxies, change) for rate, of in zip(rates, both)), wire,
+            FRONT_PROXY, occasion, "bytes a second in for changes of its list", "bytes/s",
+            *(product(rate * assumed.front_listed / target.proxies, bytes_a_change) for rate, assumed in zip(rates, cases)), bandwidth_budget,
             "`net/discovery.py`", ("discovery.change_bytes",), "harsh: as a proxy that lists all",
         )  # fmt: skip
     yield Row(
-        FRONT, "release", "processor time a second with the list's changes", "us/s",
+        FRONT_PROXY, "release", "processor time a second with the list's changes", "us/s",
         *(
             total(
-                at("process.idle", of.front_listed),
-                product(3 * of.released / of.release_s, at("list.change", of.front_listed)),
+                value_at("process.idle", assumed.front_listed),
+                product(3 * assumed.released / assumed.release_s, value_at("list.change", assumed.front_listed)),
             )
-            for of in both
+            for assumed in cases
         ),
-        cpu, "`facade.listed`, which lays every ring anew for each change", ("process.idle", "list.change"),
+        cpu_budget, "`facade.listed`, which lays every ring anew for each change", ("process.idle", "list.change"),
     )  # fmt: skip
-    for when, lost in (
-        ("a rack lost", 40), ("a zone lost", t.proxies // t.zones),
-        ("a region lost", t.proxies * 4 // t.zones),
+    for occasion, lost_backends in (
+        ("a rack lost", 40), ("a zone lost", target.proxies // target.zones),
+        ("a region lost", target.proxies * 4 // target.zones),
     ):  # fmt: skip
         yield Row(
-            FRONT, when, f"bytes in for {lost:,} changes of the list, of 12 s", "bytes",
-            *(product(lost * of.front_listed / t.proxies, change) for of in both), wire_12,
+            FRONT_PROXY, occasion, f"bytes in for {lost_backends:,} changes of the list, of 12 s", "bytes",
+            *(product(lost_backends * assumed.front_listed / target.proxies, bytes_a_change) for assumed in cases), bandwidth_budget_12_s,
             "`net/discovery.py`", ("discovery.change_bytes",),
         )  # fmt: skip
         yield Row(
-            FRONT, when, "connections to backends that are lost and opened elsewhere", "connections",
-            *(product(one, lost / t.proxies) for one in kept), sockets, "arcs; `net/backends.py`", arc,
+            FRONT_PROXY, occasion, "connections to backends that are lost and opened elsewhere", "connections",
+            *(product(connections, lost_backends / target.proxies) for connections in backend_connections), socket_budget, "arcs; `net/backends.py`", arc_measures,
             "as many as of its list are lost",
         )  # fmt: skip
     yield Row(
-        FRONT, "every proxy started", "bytes of its list, of 12 s", "bytes",
-        *(at("list.bytes", of.front_listed) for of in both), wire_12,
+        FRONT_PROXY, "every proxy started", "bytes of its list, of 12 s", "bytes",
+        *(value_at("list.bytes", assumed.front_listed) for assumed in cases), bandwidth_budget_12_s,
         "missing: a subscription by name (every proxy is sent the whole list)", ("list.bytes",),
     )  # fmt: skip
     yield Row(
-        FRONT, "every proxy started", "how long a whole list holds the loop", "us",
-        *(total(at("list.parse", of.front_listed), at("list.take", of.front_listed)) for of in both), None,
+        FRONT_PROXY, "every proxy started", "how long a whole list holds the loop", "us",
+        *(total(value_at("list.parse", assumed.front_listed), value_at("list.take", assumed.front_listed)) for assumed in cases), None,
         "`net/discovery.py`, at once on the loop", ("list.parse", "list.take"),
     )  # fmt: skip
-    yield from control_rows.proxy_rows(at, t, mild, harsh, FRONT, SAME)
+    yield from control_rows.proxy_rows(value_at, target, mild, harsh, FRONT_PROXY, SAME_NOTE)
 
 
-def _slope(at: At, name: str) -> float | None:
-    one, two = at(name, 1_000), at(name, 1_001)
-    return None if one is None or two is None else two - one
+def _slope_at_target(value_at: ValueAt, name: str) -> float | None:
+    smaller, larger = value_at(name, 1_000), value_at(name, 1_001)
+    return None if smaller is None or larger is None else larger - smaller
--- a/pepperusher/capacity/latency.py
+++ b/pepperusher/capacity/latency.py
@@ -1,6 +1,6 @@
-"""Time that proxies add to a call: open loop, each latency from the intended moment of sending, against the
-same services without proxies. Figures of a machine that others share are worth what the load beside them
-says.
+"""Measures the latency that proxies add to a call, compared with the same services without proxies. The load is open
+loop and each latency counts from the time at which the call should have been sent. On a shared machine the values
+depend on its other load, which is recorded with them.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from statistics import median
 from typing import NamedTuple
 
-from pepperusher.capacity.processes import HOST, ProcessError, ProxyUnderTest, proxy, standins
+from pepperusher.capacity.processes import HOST, ProcessError, ProxyUnderTest, proxy, stand_in_services
 
 # Calls a second of one proxy at the target: 360,000 over 5,000.
-RATE = 72.0
-LASTS = 6.0
-# Without and with proxies in turn, so often; the medians over the rounds count. More where calls are to be
-# enough for a 99th.
+CALLS_A_SECOND = 72.0
+ROUND_S = 6.0
+# A round measures without and with proxies; the result is the median over the rounds. A reliable 99th percentile needs
+# more rounds.
 ROUNDS = 2
-# Along a chain a third of that, and for longer: thirty proxies and their services then fit two cores.
-CHAIN_RATE, CHAIN_LASTS = 24.0, 10.0
-# One by one: a span without calls, and after each answer.
-IDLE, SETTLES = 2.0, 0.004
-WITHIN = 10.0
-IN_A_ROW = 8
-BARE = "127.0.0.1"  # where stand-in services listen
+# A chain gets a third of that rate, for a longer time, so that thirty proxies and their services fit on two cores.
+CHAIN_CALLS_A_SECOND, CHAIN_ROUND_S = 24.0, 10.0
+# For calls one by one: the time without calls before them, and the wait after each answer.
+IDLE_S, SETTLE_S = 2.0, 0.004
+TIMEOUT_S = 10.0
+WARM_CALLS = 8
+SERVICE_HOST = "127.0.0.1"  # where stand-in services listen
 
 
 class LatencyResult(NamedTuple):
-    """Latencies in us: the middle and the 99th of 100; calls, and those that were not answered 200."""
+    """The median and the 99th percentile of the latencies in us, the calls, and the calls not answered with 200."""
 
     p50: float
     p99: float
@@ -38,94 +38,102 @@
     failed: int
 
 
-class _Line:
+class _ClientConnection:
+    """A connection on which a client sends one call at a time."""
+
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def ask(self, number: int) -> tuple[bool, bool]:
-        """Whether it was answered 200, and whether the connection can be used again."""
+    async def call(self, number: int) -> tuple[bool, bool]:
+        """Sends a call; returns whether it was answered with 200 and whether the connection can be reused."""
         head = (
             f"GET /use-0/page HTTP/1.1\r\nHost: service\r\nRequest-Id: {number}\r\nRequest-Class: use-0\r\n"
-            f"Request-Timeout: {round(WITHIN * 1000)}m\r\n\r\n"
+            f"Request-Timeout: {round(TIMEOUT_S * 1000)}m\r\n\r\n"
         )
         self.writer.write(head.encode())
-        told = (await self.reader.readuntil(b"\r\n\r\n")).lower()
-        length = next(int(one[15:]) for one in told.split(b"\r\n") if one.startswith(b"content-length:"))
+        response = (await self.reader.readuntil(b"\r\n\r\n")).lower()
+        length = next(int(field[15:]) for field in response.split(b"\r\n") if field.startswith(b"content-length:"))
         await self.reader.readexactly(length)
-        return told[9:12] == b"200", b"connection: close" not in told
+        return response[9:12] == b"200", b"connection: close" not in response
 
 
-async def _load(host: str, port: int, rate: float, lasts: float, seed: int, first: int) -> LatencyResult:
+async def _open_loop_load(host: str, port: int, rate: float, seconds: float, seed: int, first: int) -> LatencyResult:
     loop = asyncio.get_running_loop()
-    chance = Random(seed)
-    idle: list[_Line] = []  # emptied by use
-    took: list[float] = []
+    random = Random(seed)
+    idle: list[_ClientConnection] = []  # connections are removed while in use
+    latencies: list[float] = []
     failed = 0
 
-    async def one(number: int, at: float) -> None:
+    async def make_call(number: int, intended: float) -> None:
         nonlocal failed
-        good = False
+        succeeded = False
         try:
-            async with asyncio.timeout(2 * WITHIN):
-                line = idle.pop() if idle else _Line(*await asyncio.open_connection(host, port))
-                good, again = await line.ask(number)
-                if again:
-                    idle.append(line)
+            async with asyncio.timeout(2 * TIMEOUT_S):
+                connection = idle.pop() if idle else _ClientConnection(*await asyncio.open_connection(host, port))
+                succeeded, reusable = await connection.call(number)
+                if reusable:
+                    idle.append(connection)
                 else:
-                    line.writer.close()
+                    connection.writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, StopIteration):
             pass
-        took.append((loop.time() - at) * 1e6)
-        failed += not good
+        latencies.append((loop.time() - intended) * 1e6)
+        failed += not succeeded
 
     tasks: list[asyncio.Task[None]] = []
-    at, number, end = loop.time() + 0.05, first, loop.time() + lasts
-    while at < end:
-        await asyncio.sleep(max(0.0, at - loop.time()))
-        tasks.append(loop.create_task(one(number, at)))
+    intended, number, end = loop.time() + 0.05, first, loop.time() + seconds
+    while intended < end:
+        await asyncio.sleep(max(0.0, intended - loop.time()))
+        tasks.append(loop.create_task(make_call(number, intended)))
         number += 1
-        at += chance.expovariate(rate)
+        intended += random.expovariate(rate)
     await asyncio.gather(*tasks)
-    for line in idle:
-        line.writer.close()
-    took.sort()
-    return LatencyResult(took[len(took) // 2], took[min(len(took) - 1, int(0.99 * len(took)))], len(took), failed)
+    for connection in idle:
+        connection.writer.close()
+    latencies.sort()
+    return LatencyResult(
+        latencies[len(latencies) // 2],
+        latencies[min(len(latencies) - 1, int(0.99 * len(latencies)))],
+        len(latencies),
+        failed,
+    )
 
 
-async def _warmed(host: str, port: int, first: int) -> None:
-    """One call after another until so many in a row were answered: of several at once some fail where
-    nothing is known, and the breakers of thirty levels are open for long after. Raises ProcessError.
+async def _warm_up(host: str, port: int, first: int) -> None:
+    """Makes calls one after another until WARM_CALLS in a row succeeded. Concurrent calls would fail while the proxies
+    know no call durations yet, and the breakers of thirty levels would then stay open for long. Raises ProcessError.
     """
-    row = 0
-    for number in range(first, first + 20 * IN_A_ROW):
+    successes = 0
+    for number in range(first, first + 20 * WARM_CALLS):
         try:
-            async with asyncio.timeout(WITHIN):
-                line = _Line(*await asyncio.open_connection(host, port))
-                good, _ = await line.ask(number)
-                line.writer.close()
+            async with asyncio.timeout(TIMEOUT_S):
+                connection = _ClientConnection(*await asyncio.open_connection(host, port))
+                succeeded, _ = await connection.call(number)
+                connection.writer.close()
         except (OSError, TimeoutError, asyncio.IncompleteReadError, StopIteration):
-            good = False
-        row = row + 1 if good else 0
-        if row == IN_A_ROW:
+            succeeded = False
+        successes = successes + 1 if succeeded else 0
+        if successes == WARM_CALLS:
             return
-    raise ProcessError(f"no {IN_A_ROW} calls in a row were answered")
+    raise ProcessError(f"the proxy did not answer {WARM_CALLS} calls in a row with 200")
 
 
-def load(host: str, port: int, seed: int, rate: float = RATE, lasts: float = LASTS) -> LatencyResult:
-    return asyncio.run(_load(host, port, rate, lasts, seed, 1 + seed * 1_000_000))
+def load(host: str, port: int, seed: int, rate: float = CALLS_A_SECOND, seconds: float = ROUND_S) -> LatencyResult:
+    return asyncio.run(_open_loop_load(host, port, rate, seconds, seed, 1 + seed * 1_000_000))
 
 
-class Failing(ProcessError):
-    """Too many calls failed in each round; `share` of all."""
+class TooManyFailuresError(ProcessError):
+    """Too many calls failed in each round; `share` is the failed fraction of all calls."""
 
     def __init__(self, rounds: list[LatencyResult]) -> None:
-        super().__init__("; ".join(f"{one.failed} of {one.calls} calls failed" for one in rounds))
-        self.share = sum(one.failed for one in rounds) / sum(one.calls for one in rounds)
+        super().__init__("; ".join(f"{result.failed} of {result.calls} calls failed" for result in rounds))
+        self.share = sum(result.failed for result in rounds) / sum(result.calls for result in rounds)
 
 
 class AddedLatency(NamedTuple):
-    """us that the proxies add: at the middle and at the 99th of 100, medians over the rounds, with what the
-    calls took beside them; calls are of all rounds. `cpu` is what one of the proxies spent for a call, in us.
+    """The latency that proxies add at the median and at the 99th percentile, in us, as medians over the rounds.
+    `bare` and `through` are the latencies without and with proxies, with the calls of all rounds. `cpu` is the processor
+    time of one proxy for a call, in us.
     """
 
     p50: float
@@ -135,166 +143,175 @@
     cpu: float
 
 
-def _rounds(
-    without: Callable[[int], LatencyResult],
-    through: Callable[[int], LatencyResult],
-    cpu: Callable[[], float],
+def _compare_rounds(
+    run_without: Callable[[int], LatencyResult],
+    run_through: Callable[[int], LatencyResult],
+    proxy_cpu_us: Callable[[], float],
     seed: int,
     rounds: int,
 ) -> AddedLatency:
-    """Medians over several rounds; the processor time is of all. A round in which more than 1 in 100 failed
-    does not count. Raises ProcessError where none does.
+    """Returns the medians over the rounds; the processor time is the mean over all rounds. Rounds in which more than 1
+    in 100 calls failed are ignored. Raises TooManyFailuresError if no round is left.
     """
-    before = cpu()
-    made = [(without(seed + 2 * place), through(seed + 2 * place + 1)) for place in range(rounds)]
-    spent = (cpu() - before) / sum(two.calls for _, two in made)
-    sound = [one for one in made if all(100 * told.failed <= told.calls for told in one)]
-    if not sound:
-        raise Failing([two for _, two in made])
+    cpu_before = proxy_cpu_us()
+    results = [(run_without(seed + 2 * place), run_through(seed + 2 * place + 1)) for place in range(rounds)]
+    cpu_us_a_call = (proxy_cpu_us() - cpu_before) / sum(through.calls for _, through in results)
+    valid = [without for without in results if all(100 * result.failed <= result.calls for result in without)]
+    if not valid:
+        raise TooManyFailuresError([through for _, through in results])
     return AddedLatency(
-        median(two.p50 - one.p50 for one, two in sound),
-        median(two.p99 - one.p99 for one, two in sound),
-        _over([one for one, _ in sound]),
-        _over([two for _, two in sound]),
-        spent,
+        median(through.p50 - without.p50 for without, through in valid),
+        median(through.p99 - without.p99 for without, through in valid),
+        _medians([without for without, _ in valid]),
+        _medians([through for _, through in valid]),
+        cpu_us_a_call,
     )
 
 
-def _over(rounds: list[LatencyResult]) -> LatencyResult:
-    """The medians of several rounds, and all their calls."""
+def _medians(rounds: list[LatencyResult]) -> LatencyResult:
+    """Returns the medians of the latencies of several rounds, and the sums of their calls."""
     return LatencyResult(
-        median(one.p50 for one in rounds),
-        median(one.p99 for one in rounds),
-        sum(one.calls for one in rounds),
-        sum(one.failed for one in rounds),
+        median(result.p50 for result in rounds),
+        median(result.p99 for result in rounds),
+        sum(result.calls for result in rounds),
+        sum(result.failed for result in rounds),
     )
 
 
-def through_one(
-    listed: int, group: int, seed: int, changes: float = 0.0, lasts: float = LASTS, rounds: int = ROUNDS
+def added_by_one_proxy(
+    listed: int, group: int, seed: int, changes: float = 0.0, round_s: float = ROUND_S, rounds: int = ROUNDS
 ) -> AddedLatency:
-    """One proxy before one service that stands for all on its list."""
-    with standins() as others:
-        service = others.do(do="open", services=1)["ports"][0]
+    """Measures one proxy in front of one service, whose address all backends on the list have."""
+    with stand_in_services() as stand_ins:
+        service = stand_ins.send(do="open", services=1)["ports"][0]
         address = f"127.0.0.1:{service}"
-        discovery = others.do(do="discovery", entries=listed, address=address, changes=changes)["port"]
-        with proxy(listed, group, discovery, address) as one:
-            asyncio.run(_load(HOST, one.port, RATE, lasts / 2, seed, 1))
-            return _rounds(
-                lambda place: load(BARE, service, place, lasts=lasts),
-                lambda place: load(HOST, one.port, place, lasts=lasts),
-                one.spent,
+        discovery = stand_ins.send(do="discovery", entries=listed, address=address, changes=changes)["port"]
+        with proxy(listed, group, discovery, address) as running:
+            asyncio.run(_open_loop_load(HOST, running.port, CALLS_A_SECOND, round_s / 2, seed, 1))
+            return _compare_rounds(
+                lambda round_seed: load(SERVICE_HOST, service, round_seed, seconds=round_s),
+                lambda round_seed: load(HOST, running.port, round_seed, seconds=round_s),
+                running.loop_cpu_us,
                 seed + 1,
                 rounds,
             )
 
 
 @contextmanager
-def chain(
-    depth: int, listed: int, group: int, changes: float = 0.0, most: int = 3
+def running_chain(
+    depth: int, listed: int, group: int, changes: float = 0.0, max_attempts: int = 3
 ) -> Iterator[tuple[int, list[ProxyUnderTest]]]:
-    """`depth` services twice: each calling the next, from the port that is given; and each calling the next
-    through a proxy of its own, from the first of these proxies. They are warmed from the chain's end, since
-    none of them knows yet how long a call takes.
+    """Runs two chains of `depth` services: in one each service calls the next directly, in the other through a proxy.
+    Returns the port of the first service of the direct chain, and the proxies. The proxies are warmed up from the end of
+    the chain, since none of them knows any call duration at its start.
     """
-    with ExitStack() as held:
-        others = held.enter_context(standins())
-        bare = others.do(do="open", services=depth)["ports"]
-        ports = others.do(do="open", services=depth)["ports"]
+    with ExitStack() as stack:
+        stand_ins = stack.enter_context(stand_in_services())
+        direct_ports = stand_ins.send(do="open", services=depth)["ports"]
+        ports = stand_ins.send(do="open", services=depth)["ports"]
         proxies: list[ProxyUnderTest] = []
         for port in ports:
-            address = f"{BARE}:{port}"
-            discovery = others.do(do="discovery", entries=listed, address=address, changes=changes)["port"]
-            proxies.append(held.enter_context(proxy(listed, group, discovery, address, most=most)))
-        to = [(BARE, port) for port in bare[1:]], [(HOST, one.port) for one in proxies[1:]]
-        others.do(do="forwards", to=[*to[0], None, *to[1], None])
-        for place in reversed(range(depth)):
-            asyncio.run(_warmed(HOST, proxies[place].port, 10_000_000 * (place + 1)))
-        yield bare[0], proxies
+            address = f"{SERVICE_HOST}:{port}"
+            discovery = stand_ins.send(do="discovery", entries=listed, address=address, changes=changes)["port"]
+            proxies.append(stack.enter_context(proxy(listed, group, discovery, address, max_attempts=max_attempts)))
+        next_hops = (
+            [(SERVICE_HOST, port) for port in direct_ports[1:]],
+            [(HOST, running.port) for running in proxies[1:]],
+        )
+        stand_ins.send(do="forwards", to=[*next_hops[0], None, *next_hops[1], None])
+        for level in reversed(range(depth)):
+            asyncio.run(_warm_up(HOST, proxies[level].port, 10_000_000 * (level + 1)))
+        yield direct_ports[0], proxies
 
 
-def through_chain(
+def added_by_chain(
     depth: int,
     listed: int,
     group: int,
     seed: int,
     changes: float = 0.0,
-    lasts: float = CHAIN_LASTS,
+    round_s: float = CHAIN_ROUND_S,
     rounds: int = ROUNDS,
-    rate: float = CHAIN_RATE,
-    most: int = 3,
+    rate: float = CHAIN_CALLS_A_SECOND,
+    max_attempts: int = 3,
 ) -> AddedLatency:
-    """A chain of services with proxies against the same with none; each proxy makes `most` attempts."""
-    with chain(depth, listed, group, changes, most) as (bare, proxies):
-        return _rounds(
-            lambda place: load(BARE, bare, place, rate, lasts),
-            lambda place: load(HOST, proxies[0].port, place, rate, lasts),
-            proxies[-1].spent,
+    """Compares a chain of services with proxies, each of which makes at most `max_attempts` attempts, with the same chain
+    without proxies.
+    """
+    with running_chain(depth, listed, group, changes, max_attempts) as (direct_port, proxies):
+        return _compare_rounds(
+            lambda round_seed: load(SERVICE_HOST, direct_port, round_seed, rate, round_s),
+            lambda round_seed: load(HOST, proxies[0].port, round_seed, rate, round_s),
+            proxies[-1].loop_cpu_us,
             seed + 1,
             rounds,
         )
 
 
-async def _one_by_one(host: str, port: int, one: ProxyUnderTest, seed: int, calls: int) -> list[float]:
-    """Processor time of one proxy for each of so many calls, in us, each alone in it and without what passing
-    time costs.
+async def _cpu_by_call(host: str, port: int, running: ProxyUnderTest, seed: int, calls: int) -> list[float]:
+    """Returns the sorted processor times of one proxy for `calls` calls, one at a time, in us, without the processor
+    time that the proxy uses at rest.
     """
     loop = asyncio.get_running_loop()
-    before, began = one.spent(), loop.time()
-    await asyncio.sleep(IDLE)
-    idle = (one.spent() - before) / (loop.time() - began)
-    # Only now: one that says nothing for so long is closed by the proxy.
-    line = _Line(*await asyncio.open_connection(host, port))
-    took = []
+    before, started = running.loop_cpu_us(), loop.time()
+    await asyncio.sleep(IDLE_S)
+    idle = (running.loop_cpu_us() - before) / (loop.time() - started)
+    # Opened only now, since the proxy closes a connection that is idle for that long.
+    connection = _ClientConnection(*await asyncio.open_connection(host, port))
+    cpu_times = []
     for number in range(calls):
-        before, began = one.spent(), loop.time()
+        before, started = running.loop_cpu_us(), loop.time()
         try:
-            good, again = await line.ask(1 + seed * 1_000_000 + number)
+            succeeded, reusable = await connection.call(1 + seed * 1_000_000 + number)
         except (OSError, asyncio.IncompleteReadError) as error:
-            said = (one.folder / "log").read_text(errors="replace").splitlines()[-3:]
-            raise ProcessError(f"call {number} alone: {error!r}; the proxy's last lines: {said}") from None
-        if not good:
-            raise ProcessError(f"call {number} alone was not answered with 200")
-        await asyncio.sleep(SETTLES)  # what the proxy does behind its answer is a part of the call
-        took.append(one.spent() - before - idle * (loop.time() - began))
-        if not again:
-            line.writer.close()
-            line = _Line(*await asyncio.open_connection(host, port))
-    line.writer.close()
-    return sorted(took)
-
-
-def processor(which: str, calls: int = 400) -> Callable[[int, int], float]:
-    """Of the processor times of calls one by one, by the list's size: `p50` or `p99`. What others on the
-    machine do lengthens a call and not this, but for caches that are shared.
+            last_lines = (running.folder / "log").read_text(errors="replace").splitlines()[-3:]
+            raise ProcessError(
+                f"single call {number}: {error!r}; the last lines of the proxy's log: {last_lines}"
+            ) from None
+        if not succeeded:
+            raise ProcessError(f"single call {number} was not answered with 200")
+        await asyncio.sleep(SETTLE_S)  # work of the proxy after its answer counts as part of the call
+        cpu_times.append(running.loop_cpu_us() - before - idle * (loop.time() - started))
+        if not reusable:
+            connection.writer.close()
+            connection = _ClientConnection(*await asyncio.open_connection(host, port))
+    connection.writer.close()
+    return sorted(cpu_times)
+
+
+def cpu_of_single_calls(percentile: str, calls: int = 400) -> Callable[[int, int], float]:
+    """Returns a measurement of the `p50` or `p99` of the processor times of calls made one by one, by the size of the
+    list. Other load on the machine affects it only through shared caches, while it affects the latency directly.
     """
 
-    def at(listed: int, seed: int) -> float:
-        if (listed, seed) not in _ALONE:
-            with standins() as others:
-                service = others.do(do="open", services=1)["ports"][0]
+    def measure(listed: int, seed: int) -> float:
+        if (listed, seed) not in _CPU_TIMES:
+            with stand_in_services() as stand_ins:
+                service = stand_ins.send(do="open", services=1)["ports"][0]
                 address = f"127.0.0.1:{service}"
-                discovery = others.do(do="discovery", entries=listed, address=address, changes=0)["port"]
-                with proxy(listed, 1_000, discovery, address) as one:
-                    asyncio.run(_one_by_one(HOST, one.port, one, 1, 50))
-                    _ALONE[listed, seed] = asyncio.run(_one_by_one(HOST, one.port, one, 2, calls))
-        took = _ALONE[listed, seed]
-        return took[int(len(took) * (0.99 if which == "p99" else 0.5))]
+                discovery = stand_ins.send(do="discovery", entries=listed, address=address, changes=0)["port"]
+                with proxy(listed, 1_000, discovery, address) as running:
+                    asyncio.run(_cpu_by_call(HOST, running.port, running, 1, 50))
+                    _CPU_TIMES[listed, seed] = asyncio.run(_cpu_by_call(HOST, running.port, running, 2, calls))
+        cpu_times = _CPU_TIMES[listed, seed]
+        return cpu_times[int(len(cpu_times) * (0.99 if percentile == "p99" else 0.5))]
+
+    return measure
 
-    return at
 
+# One run gives two values. The cache holds one entry for each size and seed measured.
+_CPU_TIMES: dict[tuple[int, int], list[float]] = {}
+# One run gives several values. The cache holds one entry for each size and seed measured.
+_ADDED_LATENCIES: dict[tuple[int, int, float, int], AddedLatency] = {}
 
-# one play gives two figures; as many as sizes are measured
-_ALONE: dict[tuple[int, int], list[float]] = {}
-# one play gives several figures; as many as sizes are measured
-_ADDED: dict[tuple[int, int, float, int], AddedLatency] = {}
 
+def added_latency(group: int, field: str = "p99", changes: float = 0.0) -> Callable[[int, int], float]:
+    """Returns a measurement of a field of `AddedLatency` for one proxy, by the size of the list."""
 
-def added(group: int, which: str = "p99", changes: float = 0.0) -> Callable[[int, int], float]:
-    def at(listed: int, seed: int) -> float:
+    def measure(listed: int, seed: int) -> float:
         key = listed, group, changes, seed
-        if key not in _ADDED:
-            _ADDED[key] = through_one(listed, group, seed, changes)
-        return float(getattr(_ADDED[key], which))
+        if key not in _ADDED_LATENCIES:
+            _ADDED_LATENCIES[key] = added_by_one_proxy(listed, group, seed, changes)
+        return float(getattr(_ADDED_LATENCIES[key], field))
 
-    return at
+    return measure
--- a/pepperusher/capacity/measures.py
+++ b/pepperusher/capacity/measures.py
@@ -1,4 +1,4 @@
-"""What a measurement of growth is, and what it gave; free of I/O."""
+"""Defines a measurement of a cost by its size, and its results. This module does no I/O."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 import msgspec
 
-from pepperusher.capacity.fit import Checked, Fit, Point, best, checked, fitted
+from pepperusher.capacity.fit import FitCheck, Fit, Point, best_fit, check_fit, fit_curve
 
-# What a figure is worth: a count is the same on every machine; processor time is of this one; what was read
-# off a clock is of this one and of all that others did on it meanwhile.
+# How a value was obtained. A count is the same on every machine; processor time depends on the machine; elapsed time
+# also depends on the other load of the machine during the measurement.
 COUNTED, TIMED, CLOCKED = "counted", "timed", "clocked"
 
 
 class Measure(NamedTuple):
-    """One thing that grows: `at(size, seed)` gives its value in `unit`. `held_out` is a size for the check
-    alone. `repeats` are taken at each size and their median counts. `curve` is the one that the code gives,
-    where it gives one.
+    """A cost that grows with a size. `measure(size, seed)` returns its value in `unit`, and `per` names what the size
+    counts. `held_out` is a size that is measured only to check the fit. Each size is measured `repeats` times and the
+    median counts. `curve` is the curve that follows from the code, if that is known.
     """
 
     name: str
@@ -29,13 +29,13 @@
     worth: str
     sizes: tuple[int, ...]
     held_out: int
-    at: Callable[[int, int], float]
+    measure: Callable[[int, int], float]
     repeats: int = 1
     curve: str = ""
 
 
 class Measured(msgspec.Struct, frozen=True, kw_only=True):
-    """As it is kept in a file."""
+    """The result of a `Measure`, as stored in a file."""
 
     name: str
     role: str
@@ -47,35 +47,37 @@
     repeats: int
     points: list[tuple[float, float]]
     held_out: tuple[float, float]
-    load: float | None = None  # of the machine over a minute, as the measurement ended
-    curve: str = ""  # as the code gives it
-    reference: int | None = None  # the middle of what the reference loop took between the sizes, in us
+    load: float | None = None  # load average of the machine over the last minute, at the end of the measurement
+    curve: str = ""  # the curve that follows from the code, if known
+    reference: int | None = None  # median time of the reference loop between the sizes, in us
     commit: str = ""
     command: str = ""
 
     def fit(self) -> Fit:
-        """What is counted is fitted by the curve that leaves least, if that is clearly less than a line;
-        what is timed by a line, since noise bends too, or by the curve that the code gives.
+        """Fits the points. Counts get the curve with the smallest residual if that is clearly smaller than the line's.
+        Times get a line, since noise can look like a curve. A curve that follows from the code overrides both.
         """
-        points = [Point(*one) for one in self.points]
+        points = [Point(*point) for point in self.points]
         if self.curve:
-            return fitted(points, self.curve)
-        return best(points) if self.worth == COUNTED else fitted(points)
+            return fit_curve(points, self.curve)
+        return best_fit(points) if self.worth == COUNTED else fit_curve(points)
 
-    def spoilt(self, cores: int) -> bool:
-        """Read off a clock while more wanted to run than there are cores: it tells of those."""
+    def unreliable(self, cores: int) -> bool:
+        """Returns whether this is an elapsed time measured while the load exceeded the cores, so that it depends on
+        other processes.
+        """
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
-    def check(self) -> Checked:
-        return checked(self.fit(), Point(*self.held_out))
+    def check(self) -> FitCheck:
+        return check_fit(self.fit(), Point(*self.held_out))
 
     def value(self, size: float) -> float:
-        """What it comes to at a size; never under nothing."""
+        """Returns the predicted value at a size, at least 0."""
         return max(0.0, self.fit().at(size))
 
 
 class Single(msgspec.Struct, frozen=True, kw_only=True):
-    """A figure at given settings that is no slope, such as attempts by levels that fail."""
+    """A value that does not depend on a size, such as the attempts of a chain with failing levels."""
 
     name: str
     what: str
@@ -87,12 +89,12 @@
     commit: str = ""
     command: str = ""
 
-    def spoilt(self, cores: int) -> bool:
+    def unreliable(self, cores: int) -> bool:
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
 
 class Book(msgspec.Struct, kw_only=True):
-    """All that one run measured, and where."""
+    """The results of one run, and the machine that it ran on."""
 
     commit: str
     command: str
@@ -101,68 +103,71 @@
     measured: list[Measured] = []
     singles: list[Single] = []
 
-    def of(self, name: str) -> Measured | None:
-        return next((one for one in self.measured if one.name == name), None)
+    def find_measured(self, name: str) -> Measured | None:
+        return next((measured for measured in self.measured if measured.name == name), None)
 
     def single(self, name: str) -> Single | None:
-        return next((one for one in self.singles if one.name == name), None)
+        return next((single for single in self.singles if single.name == name), None)
 
 
-def taken(
-    one: Measure,
+def take_measurement(
+    measure: Measure,
     seed: int,
     load: Callable[[], float] | None = None,
     say: Callable[[str], None] = lambda _: None,
     commit: str = "",
     command: str = "",
-    pace: Callable[[], float] | None = None,
+    reference_speed: Callable[[], float] | None = None,
 ) -> Measured:
-    """Measures each size `repeats` times, each with the next seed; the median of them counts. All sizes in
-    turn and then again: a machine that is slower for some seconds would else bend the curve.
+    """Measures each size `repeats` times, each time with the next seed, and takes the medians. Each repeat goes through
+    all sizes: if the repeats of one size followed each other, a machine that is slower for some seconds would distort
+    the curve.
     """
-    made: dict[int, list[float]] = {size: [] for size in (*one.sizes, one.held_out)}
-    paces: list[float] = []
-    for place in range(one.repeats):
-        for size, values in made.items():
-            if pace is not None:
-                paces.append(pace())
-            values.append(one.at(size, seed + place))
-            say(f"{one.name} at {size}: {values[-1]:.6g} {one.unit}")
-    middles = [(float(size), float(median(values))) for size, values in made.items()]
-    *points, held_out = middles
+    values_by_size: dict[int, list[float]] = {size: [] for size in (*measure.sizes, measure.held_out)}
+    reference_times: list[float] = []
+    for repeat in range(measure.repeats):
+        for size, values in values_by_size.items():
+            if reference_speed is not None:
+                reference_times.append(reference_speed())
+            values.append(measure.measure(size, seed + repeat))
+            say(f"{measure.name} at {size}: {values[-1]:.6g} {measure.unit}")
+    medians = [(float(size), float(median(values))) for size, values in values_by_size.items()]
+    *points, held_out = medians
     return Measured(
-        name=one.name,
-        role=one.role,
-        what=one.what,
-        per=one.per,
-        unit=one.unit,
-        worth=one.worth,
+        name=measure.name,
+        role=measure.role,
+        what=measure.what,
+        per=measure.per,
+        unit=measure.unit,
+        worth=measure.worth,
         seed=seed,
-        repeats=one.repeats,
+        repeats=measure.repeats,
         points=points,
         held_out=held_out,
         load=None if load is None else round(load(), 1),
-        curve=one.curve,
-        reference=round(median(paces)) if paces else None,
+        curve=measure.curve,
+        reference=round(median(reference_times)) if reference_times else None,
         commit=commit,
         command=command,
     )
 
 
-def merged(before: Book, now: Book) -> Book:
-    """What was measured again takes the place of what it was."""
-    names = {one.name for one in now.measured}
-    singles = {one.name for one in now.singles}
+def merge_books(before: Book, now: Book) -> Book:
+    """Adds the results of `now` to `before`; they replace results with the same name."""
+    measured_names = {item.name for item in now.measured}
+    single_names = {item.name for item in now.singles}
     return Book(
         commit=now.commit,
         command=now.command,
         machine=now.machine,
         cores=now.cores,
-        measured=[*(one for one in before.measured if one.name not in names), *now.measured],
-        singles=[*(one for one in before.singles if one.name not in singles), *now.singles],
+        measured=[*(item for item in before.measured if item.name not in measured_names), *now.measured],
+        singles=[*(item for item in before.singles if item.name not in single_names), *now.singles],
     )
 
 
-def only(measures: Iterable[Measure], names: Sequence[str]) -> list[Measure]:
-    """Those whose name begins with one of `names`; all where there is none."""
-    return [one for one in measures if not names or any(one.name.startswith(name) for name in names)]
+def select_measures(measures: Iterable[Measure], prefixes: Sequence[str]) -> list[Measure]:
+    """Returns the measures whose name begins with one of `prefixes`, or all if there are no prefixes."""
+    return [
+        measure for measure in measures if not prefixes or any(measure.name.startswith(prefix) for prefix in prefixes)
+    ]
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -1,5 +1,5 @@
-"""A group's membership by its size, in virtual time: messages, bytes, state and processor time of one
-member.
+"""Measures the messages, bytes, state and processor time of one member of a group by the size of the group, in
+virtual time.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from pepperusher.rehearsal.group_figures import introduced
 from pepperusher.rehearsal.group_model import SECOND, Model
 
-# As the own file has them where it says nothing.
-PERIOD, WITHIN = 500_000, 150_000
-SETTLES, SPAN, CHANGE = 2 * SECOND, 5 * SECOND, 5 * SECOND
+# The defaults of the configuration file, in us.
+PROBE_PERIOD, PROBE_TIMEOUT = 500_000, 150_000
+SETTLE_US, REST_US, CHANGE_US = 2 * SECOND, 5 * SECOND, 5 * SECOND
 START = 1_700_000_000 * SECOND
 
 
-def said(number: int) -> MemberRecord:
-    """One proxy's own word, with a name as fleets have them."""
+def member_record(number: int) -> MemberRecord:
+    """Returns the record that a proxy announces about itself, with a name of realistic length."""
     return MemberRecord(
         f"service-{number // 24:03d}-{number:05d}",
         f"10.{number >> 14}.{number >> 6 & 255}.{number & 63}",
@@ -40,80 +40,86 @@
     )
 
 
-class Spent:
-    """What one group spent: a member a second at rest, and over a change."""
+class GroupCosts:
+    """The costs of one member in a group of `size`: a second at rest, and for one change."""
 
     def __init__(self, size: int, seed: int) -> None:
-        model = Model(seed, PERIOD, WITHIN)
+        model = Model(seed, PROBE_PERIOD, PROBE_TIMEOUT)
         model.turn = SECOND
         for number in range(size):
             model.add(f"service-{number // 24:03d}-{number:05d}", told=size)
         introduced(model)
-        model.run(SETTLES)
-        ones = model.ones.values()
-        messages, sent = sum(one.sent for one in ones), sum(one.sent_bytes for one in ones)
-        cpu = process_time()
-        model.run(SPAN)
-        seconds = SPAN / SECOND
-        self.cpu = (process_time() - cpu) * 1e6 / size / seconds
-        self.messages = (sum(one.sent for one in ones) - messages) / size / seconds
-        self.bytes = (sum(one.sent_bytes for one in ones) - sent) / size / seconds
-        messages, sent = sum(one.sent for one in ones), sum(one.sent_bytes for one in ones)
-        next(iter(ones)).swim.say(SENT_AWAY, model.now)
-        model.run(CHANGE)
-        rest = CHANGE / SECOND
-        self.change_messages = (sum(one.sent for one in ones) - messages) / size - self.messages * rest
-        self.change_bytes = (sum(one.sent_bytes for one in ones) - sent) / size - self.bytes * rest
+        model.run(SETTLE_US)
+        members = model.ones.values()
+        messages, sent_bytes = sum(member.sent for member in members), sum(member.sent_bytes for member in members)
+        cpu_before = process_time()
+        model.run(REST_US)
+        seconds = REST_US / SECOND
+        self.cpu = (process_time() - cpu_before) * 1e6 / size / seconds
+        self.messages = (sum(member.sent for member in members) - messages) / size / seconds
+        self.bytes = (sum(member.sent_bytes for member in members) - sent_bytes) / size / seconds
+        messages, sent_bytes = sum(member.sent for member in members), sum(member.sent_bytes for member in members)
+        next(iter(members)).swim.say(SENT_AWAY, model.now)
+        model.run(CHANGE_US)
+        change_s = CHANGE_US / SECOND
+        self.change_messages = (sum(member.sent for member in members) - messages) / size - self.messages * change_s
+        self.change_bytes = (sum(member.sent_bytes for member in members) - sent_bytes) / size - self.bytes * change_s
 
 
-# one play gives several figures; a run of sizes fills it, its end empties it
-_SPENT: dict[tuple[int, int], Spent] = {}
+# One simulation gives several values. The cache holds one entry for each size and seed measured.
+_COSTS: dict[tuple[int, int], GroupCosts] = {}
 
 
-def spent(name: str) -> Callable[[int, int], float]:
-    def at(size: int, seed: int) -> float:
-        if (size, seed) not in _SPENT:
-            _SPENT[size, seed] = Spent(size, seed)
-        return float(getattr(_SPENT[size, seed], name))
+def by_members(name: str) -> Callable[[int, int], float]:
+    """Returns a measurement of the attribute `name` of `GroupCosts`, by the size of the group."""
 
-    return at
+    def measure(size: int, seed: int) -> float:
+        if (size, seed) not in _COSTS:
+            _COSTS[size, seed] = GroupCosts(size, seed)
+        return float(getattr(_COSTS[size, seed], name))
+
+    return measure
 
 
 def state(size: int, _: int) -> float:
-    """Bytes that one member holds of a group of so many."""
+    """Returns the bytes that one member holds about a group of `size`."""
 
-    def makes() -> object:
-        roll = Membership(PERIOD)
+    def create() -> object:
+        membership = Membership(PROBE_PERIOD)
         for number in range(size):
-            roll.take(said(number), START)
-        return roll
+            membership.take(member_record(number), START)
+        return membership
 
-    return allocated_bytes(makes)
+    return allocated_bytes(create)
 
 
 def sync(size: int, seed: int) -> float:
-    """Bytes that a newcomer is sent."""
+    """Returns the bytes that a joining member is sent."""
     swim = Swim(
-        said(0), SwimSettings(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"), Random(seed), START
+        member_record(0),
+        SwimSettings(PROBE_PERIOD, PROBE_TIMEOUT, (), size, 60 * SECOND),
+        Wire("measured, not a key"),
+        Random(seed),
+        START,
     )
     for number in range(1, size):
-        swim.roll.take(said(number), START)
+        swim.roll.take(member_record(number), START)
     return float(sum(map(len, swim.whole())))
 
 
 def most_members() -> int:
-    """How many names a roll takes, by filling it."""
-    roll = Membership(PERIOD)
+    """Returns how many members a membership table accepts, by filling one."""
+    membership = Membership(PROBE_PERIOD)
     number = 0
-    while not roll.refused:
-        roll.take(said(number), START)
+    while not membership.refused:
+        membership.take(member_record(number), START)
         number += 1
         assert number <= 2 * group_membership.MOST
-    return len(roll)
+    return len(membership)
 
 
 def most_notices() -> int:
-    """How many things at once can be on, by filling them."""
+    """Returns how many notices can be active at the same time, by adding notices until one is refused."""
     notices = Broadcasts(60 * SECOND)
     number = 0
     while not notices.refused:
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -1,5 +1,5 @@
-"""The page docs/CAPACITY.md from a projection: rows over budget first, then all rows, slopes, assumptions
-and what was not measured; free of I/O.
+"""Renders docs/CAPACITY.md from a projection: the rows over budget, all other rows, the assumptions, the slopes, and
+what was not measured. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 from pepperusher.capacity.projection import Projection
 from pepperusher.capacity.target import Assumed, Row
 
-# What stands between these on the page is another hand's, and is kept when the page is printed anew.
-AFTER, AFTER_END = "<!-- after: begin -->", "<!-- after: end -->"
-NOTHING_YET = "not measured yet"
+# The section between these marks is edited by hand and kept when the page is rendered again.
+AFTER_BEGIN, AFTER_END = "<!-- after: begin -->", "<!-- after: end -->"
+NOT_MEASURED_YET = "not measured yet"
 OCCASIONS = (
     "ordinary day",
     "release",
@@ -28,30 +28,30 @@
 ROLES = ("proxy beside a backend", "front proxy", "control machine", "discovery", "backend and its callers", "operator")
 
 
-def figure(value: float | None, unit: str = "") -> str:
+def format_value(value: float | None, unit: str = "") -> str:
     if value is None:
         return "not measured"
     if unit == "us" and abs(value) >= 1_000:
-        return f"{_short(value / 1_000)} ms"
+        return f"{_format_number(value / 1_000)} ms"
     if unit == "us/s":
-        return f"{_short(value / 10_000)}% of a core"
+        return f"{_format_number(value / 10_000)}% of a core"
     if unit in ("bytes", "bytes/s"):
         for size, name in ((1e9, "GB"), (1e6, "MB"), (1e3, "kB")):
             if abs(value) >= size:
-                return f"{_short(value / size)} {name}{unit[5:]}"
-    return f"{_short(value)} {unit}".strip()
+                return f"{_format_number(value / size)} {name}{unit[5:]}"
+    return f"{_format_number(value)} {unit}".strip()
 
 
-def _short(value: float) -> str:
+def _format_number(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def _ratio(value: float | None) -> str:
+def _format_ratio(value: float | None) -> str:
     return "-" if value is None else f"{value:.2g}" if value < 10 else f"{value:,.0f}"
 
 
-def _table(head: Iterable[str], rows: Iterable[Iterable[str]]) -> Iterator[str]:
-    cells = list(head)
+def _table(header: Iterable[str], rows: Iterable[Iterable[str]]) -> Iterator[str]:
+    cells = list(header)
     yield f"| {' | '.join(cells)} |"
     yield f"|{' --- |' * len(cells)}"
     for row in rows:
@@ -63,54 +63,64 @@
         row.role,
         row.when,
         row.what,
-        figure(row.mild, row.unit),
-        figure(row.harsh, row.unit),
-        "none" if row.budget is None else f"{figure(row.budget.value, row.unit)} ({row.budget.of})",
-        f"{_ratio(row.ratio(row.mild))}, **{_ratio(row.ratio(row.harsh))}**",
+        format_value(row.mild, row.unit),
+        format_value(row.harsh, row.unit),
+        "none" if row.budget is None else f"{format_value(row.budget.value, row.unit)} ({row.budget.of})",
+        f"{_format_ratio(row.ratio(row.mild))}, **{_format_ratio(row.ratio(row.harsh))}**",
         row.mechanism.replace("missing", "**missing**", 1),
         ", ".join(row.from_) + (f". {row.note}" if row.note else ""),
     ]
 
 
-HEAD = ("role", "when", "what", "mild", "harsh", "budget", "ratio mild, harsh", "mechanism that carries it", "from")
+ROW_HEADER = (
+    "role",
+    "when",
+    "what",
+    "mild",
+    "harsh",
+    "budget",
+    "ratio mild, harsh",
+    "mechanism that carries it",
+    "from",
+)
 
 
-def slope_of(one: Measured, cores: int) -> list[str]:
-    fit, check = one.fit(), one.check()
-    curve = one.per if fit.curve == "line" else f"{fit.curve}, n = {one.per}"
-    # What discovery is asked is counted, but how soon it answers is not.
-    alone = one.worth == COUNTED and one.role != "discovery"
-    load = "" if one.load is None or alone else f"; load {one.load:g}"
-    if one.reference is not None and not alone:
-        load += f", reference loop {one.reference / 1000:.1f} ms"
-    if one.spoilt(cores):
+def slope_cells(measured: Measured, cores: int) -> list[str]:
+    fit, check = measured.fit(), measured.check()
+    curve = measured.per if fit.curve == "line" else f"{fit.curve}, n = {measured.per}"
+    # The calls to discovery are counts, but they depend on how fast it answers.
+    load_independent = measured.worth == COUNTED and measured.role != "discovery"
+    load = "" if measured.load is None or load_independent else f"; load {measured.load:g}"
+    if measured.reference is not None and not load_independent:
+        load += f", reference loop {measured.reference / 1000:.1f} ms"
+    if measured.unreliable(cores):
         load += f" on {cores} cores, so **not projected**"
     return [
-        one.name,
-        one.what,
-        f"{_short(fit.base)} + {fit.slope:.3g} ({fit.low:.3g} to {fit.high:.3g}) {one.unit} by {curve}",
+        measured.name,
+        measured.what,
+        f"{_format_number(fit.base)} + {fit.slope:.3g} ({fit.low:.3g} to {fit.high:.3g}) {measured.unit} by {curve}",
         f"{fit.residual:.1%}",
-        f"{check.size:,.0f}: {_short(check.said)} said, {_short(check.measured)} measured, **{check.error:+.1%}**",
-        f"`{one.command}` at {one.commit}: {', '.join(f'{size:,.0f}' for size, _ in one.points)};"
-        f" {one.worth}, {one.repeats} each{load}",
+        f"{check.size:,.0f}: {_format_number(check.predicted)} said, {_format_number(check.measured)} measured, **{check.error:+.1%}**",
+        f"`{measured.command}` at {measured.commit}: {', '.join(f'{size:,.0f}' for size, _ in measured.points)};"
+        f" {measured.worth}, {measured.repeats} each{load}",
     ]
 
 
-def _in_short(row: Row) -> str:
-    mild, harsh = _ratio(row.ratio(row.mild)), _ratio(row.ratio(row.harsh))
+def _summary(row: Row) -> str:
+    mild, harsh = _format_ratio(row.ratio(row.mild)), _format_ratio(row.ratio(row.harsh))
     return f"- {row.role}, {row.when}: {row.what}: **{mild}** mild, **{harsh}** harsh; {row.mechanism}."
 
 
-def _carried(of: Projection) -> Iterator[str]:
-    """What was missing when the mechanism was chosen, and what carries it now."""
-    rows = [row for row in of.rows() if row.before is not None]
+def _addressed_rows(projection: Projection) -> Iterator[str]:
+    """Yields the rows that had no mechanism when one was chosen to be built, with their values before and after."""
+    rows = [row for row in projection.rows() if row.before is not None]
     if not rows:
         return
     worst = max(rows, key=lambda row: row.ratio(row.before[1]) or 0.0 if row.before else 0.0)
     assert worst.before is not None
     yield (
-        f"**Chosen before:** {worst.role}: {worst.what}, {figure(worst.before[1], worst.unit)}, **"
-        f"{_ratio(worst.ratio(worst.before[1]))} times** its budget, the row furthest over it that no"
+        f"**Chosen before:** {worst.role}: {worst.what}, {format_value(worst.before[1], worst.unit)}, **"
+        f"{_format_ratio(worst.ratio(worst.before[1]))} times** its budget, the row furthest over it that no"
         f" mechanism carried: **distribution was missing** then. It is there now and carries these rows,"
         f" which are no longer among those without a mechanism:"
     )
@@ -133,11 +143,11 @@
                 row.role,
                 row.when,
                 row.what,
-                figure(row.budget.value if row.budget else None, row.unit),
-                f"{figure(before[0], row.unit)}, {figure(before[1], row.unit)}",
-                f"{_ratio(row.ratio(before[0]))}, **{_ratio(row.ratio(before[1]))}**",
-                f"{figure(row.mild, row.unit)}, {figure(row.harsh, row.unit)}",
-                f"{_ratio(row.ratio(row.mild))}, **{_ratio(row.ratio(row.harsh))}**",
+                format_value(row.budget.value if row.budget else None, row.unit),
+                f"{format_value(before[0], row.unit)}, {format_value(before[1], row.unit)}",
+                f"{_format_ratio(row.ratio(before[0]))}, **{_format_ratio(row.ratio(before[1]))}**",
+                f"{format_value(row.mild, row.unit)}, {format_value(row.harsh, row.unit)}",
+                f"{_format_ratio(row.ratio(row.mild))}, **{_format_ratio(row.ratio(row.harsh))}**",
                 row.mechanism,
                 ", ".join(row.from_) + f". {row.note}",
             ]
@@ -148,33 +158,33 @@
     yield ""
 
 
-def _choice(of: Projection) -> Iterator[str]:
-    yield from _carried(of)
-    first = of.first_missing()
-    if first is None:
+def _next_bottleneck(projection: Projection) -> Iterator[str]:
+    yield from _addressed_rows(projection)
+    first_missing = projection.first_missing()
+    if first_missing is None:
         yield "No row that is over its budget is without a mechanism, as far as it was measured."
         return
     yield (
-        f"**Next: {first.role}: {first.what}** ({first.when}): {figure(first.mild, first.unit)} mild,"
-        f" {figure(first.harsh, first.unit)} harsh against"
-        f" {figure(first.budget.value if first.budget else None, first.unit)}: **{_ratio(first.worst)}"
-        f" times** its budget. {first.mechanism}."
+        f"**Next: {first_missing.role}: {first_missing.what}** ({first_missing.when}): {format_value(first_missing.mild, first_missing.unit)} mild,"
+        f" {format_value(first_missing.harsh, first_missing.unit)} harsh against"
+        f" {format_value(first_missing.budget.value if first_missing.budget else None, first_missing.unit)}: **{_format_ratio(first_missing.worst)}"
+        f" times** its budget. {first_missing.mechanism}."
     )
     yield ""
     yield "Not chosen, over budget and without a mechanism, in this order:"
     yield ""
-    for row in of.over():
-        if row.missing and row != first:
-            yield _in_short(row)
+    for row in projection.over():
+        if row.missing and row != first_missing:
+            yield _summary(row)
     yield ""
     yield "Over budget with a mechanism that is there and does not suffice:"
     yield ""
-    for row in of.over():
+    for row in projection.over():
         if not row.missing:
-            yield _in_short(row)
+            yield _summary(row)
 
 
-SAID = {
+ASSUMPTION_TEXTS = {
     "largest": "backends of the largest of the 210 services (mean 24)",
     "called": "services that one proxy calls",
     "listed": "backends on the list of one proxy (mild: of the services that it calls; harsh: all, since"
@@ -197,29 +207,29 @@
 }
 
 
-def _assumed(mild: Assumed, harsh: Assumed) -> Iterator[str]:
+def _assumption_table(mild: Assumed, harsh: Assumed) -> Iterator[str]:
     yield from _table(
         ("left open by the target", "mild", "harsh"),
-        ([said, f"{getattr(mild, name):g}", f"{getattr(harsh, name):g}"] for name, said in SAID.items()),
+        ([text, f"{getattr(mild, name):g}", f"{getattr(harsh, name):g}"] for name, text in ASSUMPTION_TEXTS.items()),
     )
 
 
-def _not_measured(of: Projection) -> Iterator[str]:
-    rows = of.rows()
+def _not_measured(projection: Projection) -> Iterator[str]:
+    rows = projection.rows()
     for row in rows:
         if row.mild is None and row.harsh is None:
             yield f"- {row.role}, {row.when}: {row.what}."
     for role in ROLES:
-        there = {row.when for row in rows if row.role == role and (row.mild, row.harsh) != (None, None)}
-        gone = [when for when in OCCASIONS if when not in there]
-        if not there:
+        measured_occasions = {row.when for row in rows if row.role == role and (row.mild, row.harsh) != (None, None)}
+        missing_occasions = [when for when in OCCASIONS if when not in measured_occasions]
+        if not measured_occasions:
             yield f"- **{role}**: every occasion."
-        elif gone:
-            beside = ", beside what holds always" if "always" in there else ""
-            yield f"- {role}: nothing of its own for {', '.join(gone)}{beside}."
+        elif missing_occasions:
+            always_text = ", beside what holds always" if "always" in measured_occasions else ""
+            yield f"- {role}: nothing of its own for {', '.join(missing_occasions)}{always_text}."
 
 
-def _at_all(book: Book) -> Iterator[str]:
+def _attempts_table(book: Book) -> Iterator[str]:
     yield from _table(
         (
             "attempts along 30 levels",
@@ -231,15 +241,15 @@
         ),
         (
             [
-                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, passed up as {passed}",
+                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, passed up as {reply}",
                 *(
                     "not measured"
-                    if (one := book.single(f"attempts.{passed}.{share}.{failing}.{which}")) is None
-                    else _short(one.value)
-                    for which in ("first", "after", "most", "last", "done")
+                    if (single := book.single(f"attempts.{reply}.{share}.{failing}.{field}")) is None
+                    else _format_number(single.value)
+                    for field in ("first", "after", "most", "last", "done")
                 ),
             ]
-            for passed in ("error", "full")
+            for reply in ("error", "full")
             for share in (30, 100)
             for failing in (1, 2, 3)
         ),
@@ -248,72 +258,72 @@
     yield from _table(
         ("levels, no time known yet", "part of calls done", "sends a call"),
         (
-            [str(depth), _short(done.value), _short(sends.value)]
+            [str(depth), _format_number(done.value), _format_number(sends.value)]
             for depth in (4, 8, 12, 16, 20, 30)
             if (done := book.single(f"cold.{depth}.done")) and (sends := book.single(f"cold.{depth}.sends"))
         ),
     )
 
 
-def _slowed(book: Book) -> Iterator[str]:
+def _slowed_chain_table(book: Book) -> Iterator[str]:
     factors = (1, 2, 3, 5, 10)
     yield from _table(
         ("levels", "attempts of each proxy", *(f"services take {one} times as long" for one in factors)),
         (
             [str(depth), str(most), *(
                 "not measured" if (one := book.single(f"slowed.{most}.{depth}.{factor}")) is None
-                else _short(one.value) for factor in factors
+                else _format_number(one.value) for factor in factors
             )]
             for most in (3, 1) for depth in (5, 6, 7, 8, 10, 20, 30)
         ),
     )  # fmt: skip
 
 
-def _one_proxy(book: Book) -> Iterator[tuple[str, str]]:
-    """Key and words of what was measured through one proxy at the target's calls a second."""
+def _one_proxy_chains(book: Book) -> Iterator[tuple[str, str]]:
+    """Yields the name and the label of each chain of one proxy that was measured at the target's call rate."""
     for listed in (24, 250, 1_000, 5_000):
-        for key, with_it in (("", ""), (".release", ", a release's changes")):
-            for group, said in (("", ""), (".group1", ", group size 1")):
+        for key, changes_text in (("", ""), (".release", ", a release's changes")):
+            for group, group_text in (("", ""), (".group1", ", group size 1")):
                 name = f"1.{listed}{key}.at72{group}"
                 if book.single(f"chain.{name}.failed"):
-                    yield name, f"1 in a row, 72 calls a second, {listed:,} listed{with_it}{said}"
+                    yield name, f"1 in a row, 72 calls a second, {listed:,} listed{changes_text}{group_text}"
 
 
-def _chain(book: Book) -> Iterator[str]:
+def _chain_table(book: Book) -> Iterator[str]:
     rows = []
     keys = [
         (
-            f"{depth}.24.at{rate}{once}",
-            f"{depth} in a row, {rate} calls a second, 24 listed" + (", one attempt each" if once else ""),
+            f"{depth}.24.at{rate}{attempts_suffix}",
+            f"{depth} in a row, {rate} calls a second, 24 listed" + (", one attempt each" if attempts_suffix else ""),
         )
         for depth in (1, 5, 10, 20, 30)
         for rate in (2, 4, 8, 24)
-        for once in ("", ".once")
-        if book.single(f"chain.{depth}.24.at{rate}{once}.failed")
+        for attempts_suffix in ("", ".once")
+        if book.single(f"chain.{depth}.24.at{rate}{attempts_suffix}.failed")
     ]
     keys += [("30.24.once", "30 in a row, 24 calls a second, 24 listed, one attempt each")] * (
         book.single("chain.30.24.once.failed") is not None
     )
-    for key, said in (
-        *_one_proxy(book),
+    for key, label in (
+        *_one_proxy_chains(book),
         *keys,
         ("30.24", "24 listed"),
         ("30.250", "250 listed"),
         ("30.1000", "1,000 listed"),
         ("30.250.release", "250 listed, a release's changes"),
     ):
-        said = said if "row" in said else f"30 in a row, 24 calls a second, {said}"
-        found = [
-            book.single(f"chain.{key}.{which}")
-            for which in ("bare99", "through99", "added99", "added50", "cpu", "failed")
+        label = label if "row" in label else f"30 in a row, 24 calls a second, {label}"
+        singles = [
+            book.single(f"chain.{key}.{field}")
+            for field in ("bare99", "through99", "added99", "added50", "cpu", "failed")
         ]
-        load = next((f"{one.load:g}" for one in found if one is not None and one.load is not None), "-")
-        failed = "not measured" if found[-1] is None else f"{found[-1].value:.0%}"
+        load = next((f"{single.load:g}" for single in singles if single is not None and single.load is not None), "-")
+        failed = "not measured" if singles[-1] is None else f"{singles[-1].value:.0%}"
         calls = book.single(f"chain.{key}.calls")
         rows.append(
             [
-                said,
-                *(figure(one.value if one else None, "us") for one in found[:-1]),
+                label,
+                *(format_value(single.value if single else None, "us") for single in singles[:-1]),
                 failed,
                 "-" if calls is None else f"{calls.value:,.0f}",
                 load,
@@ -335,10 +345,10 @@
     )
 
 
-def printed(of: Projection, book: Book, after: str = NOTHING_YET) -> str:
-    """The whole page. `after` is what stands between the marks."""
-    over = of.over()
-    target = of.target
+def render(projection: Projection, book: Book, after: str = NOT_MEASURED_YET) -> str:
+    """Returns the whole page; `after` is the section between the marks."""
+    over_budget = projection.over()
+    target = projection.target
     lines = [
         "# Capacity: what runs out first on the way to 5,000 proxies",
         "",
@@ -365,25 +375,25 @@
         "",
         "## Over budget, worst first",
         "",
-        *(_table(HEAD, map(_cells, over))),
+        *(_table(ROW_HEADER, map(_cells, over_budget))),
         "",
         "## What comes first",
         "",
-        *_choice(of),
+        *_next_bottleneck(projection),
         "",
         "### After the mechanism",
         "",
-        AFTER,
+        AFTER_BEGIN,
         after,
         AFTER_END,
         "",
         "## All rows, worst first",
         "",
-        *(_table(HEAD, map(_cells, [row for row in of.rows() if row not in over]))),
+        *(_table(ROW_HEADER, map(_cells, [row for row in projection.rows() if row not in over_budget]))),
         "",
         "## Assumptions",
         "",
-        *_assumed(of.mild, of.harsh),
+        *_assumption_table(projection.mild, projection.harsh),
         "",
         "## Slopes",
         "",
@@ -396,7 +406,10 @@
         "",
         *_table(
             ("slope", "what", "base + slope (95%)", "residual", "at a size not fitted", "how"),
-            [slope_of(one, book.cores) for one in sorted(book.measured, key=lambda one: one.name)],
+            [
+                slope_cells(measured, book.cores)
+                for measured in sorted(book.measured, key=lambda measured: measured.name)
+            ],
         ),
         "",
         "## Attempts along a chain",
@@ -409,7 +422,7 @@
         " failure that is passed up as `full` never"
         " ran, and is not held to RETRY_BUDGET_RATIO.",
         "",
-        *_at_all(book),
+        *_attempts_table(book),
         "",
         "Warmed at 1 ms a service, which then take longer, none of them failing: the part of calls done,"
         " after the first 20 (simulated). Each level leaves the next half of what is left, until that is"
@@ -418,7 +431,7 @@
         " tell a longer usual time (`policy.py` _count); before that no call came through again from eight"
         " levels on. With one attempt a level leaves all.",
         "",
-        *_slowed(book),
+        *_slowed_chain_table(book),
         "",
         "## A chain of whole proxies",
         "",
@@ -432,30 +445,30 @@
         " quieter of two rounds of 10 s counts, and at 8 calls a second the 99th of 100 is the worst of some"
         " 80.",
         "",
-        *_chain(book),
+        *_chain_table(book),
         "",
         "## Not measured",
         "",
-        *_not_measured(of),
+        *_not_measured(projection),
     ]
     return "\n".join(lines) + "\n"
 
 
-def after_of(page: str) -> str:
-    """What stands between the marks of a page that was printed before."""
-    _, begin, rest = page.partition(AFTER)
-    held, end, _ = rest.partition(AFTER_END)
-    return held.strip("\n") if begin and end else NOTHING_YET
+def after_section(page: str) -> str:
+    """Returns the section between the marks of an existing page, or NOT_MEASURED_YET if it has none."""
+    _, begin, rest = page.partition(AFTER_BEGIN)
+    section, end, _ = rest.partition(AFTER_END)
+    return section.strip("\n") if begin and end else NOT_MEASURED_YET
 
 
-def as_json(of: Projection, book: Book) -> dict[str, Any]:
-    first = of.first_missing()
+def as_json(projection: Projection, book: Book) -> dict[str, Any]:
+    first_missing = projection.first_missing()
     return {
         "commit": book.commit,
         "command": book.command,
-        "target": of.target._asdict(),
-        "assumed": {"mild": of.mild._asdict(), "harsh": of.harsh._asdict()},
-        "first_missing": None if first is None else first.what,
+        "target": projection.target._asdict(),
+        "assumed": {"mild": projection.mild._asdict(), "harsh": projection.harsh._asdict()},
+        "first_missing": None if first_missing is None else first_missing.what,
         "rows": [
             {
                 **row._asdict(),
@@ -464,18 +477,18 @@
                 "ratio_harsh": row.ratio(row.harsh),
                 "missing": row.missing,
             }
-            for row in of.rows()
+            for row in projection.rows()
         ],
         "slopes": {
-            one.name: {
-                "curve": (fit := one.fit()).curve,
+            measured.name: {
+                "curve": (fit := measured.fit()).curve,
                 "base": fit.base,
                 "slope": fit.slope,
                 "low": fit.low,
                 "high": fit.high,
-                "unit": one.unit,
-                "error_at_held_out": one.check().error,
+                "unit": measured.unit,
+                "error_at_held_out": measured.check().error,
             }
-            for one in book.measured
+            for measured in book.measured
         },
     }
