--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -1,5 +1,6 @@
-"""From measured slopes and assumptions to what each role needs at the target, held against budgets; free of
-I/O. What control machines carry and what differs at a front proxy stand in modules of their own.
+"""Projects from measured slopes and assumptions what each role needs at the target size and compares it with
+budgets. This module does no I/O. The rows of control machines are in `control_rows`, those of front proxies in
+`front_rows`.
 """
 
 from __future__ import annotations
@@ -7,77 +8,81 @@
 from collections.abc import Iterator
 
 from pepperusher.capacity import control_rows, front_rows
-from pepperusher.capacity.control_rows import Before
+from pepperusher.capacity.control_rows import OneByOneCosts
 from pepperusher.capacity.measures import Book, Measured
 from pepperusher.capacity.target import HARSH, MB, MILD, MISSING, Assumed, Budget, Row, Target, total, product
 
-SECOND = 1_000_000.0
-SWITCH_US = 5_000.0  # sys.getswitchinterval, which nothing here changes
+US_PER_SECOND = 1_000_000.0
+SWITCH_INTERVAL_US = 5_000.0  # sys.getswitchinterval(), whose default this program keeps
 
 
 class Projection:
-    """`book` has the slopes."""
+    """The rows of the capacity page: the measurements in `book` extrapolated to `target`, once with the `mild`
+    and once with the `harsh` assumptions.
+    """
 
     def __init__(self, book: Book, target: Target = Target(), mild: Assumed = MILD, harsh: Assumed = HARSH) -> None:
         self._book = book
         self.target, self.mild, self.harsh = target, mild, harsh
 
-    def _at(self, name: str, size: float) -> float | None:
-        found: Measured | None = self._book.of(name)
-        return None if found is None or found.spoilt(self._book.cores) else found.value(size)
+    def _value_at(self, name: str, size: float) -> float | None:
+        measured: Measured | None = self._book.find_measured(name)
+        return None if measured is None or measured.unreliable(self._book.cores) else measured.value(size)
 
-    def _level(self, name: str, size: float) -> float | None:
-        """For what can't fall as its size grows: where noise has it fall, the mean of what was measured."""
-        value, found = self._at(name, size), self._book.of(name)
-        if value is None or found is None or found.fit().slope > 0.0:
+    def _non_decreasing_value(self, name: str, size: float) -> float | None:
+        """Returns the value of a quantity that cannot decrease as its size grows. Where noise gives a negative
+        slope, this is the mean of all measured values.
+        """
+        value, measured = self._value_at(name, size), self._book.find_measured(name)
+        if value is None or measured is None or measured.fit().slope > 0.0:
             return value
-        values = [one for _, one in (*found.points, found.held_out)]
+        values = [point_value for _, point_value in (*measured.points, measured.held_out)]
         return sum(values) / len(values)
 
-    def _single(self, name: str) -> float | None:
-        found = self._book.single(name)
-        return None if found is None or found.spoilt(self._book.cores) else found.value
+    def _single_value(self, name: str) -> float | None:
+        single = self._book.single(name)
+        return None if single is None or single.unreliable(self._book.cores) else single.value
 
     def rows(self) -> list[Row]:
-        """The worst first; those without a budget last."""
+        """Returns all rows, the highest ratio to its budget first; rows without a budget come last."""
         return sorted(
             [
-                *self._beside(), *front_rows.rows(self._at, self.target, self.mild, self.harsh),
-                *control_rows.machine(self._at, self.target, self.mild, self.harsh),
-                *control_rows.proxy_rows(self._at, self.target, self.mild, self.harsh),
-                *self._discovery(), *self._backend(), *self._operator(), *self._chain(),
+                *self._backend_proxy_rows(), *front_rows.rows(self._value_at, self.target, self.mild, self.harsh),
+                *control_rows.machine_rows(self._value_at, self.target, self.mild, self.harsh),
+                *control_rows.proxy_rows(self._value_at, self.target, self.mild, self.harsh),
+                *self._discovery_rows(), *self._backend_rows(), *self._operator_rows(), *self._chain_rows(),
             ],
-            key=lambda one: -one.worst,
+            key=lambda row: -row.worst,
         )  # fmt: skip
 
     def over(self) -> list[Row]:
-        return [one for one in self.rows() if one.worst > 1.0]
+        return [row for row in self.rows() if row.worst > 1.0]
 
     def first_missing(self) -> Row | None:
-        """The row that is furthest over its budget and that no mechanism carries."""
-        return next((one for one in self.over() if one.missing), None)
+        """Returns the row that exceeds its budget most among those that no existing mechanism addresses."""
+        return next((row for row in self.over() if row.missing), None)
 
     # --- by role ------------------------------------------------------------------------------------
 
-    def _beside(self) -> Iterator[Row]:
-        t, mild, harsh = self.target, self.mild, self.harsh
+    def _backend_proxy_rows(self) -> Iterator[Row]:
+        target, mild, harsh = self.target, self.mild, self.harsh
         role = "proxy beside a backend"
-        added = Budget(t.added_us, "target: 1.3 ms added to a call")
-        cpu = Budget(t.proxy_cpu_us, "target: 1.4% of a core for control")
-        wire = Budget(t.proxy_wire, "target: 21 KB a second for control")
-        memory = Budget(t.proxy_bytes, "target: 256 MB")
+        latency_budget = Budget(target.added_us, "target: 1.3 ms added to a call")
+        cpu_budget = Budget(target.proxy_cpu_us, "target: 1.4% of a core for control")
+        bandwidth_budget = Budget(target.proxy_wire, "target: 21 KB a second for control")
+        memory_budget = Budget(target.proxy_bytes, "target: 256 MB")
 
-        def decision(of: Assumed) -> float | None:
-            return self._at("decision.group1" if of.group == 1 else "decision.group1000", of.listed)
+        def decision_cost(assumed: Assumed) -> float | None:
+            return self._value_at("decision.group1" if assumed.group == 1 else "decision.group1000", assumed.listed)
 
         yield Row(
             role,
             "always",
             "a decision (take, pick, report)",
             "us",
-            decision(mild),
-            decision(harsh),
-            added,
+            decision_cost(mild),
+            decision_cost(harsh),
+            latency_budget,
             "arcs of the list (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), which the settings' group size turns off at 1",
             ("decision.group1", "decision.group1000"),
             "linear in the list only where the group size is small against PROXIES_PER_BACKEND x the list",
@@ -87,9 +92,9 @@
             "always",
             "memory of an idle process",
             "bytes",
-            self._at("process.memory", mild.listed),
-            self._at("process.memory", harsh.listed),
-            memory,
+            self._value_at("process.memory", mild.listed),
+            self._value_at("process.memory", harsh.listed),
+            memory_budget,
             "the list as it is sent, all of it kept",
             ("process.memory",),
         )
@@ -98,9 +103,9 @@
             "ordinary day",
             "processor time a second: process and membership at rest",
             "us/s",
-            total(self._at("process.idle", mild.listed), self._at("group.cpu", mild.members)),
-            total(self._at("process.idle", harsh.listed), self._at("group.cpu", harsh.members)),
-            cpu,
+            total(self._value_at("process.idle", mild.listed), self._value_at("group.cpu", mild.members)),
+            total(self._value_at("process.idle", harsh.listed), self._value_at("group.cpu", harsh.members)),
+            cpu_budget,
             "`group/swim.py`, `net/discovery.py`",
             ("process.idle", "group.cpu"),
         )
@@ -109,9 +114,9 @@
             "ordinary day",
             "bytes a second out for membership, at rest",
             "bytes/s",
-            self._at("group.bytes", mild.members),
-            self._at("group.bytes", harsh.members),
-            wire,
+            self._value_at("group.bytes", mild.members),
+            self._value_at("group.bytes", harsh.members),
+            bandwidth_budget,
             "`group/swim.py`",
             ("group.bytes",),
         )
@@ -120,8 +125,8 @@
             "ordinary day",
             "messages a second out for membership, at rest",
             "messages/s",
-            self._at("group.messages", mild.members),
-            self._at("group.messages", harsh.members),
+            self._value_at("group.messages", mild.members),
+            self._value_at("group.messages", harsh.members),
             None,
             "`group/swim.py`",
             ("group.messages",),
@@ -131,9 +136,9 @@
             "always",
             "state: its list, as the watch and the decisions hold it",
             "bytes",
-            self._at("list.memory", mild.listed),
-            self._at("list.memory", harsh.listed),
-            memory,
+            self._value_at("list.memory", mild.listed),
+            self._value_at("list.memory", harsh.listed),
+            memory_budget,
             "`net/discovery.py`, `policy.py`",
             ("list.memory",),
         )
@@ -142,47 +147,49 @@
             "always",
             "state: the members of its group",
             "bytes",
-            self._at("group.state", mild.members),
-            self._at("group.state", harsh.members),
-            memory,
+            self._value_at("group.state", mild.members),
+            self._value_at("group.state", harsh.members),
+            memory_budget,
             "`group/membership.py`",
             ("group.state",),
             "the roll itself ends at its bound",
         )
-        day = 3 * t.restarts_a_day / 86_400  # a restart drains, goes and comes
-        each = self._at("discovery.change_bytes", 1)
-        for when, changes in (
-            ("ordinary day", (day, day)),
+        changes_a_second_by_restarts = (
+            3 * target.restarts_a_day / 86_400
+        )  # a restart changes the list three times: draining, removed, added
+        bytes_a_change = self._value_at("discovery.change_bytes", 1)
+        for occasion, change_rates in (
+            ("ordinary day", (changes_a_second_by_restarts, changes_a_second_by_restarts)),
             ("release", (3 * mild.released / mild.release_s, 3 * harsh.released / harsh.release_s)),
         ):
             yield Row(
                 role,
-                when,
+                occasion,
                 "bytes a second in for changes of its list",
                 "bytes/s",
-                product(changes[0] * mild.listed / t.proxies, each),
-                product(changes[1], each),
-                wire,
+                product(change_rates[0] * mild.listed / target.proxies, bytes_a_change),
+                product(change_rates[1], bytes_a_change),
+                bandwidth_budget,
                 "`net/discovery.py`",
                 ("discovery.change_bytes",),
             )
-        for when, lost in (
+        for occasion, lost_backends in (
             ("a rack lost", 40),
-            ("a zone lost", t.proxies // t.zones),
-            ("a region lost", t.proxies * 4 // t.zones),
+            ("a zone lost", target.proxies // target.zones),
+            ("a region lost", target.proxies * 4 // target.zones),
         ):
             yield Row(
                 role,
-                when,
-                f"bytes in for {lost:,} changes of the list, of 12 s",
+                occasion,
+                f"bytes in for {lost_backends:,} changes of the list, of 12 s",
                 "bytes",
-                product(lost * mild.listed / t.proxies, each),
-                product(lost, each),
-                Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s"),
+                product(lost_backends * mild.listed / target.proxies, bytes_a_change),
+                product(lost_backends, bytes_a_change),
+                Budget(target.proxy_wire * target.in_force_s, "target: 21 KB a second, over 12 s"),
                 "`net/discovery.py`",
                 ("discovery.change_bytes",),
             )
-        most = self._single("roll.most")
+        max_members = self._single_value("roll.most")
         yield Row(
             role,
             "always",
@@ -190,11 +197,11 @@
             "members",
             float(mild.members),
             float(harsh.members),
-            None if most is None else Budget(most, "the code: `group/membership.py` MOST"),
+            None if max_members is None else Budget(max_members, "the code: `group/membership.py` MOST"),
             f"{MISSING}: groups by region (one flat group)",
             ("roll.most",),
         )
-        marks = self._single("notices.most")
+        max_notices = self._single_value("notices.most")
         yield Row(
             role,
             "a region lost",
@@ -202,13 +209,15 @@
             "notices",
             float(mild.marked),
             float(harsh.marked),
-            None if marks is None else Budget(marks, "the code: `group/broadcasts.py` MOST"),
+            None if max_notices is None else Budget(max_notices, "the code: `group/broadcasts.py` MOST"),
             f"{MISSING}: marks by zone or region in place of one a backend",
             ("notices.most",),
         )
 
-        def words(of: Assumed) -> float:
-            return 4 * of.released / of.release_s  # leaving, left, starting, serving
+        def membership_changes_a_second(assumed: Assumed) -> float:
+            return (
+                4 * assumed.released / assumed.release_s
+            )  # a replacement announces four states: leaving, left, starting, serving
 
         yield Row(
             role,
@@ -216,14 +225,14 @@
             "bytes a second out for membership",
             "bytes/s",
             total(
-                self._at("group.bytes", mild.members),
-                product(words(mild), self._at("group.change_bytes", mild.members)),
+                self._value_at("group.bytes", mild.members),
+                product(membership_changes_a_second(mild), self._value_at("group.change_bytes", mild.members)),
             ),
             total(
-                self._at("group.bytes", harsh.members),
-                product(words(harsh), self._at("group.change_bytes", harsh.members)),
+                self._value_at("group.bytes", harsh.members),
+                product(membership_changes_a_second(harsh), self._value_at("group.change_bytes", harsh.members)),
             ),
-            wire,
+            bandwidth_budget,
             "`group/gossip_queue.py`: each word told 4 log n times, by each",
             ("group.bytes", "group.change_bytes"),
             "words that share a packet cost less than one by one, so this is a bound from above",
@@ -233,9 +242,9 @@
             "every proxy started",
             "bytes that a newcomer is sent by its group, of 12 s",
             "bytes",
-            self._at("group.sync", mild.members),
-            self._at("group.sync", harsh.members),
-            Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s"),
+            self._value_at("group.sync", mild.members),
+            self._value_at("group.sync", harsh.members),
+            Budget(target.proxy_wire * target.in_force_s, "target: 21 KB a second, over 12 s"),
             "`group/swim.py` whole()",
             ("group.sync",),
         )
@@ -244,15 +253,17 @@
             "every proxy started",
             "bytes of its list, of 12 s",
             "bytes",
-            self._at("list.bytes", mild.listed),
-            self._at("list.bytes", harsh.listed),
-            Budget(t.proxy_wire * t.in_force_s, "target: 21 KB a second, over 12 s"),
+            self._value_at("list.bytes", mild.listed),
+            self._value_at("list.bytes", harsh.listed),
+            Budget(target.proxy_wire * target.in_force_s, "target: 21 KB a second, over 12 s"),
             f"{MISSING}: a subscription by name (every proxy is sent the whole list)",
             ("list.bytes",),
         )
 
-        def change_rate(of: Assumed) -> float:
-            return 3 * of.released / of.release_s  # drains, goes, comes
+        def list_changes_a_second(assumed: Assumed) -> float:
+            return (
+                3 * assumed.released / assumed.release_s
+            )  # a replacement changes the list three times: draining, removed, added
 
         yield Row(
             role,
@@ -260,56 +271,60 @@
             "processor time a second with the list's changes",
             "us/s",
             total(
-                self._at("process.idle", mild.listed), product(change_rate(mild), self._at("list.change", mild.listed))
+                self._value_at("process.idle", mild.listed),
+                product(list_changes_a_second(mild), self._value_at("list.change", mild.listed)),
             ),
             total(
-                self._at("process.idle", harsh.listed),
-                product(change_rate(harsh), self._at("list.change", harsh.listed)),
+                self._value_at("process.idle", harsh.listed),
+                product(list_changes_a_second(harsh), self._value_at("list.change", harsh.listed)),
             ),
-            cpu,
+            cpu_budget,
             "`facade.listed`, which lays every ring anew for each change",
             ("process.idle", "list.change"),
         )
 
-        def stall(name: str, size: int, rate: float) -> float | None:
-            """How long the loop stands, if that befalls more than 1 call in 100; else it is not in the
-            99th.
+        def frequent_block_time(name: str, size: int, rate: float) -> float | None:
+            """Returns how long the event loop is blocked each time, or 0 where at most 1 call in 100 meets it, since
+            it does not affect the 99th percentile then.
             """
-            one = self._at(name, size)
-            return None if one is None else one if one * rate > SECOND / 100 else 0.0
+            duration = self._value_at(name, size)
+            return None if duration is None else duration if duration * rate > US_PER_SECOND / 100 else 0.0
 
         yield Row(
             role,
             "release",
             "how long one change of the list holds the loop, where over 1 call in 100 meets it",
             "us",
-            stall("list.change", mild.listed, change_rate(mild)),
-            stall("list.change", harsh.listed, change_rate(harsh)),
-            added,
+            frequent_block_time("list.change", mild.listed, list_changes_a_second(mild)),
+            frequent_block_time("list.change", harsh.listed, list_changes_a_second(harsh)),
+            latency_budget,
             "`facade.listed` on the loop that carries calls",
             ("list.change",),
-            f"the harsh release changes the list {change_rate(harsh):.1f} times a second",
+            f"the harsh release changes the list {list_changes_a_second(harsh):.1f} times a second",
         )
         yield Row(
             role,
             "every proxy started",
             "how long a whole list holds the loop",
             "us",
-            total(self._at("list.parse", mild.listed), self._at("list.take", mild.listed)),
-            total(self._at("list.parse", harsh.listed), self._at("list.take", harsh.listed)),
+            total(self._value_at("list.parse", mild.listed), self._value_at("list.take", mild.listed)),
+            total(self._value_at("list.parse", harsh.listed), self._value_at("list.take", harsh.listed)),
             None,
             "`net/discovery.py`, at once on the loop",
             ("list.parse", "list.take"),
             "too rare for the 99th of 100, so no budget binds",
         )
 
-        def checks(of: Assumed) -> float:
-            return of.concerned * t.changes_a_day / 86_400
+        def checks_a_second(assumed: Assumed) -> float:
+            return assumed.concerned * target.changes_a_day / 86_400
 
-        # Checked in a thread, which yields the interpreter to the loop after so long each time.
-        waits = [
-            None if one is None else min(one, SWITCH_US)
-            for one in (stall("config.check", of.routes, checks(of)) for of in (mild, harsh))
+        # The check runs in a thread, which gives the interpreter lock back to the event loop after one switch interval.
+        interpreter_waits = [
+            None if duration is None else min(duration, SWITCH_INTERVAL_US)
+            for duration in (
+                frequent_block_time("config.check", assumed.routes, checks_a_second(assumed))
+                for assumed in (mild, harsh)
+            )
         ]
         yield Row(
             role,
@@ -317,22 +332,22 @@
             "how long the loop waits for the interpreter while an own file is checked,"
             " where over 1 call in 100 meets it",
             "us",
-            waits[0],
-            waits[1],
-            added,
+            interpreter_waits[0],
+            interpreter_waits[1],
+            latency_budget,
             "`configuration/loader.py` and `configuration/validation.py`, in a thread (`net/configuration_manager.py`) beside the loop that carries calls",
             ("config.check",),
             "each time that the loop wakes, by Python's switch interval of 5 ms; the harsh day brings a"
-            f" proxy all {t.changes_a_day} changes",
+            f" proxy all {target.changes_a_day} changes",
         )
         yield Row(
             role,
             "ordinary day",
             "processor time a second for checking changes of configuration",
             "us/s",
-            product(checks(mild), self._at("config.check", mild.routes)),
-            product(checks(harsh), self._at("config.check", harsh.routes)),
-            cpu,
+            product(checks_a_second(mild), self._value_at("config.check", mild.routes)),
+            product(checks_a_second(harsh), self._value_at("config.check", harsh.routes)),
+            cpu_budget,
             "`configuration/loader.py`, `changes/`",
             ("config.check",),
         )
@@ -341,22 +356,22 @@
             "always",
             "time added at the 99th of 100 by one proxy",
             "us",
-            self._single("chain.1.250.at72.added99"),
-            self._single("chain.1.5000.at72.group1.added99"),
-            added,
+            self._single_value("chain.1.250.at72.added99"),
+            self._single_value("chain.1.5000.at72.group1.added99"),
+            latency_budget,
             "the whole proxy",
             ("chain.1.250.at72.added99", "chain.1.5000.at72.group1.added99"),
             "72 calls a second; mild: 250 listed, harsh: 5,000 at group size 1",
         )
-        for name, said in (("alone.p50", "the middle"), ("alone.p99", "the 99th of 100")):
+        for name, percentile_text in (("alone.p50", "the middle"), ("alone.p99", "the 99th of 100")):
             yield Row(
                 role,
                 "always",
-                f"processor time of a call alone in one proxy, {said}: the least that it adds",
+                f"processor time of a call alone in one proxy, {percentile_text}: the least that it adds",
                 "us",
-                self._level(name, mild.listed),
-                self._level(name, harsh.listed),
-                added,
+                self._non_decreasing_value(name, mild.listed),
+                self._non_decreasing_value(name, harsh.listed),
+                latency_budget,
                 "the whole proxy",
                 (name,),
                 "group size 1,000, 400 calls some 10 ms apart, load beside the slope; neither its wait for a"
@@ -365,23 +380,23 @@
         yield Row(
             role,
             "always",
-            f"processor time of a call along {t.depth} proxies in a row: the least that they add",
+            f"processor time of a call along {target.depth} proxies in a row: the least that they add",
             "us",
-            product(self._level("alone.p50", mild.listed), float(t.depth)),
-            product(self._level("alone.p50", harsh.listed), float(t.depth)),
-            Budget(t.added_us * t.depth, "target: 1.3 ms, read as for each level"),
+            product(self._non_decreasing_value("alone.p50", mild.listed), float(target.depth)),
+            product(self._non_decreasing_value("alone.p50", harsh.listed), float(target.depth)),
+            Budget(target.added_us * target.depth, "target: 1.3 ms, read as for each level"),
             "the whole proxy",
             ("alone.p50",),
-            f"{t.depth} times the middle, one after another",
+            f"{target.depth} times the middle, one after another",
         )
         yield Row(
             role,
             "always",
             "processor time of a call through one proxy, the least that it adds",
             "us",
-            self._at("added.calm.cpu", mild.listed),
-            self._at("added.group1.cpu" if harsh.group == 1 else "added.calm.cpu", harsh.listed),
-            added,
+            self._value_at("added.calm.cpu", mild.listed),
+            self._value_at("added.group1.cpu" if harsh.group == 1 else "added.calm.cpu", harsh.listed),
+            latency_budget,
             "the whole proxy",
             ("added.calm.cpu", "added.group1.cpu"),
             "72 calls a second, load beside the slope; some 0.29 ms where calls follow each other on a quiet"
@@ -392,26 +407,26 @@
             "release",
             "time added at the 99th of 100 by one proxy",
             "us",
-            self._single("chain.1.250.release.at72.added99"),
-            self._single("chain.1.5000.release.at72.added99"),
-            added,
+            self._single_value("chain.1.250.release.at72.added99"),
+            self._single_value("chain.1.5000.release.at72.added99"),
+            latency_budget,
             "the whole proxy",
             ("chain.1.250.release.at72.added99", "chain.1.5000.release.at72.added99"),
             "72 calls and 6.7 changes of the list a second in both; mild: 250 listed, harsh: 5,000",
         )
 
-    def _discovery(self) -> Iterator[Row]:
-        t, mild, harsh = self.target, self.mild, self.harsh
+    def _discovery_rows(self) -> Iterator[Row]:
+        target, mild, harsh = self.target, self.mild, self.harsh
         role = "discovery"
-        line = Budget(
-            125 * MB * t.told_s, "own choice: one line of 1 Gbit/s, for the 6 s within which all are to be told"
+        link_budget = Budget(
+            125 * MB * target.told_s, "own choice: one line of 1 Gbit/s, for the 6 s within which all are to be told"
         )
-        # What stands is told as what it is: these rows are of proxies that all watch discovery themselves.
-        missing = (
+        # Relays exist, but these rows were measured without them: every proxy watches discovery directly.
+        mechanism = (
             f"{MISSING} at this size: relays (`distribution/relay.py`, `endpoint_source.py`) are there, one owner a"
             " region, and not measured at it; the whole list goes to everybody"
         )
-        relayed = (
+        relay_note = (
             "simulated; by 4 relays the last is told after 0.8 to 2.5 s and 1,674 to 6,121 calls (10 seeds,"
             " `tests/test_relay_return.py`)"
         )
@@ -420,27 +435,27 @@
             "every proxy started",
             "bytes out",
             "bytes",
-            product(t.proxies, self._at("list.bytes", mild.listed)),
-            product(t.proxies, self._at("list.bytes", harsh.listed)),
-            line,
-            missing,
+            product(target.proxies, self._value_at("list.bytes", mild.listed)),
+            product(target.proxies, self._value_at("list.bytes", harsh.listed)),
+            link_budget,
+            mechanism,
             ("list.bytes",),
         )
-        each = self._at("discovery.change_bytes", t.proxies)
-        for when, lost in (
+        bytes_a_change = self._value_at("discovery.change_bytes", target.proxies)
+        for occasion, lost_backends in (
             ("a rack lost", 40),
-            ("a zone lost", t.proxies // t.zones),
-            ("a region lost", t.proxies * 4 // t.zones),
+            ("a zone lost", target.proxies // target.zones),
+            ("a region lost", target.proxies * 4 // target.zones),
         ):
             yield Row(
                 role,
-                when,
-                f"bytes out for {lost:,} changes, told to every proxy",
+                occasion,
+                f"bytes out for {lost_backends:,} changes, told to every proxy",
                 "bytes",
-                product(lost * mild.listed / t.proxies, each),
-                product(lost, each),
-                line,
-                missing,
+                product(lost_backends * mild.listed / target.proxies, bytes_a_change),
+                product(lost_backends, bytes_a_change),
+                link_budget,
+                mechanism,
                 ("discovery.change_bytes",),
                 "mild: a proxy hears of its own list alone",
             )
@@ -449,21 +464,21 @@
             "release",
             "bytes a second out for changes",
             "bytes/s",
-            product(3 * mild.released / mild.release_s * mild.listed / t.proxies, each),
-            product(3 * harsh.released / harsh.release_s, each),
+            product(3 * mild.released / mild.release_s * mild.listed / target.proxies, bytes_a_change),
+            product(3 * harsh.released / harsh.release_s, bytes_a_change),
             Budget(125 * MB, "own choice: one line of 1 Gbit/s"),
-            missing,
+            mechanism,
             ("discovery.change_bytes",),
         )
-        starts = self._at("discovery.start_calls", t.proxies)
+        start_calls = self._value_at("discovery.start_calls", target.proxies)
         yield Row(
             role,
             "every proxy started",
             "calls, 4 ms a call, 64 waiting",
             "calls",
-            starts,
-            starts,
-            Budget(2.0 * t.proxies, "own choice: two for each proxy"),
+            start_calls,
+            start_calls,
+            Budget(2.0 * target.proxies, "own choice: two for each proxy"),
             "doubled waits, up to half of the drain's grace where the list is pushed (`policy.py`"
             " list_failed, `facade.py`)",
             ("discovery.start_calls",),
@@ -474,60 +489,62 @@
             "return after an outage of 3 s",
             "seconds until all proxies are told again, 4 ms a call, 64 waiting",
             "s",
-            self._at("discovery.return_seconds", t.proxies),
-            self._at("discovery.return_seconds", t.proxies),
-            Budget(t.told_s, "term in force: told 6 s after discovery could be reached"),
-            missing,
+            self._value_at("discovery.return_seconds", target.proxies),
+            self._value_at("discovery.return_seconds", target.proxies),
+            Budget(target.told_s, "term in force: told 6 s after discovery could be reached"),
+            mechanism,
             ("discovery.return_seconds",),
-            relayed,
+            relay_note,
         )
         yield Row(
             role,
             "return after an outage of 3 s",
             "calls, 4 ms a call, 64 waiting",
             "calls",
-            self._at("discovery.return_calls", t.proxies),
-            self._at("discovery.return_calls", t.proxies),
-            Budget(2.0 * t.proxies, "own choice: two for each proxy"),
-            f"doubled waits up to half of ask-within (`policy.py` list_failed); {missing}",
+            self._value_at("discovery.return_calls", target.proxies),
+            self._value_at("discovery.return_calls", target.proxies),
+            Budget(2.0 * target.proxies, "own choice: two for each proxy"),
+            f"doubled waits up to half of ask-within (`policy.py` list_failed); {mechanism}",
             ("discovery.return_calls",),
-            relayed,
+            relay_note,
         )
 
-    def _backend(self) -> Iterator[Row]:
+    def _backend_rows(self) -> Iterator[Row]:
         mild, harsh = self.mild, self.harsh
-        names = "callers.zone", "callers.zones"
+        measure_names = "callers.zone", "callers.zones"
         yield Row(
             "backend and its callers",
             "always",
             "proxies that keep connections to one of 24 backends",
             "connections",
-            self._at(names[mild.zoned], mild.callers),
-            self._at(names[harsh.zoned], harsh.callers),
+            self._value_at(measure_names[mild.zoned], mild.callers),
+            self._value_at(measure_names[harsh.zoned], harsh.callers),
             Budget(1_024, "own choice: the descriptors of a process that nobody has raised"),
             "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), laid by zone: with 13 zones a zone's part is under REACH, so"
             " all connect to all",
-            names,
+            measure_names,
         )
 
-    def _operator(self) -> Iterator[Row]:
-        """A row counts as carried by control machines once what they take was measured."""
-        t = self.target
-        spent = self._at("operator.change", t.proxies)
-        day = None if spent is None else spent * t.changes_a_day
-        in_force = "seconds until a change of configuration is in force at every proxy"
-        whole_day = f"seconds of one operator for {t.changes_a_day} changes a day, each everywhere"
-        within = Budget(t.in_force_s, "target: in force everywhere within 12 s")
-        publish = self._at("operator.publish", t.proxies)
-        if publish is None:
+    def _operator_rows(self) -> Iterator[Row]:
+        """Yields the operator's rows: with control machines if `operator.publish` was measured, else with one
+        `ctl propose` for each proxy.
+        """
+        target = self.target
+        seconds_a_change = self._value_at("operator.change", target.proxies)
+        seconds_a_day = None if seconds_a_change is None else seconds_a_change * target.changes_a_day
+        in_force_text = "seconds until a change of configuration is in force at every proxy"
+        whole_day_text = f"seconds of one operator for {target.changes_a_day} changes a day, each everywhere"
+        in_force_budget = Budget(target.in_force_s, "target: in force everywhere within 12 s")
+        publish_us = self._value_at("operator.publish", target.proxies)
+        if publish_us is None:
             yield Row(
                 "operator",
                 "ordinary day",
-                in_force,
+                in_force_text,
                 "s",
-                spent,
-                spent,
-                within,
+                seconds_a_change,
+                seconds_a_change,
+                in_force_budget,
                 f"{MISSING}: distribution (one `ctl propose` after another, on each proxy's own machine, and"
                 f" no proof that all have it)",
                 ("operator.change",),
@@ -538,91 +555,110 @@
             yield Row(
                 "operator",
                 "ordinary day",
-                whole_day,
+                whole_day_text,
                 "s",
-                None if day is None else day / t.services,
-                day,
+                None if seconds_a_day is None else seconds_a_day / target.services,
+                seconds_a_day,
                 Budget(86_400.0, "a day"),
                 f"{MISSING}: distribution",
                 ("operator.change",),
                 "mild: each change concerns one service",
             )
             return
-        yield from control_rows.operator(
-            self._at, t, self.mild, self.harsh, publish, Before(in_force, whole_day, spent, day), within
+        yield from control_rows.operator_rows(
+            self._value_at,
+            target,
+            self.mild,
+            self.harsh,
+            publish_us,
+            OneByOneCosts(in_force_text, whole_day_text, seconds_a_change, seconds_a_day),
+            in_force_budget,
         )
 
-    def _chain(self) -> Iterator[Row]:
+    def _chain_rows(self) -> Iterator[Row]:
         slowed_depths = (5, 6, 7, 8, 10, 20, 30)
-        t, mild, harsh = self.target, self.mild, self.harsh
-        sends = Budget(
-            1.2 * t.depth, "own choice: RETRY_BUDGET_RATIO (0.2) read as the chain's whole excess over one send a level"
+        target, mild, harsh = self.target, self.mild, self.harsh
+        sends_budget = Budget(
+            1.2 * target.depth,
+            "own choice: RETRY_BUDGET_RATIO (0.2) read as the chain's whole excess over one send a level",
         )
 
-        def key(of: Assumed, which: str) -> str:
-            return f"attempts.error.{round(of.share * 100)}.{of.failing}.{which}"
+        def single_name(assumed: Assumed, figure: str) -> str:
+            return f"attempts.error.{round(assumed.share * 100)}.{assumed.failing}.{figure}"
 
-        for which, what, when in (
+        for figure, what, occasion in (
             ("first", "sends for one call along 30 levels, just after", "a service lost"),
             ("after", "sends for one call along 30 levels, later", "a service lost"),
             ("most", "sends for the worst call along 30 levels", "a service lost"),
         ):
             yield Row(
                 "proxy beside a backend",
-                when,
+                occasion,
                 what,
                 "sends",
-                self._single(key(mild, which)),
-                self._single(key(harsh, which)),
-                sends,
+                self._single_value(single_name(mild, figure)),
+                self._single_value(single_name(harsh, figure)),
+                sends_budget,
                 "RETRY_BUDGET_RATIO and RETRY_BUDGET_MAX at each proxy, and the client's wait; nothing is carried down the chain",
-                (key(mild, which), key(harsh, which)),
+                (single_name(mild, figure), single_name(harsh, figure)),
                 "mild: the last level fails 3 in 10 calls; harsh: all. Without a bound it were 3^30",
             )
-        reached = [depth for depth in (4, 8, 12, 16, 20, 30) if (self._single(f"cold.{depth}.done") or 0.0) >= 0.99]
-        levels = None if self._single("cold.30.done") is None else t.depth / max(reached, default=1)
+        passing_cold_depths = [
+            depth for depth in (4, 8, 12, 16, 20, 30) if (self._single_value(f"cold.{depth}.done") or 0.0) >= 0.99
+        ]
+        cold_depth_ratio = (
+            None if self._single_value("cold.30.done") is None else target.depth / max(passing_cold_depths, default=1)
+        )
         yield Row(
             "proxy beside a backend",
             "every proxy started",
             "levels of a chain over those that get a call through while no proxy knows a time",
             "",
-            None if levels is None else 1.0,
-            levels,
+            None if cold_depth_ratio is None else 1.0,
+            cold_depth_ratio,
             Budget(1.0, "the target's 30 levels"),
             "`policy.py` _patience: half of what is left for each level while nothing is known of the times below",
             ("cold.12.done", "cold.16.done", "cold.30.done"),
             "clients that wait 2 s, services that take 1 ms; mild: the chain is warm",
         )
-        for most in (3, 1):
-            stands = [depth for depth in slowed_depths if (self._single(f"slowed.{most}.{depth}.2") or 0.0) >= 0.99]
-            there = self._single(f"slowed.{most}.{t.depth}.2")
-            least = None if there is None else t.depth / max(stands, default=1)
+        for max_attempts in (3, 1):
+            passing_slowed_depths = [
+                depth
+                for depth in slowed_depths
+                if (self._single_value(f"slowed.{max_attempts}.{depth}.2") or 0.0) >= 0.99
+            ]
+            done_at_target = self._single_value(f"slowed.{max_attempts}.{target.depth}.2")
+            slowed_depth_ratio = (
+                None if done_at_target is None else target.depth / max(passing_slowed_depths, default=1)
+            )
             yield Row(
                 "proxy beside a backend",
                 "always",
                 "levels of a chain over those that get a call through while services take twice as long as"
-                f" before, {most} attempt{'s' * (most > 1)} each",
+                f" before, {max_attempts} attempt{'s' * (max_attempts > 1)} each",
                 "",
-                None if there is None else 1.0,
-                least,
+                None if done_at_target is None else 1.0,
+                slowed_depth_ratio,
                 Budget(1.0, "the target's 30 levels"),
                 "`policy.py` _patience: half of what is left for each level, until little more is left than"
                 " what was usual; lost answers in a row with nothing heard are learnt from (_count)"
-                if most > 1
+                if max_attempts > 1
                 else "one attempt has all that is left",
-                tuple(f"slowed.{most}.{depth}.2" for depth in slowed_depths),
+                tuple(f"slowed.{max_attempts}.{depth}.2" for depth in slowed_depths),
                 "simulated: clients that wait 2 s, services of 1 ms that take 2; mild: nothing is slower",
             )
-        short, long = (self._single(f"chain.{t.depth}.{listed}.added99") for listed in (24, 1000))
-        for levels_of, said in ((t.depth, "for each level"), (1, "for the whole chain")):
+        short_list_added, long_list_added = (
+            self._single_value(f"chain.{target.depth}.{listed}.added99") for listed in (24, 1000)
+        )
+        for budgeted_levels, reading in ((target.depth, "for each level"), (1, "for the whole chain")):
             yield Row(
                 "proxy beside a backend",
                 "always",
                 "time added at the 99th of 100 by 30 proxies in a row",
                 "us",
-                short,
-                long,
-                Budget(t.added_us * levels_of, f"target: 1.3 ms, read as {said}"),
+                short_list_added,
+                long_list_added,
+                Budget(target.added_us * budgeted_levels, f"target: 1.3 ms, read as {reading}"),
                 "the whole proxy",
                 ("chain.30.24.added99", "chain.30.1000.added99"),
                 "mild: 24 listed, harsh: 1,000",
--- a/pepperusher/capacity/reference_speed.py
+++ b/pepperusher/capacity/reference_speed.py
@@ -1,4 +1,4 @@
-"""How fast a core of this machine is at the moment: the same loop of plain Python, timed again and again."""
+"""Measures the current speed of a core of this machine with a fixed loop of plain Python."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 TURNS = 200_000
 
 
-def reference() -> float:
-    """Processor time of the loop in us. Where all cores are busy, those that share a core's parts slow each
-    other, and processor time is longer for the same work: the load alone does not tell by how much.
+def reference_loop_us() -> float:
+    """Returns the processor time of the loop in us. When all cores are busy, hardware threads that share a core slow each
+    other down, so that the same work takes more processor time; the load average does not show by how much.
     """
-    began, total = process_time(), 0
+    started, total = process_time(), 0
     for number in range(TURNS):
         total += number % 7
-    return (process_time() - began) * 1e6
+    return (process_time() - started) * 1e6
--- a/pepperusher/capacity/slope_commands.py
+++ b/pepperusher/capacity/slope_commands.py
@@ -1,4 +1,4 @@
-"""The commands that measure slopes and project them on a target."""
+"""The commands that measure slopes and project them to the target size."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 import msgspec
 
 from pepperusher.capacity import latency, page, slopes as measurements
-from pepperusher.capacity.fit import LEAST_SIZES
-from pepperusher.capacity.measures import Book, Measured, merged, only, taken
-from pepperusher.capacity.reference_speed import reference
+from pepperusher.capacity.fit import MIN_SIZES
+from pepperusher.capacity.measures import Book, Measured, merge_books, select_measures, take_measurement
+from pepperusher.capacity.reference_speed import reference_loop_us
 from pepperusher.capacity.processes import ProcessError
 from pepperusher.capacity.projection import Projection
 
 
 def _commit() -> str:
-    """Of the checkout that this program runs from, with a plus where it was changed since; empty where it is
-    none.
+    """Returns the commit of the checkout that this program runs from, with a plus if there are uncommitted changes, or
+    an empty string outside a checkout.
     """
     here = Path(__file__).parent
     try:
@@ -46,7 +46,7 @@
 
 
 def read(path: Path) -> Book:
-    """Raises click.ClickException."""
+    """Reads the results in a file. Raises click.ClickException."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Book)
     except (OSError, msgspec.MsgspecError) as error:
@@ -61,13 +61,13 @@
     return os.getloadavg()[0]
 
 
-def _sizes(_: click.Context, __: click.Parameter, given: str | None) -> list[int] | None:
-    if given is None:
+def _sizes(_: click.Context, __: click.Parameter, text: str | None) -> list[int] | None:
+    if text is None:
         return None
-    found = [int(one) for one in given.split(",") if one.isdecimal()]
-    if len(found) != len(given.split(",")) or len(found) <= LEAST_SIZES or sorted({*found, 0}) != [0, *found]:
-        raise click.BadParameter(f"{given!r} is not {LEAST_SIZES + 1} or more whole numbers, each over the one before")
-    return found
+    sizes = [int(part) for part in text.split(",") if part.isdecimal()]
+    if len(sizes) != len(text.split(",")) or len(sizes) <= MIN_SIZES or sorted({*sizes, 0}) != [0, *sizes]:
+        raise click.BadParameter(f"{text!r} is not {MIN_SIZES + 1} or more whole numbers in increasing order")
+    return sizes
 
 
 def _say(line: str) -> None:
@@ -75,112 +75,125 @@
 
 
 @click.command()
-@click.option("--only", "names", multiple=True, help="Measure what begins with this; several times for several.")
+@click.option("--only", "names", multiple=True, help="Measure only what has this prefix; can be given several times.")
 @click.option(
-    "--sizes", callback=_sizes, help="In place of each one's own: six or more by commas, the last one held out."
+    "--sizes",
+    callback=_sizes,
+    help="Sizes to measure instead of the defaults: six or more, separated by commas; the last one is held out.",
 )
-@click.option("--chain", is_flag=True, help="Also a chain of 30 whole proxies (31 processes, some minutes).")
+@click.option("--chain", is_flag=True, help="Also measure a chain of 30 proxies (31 processes, some minutes).")
 @click.option(
     "--listed",
     multiple=True,
     type=click.IntRange(1),
-    help="Backends listed along the chain; several times for several.",
+    help="Backends on the lists along the chain; can be given several times.",
 )
-@click.option("--release", is_flag=True, help="A release's changes of the list, with --listed.")
-@click.option("--group", default=measurements.CHAIN_GROUP, show_default=True, help="Group size along the chain.")
-@click.option("--rounds", default=latency.ROUNDS, show_default=True, help="Without and with proxies in turn.")
-@click.option("--lasts", default=latency.CHAIN_LASTS, show_default=True, help="Seconds of a round, each way.")
-@click.option("--depth", default=measurements.DEPTH, show_default=True, help="Of the chain.")
+@click.option("--release", is_flag=True, help="With --listed: change the lists as a release does.")
+@click.option("--group", default=measurements.CHAIN_GROUP_SIZE, show_default=True, help="Group size along the chain.")
+@click.option("--rounds", default=latency.ROUNDS, show_default=True, help="Rounds, each without and then with proxies.")
+@click.option(
+    "--lasts",
+    default=latency.CHAIN_ROUND_S,
+    show_default=True,
+    help="Seconds of a round without and of one with proxies.",
+)
+@click.option("--depth", default=measurements.CHAIN_DEPTH, show_default=True, help="Proxies in the chain.")
 @click.option(
     "--rate",
-    default=measurements.CHAIN_RATE,
+    default=measurements.CHAIN_CALLS_A_SECOND,
     show_default=True,
-    help="Calls a second along the chain. Other than usual: 24 listed alone.",
+    help="Calls a second along the chain. With a value other than the default only a list of 24 is measured.",
 )
-@click.option("--attempts", default=3, show_default=True, help="That each proxy of the chain makes.")
-@click.option("--seed", default=1, show_default=True, help="Of everything that hangs on chance.")
+@click.option("--attempts", default=3, show_default=True, help="Maximum attempts of each proxy in the chain.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random choices.")
 @click.option(
-    "--out", type=click.Path(path_type=Path, dir_okay=False), help="Keep the figures here, beside those that are there."
+    "--out",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Write the results to this file; results already in it are kept.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print the figures as JSON.")
-@click.option("--list", "listing", is_flag=True, help="Print what can be measured, and measure nothing.")
+@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON.")
+@click.option("--list", "listing", is_flag=True, help="List the measurements without running them.")
 def slopes(names: tuple[str, ...], sizes: list[int] | None, chain: bool, listed: tuple[int, ...],
     release: bool, group: int, rounds: int, lasts: float, depth: int, rate: float, attempts: int, seed: int,
     out: Path | None, as_json: bool, listing: bool) -> None:  # fmt: skip
     """Measure how each cost grows with its size.
 
-    Each is measured at five sizes or more, fitted, and checked at a size that was not fitted.
+    Each cost is measured at five sizes or more and fitted; the fit is checked at a further size.
     """
-    wanted = only(measurements.measures(), names)
+    selected = select_measures(measurements.measures(), names)
     if sizes is not None:
-        wanted = [one._replace(sizes=tuple(sizes[:-1]), held_out=sizes[-1]) for one in wanted]
+        selected = [measure._replace(sizes=tuple(sizes[:-1]), held_out=sizes[-1]) for measure in selected]
     if listing:
-        for one in wanted:
+        for measure in selected:
             click.echo(
-                f"{one.name}: {one.what} ({one.unit} by {one.per}; {', '.join(map(str, one.sizes))}; {one.held_out})"
+                f"{measure.name}: {measure.what} ({measure.unit} by {measure.per}; {', '.join(map(str, measure.sizes))}; {measure.held_out})"
             )
         return
     with_singles = not names or any("attempts".startswith(name) or name.startswith("attempts") for name in names)
-    if not wanted and not with_singles and not chain:
-        raise click.ClickException(f"nothing is measured under {', '.join(names)}; see --list")
+    if not selected and not with_singles and not chain:
+        raise click.ClickException(f"no measurement has the prefix {', '.join(names)}; see --list")
     command = " ".join(
         [
             "pepperusher capacity slopes",
             *(f"--only {name}" for name in names),
             *(["--chain"] * chain),
             *([f"--depth {depth} --rate {rate:g} --attempts {attempts}"] * chain),
-            *(f"--listed {one}" for one in listed if chain),
+            *(f"--listed {measure}" for measure in listed if chain),
             *(["--release"] * (chain and release)),
-            *([f"--group {group}"] * (chain and group != measurements.CHAIN_GROUP)),
+            *([f"--group {group}"] * (chain and group != measurements.CHAIN_GROUP_SIZE)),
             *([f"--rounds {rounds} --lasts {lasts:g}"] * chain),
             f"--seed {seed}",
         ]
     )
     book = Book(commit=_commit(), command=command, machine=_machine(), cores=os.cpu_count() or 1)
 
-    def keep() -> None:
+    def save() -> None:
         if out is not None:
-            write(out, merged(read(out), book) if out.exists() else book)
+            write(out, merge_books(read(out), book) if out.exists() else book)
 
-    for place, one in enumerate(wanted, 1):
-        _say(f"[{place} of {len(wanted)}] {one.name}")
+    for number, measure in enumerate(selected, 1):
+        _say(f"[{number} of {len(selected)}] {measure.name}")
         try:
-            again = f"pepperusher capacity slopes --only {one.name} --seed {seed}"
+            repeat_command = f"pepperusher capacity slopes --only {measure.name} --seed {seed}"
             if sizes is not None:
-                again += f" --sizes {','.join(map(str, sizes))}"
-            book.measured.append(taken(one, seed, _load, _say, book.commit, again, reference))
+                repeat_command += f" --sizes {','.join(map(str, sizes))}"
+            book.measured.append(
+                take_measurement(measure, seed, _load, _say, book.commit, repeat_command, reference_loop_us)
+            )
         except (ProcessError, TimeoutError) as error:
-            click.echo(f"{one.name}: not measured: {error}", err=True)
+            click.echo(f"{measure.name}: not measured: {error}", err=True)
             continue
-        keep()
+        save()
     if with_singles:
-        book.singles += [msgspec.structs.replace(one, commit=book.commit) for one in measurements.singles(seed, _say)]
-        keep()
+        book.singles += [
+            msgspec.structs.replace(measure, commit=book.commit) for measure in measurements.singles(seed, _say)
+        ]
+        save()
     if chain:
-        usual = (depth, rate, attempts) == (measurements.DEPTH, measurements.CHAIN_RATE, 3)
-        stands = measurements.STANDS if usual else measurements.STANDS[:1]
+        is_default_chain = (depth, rate, attempts) == (measurements.CHAIN_DEPTH, measurements.CHAIN_CALLS_A_SECOND, 3)
+        stands = measurements.CHAIN_LISTS if is_default_chain else measurements.CHAIN_LISTS[:1]
         if listed:
-            stands = tuple((one, measurements.RELEASE * release) for one in listed)
+            stands = tuple((measure, measurements.RELEASE_CHANGES_A_SECOND * release) for measure in listed)
         for single in measurements.chain(seed, _say, depth, rate, stands, attempts, group, rounds, lasts):
             book.singles.append(
                 msgspec.structs.replace(single, commit=book.commit, command=command, load=round(_load(), 1))
             )
-            keep()
+            save()
     if as_json:
         sys.stdout.buffer.write(msgspec.json.encode(book) + b"\n")
         return
     for measured in book.measured:
-        click.echo(spoken(measured))
+        click.echo(summary_line(measured))
     for single in book.singles:
         click.echo(f"{single.name}: {single.value:.6g} {single.unit}: {single.what}")
 
 
-def spoken(one: Measured) -> str:
-    fit, check = one.fit(), one.check()
+def summary_line(measured: Measured) -> str:
+    fit, check = measured.fit(), measured.check()
     return (
-        f"{one.name}: {one.what}: {fit.base:.4g} + {fit.slope:.4g} ({fit.low:.4g} to {fit.high:.4g})"
-        f" {one.unit} x {fit.curve} of {one.per}s;"
-        f" mean residual {fit.residual:.1%}; at {check.size:g}, not fitted, {check.said:.4g} said,"
+        f"{measured.name}: {measured.what}: {fit.base:.4g} + {fit.slope:.4g} ({fit.low:.4g} to {fit.high:.4g})"
+        f" {measured.unit} x {fit.curve} of {measured.per}s;"
+        f" mean residual {fit.residual:.1%}; at {check.size:g}, not fitted, {check.predicted:.4g} predicted,"
         f" {check.measured:.4g} measured"
         f" ({check.error:+.1%})"
     )
@@ -193,33 +206,33 @@
     type=click.Path(path_type=Path, dir_okay=False),
     default=Path("docs/capacity.json"),
     show_default=True,
-    help="Figures that `capacity slopes --out` kept.",
+    help="Results written by `capacity slopes --out`.",
 )
 @click.option(
     "--page",
     "out",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Write the page here; what stands there between the marks of the after-figures is kept.",
+    help="Write the page to this file; its section between the `after` marks is kept.",
 )
-@click.option("--json", "as_json", is_flag=True, help="Print it as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the projection as JSON.")
 def project(path: Path, out: Path | None, as_json: bool) -> None:
-    """Hold measured slopes against the target, worst first.
+    """Project measured slopes to the target size and compare them with budgets, worst first.
 
-    Prints what is over its budget; the whole page with --page, and all rows with --json.
+    Prints the rows over budget. --page writes the whole page, --json prints all rows.
     """
     book = read(path)
-    made = Projection(book)
+    projection = Projection(book)
     if out is not None:
-        after = page.after_of(out.read_text()) if out.exists() else page.NOTHING_YET
-        out.write_text(page.printed(made, book, after))
+        after = page.after_section(out.read_text()) if out.exists() else page.NOT_MEASURED_YET
+        out.write_text(page.render(projection, book, after))
     if as_json:
-        sys.stdout.buffer.write(msgspec.json.encode(page.as_json(made, book)) + b"\n")
+        sys.stdout.buffer.write(msgspec.json.encode(page.as_json(projection, book)) + b"\n")
         return
-    for row in made.over():
+    for row in projection.over():
         click.echo(
             f"{row.worst:8.1f} times: {row.role}, {row.when}: {row.what}:"
-            f" {page.figure(row.mild, row.unit)} mild,"
-            f" {page.figure(row.harsh, row.unit)} harsh; {row.mechanism}"
+            f" {page.format_value(row.mild, row.unit)} mild,"
+            f" {page.format_value(row.harsh, row.unit)} harsh; {row.mechanism}"
         )
-    first = made.first_missing()
-    click.echo(f"furthest over its budget and carried by no mechanism: {first.what if first else 'none'}")
+    first = projection.first_missing()
+    click.echo(f"furthest over its budget without a mechanism: {first.what if first else 'none'}")
--- a/pepperusher/capacity/slopes.py
+++ b/pepperusher/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""Every measurement of growth, by name; `capacity slopes` takes them."""
+"""Defines every measurement that `capacity slopes` can take: how each cost grows with the size of the fleet."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from pepperusher.capacity.processes import ProcessError
 from pepperusher.capacity.fixtures import ZONES
 
-BESIDE, FRONT, CONTROL, DISCOVERY, BACKEND, OPERATOR = (
+BACKEND_PROXY, FRONT_PROXY, CONTROL_MACHINE, DISCOVERY, BACKEND, OPERATOR = (
     "proxy beside a backend",
     "front proxy",
     "control machine",
@@ -18,53 +18,53 @@
     "backend and its callers",
     "operator",
 )
-LISTS, LIST_MOST = (100, 250, 500, 1000, 1750, 2500), 5000
-CALLERS = (100, 250, 500, 1000, 1750, 2500)
-GROUPS, GROUP_MOST = (25, 50, 100, 200, 400), 800
-# Changes of a list in a release: 400 backends replaced in 3 minutes, each drains, goes and comes.
-RELEASE = 400 * 3 / 180
-DEPTH = 30
-# Of what is timed within this process, and of whole processes; each in turn at all sizes.
-REPEATS, PLAYS = 15, 3
-# Backends listed along a chain of whole proxies, and changes of the list a second.
-STANDS = ((24, 0.0), (1000, 0.0), (250, RELEASE), (250, 0.0))
-CHAIN_RATE = latency.CHAIN_RATE
-CHAIN_GROUP = 1_000
-SLOWED = (5, 6, 7, 8, 10, 20, DEPTH)
-
-
-def _decisions() -> Iterator[Measure]:
+LIST_SIZES, LIST_HELD_OUT = (100, 250, 500, 1000, 1750, 2500), 5000
+CALLER_COUNTS = (100, 250, 500, 1000, 1750, 2500)
+GROUP_SIZES, GROUP_HELD_OUT = (25, 50, 100, 200, 400), 800
+# A release replaces 400 backends in 3 minutes; each is reported as draining, removed and added.
+RELEASE_CHANGES_A_SECOND = 400 * 3 / 180
+CHAIN_DEPTH = 30
+# Repeats of measurements within this process, and of those that start processes. Each repeat goes through all sizes.
+REPEATS, PROCESS_REPEATS = 15, 3
+# Each measured chain of proxy processes: the backends on its endpoint lists, and the changes of the lists a second.
+CHAIN_LISTS = ((24, 0.0), (1000, 0.0), (250, RELEASE_CHANGES_A_SECOND), (250, 0.0))
+CHAIN_CALLS_A_SECOND = latency.CHAIN_CALLS_A_SECOND
+CHAIN_GROUP_SIZE = 1_000
+SLOWED_DEPTHS = (5, 6, 7, 8, 10, 20, CHAIN_DEPTH)
+
+
+def _decision_measures() -> Iterator[Measure]:
     for group in (1, 24, 1000):
         yield Measure(
             f"decision.group{group}",
-            BESIDE,
+            BACKEND_PROXY,
             f"take, pick and report of one call, group size {group}, one zone",
             "backend listed",
             "us",
             TIMED,
-            LISTS,
-            LIST_MOST,
+            LIST_SIZES,
+            LIST_HELD_OUT,
             decisions.decision(group),
             REPEATS,
             "n over 400" if group == 1000 else "",
         )
     yield Measure(
         "decision.zones",
-        BESIDE,
+        BACKEND_PROXY,
         "take, pick and report of one call, group size 1,000, 13 zones",
         "backend listed",
         "us",
         TIMED,
-        LISTS,
-        LIST_MOST,
+        LIST_SIZES,
+        LIST_HELD_OUT,
         decisions.decision(1000, ZONES),
         REPEATS,
         "n over 400",
     )
 
 
-def _list() -> Iterator[Measure]:
-    for name, what, unit, worth, at, repeats in (
+def _endpoint_list_measures() -> Iterator[Measure]:
+    for name, what, unit, reliability, measure, repeats in (
         ("list.bytes", "a whole list, as it is sent", "bytes", COUNTED, decisions.list_bytes, 1),
         ("list.parse", "reading it, on the loop that carries calls", "us", TIMED, decisions.list_parse, REPEATS),
         ("list.take", "taking it in where there was none, on that loop", "us", TIMED, decisions.list_take, REPEATS),
@@ -78,38 +78,40 @@
         ),
         ("list.memory", "what the watch and the decisions hold of it", "bytes", COUNTED, decisions.list_memory, 1),
     ):
-        yield Measure(name, BESIDE, what, "backend listed", unit, worth, LISTS, LIST_MOST, at, repeats)
+        yield Measure(
+            name, BACKEND_PROXY, what, "backend listed", unit, reliability, LIST_SIZES, LIST_HELD_OUT, measure, repeats
+        )
 
 
-def _arcs() -> Iterator[Measure]:
-    for zones, said in ((None, "one zone"), (ZONES, "13 zones")):
-        spot = "zones" if zones else "zone"
+def _arc_measures() -> Iterator[Measure]:
+    for zones, zones_text in ((None, "one zone"), (ZONES, "13 zones")):
+        key = "zones" if zones else "zone"
         yield Measure(
-            f"callers.{spot}",
+            f"callers.{key}",
             BACKEND,
-            f"proxies that keep to the busiest of 24 backends, {said}",
+            f"proxies that keep to the busiest of 24 backends, {zones_text}",
             "proxy that calls them",
             "connections",
             COUNTED,
-            CALLERS,
+            CALLER_COUNTS,
             5000,
-            decisions.callers_at(24, zones),
+            decisions.connections_by_callers(24, zones),
         )
         yield Measure(
-            f"arc.{spot}",
-            FRONT,
-            f"backends that one of 1,000 proxies keeps to, {said}",
+            f"arc.{key}",
+            FRONT_PROXY,
+            f"backends that one of 1,000 proxies keeps to, {zones_text}",
             "backend listed",
             "connections",
             COUNTED,
-            LISTS,
-            LIST_MOST,
+            LIST_SIZES,
+            LIST_HELD_OUT,
             decisions.arc_by_list(1000, zones),
         )
 
 
-def _membership() -> Iterator[Measure]:
-    for name, what, unit, worth in (
+def _membership_measures() -> Iterator[Measure]:
+    for name, what, unit, reliability in (
         ("messages", "messages out of one member a second, at rest", "messages/s", COUNTED),
         ("bytes", "bytes out of one member a second, at rest", "bytes/s", COUNTED),
         ("cpu", "processor time of one member a second, at rest", "us/s", TIMED),
@@ -117,11 +119,20 @@
         ("change_bytes", "bytes out of one member for one word of another", "bytes", COUNTED),
     ):
         yield Measure(
-            f"group.{name}", BESIDE, what, "member", unit, worth, GROUPS, GROUP_MOST, membership.spent(name), 3
+            f"group.{name}",
+            BACKEND_PROXY,
+            what,
+            "member",
+            unit,
+            reliability,
+            GROUP_SIZES,
+            GROUP_HELD_OUT,
+            membership.by_members(name),
+            3,
         )
     yield Measure(
         "group.state",
-        BESIDE,
+        BACKEND_PROXY,
         "what one member holds of the others",
         "member",
         "bytes",
@@ -132,7 +143,7 @@
     )
     yield Measure(
         "group.sync",
-        BESIDE,
+        BACKEND_PROXY,
         "what a newcomer is sent",
         "member",
         "bytes",
@@ -143,13 +154,13 @@
     )
 
 
-def _discovery() -> Iterator[Measure]:
-    stood = "a call worked through in 4 ms, 64 waiting"
-    for name, what, unit, figure, back in (
-        ("start_calls", f"calls as all start within a second, {stood}", "calls", "calls", False),
-        ("start_seconds", f"until all are told, {stood}", "s", "seconds", False),
-        ("return_calls", f"calls as it returns after 3 s, {stood}", "calls", "calls", True),
-        ("return_seconds", f"from its return until all are told, {stood}", "s", "seconds", True),
+def _discovery_measures() -> Iterator[Measure]:
+    server_text = "a call worked through in 4 ms, 64 waiting"
+    for name, what, unit, figure, after_outage in (
+        ("start_calls", f"calls as all start within a second, {server_text}", "calls", "calls", False),
+        ("start_seconds", f"until all are told, {server_text}", "s", "seconds", False),
+        ("return_calls", f"calls as it returns after 3 s, {server_text}", "calls", "calls", True),
+        ("return_seconds", f"from its return until all are told, {server_text}", "s", "seconds", True),
     ):
         yield Measure(
             f"discovery.{name}",
@@ -158,9 +169,9 @@
             "proxy",
             unit,
             COUNTED,
-            LISTS,
-            LIST_MOST,
-            call_storms.played(figure, back),
+            LIST_SIZES,
+            LIST_HELD_OUT,
+            call_storms.by_proxies(figure, after_outage),
         )
     yield Measure(
         "discovery.change_bytes",
@@ -171,89 +182,91 @@
         COUNTED,
         (10, 20, 30, 40, 50),
         100,
-        watch_costs.played("change_bytes"),
+        watch_costs.by_proxies("change_bytes"),
     )
 
 
-def _config() -> Iterator[Measure]:
-    sizes, most = (5, 10, 20, 40, 60, 100), 200
-    for name, what, unit, worth, at, repeats in (
+def _configuration_measures() -> Iterator[Measure]:
+    sizes, held_out = (5, 10, 20, 40, 60, 100), 200
+    for name, what, unit, reliability, measure, repeats in (
         ("bytes", "an own file", "bytes", COUNTED, decisions.config_bytes, 1),
         ("check", "checking it, in a thread beside the loop", "us", TIMED, decisions.config_check, REPEATS),
         ("take", "taking the checked one in, on that loop", "us", TIMED, decisions.config_take, 5),
     ):
-        yield Measure(f"config.{name}", BESIDE, what, "route", unit, worth, sizes, most, at, repeats)
+        yield Measure(
+            f"config.{name}", BACKEND_PROXY, what, "route", unit, reliability, sizes, held_out, measure, repeats
+        )
     yield Measure(
         "config.settings",
-        BESIDE,
+        BACKEND_PROXY,
         "other settings in force, 1,000 listed",
         "use case",
         "us",
         TIMED,
         sizes,
-        most,
+        held_out,
         decisions.settings_take,
         5,
     )
 
 
-def _processes() -> Iterator[Measure]:
+def _process_measures() -> Iterator[Measure]:
     yield Measure(
         "process.memory",
-        BESIDE,
+        BACKEND_PROXY,
         "memory of an idle process (RSS)",
         "backend listed",
         "bytes",
         TIMED,
-        LISTS,
-        LIST_MOST,
+        LIST_SIZES,
+        LIST_HELD_OUT,
         processes.resident,
     )
     yield Measure(
         "process.idle",
-        BESIDE,
+        BACKEND_PROXY,
         "processor time a second without tickets",
         "backend listed",
         "us/s",
         TIMED,
-        LISTS,
-        LIST_MOST,
+        LIST_SIZES,
+        LIST_HELD_OUT,
         processes.idle,
-        PLAYS,
+        PROCESS_REPEATS,
     )
     yield Measure(
         "process.release",
-        BESIDE,
-        f"the same with {RELEASE:.1f} changes of the list a second",
+        BACKEND_PROXY,
+        f"the same with {RELEASE_CHANGES_A_SECOND:.1f} changes of the list a second",
         "backend listed",
         "us/s",
         TIMED,
-        LISTS,
-        LIST_MOST,
-        processes.release(RELEASE),
-        PLAYS,
+        LIST_SIZES,
+        LIST_HELD_OUT,
+        processes.release(RELEASE_CHANGES_A_SECOND),
+        PROCESS_REPEATS,
     )
-    connections, most = (25, 50, 100, 200, 400), 800
+    connections, held_out = (25, 50, 100, 200, 400), 800
     yield Measure(
         "connection.memory",
-        FRONT,
+        FRONT_PROXY,
         "memory of a process (RSS), by idle connections",
         "connection",
         "bytes",
         TIMED,
         connections,
-        most,
+        held_out,
         processes.by_connections("resident"),
     )
     yield Measure(
         "connection.descriptors",
-        FRONT,
+        FRONT_PROXY,
         "descriptors of a process, by idle connections",
         "connection",
         "descriptors",
         COUNTED,
         connections,
-        most,
+        held_out,
         processes.by_connections("descriptors"),
     )
     yield Measure(
@@ -265,55 +278,56 @@
         TIMED,
         (1, 2, 3, 4, 6),
         8,
-        processes.told_one_by_one,
+        processes.propose_one_by_one,
         3,
     )
 
 
-def _latency() -> Iterator[Measure]:
-    sizes, most = (24, 100, 250, 500, 1000), 2500
-    for which, said in (("p50", "the middle"), ("p99", "the 99th of 100")):
+def _latency_measures() -> Iterator[Measure]:
+    sizes, held_out = (24, 100, 250, 500, 1000), 2500
+    for figure, label in (("p50", "the middle"), ("p99", "the 99th of 100")):
         yield Measure(
-            f"alone.{which}",
-            BESIDE,
-            f"processor time of a call alone in one proxy, {said} of 400",
+            f"alone.{figure}",
+            BACKEND_PROXY,
+            f"processor time of a call alone in one proxy, {label} of 400",
             "backend listed",
             "us",
             TIMED,
             sizes,
-            most,
-            latency.processor(which),
-            PLAYS,
+            held_out,
+            latency.cpu_of_single_calls(figure),
+            PROCESS_REPEATS,
         )
-    for group, changes, said in ((1000, 0.0, "calm"), (1000, RELEASE, "release"), (1, 0.0, "group1")):
+    for group, changes, label in ((1000, 0.0, "calm"), (1000, RELEASE_CHANGES_A_SECOND, "release"), (1, 0.0, "group1")):
         with_changes = f", {changes:.1f} changes of the list a second" if changes else ""
-        for which, what in (
+        for figure, what in (
             ("p99", "time added at the 99th of 100"),
             ("p50", "time added at the middle"),
             ("cpu", "processor time of a call"),
         ):
             yield Measure(
-                f"added.{said}.{which}",
-                BESIDE,
+                f"added.{label}.{figure}",
+                BACKEND_PROXY,
                 f"{what}, one proxy, 72 calls a second, group size {group}{with_changes}",
                 "backend listed",
                 "us",
-                TIMED if which == "cpu" else CLOCKED,
+                TIMED if figure == "cpu" else CLOCKED,
                 sizes,
-                most,
-                latency.added(group, which, changes),
+                held_out,
+                latency.added_latency(group, figure, changes),
             )
 
 
-# Proxies before two control machines; at the target one of nine has 556 proxies' worth of connections.
-FLEETS, FLEET_MOST = (25, 50, 100, 200, 400), 800
+# Numbers of proxies that connect to two control machines. At the target each of nine machines has the connections of
+# 556 proxies.
+FLEET_SIZES, FLEET_HELD_OUT = (25, 50, 100, 200, 400), 800
 
 
-def _control_state() -> Iterator[Measure]:
-    sizes, most = (5, 10, 20, 40, 60, 100), 200
+def _control_state_measures() -> Iterator[Measure]:
+    sizes, held_out = (5, 10, 20, 40, 60, 100), 200
     yield Measure(
         "control.state.subscriber",
-        CONTROL,
+        CONTROL_MACHINE,
         "what a machine holds, one resource subscribed to by each",
         "subscriber",
         "bytes",
@@ -324,7 +338,7 @@
     )
     yield Measure(
         "control.state.subscription",
-        CONTROL,
+        CONTROL_MACHINE,
         "what it holds with 100 subscribers",
         "resource that each subscribes to",
         "bytes",
@@ -335,7 +349,7 @@
     )
     yield Measure(
         "control.state.resource",
-        CONTROL,
+        CONTROL_MACHINE,
         f"what it holds, nobody connected, {control_run.ROUTES} routes each",
         "resource",
         "bytes",
@@ -344,43 +358,43 @@
         210,
         control_state.by_resource,
     )
-    for name, what, at in (
+    for name, what, measure in (
         ("control.snapshot_bytes", "a configuration sent whole, on the connection", control_state.snapshot_bytes),
         ("control.delta_bytes", "a change of one route in it, on the connection", control_state.delta_bytes),
     ):
-        yield Measure(name, CONTROL, what, "route", "bytes", COUNTED, sizes, most, at)
+        yield Measure(name, CONTROL_MACHINE, what, "route", "bytes", COUNTED, sizes, held_out, measure)
     yield Measure(
         "client.state",
-        BESIDE,
+        BACKEND_PROXY,
         "what the decisions about control machines hold, with the configuration",
         "route",
         "bytes",
         COUNTED,
         sizes,
-        most,
+        held_out,
         control_state.client_state,
     )
 
 
-def _control_shares() -> Iterator[Measure]:
-    for name, what, lost in (
+def _control_connection_measures() -> Iterator[Measure]:
+    for name, what, lost_machines in (
         ("control.fullest", "connections of the fullest of nine machines", 0),
         ("control.fullest_lost", "the same with one of them lost", 1),
     ):
         yield Measure(
             name,
-            CONTROL,
+            CONTROL_MACHINE,
             what,
             "proxy",
             "connections",
             COUNTED,
             (500, 1000, 1500, 2000, 2500),
             5000,
-            configuration_run.most_connections(lost),
+            configuration_run.most_connections(lost_machines),
         )
 
 
-def _told() -> Iterator[Measure]:
+def _configured_proxy_measures() -> Iterator[Measure]:
     for name, what, unit in (
         ("memory", "memory of a whole proxy that a control machine tells (RSS), 24 listed", "bytes"),
         ("rest_cpu", "its processor time a second at rest", "us/s"),
@@ -388,31 +402,31 @@
     ):
         yield Measure(
             f"client.whole.{name}",
-            BESIDE,
+            BACKEND_PROXY,
             what,
             "route",
             unit,
             TIMED,
             (5, 10, 20, 40, 60, 100),
             200,
-            configuration_run.whole(name),
-            PLAYS,
-            # At rest each route that was used looks through all for its own (`changes/active_configuration.py` sweep).
+            configuration_run.by_routes(name),
+            PROCESS_REPEATS,
+            # At rest each route in use searches all routes for its own (`changes/active_configuration.py` sweep).
             "n + n squared / 84" if name == "rest_cpu" else "",
         )
 
 
-def _control() -> Iterator[Measure]:
-    """Of two machines together, both connections of each proxy."""
-    beside = "two control machines together, both connections of each proxy"
-    for occasion, said in (
+def _control_machine_measures() -> Iterator[Measure]:
+    """Yields the measurements of two control machines together, with both connections of each proxy."""
+    scope_text = "two control machines together, both connections of each proxy"
+    for occasion, occasion_text in (
         ("start", "connecting, nothing held"),
         ("rest", "at rest, a second"),
         ("change", "one change to all"),
         ("resume", "connecting again, all held"),
     ):
-        a_second = "/s" if occasion == "rest" else ""
-        for name, what, unit, worth in (
+        unit_suffix = "/s" if occasion == "rest" else ""
+        for name, what, unit, reliability in (
             ("out_messages", "messages out", "messages", COUNTED),
             ("in_messages", "messages in", "messages", COUNTED),
             ("out_bytes", "bytes out", "bytes", COUNTED), ("in_bytes", "bytes in", "bytes", COUNTED),
@@ -420,16 +434,16 @@
         ):  # fmt: skip
             yield Measure(
                 f"control.{occasion}.{name}",
-                CONTROL,
-                f"{said}: {what}, {beside}",
+                CONTROL_MACHINE,
+                f"{occasion_text}: {what}, {scope_text}",
                 "proxy",
-                unit + a_second,
-                worth,
-                FLEETS,
-                FLEET_MOST,
+                unit + unit_suffix,
+                reliability,
+                FLEET_SIZES,
+                FLEET_HELD_OUT,
                 control_run.by_proxies(f"{occasion}.{name}"),
             )
-        for name, what, unit, worth in (
+        for name, what, unit, reliability in (
             ("out_bytes", "bytes out", "bytes", COUNTED), ("in_bytes", "bytes in", "bytes", COUNTED),
             ("out_messages", "messages out", "messages", COUNTED),
             ("in_messages", "messages in", "messages", COUNTED),
@@ -437,35 +451,35 @@
         ):  # fmt: skip
             yield Measure(
                 f"client.{occasion}.{name}",
-                BESIDE,
-                f"{said}: {what}, clients of all proxies together, both connections",
+                BACKEND_PROXY,
+                f"{occasion_text}: {what}, clients of all proxies together, both connections",
                 "proxy",
-                unit + a_second,
-                worth,
-                FLEETS,
-                FLEET_MOST,
+                unit + unit_suffix,
+                reliability,
+                FLEET_SIZES,
+                FLEET_HELD_OUT,
                 control_run.by_proxies(f"{occasion}.client_{name}"),
             )
     yield Measure(
         "control.memory",
-        CONTROL,
+        CONTROL_MACHINE,
         "memory of its process (RSS)",
         "proxy connected to it",
         "bytes",
         TIMED,
-        FLEETS,
-        FLEET_MOST,
+        FLEET_SIZES,
+        FLEET_HELD_OUT,
         control_run.by_proxies("memory"),
     )
     yield Measure(
         "control.descriptors",
-        CONTROL,
+        CONTROL_MACHINE,
         "descriptors of its process",
         "proxy connected to it",
         "descriptors",
         COUNTED,
-        FLEETS,
-        FLEET_MOST,
+        FLEET_SIZES,
+        FLEET_HELD_OUT,
         control_run.by_proxies("descriptors"),
     )
     yield Measure(
@@ -475,8 +489,8 @@
         "proxy",
         "us",
         TIMED,
-        FLEETS,
-        FLEET_MOST,
+        FLEET_SIZES,
+        FLEET_HELD_OUT,
         control_run.by_proxies("publish.cpu"),
     )
     for name, what, unit in (
@@ -484,22 +498,22 @@
     ):  # fmt: skip
         yield Measure(
             f"control.some.{name}",
-            CONTROL,
-            f"one change to some of 100 proxies: {what}, {beside}",
+            CONTROL_MACHINE,
+            f"one change to some of 100 proxies: {what}, {scope_text}",
             "proxy that takes it",
             unit,
             COUNTED,
             (10, 20, 30, 40, 50),
             80,
-            control_run.by_takers(f"change.{name}"),
+            control_run.by_subscribers(f"change.{name}"),
         )
-    for occasion, said, unit in (
+    for occasion, occasion_text, unit in (
         ("rest", "at rest, a second", "bytes/s"), ("change", "one change", "bytes"),
     ):  # fmt: skip
         yield Measure(
             f"control.relay.{occasion}",
-            CONTROL,
-            f"{said}: bytes out of the origin to the others, no proxy there",
+            CONTROL_MACHINE,
+            f"{occasion_text}: bytes out of the origin to the others, no proxy there",
             "control machine",
             unit,
             COUNTED,
@@ -509,88 +523,103 @@
         )
 
 
-QUICK: tuple[Callable[[], Iterator[Measure]], ...] = (
-    _decisions, _list, _arcs, _membership, _config, _control_state,
-    _control_shares,
+IN_PROCESS: tuple[Callable[[], Iterator[Measure]], ...] = (
+    _decision_measures, _endpoint_list_measures, _arc_measures, _membership_measures, _configuration_measures, _control_state_measures,
+    _control_connection_measures,
 )  # fmt: skip
-WHOLE: tuple[Callable[[], Iterator[Measure]], ...] = (
-    _discovery, _processes, _control, _told, _latency,
+WITH_PROCESSES: tuple[Callable[[], Iterator[Measure]], ...] = (
+    _discovery_measures, _process_measures, _control_machine_measures, _configured_proxy_measures, _latency_measures,
 )  # fmt: skip
 
 
 def measures() -> list[Measure]:
-    return [one for made in (*QUICK, *WHOLE) for one in made()]
+    """Returns all measurements, those within this process first."""
+    return [measure for group in (*IN_PROCESS, *WITH_PROCESSES) for measure in group()]
 
 
 def singles(seed: int, say: Callable[[str], None]) -> Iterator[Single]:
-    """Figures that are no slopes: attempts along a chain, and bounds of the code."""
+    """Yields the values that do not depend on a size: attempts along a call chain, and limits that the code sets."""
 
-    def single(name: str, what: str, unit: str, value: float, worth: str = COUNTED) -> Single:
+    def single(name: str, what: str, unit: str, value: float, reliability: str = COUNTED) -> Single:
         say(f"{name}: {value:.6g} {unit}")
-        return Single(name=name, what=what, unit=unit, worth=worth, seed=seed, value=value)
+        return Single(name=name, what=what, unit=unit, worth=reliability, seed=seed, value=value)
 
-    for passed in ("error", "full"):
+    for reply in ("error", "full"):
         for share in (0.3, 1.0):
             for failing in (1, 2, 3):
-                first, after = attempts.came(DEPTH, failing, share, seed, passed)
-                said = f"{failing} of {DEPTH} levels fail {share:.0%} of calls, passed up as {passed}"
-                key = f"attempts.{passed}.{round(share * 100)}.{failing}"
-                yield single(f"{key}.first", f"sends for a call, the first 20: {said}", "sends", first.sends)
-                yield single(f"{key}.after", f"sends for a call, later: {said}", "sends", after.sends)
+                first, later = attempts.failing_services(CHAIN_DEPTH, failing, share, seed, reply)
+                condition = f"{failing} of {CHAIN_DEPTH} levels fail {share:.0%} of calls, passed up as {reply}"
+                name_prefix = f"attempts.{reply}.{round(share * 100)}.{failing}"
                 yield single(
-                    f"{key}.most", f"sends for the worst call: {said}", "sends", float(max(first.most, after.most))
+                    f"{name_prefix}.first", f"sends for a call, the first 20: {condition}", "sends", first.sends
                 )
-                yield single(f"{key}.last", f"sends that reach the last level, for a call: {said}", "sends", first.last)
-                yield single(f"{key}.done", f"part of later calls that are done: {said}", "", after.done)
-    for depth in (4, 8, 12, 16, 20, DEPTH):
-        came = attempts.cold(depth, seed)
+                yield single(f"{name_prefix}.after", f"sends for a call, later: {condition}", "sends", later.sends)
+                yield single(
+                    f"{name_prefix}.most",
+                    f"sends for the worst call: {condition}",
+                    "sends",
+                    float(max(first.most, later.most)),
+                )
+                yield single(
+                    f"{name_prefix}.last",
+                    f"sends that reach the last level, for a call: {condition}",
+                    "sends",
+                    first.last,
+                )
+                yield single(f"{name_prefix}.done", f"part of later calls that are done: {condition}", "", later.done)
+    for depth in (4, 8, 12, 16, 20, CHAIN_DEPTH):
+        result = attempts.cold_chain(depth, seed)
         yield single(
             f"cold.{depth}.done",
             f"part of calls done along {depth} levels, none of which knows a time yet",
             "",
-            came.done,
+            result.done,
         )
-        yield single(f"cold.{depth}.sends", f"sends for a call along {depth} such levels", "sends", came.sends)
-    for most in (3, 1):
-        for depth in SLOWED:
+        yield single(f"cold.{depth}.sends", f"sends for a call along {depth} such levels", "sends", result.sends)
+    for max_attempts in (3, 1):
+        for depth in SLOWED_DEPTHS:
             for factor in (1, 2, 3, 5, 10):
-                _, after = attempts.slowed(depth, factor, seed, most)
+                _, later = attempts.slowed_services(depth, factor, seed, max_attempts)
                 yield single(
-                    f"slowed.{most}.{depth}.{factor}",
+                    f"slowed.{max_attempts}.{depth}.{factor}",
                     f"part of calls done along {depth} warmed levels"
-                    f" whose services take {factor} times as long, {most} attempts, after the first 20",
+                    f" whose services take {factor} times as long, {max_attempts} attempts, after the first 20",
                     "",
-                    after.done,
+                    later.done,
                 )
     yield single("roll.most", "members that a group takes", "members", float(membership.most_members()))
     yield single("notices.most", "notices at once that a group takes", "notices", float(membership.most_notices()))
 
 
-def chain_key(depth: int, listed: int, rate: float, changes: float = 0.0, attempts: int = 3,
-    group: int = CHAIN_GROUP) -> str:  # fmt: skip
-    """What the figures of a chain are called."""
-    at = "" if rate == latency.CHAIN_RATE else f".at{rate:g}"
-    alone = "" if group == CHAIN_GROUP else f".group{group}"
-    return f"chain.{depth}.{listed}{'.release' * (changes > 0)}{at}{'.once' * (attempts == 1)}{alone}"
+def chain_key(depth: int, listed: int, rate: float, changes_a_second: float = 0.0, attempts: int = 3,
+    group: int = CHAIN_GROUP_SIZE) -> str:  # fmt: skip
+    """Returns the prefix of the names of the values measured along one chain."""
+    rate_suffix = "" if rate == latency.CHAIN_CALLS_A_SECOND else f".at{rate:g}"
+    group_suffix = "" if group == CHAIN_GROUP_SIZE else f".group{group}"
+    return f"chain.{depth}.{listed}{'.release' * (changes_a_second > 0)}{rate_suffix}{'.once' * (attempts == 1)}{group_suffix}"
 
 
 def chain(
     seed: int,
     say: Callable[[str], None],
-    depth: int = DEPTH,
-    rate: float = CHAIN_RATE,
-    stands: tuple[tuple[int, float], ...] = STANDS,
-    most: int = 3,
-    group: int = CHAIN_GROUP,
+    depth: int = CHAIN_DEPTH,
+    rate: float = CHAIN_CALLS_A_SECOND,
+    list_loads: tuple[tuple[int, float], ...] = CHAIN_LISTS,
+    max_attempts: int = 3,
+    group: int = CHAIN_GROUP_SIZE,
     rounds: int = latency.ROUNDS,
-    lasts: float = latency.CHAIN_LASTS,
+    round_seconds: float = latency.CHAIN_ROUND_S,
 ) -> Iterator[Single]:
-    """A chain of whole proxies, by list size, and with a release's changes; each makes `most` attempts."""
-    for listed, changes in stands:
-        key = chain_key(depth, listed, rate, changes, most, group)
+    """Measures a chain of proxy processes, once for each pair of a list size and a rate of list changes in
+    `list_loads`. Each proxy makes at most `max_attempts` attempts.
+    """
+    for listed, changes_a_second in list_loads:
+        key = chain_key(depth, listed, rate, changes_a_second, max_attempts, group)
         try:
-            added = latency.through_chain(depth, listed, group, seed, changes, lasts, rounds, rate, most)
-        except latency.Failing as error:
+            added = latency.added_by_chain(
+                depth, listed, group, seed, changes_a_second, round_seconds, rounds, rate, max_attempts
+            )
+        except latency.TooManyFailuresError as error:
             say(f"a chain of {depth}, {listed} listed: no time added: {error}")
             yield Single(
                 name=f"{key}.failed",
@@ -604,8 +633,8 @@
         except ProcessError as error:
             say(f"a chain of {depth}, {listed} listed: not measured: {error}")
             continue
-        with_changes = f", {changes:.1f} changes a second" if changes else ""
-        said = f"{depth} proxies in a row, {listed} listed{with_changes}, {rate:g} calls a second"
+        changes_text = f", {changes_a_second:.1f} changes a second" if changes_a_second else ""
+        condition = f"{depth} proxies in a row, {listed} listed{changes_text}, {rate:g} calls a second"
         for name, value in (
             ("added99", added.p99),
             ("added50", added.p50),
@@ -616,7 +645,7 @@
             say(f"{key}.{name}: {value:.6g} us")
             yield Single(
                 name=f"{key}.{name}",
-                what=f"{name}: {said}",
+                what=f"{name}: {condition}",
                 unit="us",
                 worth=TIMED if name == "cpu" else CLOCKED,
                 seed=seed,
@@ -624,7 +653,7 @@
             )
         yield Single(
             name=f"{key}.calls",
-            what=f"calls that the figures stand on, {rounds} rounds: {said}",
+            what=f"calls that the figures stand on, {rounds} rounds: {condition}",
             unit="calls",
             worth=COUNTED,
             seed=seed,
--- a/pepperusher/capacity/target.py
+++ b/pepperusher/capacity/target.py
@@ -1,16 +1,18 @@
-"""The target, what it leaves open, and what a row of the projection is; free of I/O."""
+"""The target size, the assumptions for what it leaves open, and a row of the projection. This module does no
+I/O.
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
 MISSING = "missing"
-SECOND = 1_000_000.0
+US_PER_SECOND = 1_000_000.0
 MB = 1_000_000.0
 
 
 class Target(NamedTuple):
-    """The size that is coming, as it is given. Times in seconds but `added_us`."""
+    """The size of the deployment to plan for, as specified. Times are in seconds, except `added_us`."""
 
     proxies: int = 5_000
     services: int = 210
@@ -21,39 +23,39 @@
     zones: int = 13
     changes_a_day: int = 2_400
     in_force_s: float = 12.0
-    proxy_cpu_us: float = 14_000.0  # a second: 1.4% of a core
+    proxy_cpu_us: float = 14_000.0  # a second, for control traffic: 1.4% of a core
     proxy_bytes: float = 256 * MB
-    proxy_wire: float = 21_000.0  # bytes a second for control
+    proxy_wire: float = 21_000.0  # bytes a second of control traffic
     control_machines: int = 9
     failures_a_day: int = 11
     restarts_a_day: int = 1_500
-    told_s: float = 6.0  # after discovery had it
+    told_s: float = 6.0  # until every proxy has a change, from when discovery has it
 
 
 class Assumed(NamedTuple):
-    """What the target leaves open. `listed` is the list that a proxy holds, `group` what its settings call
-    the group's size.
+    """Assumptions for what the target leaves open. `listed` is the number of backends on a proxy's list, `group`
+    the group size in its settings.
     """
 
     name: str
-    largest: int  # backends of the largest service; the mean is proxies / services
+    largest: int  # backends of the largest service; the mean over all services is proxies / services
     called: int  # services that one proxy calls
     listed: int
     group: int
-    callers: int  # proxies that call the service that most call
+    callers: int  # proxies that call the service with the most callers
     zoned: bool  # whether a proxy's settings name all zones
-    released: int  # backends replaced in a release
+    released: int  # backends that one release replaces
     release_s: float
-    members: int  # of one group
-    routes: int  # in an own file
-    concerned: float  # part of the changes of configuration that concern one proxy
-    marked: int  # backends banned or drained by hand at once
-    failing: int  # levels of a chain that fail at once, and the part of their calls
-    share: float
+    members: int  # proxies in one membership group
+    routes: int  # in the configuration of one proxy
+    concerned: float  # fraction of the configuration changes that apply to one proxy
+    marked: int  # backends banned or drained by an operator at the same time
+    failing: int  # levels of a call chain that fail at the same time
+    share: float  # fraction of calls that such a level fails
     fronts: int  # front proxies
-    entering: float  # part of all calls that come by way of them
+    entering: float  # fraction of all calls that enter through front proxies
     front_listed: int  # backends on the list of a front proxy
-    apart_s: float  # how long regions lose each other
+    apart_s: float  # how long a network partition separates the regions
 
 
 MILD = Assumed(
@@ -101,13 +103,16 @@
 
 
 class Budget(NamedTuple):
+    """The upper bound for the value of a row."""
+
     value: float
-    of: str  # where it comes from: the target, or our own choice
+    of: str  # where the bound comes from: the target, the code or a choice of this project
 
 
 class Row(NamedTuple):
-    """One cost at the target. A value is None where its slope was not measured. `from_` names the slopes.
-    `before` has both values as they were before the mechanism that carries the row was there.
+    """One cost at the target size. A value is None where its slope was not measured. `from_` names the
+    measurements that it is computed from. `before` has the mild and the harsh value without the mechanism that
+    now addresses the cost.
     """
 
     role: str
@@ -127,9 +132,9 @@
 
     @property
     def worst(self) -> float:
-        """The greater of both ratios; -1 where there is none."""
-        found = [one for one in (self.ratio(self.mild), self.ratio(self.harsh)) if one is not None]
-        return max(found, default=-1.0)
+        """The higher of the mild and the harsh ratio to the budget; -1 where there is neither."""
+        ratios = [ratio for ratio in (self.ratio(self.mild), self.ratio(self.harsh)) if ratio is not None]
+        return max(ratios, default=-1.0)
 
     @property
     def missing(self) -> bool:
@@ -137,14 +142,16 @@
 
 
 def product(*parts: float | None) -> float | None:
-    made = 1.0
-    for one in parts:
-        if one is None:
+    """Returns the product, or None if a factor was not measured."""
+    result = 1.0
+    for part in parts:
+        if part is None:
             return None
-        made *= one
-    return made
+        result *= part
+    return result
 
 
 def total(*parts: float | None) -> float | None:
-    known = [one for one in parts if one is not None]
+    """Returns the sum, or None if a summand was not measured."""
+    known = [part for part in parts if part is not None]
     return sum(known) if len(known) == len(parts) else None
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -188,7 +188,7 @@
         """No call may fail. With attempts limited to half of the remaining time, no call succeeded with eight levels
         or more."""
         for depth, factor in ((8, 2), (8, 10), (16, 2), (16, 5), (30, 2), (30, 3)):
-            _, after = attempts.slowed(depth, factor, 1, calls=50)
+            _, after = attempts.slowed_services(depth, factor, 1, calls=50)
             self.assertEqual(after.done, 1.0, f"{depth} levels, {factor} times as long")
             self.assertLess(after.sends, 1.1 * depth, f"{depth} levels, {factor} times as long")
 
@@ -196,14 +196,14 @@
         """With sixteen levels or more no call succeeded, with 109 attempts for each call, and the chain never
         recovered."""
         for depth in (8, 16, 30):
-            result = attempts.cold(depth, 1)
+            result = attempts.cold_chain(depth, 1)
             self.assertGreaterEqual(result.done, 0.95, f"{depth} levels")
             self.assertLess(result.sends, 1.7 * depth, f"{depth} levels")
 
     def test_one_server_that_hangs_does_not_make_all_wait(self) -> None:
         for depth in (8, 30):
             for level in (0, depth // 2, depth - 1):
-                first, after, extra = attempts.hung(depth, [level], 1, calls=50)
+                first, after, extra = attempts.hung_backends(depth, [level], 1, calls=50)
                 self.assertEqual((first.done, after.done), (1.0, 1.0), f"level {level} of {depth}")
                 self.assertLess(first.sends, 1.2 * depth, f"level {level} of {depth}")
                 self.assertLess(after.sends, 1.1 * depth, f"level {level} of {depth}")
