--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -88,6 +88,7 @@
         return False
 
     def _serve(self, level: int, backend: str, deadline: int) -> bool:
+        """Simulates one attempt at a backend; returns whether the backend answers with success before the deadline."""
         self._now = deadline if self._hung_backends.get(level) == backend else self._now + self.service_us
         if self._now >= deadline:
             return False
--- a/pepperusher/capacity/configuration_run.py
+++ b/pepperusher/capacity/configuration_run.py
@@ -39,6 +39,7 @@
 
 
 async def _run(routes: int, seed: int) -> dict[str, float]:
+    """Measures a proxy at rest and over one change of its configuration."""
     with tempfile.TemporaryDirectory() as folder, stand_in_services() as stand_ins:
         fleet = Fleet(Path(folder), 1, 0, seed)
         try:
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -121,6 +121,7 @@
 
 
 def _snapshot_bytes(value_at: ValueAt, assumed: Assumed, proxies: float) -> float | None:
+    """Returns the bytes of the whole configuration, sent to `proxies` proxies."""
     return product(proxies, value_at("control.snapshot_bytes", assumed.routes)) if proxies else 0.0
 
 
@@ -308,6 +309,7 @@
     value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed, link_budget: Budget, link_budget_12_s: Budget, core_budget: Budget,
     core_budget_12_s: Budget,
 ) -> Iterator[Row]:  # fmt: skip
+    """Yields the rows of one control machine for each occasion."""
     pairs = zip(occasions(value_at, target, mild, False), occasions(value_at, target, harsh, True))
     for mild_occasion, harsh_occasion in pairs:
         release = mild_occasion.when == "release"
@@ -540,6 +542,7 @@
 
 
 def _join_notes(*parts: str) -> str:
+    """Joins the notes that are not empty."""
     return "; ".join(filter(None, parts))
 
 
--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -117,6 +117,7 @@
         return float(count)
 
     def end(self) -> None:
+        """Kills the process."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
@@ -241,6 +242,7 @@
             client.start()
 
     def kill(self) -> None:
+        """Kills all clients; their message and byte counters are kept."""
         for client in self.clients:
             counters = [counter for counter in client.counts if counter.endswith((" in", " out"))]
             self._ended_counts.update({counter: client.counts[counter] for counter in counters})
@@ -314,6 +316,7 @@
         return {**figures, **corrected}
 
     async def read(self) -> Counts:
+        """Reads the counters of all machines and clients."""
         figures = [await self._figures(machine) for machine in self.machines]
 
         def machine_total(counter: str) -> float:
@@ -331,12 +334,14 @@
         )  # fmt: skip
 
     def end(self) -> None:
+        """Kills the clients and the machines."""
         self.kill()
         for machine in self.machines:
             machine.end()
 
 
 def _difference(before: Counts, after: Counts, occasion: str, divisor: float = 1.0) -> Iterable[tuple[str, float]]:
+    """Yields the differences of two readings by `occasion.field`, each divided by `divisor`."""
     for name, earlier, later in zip(Counts._fields, before, after):
         yield f"{occasion}.{name}", (later - earlier) / divisor
 
@@ -392,6 +397,7 @@
 async def _run(
     proxies: int, machines: int, routes: int, seed: int, subscriber_count: int | None, heartbeats: int
 ) -> RunCosts:
+    """Measures a fleet on all occasions: start, rest, a change and, if all proxies subscribe, connecting again."""
     costs: dict[str, float] = {}
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), machines, proxies, seed, subscriber_count)
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -25,6 +25,7 @@
 
 
 def proxy_name(number: int) -> str:
+    """Returns a proxy name of realistic length."""
     return f"service-{number // 24:03d}-{number:05d}"
 
 
@@ -132,6 +133,7 @@
 
 
 def snapshot_bytes(routes: int, _: int) -> float:
+    """Returns the bytes on the connection of a whole configuration."""
     return float(framed_size(wire.decoded(_update(routes, False))))
 
 
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -74,6 +74,7 @@
 
 
 def facade_of_size(size: int, group: int, seed: int, ordinal: int = 0, zones: list[str] | None = None) -> Facade:
+    """Returns a facade with `size` backends on its endpoint list."""
     facade = Facade(fixtures.policy_settings(group, seed, ordinal, zones=zones), NOW, discard_line)
     facade.update_endpoints(parse_endpoint_update(fixtures.endpoint_list(size, zones)).entries, True, NOW)
     return facade
@@ -105,6 +106,8 @@
 
 
 def decision(group: int, zones: list[str] | None = None) -> Callable[[int, int], float]:
+    """Returns a measurement of the processor time of one call, by the size of the endpoint list."""
+
     def measure(size: int, seed: int) -> float:
         turns = repeat_calls(facade_of_size(size, group, seed, zones=zones))
         for _ in range(40):
@@ -118,10 +121,12 @@
 
 
 def list_bytes(size: int, _: int) -> float:
+    """Returns the bytes of a full endpoint list as discovery sends it."""
     return float(len(fixtures.json_line(fixtures.endpoint_list(size, fixtures.ZONES))))
 
 
 def list_parse(size: int, _: int) -> float:
+    """Measures how long a full endpoint list takes to parse."""
     text = fixtures.json_line(fixtures.endpoint_list(size, fixtures.ZONES))
     return cpu_us_per_call(lambda: parse_endpoint_update(json.loads(text.decode())) and None)
 
@@ -157,6 +162,8 @@
 
 
 def list_memory(size: int, seed: int) -> float:
+    """Returns the bytes that a watch and the decisions hold for an endpoint list."""
+
     def create() -> object:
         watch = new_watch(GROUP_SIZE, seed)
         watch.apply_update(parse_endpoint_update(json.loads(fixtures.json_line(fixtures.endpoint_list(size)))))
@@ -220,10 +227,12 @@
 
 
 def config_bytes(routes: int, _: int) -> float:
+    """Returns the bytes of a configuration file."""
     return float(len(fixtures.configuration_file(routes).encode()))
 
 
 def config_check(routes: int, seed: int) -> float:
+    """Measures how long a configuration file takes to parse and validate."""
     text, settings = fixtures.configuration_file(routes), fixtures.policy_settings(GROUP_SIZE, seed)
     return cpu_us_per_call(lambda: loader.parse(text, policy_settings=settings) and None)
 
--- a/pepperusher/capacity/fit.py
+++ b/pepperusher/capacity/fit.py
@@ -61,6 +61,7 @@
     residuals: tuple[float, ...]
 
     def at(self, size: float) -> float:
+        """Returns the fitted value at a size."""
         return self.base + self.slope * CURVES[self.curve](size)
 
 
--- a/pepperusher/capacity/fixtures.py
+++ b/pepperusher/capacity/fixtures.py
@@ -69,6 +69,7 @@
 def policy_settings(
     group: int, seed: int = 0, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None
 ) -> PolicySettings:
+    """Returns the parsed settings of one of `group` proxies."""
     return read_settings(settings(group, ordinal, use_cases, zones), seed)
 
 
@@ -105,6 +106,7 @@
 
 
 def json_line(message: dict[str, Any]) -> bytes:
+    """Returns a message as a line of JSON."""
     return json.dumps(message).encode() + b"\n"
 
 
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -19,6 +19,7 @@
 
 
 def rows(value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
+    """Yields the rows of one front proxy."""
     cases = mild, harsh
     arc_measures = "arc.zone", "arc.zones"
     socket_budget = Budget(
@@ -138,5 +139,6 @@
 
 
 def _slope_at_target(value_at: ValueAt, name: str) -> float | None:
+    """Returns the cost of one more unit of size, at a size where the fixed part is negligible."""
     smaller, larger = value_at(name, 1_000), value_at(name, 1_001)
     return None if smaller is None or larger is None else larger - smaller
--- a/pepperusher/capacity/latency.py
+++ b/pepperusher/capacity/latency.py
@@ -58,6 +58,7 @@
 
 
 async def _open_loop_load(host: str, port: int, rate: float, seconds: float, seed: int, first: int) -> LatencyResult:
+    """Sends calls at random intervals, independently of their answers, and returns their latencies."""
     loop = asyncio.get_running_loop()
     random = Random(seed)
     idle: list[_ClientConnection] = []  # connections are removed while in use
@@ -119,6 +120,7 @@
 
 
 def load(host: str, port: int, seed: int, rate: float = CALLS_A_SECOND, seconds: float = ROUND_S) -> LatencyResult:
+    """Runs an open-loop load and returns its latencies."""
     return asyncio.run(_open_loop_load(host, port, rate, seconds, seed, 1 + seed * 1_000_000))
 
 
--- a/pepperusher/capacity/measures.py
+++ b/pepperusher/capacity/measures.py
@@ -69,6 +69,7 @@
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
     def check(self) -> FitCheck:
+        """Compares the fit with the value at the held-out size."""
         return check_fit(self.fit(), Point(*self.held_out))
 
     def value(self, size: float) -> float:
@@ -90,6 +91,7 @@
     command: str = ""
 
     def unreliable(self, cores: int) -> bool:
+        """Returns whether this is an elapsed time measured while the load exceeded the cores."""
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
 
@@ -104,9 +106,11 @@
     singles: list[Single] = []
 
     def find_measured(self, name: str) -> Measured | None:
+        """Returns the result with this name, or None."""
         return next((measured for measured in self.measured if measured.name == name), None)
 
     def single(self, name: str) -> Single | None:
+        """Returns the single value with this name, or None."""
         return next((single for single in self.singles if single.name == name), None)
 
 
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -29,6 +29,7 @@
 
 
 def format_value(value: float | None, unit: str = "") -> str:
+    """Formats a value with a unit that suits its size."""
     if value is None:
         return "not measured"
     if unit == "us" and abs(value) >= 1_000:
@@ -51,6 +52,7 @@
 
 
 def _table(header: Iterable[str], rows: Iterable[Iterable[str]]) -> Iterator[str]:
+    """Yields the lines of a Markdown table."""
     cells = list(header)
     yield f"| {' | '.join(cells)} |"
     yield f"|{' --- |' * len(cells)}"
@@ -59,6 +61,7 @@
 
 
 def _cells(row: Row) -> list[str]:
+    """Returns the cells of a row of the projection."""
     return [
         row.role,
         row.when,
@@ -86,6 +89,7 @@
 
 
 def slope_cells(measured: Measured, cores: int) -> list[str]:
+    """Returns the cells of a measured slope."""
     fit, check = measured.fit(), measured.check()
     curve = measured.per if fit.curve == "line" else f"{fit.curve}, n = {measured.per}"
     # The calls to discovery are counts, but they depend on how fast it answers.
@@ -107,6 +111,7 @@
 
 
 def _summary(row: Row) -> str:
+    """Returns a line that summarizes a row."""
     mild, harsh = _format_ratio(row.ratio(row.mild)), _format_ratio(row.ratio(row.harsh))
     return f"- {row.role}, {row.when}: {row.what}: **{mild}** mild, **{harsh}** harsh; {row.mechanism}."
 
@@ -159,6 +164,7 @@
 
 
 def _next_bottleneck(projection: Projection) -> Iterator[str]:
+    """Yields the rows already addressed, the next row to address, and the other rows over budget."""
     yield from _addressed_rows(projection)
     first_missing = projection.first_missing()
     if first_missing is None:
@@ -208,6 +214,7 @@
 
 
 def _assumption_table(mild: Assumed, harsh: Assumed) -> Iterator[str]:
+    """Yields the table of the assumptions."""
     yield from _table(
         ("left open by the target", "mild", "harsh"),
         ([text, f"{getattr(mild, name):g}", f"{getattr(harsh, name):g}"] for name, text in ASSUMPTION_TEXTS.items()),
@@ -215,6 +222,7 @@
 
 
 def _not_measured(projection: Projection) -> Iterator[str]:
+    """Yields the rows and occasions without measurements."""
     rows = projection.rows()
     for row in rows:
         if row.mild is None and row.harsh is None:
@@ -230,6 +238,7 @@
 
 
 def _attempts_table(book: Book) -> Iterator[str]:
+    """Yields the table of the attempts along a chain with failing levels."""
     yield from _table(
         (
             "attempts along 30 levels",
@@ -266,6 +275,7 @@
 
 
 def _slowed_chain_table(book: Book) -> Iterator[str]:
+    """Yields the table of the chains whose services became slower."""
     factors = (1, 2, 3, 5, 10)
     yield from _table(
         ("levels", "attempts of each proxy", *(f"services take {one} times as long" for one in factors)),
@@ -290,6 +300,7 @@
 
 
 def _chain_table(book: Book) -> Iterator[str]:
+    """Yields the table of the measured chains of proxy processes."""
     rows = []
     keys = [
         (
@@ -462,6 +473,7 @@
 
 
 def as_json(projection: Projection, book: Book) -> dict[str, Any]:
+    """Returns the projection and the fitted slopes as a JSON object."""
     first_missing = projection.first_missing()
     return {
         "commit": book.commit,
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -75,6 +75,7 @@
         return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks.iterdir()) / 1000
 
     def ready(self) -> bool:
+        """Returns whether the proxy answers its readiness check. Raises ProcessError if the process has ended."""
         if self.process.poll() is not None:
             raise ProcessError(f"a proxy ended while starting: {_last_line(self.folder / 'log')}")
         try:
@@ -86,6 +87,7 @@
 
 
 def _last_line(log: Path) -> str:
+    """Returns the last line of a log."""
     return (log.read_text(errors="replace").strip().splitlines() or ["its log is empty"])[-1]
 
 
@@ -153,6 +155,7 @@
         self._process = process
 
     def send(self, **order: Any) -> dict[str, Any]:
+        """Sends an order and returns the answer. Raises ProcessError if the process has ended."""
         assert self._process.stdin is not None and self._process.stdout is not None
         self._process.stdin.write(json.dumps(order) + "\n")
         self._process.stdin.flush()
@@ -188,6 +191,7 @@
 
 
 def resident(listed: int, _: int) -> float:
+    """Returns the resident memory of an idle proxy in bytes."""
     with proxy(max(1, listed)) as running:
         return running.resident()
 
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -26,6 +26,7 @@
         self.target, self.mild, self.harsh = target, mild, harsh
 
     def _value_at(self, name: str, size: float) -> float | None:
+        """Returns the value of a measurement at a size, or None if there is no reliable measurement."""
         measured: Measured | None = self._book.find_measured(name)
         return None if measured is None or measured.unreliable(self._book.cores) else measured.value(size)
 
@@ -40,6 +41,7 @@
         return sum(values) / len(values)
 
     def _single_value(self, name: str) -> float | None:
+        """Returns a single value, or None if there is no reliable one."""
         single = self._book.single(name)
         return None if single is None or single.unreliable(self._book.cores) else single.value
 
@@ -56,6 +58,7 @@
         )  # fmt: skip
 
     def over(self) -> list[Row]:
+        """Returns the rows that exceed their budget."""
         return [row for row in self.rows() if row.worst > 1.0]
 
     def first_missing(self) -> Row | None:
@@ -65,6 +68,7 @@
     # --- by role ------------------------------------------------------------------------------------
 
     def _backend_proxy_rows(self) -> Iterator[Row]:
+        """Yields the rows of a proxy beside a backend."""
         target, mild, harsh = self.target, self.mild, self.harsh
         role = "proxy beside a backend"
         latency_budget = Budget(target.added_us, "target: 1.3 ms added to a call")
@@ -416,6 +420,7 @@
         )
 
     def _discovery_rows(self) -> Iterator[Row]:
+        """Yields the rows of discovery."""
         target, mild, harsh = self.target, self.mild, self.harsh
         role = "discovery"
         link_budget = Budget(
@@ -510,6 +515,7 @@
         )
 
     def _backend_rows(self) -> Iterator[Row]:
+        """Yields the rows of a backend and its callers."""
         mild, harsh = self.mild, self.harsh
         measure_names = "callers.zone", "callers.zones"
         yield Row(
@@ -576,6 +582,7 @@
         )
 
     def _chain_rows(self) -> Iterator[Row]:
+        """Yields the rows of a call along a chain of services."""
         slowed_depths = (5, 6, 7, 8, 10, 20, 30)
         target, mild, harsh = self.target, self.mild, self.harsh
         sends_budget = Budget(
--- a/pepperusher/capacity/scenes.py
+++ b/pepperusher/capacity/scenes.py
@@ -34,6 +34,7 @@
 
 
 def _exit_with_verdict(result: dict[str, Any]) -> None:
+    """Ends the program with status 0 if the run passed, else with 1."""
     sys.exit(0 if result["verdict"] == "passed" else 1)
 
 
--- a/pepperusher/capacity/slope_commands.py
+++ b/pepperusher/capacity/slope_commands.py
@@ -42,6 +42,7 @@
 
 
 def _machine() -> str:
+    """Describes this machine."""
     return f"{os.cpu_count()} cores, Python {platform.python_version()}"
 
 
@@ -54,14 +55,17 @@
 
 
 def write(path: Path, book: Book) -> None:
+    """Writes the results to a file."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(book), indent=1) + b"\n")
 
 
 def _load() -> float:
+    """Returns the load average of the last minute."""
     return os.getloadavg()[0]
 
 
 def _sizes(_: click.Context, __: click.Parameter, text: str | None) -> list[int] | None:
+    """Parses the option --sizes."""
     if text is None:
         return None
     sizes = [int(part) for part in text.split(",") if part.isdecimal()]
@@ -189,6 +193,7 @@
 
 
 def summary_line(measured: Measured) -> str:
+    """Returns a line that summarizes a measured slope."""
     fit, check = measured.fit(), measured.check()
     return (
         f"{measured.name}: {measured.what}: {fit.base:.4g} + {fit.slope:.4g} ({fit.low:.4g} to {fit.high:.4g})"
--- a/pepperusher/capacity/slopes.py
+++ b/pepperusher/capacity/slopes.py
@@ -34,6 +34,7 @@
 
 
 def _decision_measures() -> Iterator[Measure]:
+    """Yields the measurements of one call."""
     for group in (1, 24, 1000):
         yield Measure(
             f"decision.group{group}",
@@ -64,6 +65,7 @@
 
 
 def _endpoint_list_measures() -> Iterator[Measure]:
+    """Yields the measurements of the endpoint list."""
     for name, what, unit, reliability, measure, repeats in (
         ("list.bytes", "a whole list, as it is sent", "bytes", COUNTED, decisions.list_bytes, 1),
         ("list.parse", "reading it, on the loop that carries calls", "us", TIMED, decisions.list_parse, REPEATS),
@@ -84,6 +86,7 @@
 
 
 def _arc_measures() -> Iterator[Measure]:
+    """Yields the measurements of the connections between proxies and backends."""
     for zones, zones_text in ((None, "one zone"), (ZONES, "13 zones")):
         key = "zones" if zones else "zone"
         yield Measure(
@@ -111,6 +114,7 @@
 
 
 def _membership_measures() -> Iterator[Measure]:
+    """Yields the measurements of group membership."""
     for name, what, unit, reliability in (
         ("messages", "messages out of one member a second, at rest", "messages/s", COUNTED),
         ("bytes", "bytes out of one member a second, at rest", "bytes/s", COUNTED),
@@ -155,6 +159,7 @@
 
 
 def _discovery_measures() -> Iterator[Measure]:
+    """Yields the measurements of discovery."""
     server_text = "a call worked through in 4 ms, 64 waiting"
     for name, what, unit, figure, after_outage in (
         ("start_calls", f"calls as all start within a second, {server_text}", "calls", "calls", False),
@@ -187,6 +192,7 @@
 
 
 def _configuration_measures() -> Iterator[Measure]:
+    """Yields the measurements of the configuration file and the settings."""
     sizes, held_out = (5, 10, 20, 40, 60, 100), 200
     for name, what, unit, reliability, measure, repeats in (
         ("bytes", "an own file", "bytes", COUNTED, decisions.config_bytes, 1),
@@ -211,6 +217,7 @@
 
 
 def _process_measures() -> Iterator[Measure]:
+    """Yields the measurements of proxy processes."""
     yield Measure(
         "process.memory",
         BACKEND_PROXY,
@@ -284,6 +291,7 @@
 
 
 def _latency_measures() -> Iterator[Measure]:
+    """Yields the measurements of the latency that one proxy adds."""
     sizes, held_out = (24, 100, 250, 500, 1000), 2500
     for figure, label in (("p50", "the middle"), ("p99", "the 99th of 100")):
         yield Measure(
@@ -324,6 +332,7 @@
 
 
 def _control_state_measures() -> Iterator[Measure]:
+    """Yields the measurements of the state of control machines and their clients."""
     sizes, held_out = (5, 10, 20, 40, 60, 100), 200
     yield Measure(
         "control.state.subscriber",
@@ -377,6 +386,7 @@
 
 
 def _control_connection_measures() -> Iterator[Measure]:
+    """Yields the measurements of the connections of a control machine."""
     for name, what, lost_machines in (
         ("control.fullest", "connections of the fullest of nine machines", 0),
         ("control.fullest_lost", "the same with one of them lost", 1),
@@ -395,6 +405,7 @@
 
 
 def _configured_proxy_measures() -> Iterator[Measure]:
+    """Yields the measurements of a proxy process that gets its configuration from control machines."""
     for name, what, unit in (
         ("memory", "memory of a whole proxy that a control machine tells (RSS), 24 listed", "bytes"),
         ("rest_cpu", "its processor time a second at rest", "us/s"),
--- a/pepperusher/capacity/standins.py
+++ b/pepperusher/capacity/standins.py
@@ -32,6 +32,7 @@
         self._transport = transport
 
     def send(self, caller: CallerConnection, head: bytes) -> None:
+        """Sends a request for a caller."""
         self._caller, self._buffer = caller, b""
         self._transport.write(head)
 
@@ -68,6 +69,7 @@
         self.idle_connections: list[NextHopConnection] = []  # a connection is removed when it is used or closed
 
     async def open(self) -> int:
+        """Starts to listen; returns the port."""
         server = await asyncio.get_running_loop().create_server(
             lambda: CallerConnection(self), "127.0.0.1", 0, backlog=1024
         )
@@ -75,6 +77,7 @@
         return port
 
     async def forward(self, caller: CallerConnection, head: bytes) -> None:
+        """Forwards a request to the next hop, on a new connection if none is idle."""
         assert self.next_hop is not None
         if self.idle_connections:
             self.idle_connections.pop().send(caller, head)
@@ -130,6 +133,7 @@
         self._discoveries: list[StandInDiscovery] = []
 
     async def execute(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Executes an order and returns the answer."""
         if order["do"] == "open":
             services = [Service() for _ in range(order["services"])]
             self._services += services
@@ -158,6 +162,7 @@
 
 
 async def main() -> None:
+    """Executes orders until the end of standard input."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/pepperusher/capacity/target.py
+++ b/pepperusher/capacity/target.py
@@ -128,6 +128,7 @@
     before: tuple[float | None, float | None] | None = None
 
     def ratio(self, value: float | None) -> float | None:
+        """Returns the ratio of a value to the budget, or None without a value or a budget."""
         return None if value is None or self.budget is None else value / self.budget.value
 
     @property
@@ -138,6 +139,7 @@
 
     @property
     def missing(self) -> bool:
+        """Returns whether no existing mechanism addresses the cost."""
         return self.mechanism.startswith(MISSING)
 
 
--- a/pepperusher/capacity/watch_costs.py
+++ b/pepperusher/capacity/watch_costs.py
@@ -43,6 +43,7 @@
         self._tasks: set[asyncio.Task[None]] = set()  # each task removes itself when it ends
 
     async def open(self) -> None:
+        """Starts to listen, on the same port as before after `stop`."""
         self._server = await asyncio.start_server(self._on_connection, "127.0.0.1", self.port, backlog=4096)
         self.port = self._server.sockets[0].getsockname()[1]
         self._heartbeats = asyncio.create_task(self._send_heartbeats())
@@ -62,6 +63,7 @@
 
     @property
     def watching(self) -> int:
+        """Returns the number of watches."""
         return len(self._watching)
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -118,6 +120,7 @@
 
 
 def _chunk(data: bytes) -> bytes:
+    """Returns an HTTP chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -136,12 +139,14 @@
 
 
 async def _wait_until(condition: Callable[[], bool]) -> None:
+    """Polls until the condition is true. Raises TimeoutError after TIMEOUT_S."""
     async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_S)
 
 
 async def _run(watchers: int, seed: int) -> WatchCosts:
+    """Measures the watches of `watchers` proxies: start, one change, outage and return."""
     discovery = StandInDiscovery(LISTED)
     await discovery.open()
     watches: list[Discovery] = []
