--- a/pepperusher/capacity/call_storms.py
+++ b/pepperusher/capacity/call_storms.py
@@ -1,5 +1,5 @@
 """Simulates, in virtual time, the calls to one discovery server while many proxies start, or when it is available
-again after an outage. The proxies use their real retry delays (`policy.list_failed`); the server handles calls one by
+again after an outage. The proxies use their real retry delays (`policy.endpoint_request_failed`); the server handles calls one by
 one and rejects those that do not fit into its queue.
 """
 
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -74,7 +74,7 @@
         load,
         assumed.released / machines * imbalance,
         assumed.released / machines * imbalance * harsh,
-        "each proxy that is replaced connects anew",
+        "each proxy that is replaced connects again",
     )
     for occasion, lost_proxies, lost_machines in (
         ("a rack lost", 40, 0), ("a zone lost", target.proxies // target.zones, 1),
@@ -90,7 +90,7 @@
             staying + returning,
             moving + returning,
             returning if harsh else 0.0,
-            "and back at one moment"
+            "and all of them return at the same time"
             + (f", {lost_machines} of the nine lost with it in the harsh case" if lost_machines else ""),
         )
     # During the partition the proxies of the region use two upstreams within it, the other proxies none there.
@@ -105,7 +105,7 @@
         load,
         connecting,
         connecting if stale else 0.0,
-        "mild: a machine outside, after 60 s; harsh: one within the region, after 300 s",
+        "mild: a machine outside the region, after 60 s; harsh: one inside it, after 300 s",
     )
     yield Occasion(
         "a control machine lost",
@@ -114,9 +114,9 @@
         0.0,
         "one in eight of its connections",
     )
-    yield Occasion("all control machines restarted", load, load, 0.0, "all hold what is newest")
+    yield Occasion("all control machines restarted", load, load, 0.0, "all hold the newest version")
     yield Occasion(
-        "every proxy started", load, load, load if harsh else 0.0, "mild: from what each kept; harsh: nothing"
+        "every proxy started", load, load, load if harsh else 0.0, "mild: all have a local cache; harsh: none has"
     )
 
 
@@ -132,8 +132,8 @@
     core_budget_12_s = Budget(
         US_PER_SECOND * target.in_force_s, "own choice: one core of the control machine, over 12 s"
     )
-    link_budget = Budget(125 * MB, "own choice: one line of 1 Gbit/s")
-    link_budget_12_s = Budget(125 * MB * target.in_force_s, "own choice: one line of 1 Gbit/s, over 12 s")
+    link_budget = Budget(125 * MB, "own choice: one 1 Gbit/s link")
+    link_budget_12_s = Budget(125 * MB * target.in_force_s, "own choice: one 1 Gbit/s link, over 12 s")
 
     def row(
         occasion: str, what: str, unit: str, value_of: Callable[[Assumed, bool], float | None], budget: Budget | None,
@@ -164,7 +164,7 @@
             "proxies connected to it",
             "connections",
             connections_of,
-            Budget(MAX_SUBSCRIBERS, "the code: `subscribers` where its file names none"),
+            Budget(MAX_SUBSCRIBERS, "the code: the default of `subscribers`"),
             "rendezvous hashing (`subscriber.rank`)",
             "control.fullest",
             "control.fullest_lost",
@@ -177,7 +177,7 @@
             lambda assumed, is_harsh, connections_of=connections_of: total(  # type: ignore[misc]
                 value_by_connections("control.descriptors", connections_of(assumed, is_harsh)), peer_descriptors
             ),
-            Budget(4_096, "own choice: a usual hard limit, to which it raises its own"),
+            Budget(4_096, "own choice: a usual hard limit, to which the process raises its soft limit"),
             "`distribution/commands.py` raised",
             "control.descriptors",
             "control.fullest",
@@ -189,20 +189,20 @@
             lambda assumed, is_harsh, connections_of=connections_of: value_by_connections(  # type: ignore[misc]
                 "control.memory", connections_of(assumed, is_harsh)
             ),
-            Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
+            Budget(target.proxy_bytes, "own choice: 256 MB, as for a proxy"),
             SERVER,
             "control.memory",
-            note="one resource; the resources and what is subscribed to are rows of their own",
+            note="with one resource; resources and subscriptions have rows of their own",
         )
     yield row(
         "always",
         "state: subscribers, one resource each",
         "bytes",
         lambda assumed, is_harsh: value_by_connections("control.state.subscriber", connections(assumed, is_harsh)),
-        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
-        "`publisher.py` Subscriber, Proxy",
+        Budget(target.proxy_bytes, "own choice: 256 MB, as for a proxy"),
+        "`publisher.py` Subscriber, ProxyRecord",
         "control.state.subscriber",
-        note="without the kernel's and asyncio's part of a connection",
+        note="without the memory of the kernel and asyncio for a connection",
     )
     subscription_bytes = (value_at("control.state.subscription", 2), value_at("control.state.subscription", 1))
     bytes_a_subscription = (
@@ -217,19 +217,19 @@
         lambda assumed, is_harsh: product(
             connections(assumed, is_harsh), bytes_a_subscription, 6.0 if is_harsh else 0.0
         ),
-        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"),
-        "`publisher.py` Subscriber, Proxy",
+        Budget(target.proxy_bytes, "own choice: 256 MB, as for a proxy"),
+        "`publisher.py` Subscriber, ProxyRecord",
         "control.state.subscription",
-        note="mild: the one configuration; harsh: six further, as in the hollow runs",
+        note="mild: one configuration; harsh: six more, as in the runs with hollow proxies",
     )
     yield row(
-        "always", "state: a configuration for each of 210 services, with the versions before", "bytes",
+        "always", "state: a configuration for each of 210 services, with older versions", "bytes",
         lambda assumed, is_harsh: product(
             value_at("control.state.resource", target.services), assumed.routes / 20
         ),
-        Budget(target.proxy_bytes, "own choice: as a proxy, 256 MB"), "`publisher.py` Held",
+        Budget(target.proxy_bytes, "own choice: 256 MB, as for a proxy"), "`publisher.py` StoredResource",
         "control.state.resource",
-        note="20 routes measured; the harsh case by its 200 routes",
+        note="measured with 20 routes; the harsh case is scaled to its 200 routes",
     )  # fmt: skip
 
     def daily_rate(what: str, relay: bool = False) -> Callable[[Assumed, bool], float | None]:
@@ -271,14 +271,14 @@
             f"control.change.{what}",
             f"control.resume.{what}",
             f"control.start.{what}",
-            note="beats, the day's changes and restarts" + ("; as the origin" if relay else ""),
+            note="heartbeats, and the changes and restarts of a day" + ("; as the origin" if relay else ""),
         )
     for what, label, unit, change_budget in (
-        ("out_bytes", "bytes out for one change, of 12 s", "bytes", link_budget_12_s),
-        ("in_bytes", "bytes in for one change, of 12 s", "bytes", link_budget_12_s),
+        ("out_bytes", "bytes out for one change, over 12 s", "bytes", link_budget_12_s),
+        ("in_bytes", "bytes in for one change, over 12 s", "bytes", link_budget_12_s),
         ("out_messages", "messages out for one change", "messages", None),
         ("in_messages", "messages in for one change", "messages", None),
-        ("cpu", "processor time for one change, of 12 s", "us", core_budget_12_s),
+        ("cpu", "processor time for one change, over 12 s", "us", core_budget_12_s),
     ):
         yield row(
             "ordinary day",
@@ -291,10 +291,10 @@
                 value_at("control.relay.change", target.control_machines) if what == "out_bytes" else 0.0,
             ),
             change_budget,
-            f"{SERVER}: one delta for all that have the same base",
+            f"{SERVER}: one delta for all subscribers with the same base version",
             f"control.change.{what}",
             "control.some.out_bytes",
-            note="mild: to the proxies of one service's callers; harsh: to all",
+            note="mild: to the proxies that call one service; harsh: to all",
         )
     yield from _by_occasion(value_at, target, mild, harsh, link_budget, link_budget_12_s, core_budget, core_budget_12_s)
 
@@ -315,7 +315,7 @@
         release = mild_occasion.when == "release"
         measured = value_at("control.fullest", target.proxies) is not None
         durations = (mild.release_s, harsh.release_s) if release else (target.in_force_s, target.in_force_s)
-        duration_text = "a second" if release else "of 12 s"
+        duration_text = "a second" if release else "over 12 s"
         admission_seconds = [
             2 * occasion.connecting / ADMITTED_A_SECOND for occasion in (mild_occasion, harsh_occasion)
         ]
@@ -327,14 +327,14 @@
             yield Row(
                 MACHINE,
                 mild_occasion.when,
-                "seconds until all that connect are admitted",
+                "seconds until all connecting proxies are admitted",
                 "s",
                 admission_seconds[0] if measured else None,
                 admission_seconds[1] if measured else None,
                 Budget(target.in_force_s, "target: in force everywhere within 12 s"),
                 "`admission.py` ADMITTED_A_SECOND, ADMITTED_AT_ONCE",
                 ("control.fullest",),
-                f"by the code's rates; {mild_occasion.note}",
+                f"by the limits in the code; {mild_occasion.note}",
             )
         for what, label, unit in (
             ("out_bytes", "bytes out", "bytes"), ("in_bytes", "bytes in", "bytes"),
@@ -392,27 +392,27 @@
     yield Row(
         role,
         "always",
-        "state: what it has of control machines",
+        "state: its data from control machines",
         "bytes",
         value_at("client.state", mild.routes),
         value_at("client.state", harsh.routes),
         memory_budget,
-        f"{CLIENT}, `keeping.py`",
+        f"{CLIENT}, `resource_cache.py`",
         ("client.state",),
         extra_note,
     )
     yield Row(
         role,
         "always",
-        "processor time a second of an idle process that control machines tell",
+        "processor time a second of an idle process that control machines configure",
         "us/s",
         value_at("client.whole.rest_cpu", mild.routes),
         value_at("client.whole.rest_cpu", harsh.routes),
         cpu_budget,
-        f"{CLIENT}, `net/distributed_configuration.py`, timers of what is in force",
+        f"{CLIENT}, `net/distributed_configuration.py`, timers of the active configuration",
         ("client.whole.rest_cpu",),
         _join_notes(
-            "24 listed; most of what 200 routes add is one sweep that looks through all routes for each"
+            "24 listed; most of the cost of 200 routes is one sweep that searches all routes for each route"
             " (docs/results.md)",
             extra_note,
         ),
@@ -420,14 +420,14 @@
     yield Row(
         role,
         "always",
-        "memory of an idle process that control machines tell",
+        "memory of an idle process that control machines configure",
         "bytes",
         value_at("client.whole.memory", mild.routes),
         value_at("client.whole.memory", harsh.routes),
         memory_budget,
         f"{CLIENT}, `net/distributed_configuration.py`",
         ("client.whole.memory",),
-        _join_notes("24 listed; what is listed adds as in the row without control machines", extra_note),
+        _join_notes("24 listed; longer lists add as much as without control machines", extra_note),
     )
     for resource, label, unit, budget in (
         ("bytes", "bytes a second in and out with control machines", "bytes/s", bandwidth_budget),
@@ -456,14 +456,14 @@
                 *(["client.whole.change_cpu"] * (resource == "cpu")),
             ),
             _join_notes(
-                "beats and the day's changes; a release, a rack, a zone or a region lost bring no more of"
-                " it, since lists do not come this way",
+                "heartbeats and the changes of a day; a release or the loss of a rack, zone or region adds"
+                " nothing, since control machines do not send endpoint lists",
                 extra_note,
             ),
         )
     for resource, label, unit, budget in (
-        ("bytes", "bytes in and out for one change, of 12 s", "bytes", bandwidth_budget_12_s),
-        ("cpu", "processor time for one change, of 12 s", "us", cpu_budget_12_s),
+        ("bytes", "bytes in and out for one change, over 12 s", "bytes", bandwidth_budget_12_s),
+        ("cpu", "processor time for one change, over 12 s", "us", cpu_budget_12_s),
     ):
         values = [
             total(
@@ -499,16 +499,16 @@
         (
             "healing of a cut",
             ((0.5, False), (1.0, True)),
-            "harsh: both upstreams anew, and what it has is too old for a delta",
+            "harsh: connects to both upstreams again, with a version too old for a delta",
         ),
-        ("a control machine lost", ((0.0, False), (0.5, False)), "mild: not one of its two; harsh: one of them"),
-        ("all control machines restarted", ((1.0, False), (1.0, False)), "with nothing newer"),
-        ("every proxy started", ((1.0, False), (1.0, True)), "mild: from what it kept; harsh: nothing kept"),
+        ("a control machine lost", ((0.0, False), (0.5, False)), "mild: neither of its two; harsh: one of them"),
+        ("all control machines restarted", ((1.0, False), (1.0, False)), "without a newer version"),
+        ("every proxy started", ((1.0, False), (1.0, True)), "mild: has a local cache; harsh: has none"),
     ):
         for resource, label, unit, budget in (
-            ("bytes", "bytes in and out with control machines, of 12 s", "bytes", bandwidth_budget_12_s),
-            ("messages", "messages in and out with control machines, of 12 s", "messages", None),
-            ("cpu", "processor time for control machines, of 12 s", "us", cpu_budget_12_s),
+            ("bytes", "bytes in and out with control machines, over 12 s", "bytes", bandwidth_budget_12_s),
+            ("messages", "messages in and out with control machines, over 12 s", "messages", None),
+            ("cpu", "processor time for control machines, over 12 s", "us", cpu_budget_12_s),
         ):
             values = []
             for assumed, (reconnections, sent_whole) in zip((mild, harsh), cases):
@@ -575,8 +575,8 @@
         in_force_budget,
         "`distribution` (9 control machines): `ctl publish`, waves, acknowledgements",
         ("operator.publish", "control.change.cpu"),
-        "after: the processor time of `ctl publish` and of one control machine for it, one after the other;"
-        " harsh: and two waves that wait to their end for proxies that are frozen. A least: by the clock, at"
+        "after: the processor time of `ctl publish` and then of one control machine;"
+        " harsh: and two waves that last to their limit because of frozen proxies. A lower bound: for the elapsed time at"
         " 5,000 hollow proxies, see After the mechanism",
         (one_by_one.spent, one_by_one.spent),
     )
@@ -589,7 +589,7 @@
         seconds_a_day,
         seconds_a_day,
         Budget(SECONDS_PER_DAY, "a day"),
-        "`distribution`: one `ctl publish` a change, however many take it",
+        "`distribution`: one `ctl publish` a change, for any number of subscribers",
         ("operator.publish",),
         "after: processor time of `ctl publish`; before, mild: each change concerns one service",
         (None if one_by_one.day is None else one_by_one.day / target.services, one_by_one.day),
--- a/pepperusher/capacity/front_rows.py
+++ b/pepperusher/capacity/front_rows.py
@@ -15,7 +15,7 @@
 
 FRONT_PROXY = "front proxy"
 CLIENT_CONNECTIONS = 2_000
-SAME_NOTE = "not different from a proxy beside a backend"
+SAME_NOTE = "the same as for a proxy beside a backend"
 
 
 def rows(value_at: ValueAt, target: Target, mild: Assumed, harsh: Assumed) -> Iterator[Row]:
@@ -23,7 +23,8 @@
     cases = mild, harsh
     arc_measures = "arc.zone", "arc.zones"
     socket_budget = Budget(
-        1_024, "own choice: `net/bootstrap.py` SOCKETS, a proxy's descriptors where its configuration names none"
+        1_024,
+        "own choice: `net/bootstrap.py` SOCKETS, the descriptors of a proxy whose configuration does not set them",
     )
     memory_budget = Budget(target.proxy_bytes, "target: 256 MB")
     core_budget = Budget(US_PER_SECOND, "own choice: one core, since a proxy is one process")
@@ -34,11 +35,11 @@
     yield Row(
         FRONT_PROXY,
         "always",
-        "backends it keeps connections to",
+        "backends that it is connected to",
         "connections",
         *backend_connections,
         socket_budget,
-        "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND)",
+        "subsets (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND)",
         arc_measures,
         "its list is longer: see the assumptions",
     )
@@ -51,12 +52,12 @@
             )
             for assumed in cases
         ),
-        memory_budget, "`net/callers.py`, the list as it is sent", ("connection.memory", "process.memory"),
+        memory_budget, "`net/callers.py`, the whole endpoint list", ("connection.memory", "process.memory"),
     )  # fmt: skip
     yield Row(
         FRONT_PROXY, "always", f"descriptors with {CLIENT_CONNECTIONS:,} connections of clients", "descriptors",
         *(total(value_at("connection.descriptors", CLIENT_CONNECTIONS), connections) for connections in backend_connections), socket_budget,
-        "`net/callers.py`: the idle one of longest is closed at the limit",
+        "`net/callers.py`: at the limit the connection idle longest is closed",
         ("connection.descriptors", *arc_measures), "its configuration must name more sockets",
     )  # fmt: skip
     calls = [target.calls * assumed.entering / assumed.fronts for assumed in cases]
@@ -68,9 +69,9 @@
         calls[0],
         calls[1],
         None,
-        "one process; nothing shares its calls with another",
+        "a single process; no other shares its calls",
         (),
-        "own choice, see the assumptions; beside a backend 72 a second",
+        "own choice, see the assumptions; a proxy beside a backend has 72 a second",
     )
     cpu_us_a_call = [value_at("added.calm.cpu", 1_000)] * 2
     yield Row(
@@ -83,7 +84,7 @@
         core_budget,
         "the whole proxy, on one core",
         ("added.calm.cpu",),
-        "by the processor time of a call at 72 calls a second, load beside the slope",
+        "by the processor time of a call at 72 calls a second, load given with the slope",
     )
     yield Row(
         FRONT_PROXY, "ordinary day", "processor time a second: process and membership at rest", "us/s",
@@ -98,10 +99,10 @@
         yield Row(
             FRONT_PROXY, occasion, "bytes a second in for changes of its list", "bytes/s",
             *(product(rate * assumed.front_listed / target.proxies, bytes_a_change) for rate, assumed in zip(rates, cases)), bandwidth_budget,
-            "`net/discovery.py`", ("discovery.change_bytes",), "harsh: as a proxy that lists all",
+            "`net/discovery.py`", ("discovery.change_bytes",), "harsh: its list has all backends",
         )  # fmt: skip
     yield Row(
-        FRONT_PROXY, "release", "processor time a second with the list's changes", "us/s",
+        FRONT_PROXY, "release", "processor time a second for changes of the list", "us/s",
         *(
             total(
                 value_at("process.idle", assumed.front_listed),
@@ -109,31 +110,31 @@
             )
             for assumed in cases
         ),
-        cpu_budget, "`facade.listed`, which lays every ring anew for each change", ("process.idle", "list.change"),
+        cpu_budget, "`facade.update_endpoints`, which rebuilds every ring for each change", ("process.idle", "list.change"),
     )  # fmt: skip
     for occasion, lost_backends in (
         ("a rack lost", 40), ("a zone lost", target.proxies // target.zones),
         ("a region lost", target.proxies * 4 // target.zones),
     ):  # fmt: skip
         yield Row(
-            FRONT_PROXY, occasion, f"bytes in for {lost_backends:,} changes of the list, of 12 s", "bytes",
+            FRONT_PROXY, occasion, f"bytes in for {lost_backends:,} changes of the list, over 12 s", "bytes",
             *(product(lost_backends * assumed.front_listed / target.proxies, bytes_a_change) for assumed in cases), bandwidth_budget_12_s,
             "`net/discovery.py`", ("discovery.change_bytes",),
         )  # fmt: skip
         yield Row(
             FRONT_PROXY, occasion, "connections to backends that are lost and opened elsewhere", "connections",
-            *(product(connections, lost_backends / target.proxies) for connections in backend_connections), socket_budget, "arcs; `net/backends.py`", arc_measures,
-            "as many as of its list are lost",
+            *(product(connections, lost_backends / target.proxies) for connections in backend_connections), socket_budget, "subsets; `net/backends.py`", arc_measures,
+            "the same fraction as of its list is lost",
         )  # fmt: skip
     yield Row(
-        FRONT_PROXY, "every proxy started", "bytes of its list, of 12 s", "bytes",
+        FRONT_PROXY, "every proxy started", "bytes of its list, over 12 s", "bytes",
         *(value_at("list.bytes", assumed.front_listed) for assumed in cases), bandwidth_budget_12_s,
         "missing: a subscription by name (every proxy is sent the whole list)", ("list.bytes",),
     )  # fmt: skip
     yield Row(
-        FRONT_PROXY, "every proxy started", "how long a whole list holds the loop", "us",
+        FRONT_PROXY, "every proxy started", "how long a whole list blocks the event loop", "us",
         *(total(value_at("list.parse", assumed.front_listed), value_at("list.take", assumed.front_listed)) for assumed in cases), None,
-        "`net/discovery.py`, at once on the loop", ("list.parse", "list.take"),
+        "`net/discovery.py`, in one step on the event loop", ("list.parse", "list.take"),
     )  # fmt: skip
     yield from control_rows.proxy_rows(value_at, target, mild, harsh, FRONT_PROXY, SAME_NOTE)
 
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -83,7 +83,7 @@
     "harsh",
     "budget",
     "ratio mild, harsh",
-    "mechanism that carries it",
+    "mechanism",
     "from",
 )
 
@@ -104,7 +104,7 @@
         measured.what,
         f"{_format_number(fit.base)} + {fit.slope:.3g} ({fit.low:.3g} to {fit.high:.3g}) {measured.unit} by {curve}",
         f"{fit.residual:.1%}",
-        f"{check.size:,.0f}: {_format_number(check.predicted)} said, {_format_number(check.measured)} measured, **{check.error:+.1%}**",
+        f"{check.size:,.0f}: {_format_number(check.predicted)} predicted, {_format_number(check.measured)} measured, **{check.error:+.1%}**",
         f"`{measured.command}` at {measured.commit}: {', '.join(f'{size:,.0f}' for size, _ in measured.points)};"
         f" {measured.worth}, {measured.repeats} each{load}",
     ]
@@ -125,8 +125,8 @@
     assert worst.before is not None
     yield (
         f"**Chosen before:** {worst.role}: {worst.what}, {format_value(worst.before[1], worst.unit)}, **"
-        f"{_format_ratio(worst.ratio(worst.before[1]))} times** its budget, the row furthest over it that no"
-        f" mechanism carried: **distribution was missing** then. It is there now and carries these rows,"
+        f"{_format_ratio(worst.ratio(worst.before[1]))} times** its budget, the row furthest over it without a"
+        f" mechanism: **distribution was missing** then. It exists now and addresses these rows,"
         f" which are no longer among those without a mechanism:"
     )
     yield ""
@@ -140,7 +140,7 @@
             "ratio",
             "after: mild, harsh",
             "ratio",
-            "mechanism that carries it",
+            "mechanism",
             "from",
         ),
         (
@@ -168,7 +168,7 @@
     yield from _addressed_rows(projection)
     first_missing = projection.first_missing()
     if first_missing is None:
-        yield "No row that is over its budget is without a mechanism, as far as it was measured."
+        yield "Every measured row over its budget has a mechanism."
         return
     yield (
         f"**Next: {first_missing.role}: {first_missing.what}** ({first_missing.when}): {format_value(first_missing.mild, first_missing.unit)} mild,"
@@ -183,7 +183,7 @@
         if row.missing and row != first_missing:
             yield _summary(row)
     yield ""
-    yield "Over budget with a mechanism that is there and does not suffice:"
+    yield "Over budget although a mechanism exists:"
     yield ""
     for row in projection.over():
         if not row.missing:
@@ -194,22 +194,22 @@
     "largest": "backends of the largest of the 210 services (mean 24)",
     "called": "services that one proxy calls",
     "listed": "backends on the list of one proxy (mild: of the services that it calls; harsh: all, since"
-    " nothing is sent by name)",
+    " there is no subscription by name)",
     "group": "group size in a proxy's settings",
-    "callers": "proxies that call the service that most call",
-    "zoned": "settings name all 13 zones",
+    "callers": "proxies that call the service with the most callers",
+    "zoned": "the settings name all 13 zones",
     "released": "backends replaced in one release",
-    "release_s": "within so many seconds",
+    "release_s": "duration of a release in seconds",
     "members": "members of one group of proxies",
-    "routes": "routes in an own file",
-    "concerned": "part of the changes of configuration that concern one proxy",
-    "marked": "backends banned or drained by hand at once",
-    "failing": "levels of a chain that fail at once",
-    "share": "part of their calls that they fail",
+    "routes": "routes in the configuration file of a proxy",
+    "concerned": "fraction of the configuration changes that apply to one proxy",
+    "marked": "backends banned or drained by an operator at the same time",
+    "failing": "levels of a chain that fail at the same time",
+    "share": "fraction of the calls that such a level fails",
     "fronts": "front proxies",
-    "entering": "part of all calls that come in by way of front proxies",
+    "entering": "fraction of all calls that enter through front proxies",
     "front_listed": "backends on the list of a front proxy",
-    "apart_s": "seconds for which regions lose each other",
+    "apart_s": "seconds of a partition between regions",
 }
 
 
@@ -233,7 +233,7 @@
         if not measured_occasions:
             yield f"- **{role}**: every occasion."
         elif missing_occasions:
-            always_text = ", beside what holds always" if "always" in measured_occasions else ""
+            always_text = ", besides the rows for always" if "always" in measured_occasions else ""
             yield f"- {role}: nothing of its own for {', '.join(missing_occasions)}{always_text}."
 
 
@@ -242,15 +242,15 @@
     yield from _table(
         (
             "attempts along 30 levels",
-            "a call, the first 20",
-            "a call, later",
-            "the worst call",
-            "at the last level",
-            "calls done",
+            "sends a call, first 20",
+            "sends a call, later",
+            "sends of the worst call",
+            "sends at the last level",
+            "calls that succeeded",
         ),
         (
             [
-                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, passed up as {reply}",
+                f"{failing} level{'s' * (failing > 1)} fail{'s' * (failing == 1)} {share}%, answered as {reply}",
                 *(
                     "not measured"
                     if (single := book.single(f"attempts.{reply}.{share}.{failing}.{field}")) is None
@@ -278,13 +278,13 @@
     """Yields the table of the chains whose services became slower."""
     factors = (1, 2, 3, 5, 10)
     yield from _table(
-        ("levels", "attempts of each proxy", *(f"services take {one} times as long" for one in factors)),
+        ("levels", "attempts of each proxy", *(f"services take {factor} times as long" for factor in factors)),
         (
-            [str(depth), str(most), *(
-                "not measured" if (one := book.single(f"slowed.{most}.{depth}.{factor}")) is None
-                else _format_number(one.value) for factor in factors
+            [str(depth), str(max_attempts), *(
+                "not measured" if (single := book.single(f"slowed.{max_attempts}.{depth}.{factor}")) is None
+                else _format_number(single.value) for factor in factors
             )]
-            for most in (3, 1) for depth in (5, 6, 7, 8, 10, 20, 30)
+            for max_attempts in (3, 1) for depth in (5, 6, 7, 8, 10, 20, 30)
         ),
     )  # fmt: skip
 
@@ -343,14 +343,14 @@
     yield from _table(
         (
             "chain",
-            "99th without proxies",
-            "99th with them",
-            "added at the 99th",
-            "added at the middle",
-            "processor time of the last proxy, a call",
+            "99th percentile without proxies",
+            "99th percentile with proxies",
+            "added at the 99th percentile",
+            "added at the median",
+            "processor time a call of the last proxy",
             "calls failed",
             "calls",
-            "load beside it",
+            "load",
         ),
         rows,
     )
@@ -364,22 +364,22 @@
         "# Capacity: what runs out first on the way to 5,000 proxies",
         "",
         "Printed by `pepperusher capacity project --slopes docs/capacity.json --page docs/CAPACITY.md`;"
-        " nothing here is written by hand but what"
-        " stands between the marks of the after-figures. A slope is a least-squares fit over five sizes or"
+        " only the section between"
+        " the `after` marks is written by hand. A slope is a least-squares fit over five sizes or"
         " more, checked at a size that was not"
         f" fitted. {book.machine}; the machine was shared, so times (medians, of `time.process_time` where"
-        f" one process is measured) are worth"
-        " what the load beside them says. A reference loop is the same 200,000 turns of plain Python, timed"
-        " between the sizes: where all cores are busy they slow each other, and processor time is longer for"
-        " the same work, by up to twice (docs/results.md). Counts are exact. A commit with a plus had changes"
-        " that were not committed.",
+        f" one process is measured) depend on"
+        " the load that is given with them. The reference loop is 200,000 turns of plain Python, timed"
+        " between the sizes: when all cores are busy they slow each other down, and the same work takes up to"
+        " twice the processor time (docs/results.md). Counts are exact. A commit with a plus had uncommitted"
+        " changes.",
         "",
         f"The target: {target.proxies:,} backends, each with its proxy, in {target.services} services;"
         f" {target.calls:,.0f} calls a second up to"
-        f" {target.depth} deep; {target.added_us / 1000:g} ms added to a call for 99 in 100;"
+        f" {target.depth} levels deep; {target.added_us / 1000:g} ms added to a call at the 99th percentile;"
         f" {target.regions} regions, {target.zones} zones;"
         f" {target.changes_a_day:,} changes of configuration a day in force within {target.in_force_s:g}"
-        f" s; for control a proxy spends"
+        f" s; for control traffic a proxy uses"
         f" {target.proxy_cpu_us / 10_000:g}% of a core, {target.proxy_bytes / 1e6:g} MB and"
         f" {target.proxy_wire / 1000:g} KB a second; {target.control_machines}"
         f" control machines; {target.failures_a_day} failures and {target.restarts_a_day:,} restarts a day.",
@@ -408,15 +408,15 @@
         "",
         "## Slopes",
         "",
-        "What is counted is fitted by the curve that leaves least (line, n log n, log n, root of n, n"
-        " squared), if it leaves under half of a"
-        " line's residuals; what is timed, by a line, or by the curve that the code gives (n over 400: of a"
-        " list of fewer than 400 backends an arc is as long in a group of 1,000; n + n squared / 84: each of"
-        " n looks through all as well, which is as much at 84). Intervals are at 95%, the residual is the"
-        " mean absolute one as a part of the mean value.",
+        "Counts are fitted by the curve with the smallest residual (line, n log n, log n, root of n, n"
+        " squared), if that is under half of the"
+        " line's; times by a line, or by a curve that follows from the code (n over 400: with a group size"
+        " of 1,000 all lists of fewer than 400 backends give subsets of the same size; n + n squared / 84: each of n"
+        " routes searches all routes, which takes as long as the rest at 84). Intervals are at 95%; the residual is the"
+        " mean absolute residual as a fraction of the mean value.",
         "",
         *_table(
-            ("slope", "what", "base + slope (95%)", "residual", "at a size not fitted", "how"),
+            ("slope", "what", "base + slope (95%)", "residual", "at the held-out size", "how"),
             [
                 slope_cells(measured, book.cores)
                 for measured in sorted(book.measured, key=lambda measured: measured.name)
@@ -425,35 +425,35 @@
         "",
         "## Attempts along a chain",
         "",
-        "`pepperusher capacity slopes --only attempts`. The real decisions in virtual time, one call from"
-        " the top at a time, 2 s of patience, 1 ms of work at each level, 24 backends. Without a"
-        " bound three attempts at each of 30 levels come to 3^30. What stops it: RETRY_BUDGET_RATIO (0.2 further"
-        " sends for each call taken) at each"
-        " proxy, and the client's wait; RETRY_BUDGET_MAX (10 saved up) makes the first calls the dearest. A"
-        " failure that is passed up as `full` never"
-        " ran, and is not held to RETRY_BUDGET_RATIO.",
+        "`pepperusher capacity slopes --only attempts`. The real decisions in virtual time, one call of the"
+        " client at a time, client timeout 2 s, 1 ms of work at each level, 24 backends. Without a"
+        " limit three attempts at each of 30 levels would give 3^30 sends. Two things limit them: RETRY_BUDGET_RATIO"
+        " (0.2 retries for each call) at each"
+        " proxy, and the client's timeout; RETRY_BUDGET_MAX (10 saved retries) makes the first calls cost the most. A"
+        " call that failed with the reply `full` was"
+        " not executed, and its retry does not count against RETRY_BUDGET_RATIO.",
         "",
         *_attempts_table(book),
         "",
-        "Warmed at 1 ms a service, which then take longer, none of them failing: the part of calls done,"
-        " after the first 20 (simulated). Each level leaves the next half of what is left, until that is"
-        " little more than what was usual (`policy.py` _patience); from there on each level has what was"
-        " usual once, and what is cut at its end is sent again. Five lost answers in a row with nothing heard"
-        " tell a longer usual time (`policy.py` _count); before that no call came through again from eight"
-        " levels on. With one attempt a level leaves all.",
+        "Chains warmed up with services that take 1 ms, which then become slower without failing: the fraction of"
+        " calls that succeed, after the first 20 (simulated). Each level gives the next one half of the remaining time,"
+        " until little more than the usual duration remains; from there on each level gives the usual"
+        " duration, and calls that time out are retried. Five time-outs in a row without any answer"
+        " raise the usual duration (`policy.py`); without that rule no call completed again along eight or more"
+        " levels. With a single attempt a level gives all the remaining time.",
         "",
         *_slowed_chain_table(book),
         "",
-        "## A chain of whole proxies",
+        "## A chain of proxy processes",
         "",
         "`pepperusher capacity slopes --only nothing --chain --depth N --rate R --attempts A`."
-        " Where the load is over the cores, it tells"
-        " of what"
-        " else ran, and is not projected. Where over 1 in 100 calls failed in each round no time is told,"
-        " since those that fail end early. Open loop, Poisson, latency from the"
-        " intended moment of sending, against the same services without proxies; medians over the rounds."
-        " Where calls are told, so many are behind the figures, all rounds together; where none are, the"
-        " quieter of two rounds of 10 s counts, and at 8 calls a second the 99th of 100 is the worst of some"
+        " A result with a load above the number of cores depends"
+        " on other"
+        " processes and is not projected. If more than 1 in 100 calls failed in each round, no latency is given,"
+        " since failed calls end early. Open loop, Poisson arrivals, latency from the"
+        " intended time of sending, compared with the same services without proxies; medians over the rounds."
+        " The column calls has the calls of all rounds; where it shows -, the result is that of the"
+        " quieter of two rounds of 10 s, and at 8 calls a second the 99th percentile is the worst of about"
         " 80.",
         "",
         *_chain_table(book),
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -87,7 +87,7 @@
             decision_cost(mild),
             decision_cost(harsh),
             latency_budget,
-            "arcs of the list (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), which the settings' group size turns off at 1",
+            "subsets of the list (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND); a group size of 1 in the settings turns them off",
             ("decision.group1", "decision.group1000"),
             "linear in the list only where the group size is small against PROXIES_PER_BACKEND x the list",
         )
@@ -99,7 +99,7 @@
             self._value_at("process.memory", mild.listed),
             self._value_at("process.memory", harsh.listed),
             memory_budget,
-            "the list as it is sent, all of it kept",
+            "the proxy keeps the whole list that it is sent",
             ("process.memory",),
         )
         yield Row(
@@ -185,7 +185,7 @@
             yield Row(
                 role,
                 occasion,
-                f"bytes in for {lost_backends:,} changes of the list, of 12 s",
+                f"bytes in for {lost_backends:,} changes of the list, over 12 s",
                 "bytes",
                 product(lost_backends * mild.listed / target.proxies, bytes_a_change),
                 product(lost_backends, bytes_a_change),
@@ -197,7 +197,7 @@
         yield Row(
             role,
             "always",
-            "members of one group, each proxy one",
+            "proxies that are members of one group",
             "members",
             float(mild.members),
             float(harsh.members),
@@ -209,12 +209,12 @@
         yield Row(
             role,
             "a region lost",
-            "backends banned or drained by hand at once",
+            "backends banned or drained by an operator at the same time",
             "notices",
             float(mild.marked),
             float(harsh.marked),
             None if max_notices is None else Budget(max_notices, "the code: `group/broadcasts.py` MOST"),
-            f"{MISSING}: marks by zone or region in place of one a backend",
+            f"{MISSING}: bans and drains by zone or region instead of by backend",
             ("notices.most",),
         )
 
@@ -237,14 +237,14 @@
                 product(membership_changes_a_second(harsh), self._value_at("group.change_bytes", harsh.members)),
             ),
             bandwidth_budget,
-            "`group/gossip_queue.py`: each word told 4 log n times, by each",
+            "`group/gossip_queue.py`: each member sends each change 4 log n times",
             ("group.bytes", "group.change_bytes"),
-            "words that share a packet cost less than one by one, so this is a bound from above",
+            "an upper bound, since changes that share a packet cost less",
         )
         yield Row(
             role,
             "every proxy started",
-            "bytes that a newcomer is sent by its group, of 12 s",
+            "bytes that a joining proxy is sent by its group, over 12 s",
             "bytes",
             self._value_at("group.sync", mild.members),
             self._value_at("group.sync", harsh.members),
@@ -255,7 +255,7 @@
         yield Row(
             role,
             "every proxy started",
-            "bytes of its list, of 12 s",
+            "bytes of its list, over 12 s",
             "bytes",
             self._value_at("list.bytes", mild.listed),
             self._value_at("list.bytes", harsh.listed),
@@ -272,7 +272,7 @@
         yield Row(
             role,
             "release",
-            "processor time a second with the list's changes",
+            "processor time a second for changes of the list",
             "us/s",
             total(
                 self._value_at("process.idle", mild.listed),
@@ -283,7 +283,7 @@
                 product(list_changes_a_second(harsh), self._value_at("list.change", harsh.listed)),
             ),
             cpu_budget,
-            "`facade.listed`, which lays every ring anew for each change",
+            "`facade.update_endpoints`, which rebuilds every ring for each change",
             ("process.idle", "list.change"),
         )
 
@@ -297,26 +297,26 @@
         yield Row(
             role,
             "release",
-            "how long one change of the list holds the loop, where over 1 call in 100 meets it",
+            "how long one change of the list blocks the event loop, if that affects more than 1 call in 100",
             "us",
             frequent_block_time("list.change", mild.listed, list_changes_a_second(mild)),
             frequent_block_time("list.change", harsh.listed, list_changes_a_second(harsh)),
             latency_budget,
-            "`facade.listed` on the loop that carries calls",
+            "`facade.update_endpoints`, on the event loop that handles calls",
             ("list.change",),
             f"the harsh release changes the list {list_changes_a_second(harsh):.1f} times a second",
         )
         yield Row(
             role,
             "every proxy started",
-            "how long a whole list holds the loop",
+            "how long a whole list blocks the event loop",
             "us",
             total(self._value_at("list.parse", mild.listed), self._value_at("list.take", mild.listed)),
             total(self._value_at("list.parse", harsh.listed), self._value_at("list.take", harsh.listed)),
             None,
-            "`net/discovery.py`, at once on the loop",
+            "`net/discovery.py`, in one step on the event loop",
             ("list.parse", "list.take"),
-            "too rare for the 99th of 100, so no budget binds",
+            "too rare to affect the 99th percentile, so there is no budget",
         )
 
         def checks_a_second(assumed: Assumed) -> float:
@@ -333,21 +333,21 @@
         yield Row(
             role,
             "ordinary day",
-            "how long the loop waits for the interpreter while an own file is checked,"
-            " where over 1 call in 100 meets it",
+            "how long the event loop waits for the interpreter lock while a configuration file is validated,"
+            " if that affects more than 1 call in 100",
             "us",
             interpreter_waits[0],
             interpreter_waits[1],
             latency_budget,
-            "`configuration/loader.py` and `configuration/validation.py`, in a thread (`net/configuration_manager.py`) beside the loop that carries calls",
+            "`configuration/loader.py` and `configuration/validation.py`, in a thread (`net/configuration_manager.py`) beside the event loop that handles calls",
             ("config.check",),
-            "each time that the loop wakes, by Python's switch interval of 5 ms; the harsh day brings a"
-            f" proxy all {target.changes_a_day} changes",
+            "each time that the event loop wakes, at most Python's switch interval of 5 ms; harsh: all"
+            f" {target.changes_a_day} changes apply to each proxy",
         )
         yield Row(
             role,
             "ordinary day",
-            "processor time a second for checking changes of configuration",
+            "processor time a second for validating configuration changes",
             "us/s",
             product(checks_a_second(mild), self._value_at("config.check", mild.routes)),
             product(checks_a_second(harsh), self._value_at("config.check", harsh.routes)),
@@ -358,7 +358,7 @@
         yield Row(
             role,
             "always",
-            "time added at the 99th of 100 by one proxy",
+            "latency added at the 99th percentile by one proxy",
             "us",
             self._single_value("chain.1.250.at72.added99"),
             self._single_value("chain.1.5000.at72.group1.added99"),
@@ -367,49 +367,49 @@
             ("chain.1.250.at72.added99", "chain.1.5000.at72.group1.added99"),
             "72 calls a second; mild: 250 listed, harsh: 5,000 at group size 1",
         )
-        for name, percentile_text in (("alone.p50", "the middle"), ("alone.p99", "the 99th of 100")):
+        for name, percentile_text in (("alone.p50", "median"), ("alone.p99", "99th percentile")):
             yield Row(
                 role,
                 "always",
-                f"processor time of a call alone in one proxy, {percentile_text}: the least that it adds",
+                f"processor time of a single call in one proxy, {percentile_text}: a lower bound of the added latency",
                 "us",
                 self._non_decreasing_value(name, mild.listed),
                 self._non_decreasing_value(name, harsh.listed),
                 latency_budget,
                 "the whole proxy",
                 (name,),
-                "group size 1,000, 400 calls some 10 ms apart, load beside the slope; neither its wait for a"
-                " processor nor for the loop behind other calls",
+                "group size 1,000, 400 calls about 10 ms apart, load given with the slope; without the wait for a"
+                " processor and behind other calls",
             )
         yield Row(
             role,
             "always",
-            f"processor time of a call along {target.depth} proxies in a row: the least that they add",
+            f"processor time of a call along {target.depth} proxies in a row: a lower bound of the added latency",
             "us",
             product(self._non_decreasing_value("alone.p50", mild.listed), float(target.depth)),
             product(self._non_decreasing_value("alone.p50", harsh.listed), float(target.depth)),
-            Budget(target.added_us * target.depth, "target: 1.3 ms, read as for each level"),
+            Budget(target.added_us * target.depth, "target: 1.3 ms, taken for each level"),
             "the whole proxy",
             ("alone.p50",),
-            f"{target.depth} times the middle, one after another",
+            f"{target.depth} times the median for one proxy",
         )
         yield Row(
             role,
             "always",
-            "processor time of a call through one proxy, the least that it adds",
+            "processor time of a call through one proxy, a lower bound of the added latency",
             "us",
             self._value_at("added.calm.cpu", mild.listed),
             self._value_at("added.group1.cpu" if harsh.group == 1 else "added.calm.cpu", harsh.listed),
             latency_budget,
             "the whole proxy",
             ("added.calm.cpu", "added.group1.cpu"),
-            "72 calls a second, load beside the slope; some 0.29 ms where calls follow each other on a quiet"
+            "72 calls a second, load given with the slope; about 0.29 ms for back-to-back calls on an idle"
             " machine (docs/results.md)",
         )
         yield Row(
             role,
             "release",
-            "time added at the 99th of 100 by one proxy",
+            "latency added at the 99th percentile by one proxy",
             "us",
             self._single_value("chain.1.250.release.at72.added99"),
             self._single_value("chain.1.5000.release.at72.added99"),
@@ -424,15 +424,16 @@
         target, mild, harsh = self.target, self.mild, self.harsh
         role = "discovery"
         link_budget = Budget(
-            125 * MB * target.told_s, "own choice: one line of 1 Gbit/s, for the 6 s within which all are to be told"
+            125 * MB * target.told_s,
+            "own choice: one 1 Gbit/s link, over the 6 s within which all proxies must be updated",
         )
         # Relays exist, but these rows were measured without them: every proxy watches discovery directly.
         mechanism = (
-            f"{MISSING} at this size: relays (`distribution/relay.py`, `endpoint_source.py`) are there, one owner a"
-            " region, and not measured at it; the whole list goes to everybody"
+            f"{MISSING} at this size: relays (`distribution/relay.py`, `endpoint_source.py`) exist, one owner a"
+            " region, but were not measured at this size; every proxy is sent the whole list"
         )
         relay_note = (
-            "simulated; by 4 relays the last is told after 0.8 to 2.5 s and 1,674 to 6,121 calls (10 seeds,"
+            "simulated; with 4 relays the last proxy is updated after 0.8 to 2.5 s and 1,674 to 6,121 calls (10 seeds,"
             " `tests/test_relay_return.py`)"
         )
         yield Row(
@@ -455,14 +456,14 @@
             yield Row(
                 role,
                 occasion,
-                f"bytes out for {lost_backends:,} changes, told to every proxy",
+                f"bytes out for {lost_backends:,} changes, sent to every proxy",
                 "bytes",
                 product(lost_backends * mild.listed / target.proxies, bytes_a_change),
                 product(lost_backends, bytes_a_change),
                 link_budget,
                 mechanism,
                 ("discovery.change_bytes",),
-                "mild: a proxy hears of its own list alone",
+                "mild: a proxy is sent only the changes of its own list",
             )
         yield Row(
             role,
@@ -471,7 +472,7 @@
             "bytes/s",
             product(3 * mild.released / mild.release_s * mild.listed / target.proxies, bytes_a_change),
             product(3 * harsh.released / harsh.release_s, bytes_a_change),
-            Budget(125 * MB, "own choice: one line of 1 Gbit/s"),
+            Budget(125 * MB, "own choice: one 1 Gbit/s link"),
             mechanism,
             ("discovery.change_bytes",),
         )
@@ -479,24 +480,24 @@
         yield Row(
             role,
             "every proxy started",
-            "calls, 4 ms a call, 64 waiting",
+            "calls, at 4 ms a call and with a queue of 64",
             "calls",
             start_calls,
             start_calls,
             Budget(2.0 * target.proxies, "own choice: two for each proxy"),
-            "doubled waits, up to half of the drain's grace where the list is pushed (`policy.py`"
-            " list_failed, `facade.py`)",
+            "exponential backoff, up to half of the drain period if the list is pushed (`policy.py`"
+            " endpoint_request_failed, `facade.py`)",
             ("discovery.start_calls",),
-            "simulated; every watch asks again until its turn comes",
+            "simulated; every watch retries until it is served",
         )
         yield Row(
             role,
             "return after an outage of 3 s",
-            "seconds until all proxies are told again, 4 ms a call, 64 waiting",
+            "seconds until all proxies are updated again, at 4 ms a call and with a queue of 64",
             "s",
             self._value_at("discovery.return_seconds", target.proxies),
             self._value_at("discovery.return_seconds", target.proxies),
-            Budget(target.told_s, "term in force: told 6 s after discovery could be reached"),
+            Budget(target.told_s, "requirement: updated 6 s after discovery is reachable again"),
             mechanism,
             ("discovery.return_seconds",),
             relay_note,
@@ -504,12 +505,12 @@
         yield Row(
             role,
             "return after an outage of 3 s",
-            "calls, 4 ms a call, 64 waiting",
+            "calls, at 4 ms a call and with a queue of 64",
             "calls",
             self._value_at("discovery.return_calls", target.proxies),
             self._value_at("discovery.return_calls", target.proxies),
             Budget(2.0 * target.proxies, "own choice: two for each proxy"),
-            f"doubled waits up to half of ask-within (`policy.py` list_failed); {mechanism}",
+            f"exponential backoff up to half of `ask-within` (`policy.py` endpoint_request_failed); {mechanism}",
             ("discovery.return_calls",),
             relay_note,
         )
@@ -525,9 +526,9 @@
             "connections",
             self._value_at(measure_names[mild.zoned], mild.callers),
             self._value_at(measure_names[harsh.zoned], harsh.callers),
-            Budget(1_024, "own choice: the descriptors of a process that nobody has raised"),
-            "arcs (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), laid by zone: with 13 zones a zone's part is under REACH, so"
-            " all connect to all",
+            Budget(1_024, "own choice: the default descriptor limit of a process"),
+            "subsets (`policy.py` MIN_BACKENDS_PER_PROXY, PROXIES_PER_BACKEND), chosen by zone: with 13 zones a zone has fewer backends than the minimum, so"
+            " every proxy connects to all",
             measure_names,
         )
 
@@ -551,12 +552,12 @@
                 seconds_a_change,
                 seconds_a_change,
                 in_force_budget,
-                f"{MISSING}: distribution (one `ctl propose` after another, on each proxy's own machine, and"
-                f" no proof that all have it)",
+                f"{MISSING}: distribution (`ctl propose` on the machine of each proxy, one after another,"
+                f" without confirmation that all have the change)",
                 ("operator.change",),
-                "the processor time of `ctl` alone: neither remote shells nor the wait"
-                " by the clock, 0.5 to 2.6 s a proxy on a"
-                " busy machine; eight operators at once take an eighth",
+                "only the processor time of `ctl`, without remote shells and without the"
+                " elapsed time, 0.5 to 2.6 s a proxy on a"
+                " busy machine; eight operators in parallel take an eighth",
             )
             yield Row(
                 "operator",
@@ -587,14 +588,14 @@
         target, mild, harsh = self.target, self.mild, self.harsh
         sends_budget = Budget(
             1.2 * target.depth,
-            "own choice: RETRY_BUDGET_RATIO (0.2) read as the chain's whole excess over one send a level",
+            "own choice: RETRY_BUDGET_RATIO (0.2) taken for the whole chain, beyond one send a level",
         )
 
         def single_name(assumed: Assumed, figure: str) -> str:
             return f"attempts.error.{round(assumed.share * 100)}.{assumed.failing}.{figure}"
 
         for figure, what, occasion in (
-            ("first", "sends for one call along 30 levels, just after", "a service lost"),
+            ("first", "sends for one call along 30 levels, just after the failure", "a service lost"),
             ("after", "sends for one call along 30 levels, later", "a service lost"),
             ("most", "sends for the worst call along 30 levels", "a service lost"),
         ):
@@ -606,9 +607,9 @@
                 self._single_value(single_name(mild, figure)),
                 self._single_value(single_name(harsh, figure)),
                 sends_budget,
-                "RETRY_BUDGET_RATIO and RETRY_BUDGET_MAX at each proxy, and the client's wait; nothing is carried down the chain",
+                "RETRY_BUDGET_RATIO and RETRY_BUDGET_MAX at each proxy, and the client's timeout; no budget is passed along the chain",
                 (single_name(mild, figure), single_name(harsh, figure)),
-                "mild: the last level fails 3 in 10 calls; harsh: all. Without a bound it were 3^30",
+                "mild: the last level fails 3 in 10 calls; harsh: all. Without a limit there would be 3^30 sends",
             )
         passing_cold_depths = [
             depth for depth in (4, 8, 12, 16, 20, 30) if (self._single_value(f"cold.{depth}.done") or 0.0) >= 0.99
@@ -619,14 +620,14 @@
         yield Row(
             "proxy beside a backend",
             "every proxy started",
-            "levels of a chain over those that get a call through while no proxy knows a time",
+            "levels of the chain divided by the longest chain that completes calls while no proxy knows call durations",
             "",
             None if cold_depth_ratio is None else 1.0,
             cold_depth_ratio,
             Budget(1.0, "the target's 30 levels"),
-            "`policy.py` _patience: half of what is left for each level while nothing is known of the times below",
+            "`policy.py`: each level gives the next one half of the remaining time while the durations below are unknown",
             ("cold.12.done", "cold.16.done", "cold.30.done"),
-            "clients that wait 2 s, services that take 1 ms; mild: the chain is warm",
+            "client timeout 2 s, services take 1 ms; mild: the proxies know the durations",
         )
         for max_attempts in (3, 1):
             passing_slowed_depths = [
@@ -641,18 +642,18 @@
             yield Row(
                 "proxy beside a backend",
                 "always",
-                "levels of a chain over those that get a call through while services take twice as long as"
+                "levels of the chain divided by the longest chain that completes calls while services take twice as long as"
                 f" before, {max_attempts} attempt{'s' * (max_attempts > 1)} each",
                 "",
                 None if done_at_target is None else 1.0,
                 slowed_depth_ratio,
                 Budget(1.0, "the target's 30 levels"),
-                "`policy.py` _patience: half of what is left for each level, until little more is left than"
-                " what was usual; lost answers in a row with nothing heard are learnt from (_count)"
+                "`policy.py`: each level gives the next one half of the remaining time, until little more remains than"
+                " the usual duration; repeated time-outs without any answer raise the usual duration"
                 if max_attempts > 1
-                else "one attempt has all that is left",
+                else "a single attempt gets all the remaining time",
                 tuple(f"slowed.{max_attempts}.{depth}.2" for depth in slowed_depths),
-                "simulated: clients that wait 2 s, services of 1 ms that take 2; mild: nothing is slower",
+                "simulated: client timeout 2 s, services take 2 ms instead of 1; mild: nothing is slower",
             )
         short_list_added, long_list_added = (
             self._single_value(f"chain.{target.depth}.{listed}.added99") for listed in (24, 1000)
@@ -661,11 +662,11 @@
             yield Row(
                 "proxy beside a backend",
                 "always",
-                "time added at the 99th of 100 by 30 proxies in a row",
+                "latency added at the 99th percentile by 30 proxies in a row",
                 "us",
                 short_list_added,
                 long_list_added,
-                Budget(target.added_us * budgeted_levels, f"target: 1.3 ms, read as {reading}"),
+                Budget(target.added_us * budgeted_levels, f"target: 1.3 ms, taken {reading}"),
                 "the whole proxy",
                 ("chain.30.24.added99", "chain.30.1000.added99"),
                 "mild: 24 listed, harsh: 1,000",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -169,9 +169,11 @@
         falling = book(alone__p50=(1000.0, -1.0), alone__p99=(1000.0, 0.1))
         projected = Projection(falling)
         rows = {row.what: row for row in projected.rows()}
-        median_row = rows["processor time of a call alone in one proxy, the middle: the least that it adds"]
+        median_row = rows["processor time of a single call in one proxy, median: a lower bound of the added latency"]
         self.assertAlmostEqual(median_row.harsh or 0.0, (5 * 970.0 + 900.0) / 6)
-        p99_row = rows["processor time of a call alone in one proxy, the 99th of 100: the least that it adds"]
+        p99_row = rows[
+            "processor time of a single call in one proxy, 99th percentile: a lower bound of the added latency"
+        ]
         self.assertAlmostEqual(p99_row.harsh or 0.0, 1000.0 + 0.1 * HARSH.listed)
 
     def test_every_assumption_stands_on_the_page(self) -> None:
@@ -608,7 +610,9 @@
         ]
         rows = Projection(Book(commit="", command="", machine="", cores=8, singles=singles)).rows()
         return {
-            row.when: (row.mild, row.harsh) for row in rows if row.what == "time added at the 99th of 100 by one proxy"
+            row.when: (row.mild, row.harsh)
+            for row in rows
+            if row.what == "latency added at the 99th percentile by one proxy"
         }
 
     def test_on_free_cores_they_are_held_against_the_budget(self) -> None:
