--- a/pepperusher/capacity/attempts.py
+++ b/pepperusher/capacity/attempts.py
@@ -120,9 +120,9 @@
             self._now += 20_000
             self.sends = [0] * self.depth
             succeeded += self.call()
-            failing_services = sum(self.sends)
-            sends, last, max_sends = sends + failing_services, last + self.sends[-1], max(max_sends, failing_services)
-            truncated += failing_services >= MAX_SENDS
+            call_sends = sum(self.sends)
+            sends, last, max_sends = sends + call_sends, last + self.sends[-1], max(max_sends, call_sends)
+            truncated += call_sends >= MAX_SENDS
         return ChainResult(sends / calls, last / calls, succeeded / calls, max_sends, truncated)
 
 
--- a/pepperusher/capacity/call_storms.py
+++ b/pepperusher/capacity/call_storms.py
@@ -1,6 +1,6 @@
-"""Simulates, in virtual time, the calls to one discovery server while many proxies start, or when it is available
-again after an outage. The proxies use their real retry delays (`policy.endpoint_request_failed`); the server handles calls one by
-one and rejects those that do not fit into its queue.
+"""Simulates, in virtual time, the calls to one discovery server while many proxies start, or when it is available again
+after an outage. The proxies use their real retry delays (`policy.endpoint_request_failed`); the server handles calls
+one by one and rejects those that do not fit into its queue.
 """
 
 from __future__ import annotations
--- a/pepperusher/capacity/control_rows.py
+++ b/pepperusher/capacity/control_rows.py
@@ -150,12 +150,11 @@
     def connections_after_loss(_: Assumed, is_harsh: bool) -> float | None:
         return 2 * proxies_per_machine(value_at, target, is_harsh)[1] if measured else None
 
-    def value_by_connections(name: str, connections_of: float | None) -> float | None:
-        return None if connections_of is None else value_at(name, connections_of)
+    def value_by_connections(name: str, count: float | None) -> float | None:
+        return None if count is None else value_at(name, count)
 
-    peer_descriptors = 2.0 * (
-        target.control_machines - 2
-    )  # the two measured machines had one peer connection each way already
+    # Two descriptors for each peer. The measured values already include those of one peer.
+    peer_descriptors = 2.0 * (target.control_machines - 2)
     for occasion, connections_of, label in (
         ("always", connections, "fullest of nine"), ("a control machine lost", connections_after_loss, "fullest of eight"),
     ):  # fmt: skip
@@ -494,7 +493,8 @@
             ),
             extra_note,
         )
-    # For each case: which part of its two connections a proxy opens again, and whether it is sent the whole configuration.
+    # For each case: which part of its two connections a proxy opens again, and whether it is sent the whole
+    # configuration.
     for occasion, cases, note in (
         (
             "healing of a cut",
@@ -517,9 +517,8 @@
                     extra_cost = {"bytes": value_at("control.snapshot_bytes", assumed.routes), "messages": 1.0,
                         "cpu": apply_cost(assumed)}[resource]  # fmt: skip
                 elif resource == "cpu" and occasion == "every proxy started":
-                    extra_cost = apply_cost(
-                        assumed
-                    )  # the configuration from the local cache is parsed and validated as well
+                    # The configuration from the local cache is parsed and validated as well.
+                    extra_cost = apply_cost(assumed)
                 values.append(
                     total(
                         product(reconnections, cost_a_proxy("resume", resource)),
--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -217,8 +217,8 @@
         return [machine.address for machine in self.machines]
 
     async def publish(self, key: str, body: bytes) -> Version:
-        """Publishes a resource. Retries until the origin accepts it, since a starting origin first compares its state with
-        its peers. Raises ProcessError.
+        """Publishes a resource. Retries until the origin accepts it, since a starting origin first compares its state
+        with its peers. Raises ProcessError.
         """
         deadline = time.monotonic() + TIMEOUT_S
         while True:
--- a/pepperusher/capacity/fit.py
+++ b/pepperusher/capacity/fit.py
@@ -25,8 +25,8 @@
 # PROXIES_PER_BACKEND in 1,000 of the backends of a longer list (`policy.py`).
 ARC_BEND = 400.0
 # The number of routes at which the quadratic part of the sweep, where each route searches all routes
-# (`changes/active_configuration.py`), takes as long as the linear part: determined by trials at 200 and 400 routes, with
-# and without the search (docs/results.md).
+# (`changes/active_configuration.py`), takes as long as the linear part: determined by trials at 200 and 400 routes,
+# with and without the search (docs/results.md).
 SWEEP_EQUAL_ROUTES = 84.0
 CURVES: dict[str, Callable[[float], float]] = {
     "line": lambda size: size,
--- a/pepperusher/capacity/fixtures.py
+++ b/pepperusher/capacity/fixtures.py
@@ -19,8 +19,8 @@
     group: int, ordinal: int = 0, use_cases: int = 3, zones: list[str] | None = None, promised_ms: float = 500.0,
     max_attempts: int = 3,
 ) -> dict[str, Any]:  # fmt: skip
-    """Returns the platform's settings object for one of `group` proxies. Calls have a promised time of `promised_ms` and
-    time out after four times that.
+    """Returns the platform's settings object for one of `group` proxies. Calls have a promised time of `promised_ms`
+    and time out after four times that.
     """
     zones = zones or ONE_ZONE
     effects = ("pure", "token", "side_effect")
--- a/pepperusher/capacity/latency.py
+++ b/pepperusher/capacity/latency.py
@@ -133,8 +133,8 @@
 
 
 class AddedLatency(NamedTuple):
-    """The latency that proxies add at the median and at the 99th percentile, in us, as medians over the rounds.
-    `bare` and `through` are the latencies without and with proxies, with the calls of all rounds. `cpu` is the processor
+    """The latency that proxies add at the median and at the 99th percentile, in us, as medians over the rounds. `bare`
+    and `through` are the latencies without and with proxies, with the calls of all rounds. `cpu` is the processor
     time of one proxy for a call, in us.
     """
 
@@ -156,9 +156,9 @@
     in 100 calls failed are ignored. Raises TooManyFailuresError if no round is left.
     """
     cpu_before = proxy_cpu_us()
-    results = [(run_without(seed + 2 * place), run_through(seed + 2 * place + 1)) for place in range(rounds)]
+    results = [(run_without(seed + 2 * number), run_through(seed + 2 * number + 1)) for number in range(rounds)]
     cpu_us_a_call = (proxy_cpu_us() - cpu_before) / sum(through.calls for _, through in results)
-    valid = [without for without in results if all(100 * result.failed <= result.calls for result in without)]
+    valid = [pair for pair in results if all(100 * result.failed <= result.calls for result in pair)]
     if not valid:
         raise TooManyFailuresError([through for _, through in results])
     return AddedLatency(
@@ -204,8 +204,8 @@
     depth: int, listed: int, group: int, changes: float = 0.0, max_attempts: int = 3
 ) -> Iterator[tuple[int, list[ProxyUnderTest]]]:
     """Runs two chains of `depth` services: in one each service calls the next directly, in the other through a proxy.
-    Returns the port of the first service of the direct chain, and the proxies. The proxies are warmed up from the end of
-    the chain, since none of them knows any call duration at its start.
+    Returns the port of the first service of the direct chain, and the proxies. The proxies are warmed up from the
+    end of the chain, since none of them knows any call duration at its start.
     """
     with ExitStack() as stack:
         stand_ins = stack.enter_context(stand_in_services())
@@ -237,8 +237,8 @@
     rate: float = CHAIN_CALLS_A_SECOND,
     max_attempts: int = 3,
 ) -> AddedLatency:
-    """Compares a chain of services with proxies, each of which makes at most `max_attempts` attempts, with the same chain
-    without proxies.
+    """Compares a chain of services with proxies, each of which makes at most `max_attempts` attempts, with the same
+    chain without proxies.
     """
     with running_chain(depth, listed, group, changes, max_attempts) as (direct_port, proxies):
         return _compare_rounds(
--- a/pepperusher/capacity/measures.py
+++ b/pepperusher/capacity/measures.py
@@ -63,8 +63,8 @@
         return best_fit(points) if self.worth == COUNTED else fit_curve(points)
 
     def unreliable(self, cores: int) -> bool:
-        """Returns whether this is an elapsed time measured while the load exceeded the cores, so that it depends on
-        other processes.
+        """Returns whether this is an elapsed time measured while the load exceeded the cores or was not recorded, so
+        that it may depend on other processes.
         """
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
@@ -91,7 +91,7 @@
     command: str = ""
 
     def unreliable(self, cores: int) -> bool:
-        """Returns whether this is an elapsed time measured while the load exceeded the cores."""
+        """Returns whether this is an elapsed time measured while the load exceeded the cores or was not recorded."""
         return self.worth == CLOCKED and (self.load is None or self.load > cores)
 
 
--- a/pepperusher/capacity/processes.py
+++ b/pepperusher/capacity/processes.py
@@ -110,8 +110,8 @@
     zones: list[str] | None = None,
     max_attempts: int = 3,
 ) -> Iterator[ProxyUnderTest]:
-    """Runs a proxy that starts with `listed` backends and makes at most `max_attempts` attempts. The proxy is ready when
-    the context is entered and killed when it is left.
+    """Runs a proxy that starts with `listed` backends and makes at most `max_attempts` attempts. The proxy is ready
+    when the context is entered and killed when it is left.
     """
     with tempfile.TemporaryDirectory() as folder_name:
         folder = Path(folder_name)
@@ -244,9 +244,9 @@
 
 
 def propose_one_by_one(proxies: int, _: int) -> float:
-    """Returns the seconds of processor time that `ctl propose` takes for a number of proxies, one after another: a lower
-    bound of the time until a change is in force at all of them. The elapsed time is not used, since on a busy machine it
-    depends on other processes.
+    """Returns the seconds of processor time that `ctl propose` takes for a number of proxies, one after another: a
+    lower bound of the time until a change is in force at all of them. The elapsed time is not used, since on a busy
+    machine it depends on other processes.
     """
     with ExitStack() as stack:
         running_proxies = [
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -158,9 +158,8 @@
             ("group.state",),
             "the roll itself ends at its bound",
         )
-        changes_a_second_by_restarts = (
-            3 * target.restarts_a_day / 86_400
-        )  # a restart changes the list three times: draining, removed, added
+        # A restart changes the list three times: draining, removed, added.
+        changes_a_second_by_restarts = 3 * target.restarts_a_day / 86_400
         bytes_a_change = self._value_at("discovery.change_bytes", 1)
         for occasion, change_rates in (
             ("ordinary day", (changes_a_second_by_restarts, changes_a_second_by_restarts)),
@@ -219,9 +218,8 @@
         )
 
         def membership_changes_a_second(assumed: Assumed) -> float:
-            return (
-                4 * assumed.released / assumed.release_s
-            )  # a replacement announces four states: leaving, left, starting, serving
+            # A replacement announces four states: leaving, left, starting, serving.
+            return 4 * assumed.released / assumed.release_s
 
         yield Row(
             role,
@@ -265,9 +263,8 @@
         )
 
         def list_changes_a_second(assumed: Assumed) -> float:
-            return (
-                3 * assumed.released / assumed.release_s
-            )  # a replacement changes the list three times: draining, removed, added
+            # A replacement changes the list three times: draining, removed, added.
+            return 3 * assumed.released / assumed.release_s
 
         yield Row(
             role,
--- a/pepperusher/capacity/scenes.py
+++ b/pepperusher/capacity/scenes.py
@@ -125,7 +125,11 @@
             scene_results += await hollow_scenarios.run_scenarios(
                 hollow_scenes, size, controls, seed, quick, work, _say, report_result
             )
-        return {"verdict": "passed" if all(check["verdict"] == "passed" for check in scene_results) else "failed"}
+        return {
+            "verdict": "passed"
+            if all(scene_result["verdict"] == "passed" for scene_result in scene_results)
+            else "failed"
+        }
 
     try:
         verdict = run_in_temporary_folder(run)
--- a/pepperusher/capacity/slope_commands.py
+++ b/pepperusher/capacity/slope_commands.py
@@ -142,7 +142,7 @@
             *(f"--only {name}" for name in names),
             *(["--chain"] * chain),
             *([f"--depth {depth} --rate {rate:g} --attempts {attempts}"] * chain),
-            *(f"--listed {measure}" for measure in listed if chain),
+            *(f"--listed {size}" for size in listed if chain),
             *(["--release"] * (chain and release)),
             *([f"--group {group}"] * (chain and group != measurements.CHAIN_GROUP_SIZE)),
             *([f"--rounds {rounds} --lasts {lasts:g}"] * chain),
@@ -170,15 +170,15 @@
         save()
     if with_singles:
         book.singles += [
-            msgspec.structs.replace(measure, commit=book.commit) for measure in measurements.singles(seed, _say)
+            msgspec.structs.replace(single, commit=book.commit) for single in measurements.singles(seed, _say)
         ]
         save()
     if chain:
         is_default_chain = (depth, rate, attempts) == (measurements.CHAIN_DEPTH, measurements.CHAIN_CALLS_A_SECOND, 3)
-        stands = measurements.CHAIN_LISTS if is_default_chain else measurements.CHAIN_LISTS[:1]
+        list_loads = measurements.CHAIN_LISTS if is_default_chain else measurements.CHAIN_LISTS[:1]
         if listed:
-            stands = tuple((measure, measurements.RELEASE_CHANGES_A_SECOND * release) for measure in listed)
-        for single in measurements.chain(seed, _say, depth, rate, stands, attempts, group, rounds, lasts):
+            list_loads = tuple((size, measurements.RELEASE_CHANGES_A_SECOND * release) for size in listed)
+        for single in measurements.chain(seed, _say, depth, rate, list_loads, attempts, group, rounds, lasts):
             book.singles.append(
                 msgspec.structs.replace(single, commit=book.commit, command=command, load=round(_load(), 1))
             )
--- a/pepperusher/capacity/standins.py
+++ b/pepperusher/capacity/standins.py
@@ -166,9 +166,9 @@
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-    stage = StandIns()
+    stand_ins = StandIns()
     while line := await reader.readline():
-        print(json.dumps(await stage.execute(json.loads(line))), flush=True)
+        print(json.dumps(await stand_ins.execute(json.loads(line))), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -255,8 +255,8 @@
 
 class Bends(unittest.TestCase):
     def test_arcs_bend_where_the_curve_of_decisions_does(self) -> None:
-        """Below the bend the number of backends in an arc is constant, above it is a hundredth of the list, with 13 zones
-        and with one.
+        """Below the bend the number of backends in an arc is constant, above it is a hundredth of the list, with 13
+        zones and with one.
         """
         self.assertEqual(ARC_BEND, policy.MIN_BACKENDS_PER_PROXY / policy.PROXIES_PER_BACKEND * decisions.GROUP_SIZE)
         for zones in (None, fixtures.ZONES):
@@ -306,8 +306,8 @@
         self.assertEqual(list(speeds), [])
 
     def test_each_list_that_is_taken_in_is_a_first_one(self) -> None:
-        """Each turn of the measurement has a new watch, since applying the same list again takes less than half the time.
-        Checked with one turn and with several.
+        """Each turn of the measurement has a new watch, since applying the same list again takes less than half the
+        time. Checked with one turn and with several.
         """
         watches = []
 
@@ -350,8 +350,8 @@
         self.assertLess(abs(check_fit(fit, Point(400, decisions.list_bytes(400, 1))).error), 0.02)
 
     def test_a_backend_is_heard_by_an_arc_of_its_callers(self) -> None:
-        """Each proxy connects to four of the 24 backends, and some also to a fifth. The connections of a backend therefore
-        grow by about a quarter for each caller.
+        """Each proxy connects to four of the 24 backends, and some also to a fifth. The connections of a backend
+        therefore grow by about a quarter for each caller.
         """
         measure = decisions.connections_by_callers(24)
         fit = fit_curve(points(lambda size: measure(size, 1), 50, 100, 150, 200, 300))
@@ -454,9 +454,10 @@
         self.assertEqual(14.0, asyncio.run(control_run.stable_value(lambda: next(values), lambda: next(cpu_times))))
 
     def test_real_machines_send_each_proxy_as_much_whatever_their_number(self) -> None:
-        """Runs two machine processes with four and with twelve proxies, over sockets. Besides heartbeats each additional
-        proxy is sent: at its start the body from one machine and, unless it has already acknowledged the version, the
-        offer from the other; at rest nothing; for a change the same as at its start; when it connects again nothing.
+        """Runs two machine processes with four and with twelve proxies, over sockets. Besides heartbeats each
+        additional proxy is sent: at its start the body from one machine and, unless it has already acknowledged the
+        version, the offer from the other; at rest nothing; for a change the same as at its start; when it connects
+        again nothing.
         """
         smaller, larger = (control_run.cached_run(size, 2, 5, 1, heartbeats=1) for size in (4, 12))
 
@@ -488,8 +489,8 @@
         self.assertEqual(first.sends, 8.0)
 
     def test_further_sends_are_held_to_a_part_at_each_level(self) -> None:
-        """All calls fail at the last of eight levels. The sends at a level grow by a factor of 1.2, not of 3, from level to
-        level.
+        """All calls fail at the last of eight levels. The sends at a level grow by a factor of 1.2, not of 3, from
+        level to level.
         """
         _, later = attempts.failing_services(8, 1, 1.0, 1, calls=200)
         self.assertLess(later.sends, sum(1.25**level for level in range(1, 9)))
@@ -541,8 +542,8 @@
         self.assertGreater(result.calls, 5)
 
     def test_a_call_along_a_chain_passes_each_of_its_proxies(self) -> None:
-        """The warm-up ends after eight successful calls in a row at each level. With the last proxy killed a call through
-        the chain fails, while calls through the chain without proxies succeed.
+        """The warm-up ends after eight successful calls in a row at each level. With the last proxy killed a call
+        through the chain fails, while calls through the chain without proxies succeed.
         """
         with latency.running_chain(3, 10, 10) as (direct_port, proxies):
             asyncio.run(latency._warm_up(latency.SERVICE_HOST, direct_port, 1))
@@ -559,8 +560,8 @@
             self.assertFalse(asyncio.run(call_chain()))
 
     def test_what_is_added_is_the_median_over_rounds_that_are_sound(self) -> None:
-        """In the five rounds the proxies add 5, 50, 7, 6 and 1 us at the 99th percentile; in the last one 2 of 100 calls
-        failed, so it is ignored.
+        """In the five rounds the proxies add 5, 50, 7, 6 and 1 us at the 99th percentile; in the last one 2 of 100
+        calls failed, so it is ignored.
         """
         rounds = [(5, 0), (50, 0), (7, 0), (6, 0), (1, 2)]
 
