--- a/pepperusher/capacity/configuration_run.py
+++ b/pepperusher/capacity/configuration_run.py
@@ -95,7 +95,9 @@
     def measure(proxies: int, seed: int) -> float:
         machines = [f"10.{seed % 256}.0.{number}:7300" for number in range(MACHINES)][lost_machines:]
         connections = Counter(
-            upstream for number in range(proxies) for upstream in rendezvous_order(proxy_name(number), machines)[:UPSTREAM_COUNT]
+            upstream
+            for number in range(proxies)
+            for upstream in rendezvous_order(proxy_name(number), machines)[:UPSTREAM_COUNT]
         )
         return float(max(connections.values()))
 
