--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -1,8 +1,8 @@
-"""What stands now: the version in force, the gates it has, and changes to it; free of I/O.
+"""The active configuration: the version in force, its admission limits, and the changes to it; free of I/O.
 
-A ticket is admitted by `ask`, and told out by `over`; between them it goes by the version it began with.
-Gates, rates and retry budgets belong to a route's name and live on over versions: a change of a limit lets
-none go that are in.
+`request_admission` admits a ticket and `finish` ends it; in between, the ticket uses the version it started with.
+Concurrency gates, rate limits and retry budgets belong to a route's name and outlive versions: changing a limit
+doesn't cancel tickets that are already admitted.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 from pepperusher.routes.terms import NO_LIMIT, DEFAULT_TERMS, Terms, Version
 
 RATE = "rate"
-# What a customer is called that a ticket does not name.
-NOBODY = ""
-# A client is told to come back after this where nothing better is known.
-ADVICE = 200_000
-# A limit that begins to act is said once in so long.
-SAID_EVERY = 10_000_000
+# Customer name of tickets that name no customer.
+UNNAMED_CUSTOMER = ""
+# Retry-after advice where no better estimate is known.
+DEFAULT_RETRY_AFTER_US = 200_000
+# A route logs that it rejects tickets at most once per this interval.
+LOG_INTERVAL_US = 10_000_000
 
 
 class AdmittedTicket:
-    """One ticket's way in. `how` is ADMITTED, QUEUED, FULL, TOO_LATE or RATE; `advice` when to come back (us) where it
-    is kept out."""
+    """Admission state of one ticket. `how` is ADMITTED, QUEUED, FULL, TOO_LATE or RATE; `advice` is the retry-after
+    time (us) of a rejected ticket; `until` is the ticket's deadline."""
 
     __slots__ = (
         "version",
@@ -49,13 +49,13 @@
         "customer",
         "how",
         "advice",
-        "came",
-        "entered",
+        "arrived_at",
+        "admitted_at",
         "until",
         "waiting",
-        "over",
-        "inside",
-        "out",
+        "finished",
+        "occupies_gate",
+        "attempted",
     )
 
     def __init__(self, version: Version, terms: Terms, customer: str, came: int, until: int) -> None:
@@ -64,47 +64,48 @@
         self.customer = customer
         self.how = ADMITTED
         self.advice = 0
-        self.came = came
-        self.entered = came
+        self.arrived_at = came
+        self.admitted_at = came
         self.until = until
         self.waiting: Waiting | None = None
-        self.over = False
-        self.inside = False
-        self.out = False
+        self.finished = False
+        self.occupies_gate = False
+        self.attempted = False
 
 
-class _Held:
-    """What a route's name holds over versions."""
+class _RouteLimits:
+    """The limits of one route, kept across versions under the route's name."""
 
-    __slots__ = ("gate", "buckets", "budget", "said_at", "kept_out")
+    __slots__ = ("gate", "buckets", "budget", "logged_at", "rejected_count")
 
     def __init__(self) -> None:
         self.gate: Gate | None = None
         self.buckets: Buckets | None = None
         self.budget: RetryBudget | None = None
-        self.said_at = -SAID_EVERY
-        self.kept_out = 0
+        self.logged_at = -LOG_INTERVAL_US
+        self.rejected_count = 0
 
 
 class ActiveConfiguration:
-    """`list_again` takes lines for the decisions where marks change them; `say` takes a log line with its
-    figures."""
+    """`update_endpoints` receives the endpoints whose effective state changes with the overrides; `say` writes a log
+    line with its fields."""
 
     def __init__(
-        self, read: Read, now: int, list_again: Callable[[list[Endpoint]], None], say: Callable[..., None]
+        self, read: Read, now: int, update_endpoints: Callable[[list[Endpoint]], None], say: Callable[..., None]
     ) -> None:
-        self._list_again = list_again
+        self._update_endpoints = update_endpoints
         self._say = say
-        self._held: dict[str, _Held] = {}  # by route; emptied as routes go and their last ticket with them
+        # An entry is removed once its route is gone and its last ticket has ended.
+        self._limits_by_route: dict[str, _RouteLimits] = {}
         self.overlay = Overlay()
         self.version = Version(1, read)
-        self.versions: dict[int, Version] = {1: self.version}  # emptied as their last tickets go
+        self.versions: dict[int, Version] = {1: self.version}  # without versions whose tickets have all ended
         self.confirmed = self.version
         self.ledger = TransactionLog(read.own.changes.history)
         self.toll = ErrorWatch(read.own.changes.watch)
-        self._numbers = 1
-        self._latest: int | None = None
-        self._take_up(now)
+        self._last_number = 1
+        self._latest_deadline: int | None = None
+        self._apply_limits(now)
 
     # --- tickets ----------------------------------------------------------------------------------
 
@@ -116,285 +117,299 @@
         headers: Mapping[str, str],
         use_case: str,
         customer: str,
-        given: int | None,
-        usual_wait: int,
+        stated_timeout: int | None,
+        default_timeout: int,
         now: int,
     ) -> AdmittedTicket:
-        """`given` is how long its client said that it waits, `usual_wait` what its use case's clients do
-        (us)."""
+        """Applies the rate limit and the concurrency gate of the ticket's route. `stated_timeout` is the timeout that
+        the client states, `default_timeout` the usual timeout of clients of its use case; both in us."""
         version = self.version
         terms = version.terms(method, target, host, headers, use_case)
-        wait = terms.caller_timeout(given)
-        until = now + (usual_wait if wait is None else wait)
-        if self._latest is not None:
-            until = min(until, self._latest)
-        made = AdmittedTicket(version, terms, customer or NOBODY, now, until)
+        timeout = terms.caller_timeout(stated_timeout)
+        deadline = now + (default_timeout if timeout is None else timeout)
+        if self._latest_deadline is not None:
+            deadline = min(deadline, self._latest_deadline)
+        admission = AdmittedTicket(version, terms, customer or UNNAMED_CUSTOMER, now, deadline)
         version.open_tickets += 1
-        held = self._held.get(terms.name)
-        if held is None:
-            return made
-        if held.buckets is not None:
-            come_back = held.buckets.take(made.customer, now)
-            if come_back:
-                return self._refused(made, held, RATE, come_back if come_back > 0 else ADVICE, now)
-        if held.gate is not None:
-            made.how, made.waiting = held.gate.enter(made.customer, terms.priority, now, made.until)
-            made.inside = made.how == ADMITTED
-            if made.how in (FULL, TOO_LATE):
-                return self._refused(made, held, made.how, max(ADVICE, held.gate.mean_service_time), now)
-        return made
-
-    def _refused(self, made: AdmittedTicket, held: _Held, how: str, advice: int, now: int) -> AdmittedTicket:
-        made.how, made.advice = how, advice
-        held.kept_out += 1
-        if now - held.said_at >= SAID_EVERY:
-            gate = held.gate
+        limits = self._limits_by_route.get(terms.name)
+        if limits is None:
+            return admission
+        if limits.buckets is not None:
+            retry_after = limits.buckets.take(admission.customer, now)
+            if retry_after:
+                return self._reject(
+                    admission, limits, RATE, retry_after if retry_after > 0 else DEFAULT_RETRY_AFTER_US, now
+                )
+        if limits.gate is not None:
+            admission.how, admission.waiting = limits.gate.enter(
+                admission.customer, terms.priority, now, admission.until
+            )
+            admission.occupies_gate = admission.how == ADMITTED
+            if admission.how in (FULL, TOO_LATE):
+                return self._reject(
+                    admission, limits, admission.how, max(DEFAULT_RETRY_AFTER_US, limits.gate.mean_service_time), now
+                )
+        return admission
+
+    def _reject(
+        self, admission: AdmittedTicket, limits: _RouteLimits, how: str, advice: int, now: int
+    ) -> AdmittedTicket:
+        admission.how, admission.advice = how, advice
+        limits.rejected_count += 1
+        if now - limits.logged_at >= LOG_INTERVAL_US:
+            gate = limits.gate
             self._say(
                 "limit acts",
-                route=made.terms.name,
+                route=admission.terms.name,
                 why=how,
-                kept_out=held.kept_out,
+                kept_out=limits.rejected_count,
                 inside=gate.admitted_count if gate else 0,
                 waiting=gate.waiting if gate else 0,
                 limit=gate.limit if gate else 0,
             )
-            held.said_at = now
-        return made
-
-    def admission_decided(self, made: AdmittedTicket, how: str, now: int) -> None:
-        """One that waited is ADMITTED, or FULL or TOO_LATE."""
-        made.how = how
-        made.inside = how == ADMITTED
-        made.entered = now
+            limits.logged_at = now
+        return admission
+
+    def admission_decided(self, admission: AdmittedTicket, how: str, now: int) -> None:
+        """Records the outcome for a queued ticket: ADMITTED, FULL or TOO_LATE."""
+        admission.how = how
+        admission.occupies_gate = how == ADMITTED
+        admission.admitted_at = now
         if how != ADMITTED:
-            held = self._held.get(made.terms.name)
-            if held is not None:
-                gate = held.gate
-                self._refused(made, held, how, max(ADVICE, gate.mean_service_time if gate else 0), now)
-
-    def withdraw(self, made: AdmittedTicket) -> None:
-        """Its client left while it waited."""
-        held = self._held.get(made.terms.name)
-        if made.how == QUEUED and held is not None and held.gate is not None and made.waiting is not None:
-            held.gate.withdraw(made.waiting)
-
-    def mean_service_time(self, made: AdmittedTicket) -> int:
-        """How long those take that its gate lets in (us); 0 where there is none."""
-        held = self._held.get(made.terms.name)
-        return held.gate.mean_service_time if held is not None and held.gate is not None else 0
-
-    def record_first_attempt(self, made: AdmittedTicket, now: int) -> None:
-        """It goes out; the first time counts for the retry budget. Not told from the ticket's attempts: those that a
-        store remembers stand among them."""
-        if made.out:
+            limits = self._limits_by_route.get(admission.terms.name)
+            if limits is not None:
+                gate = limits.gate
+                self._reject(
+                    admission, limits, how, max(DEFAULT_RETRY_AFTER_US, gate.mean_service_time if gate else 0), now
+                )
+
+    def withdraw(self, admission: AdmittedTicket) -> None:
+        """Removes a queued ticket from its gate's queue, for example because its client disconnected."""
+        limits = self._limits_by_route.get(admission.terms.name)
+        if admission.how == QUEUED and limits is not None and limits.gate is not None and admission.waiting is not None:
+            limits.gate.withdraw(admission.waiting)
+
+    def mean_service_time(self, admission: AdmittedTicket) -> int:
+        """Mean service time of the tickets that its gate admits (us); 0 without a gate."""
+        limits = self._limits_by_route.get(admission.terms.name)
+        return limits.gate.mean_service_time if limits is not None and limits.gate is not None else 0
+
+    def record_first_attempt(self, admission: AdmittedTicket, now: int) -> None:
+        """Counts the ticket's first attempt toward the retry budget; later calls do nothing. The ticket's own list of
+        attempts can't tell which is the first, because it includes attempts restored from the store."""
+        if admission.attempted:
             return
-        made.out = True
-        held = self._held.get(made.terms.name)
-        if held is not None and held.budget is not None:
-            held.budget.record_first_attempt(now)
-
-    def retry_allowed(self, made: AdmittedTicket, how: str, now: int) -> bool:
-        """Whether it may go out once more after an attempt that ended so."""
-        if how == "done" or not made.terms.may_retry_after(how):
+        admission.attempted = True
+        limits = self._limits_by_route.get(admission.terms.name)
+        if limits is not None and limits.budget is not None:
+            limits.budget.record_first_attempt(now)
+
+    def retry_allowed(self, admission: AdmittedTicket, outcome: str, now: int) -> bool:
+        """Whether the route's terms and its retry budget allow another attempt after one that ended with `outcome`."""
+        if outcome == "done" or not admission.terms.may_retry_after(outcome):
             return False
-        held = self._held.get(made.terms.name)
-        if held is None or held.budget is None or held.budget.try_retry(now):
+        limits = self._limits_by_route.get(admission.terms.name)
+        if limits is None or limits.budget is None or limits.budget.try_retry(now):
             return True
-        held.kept_out += 1
-        if now - held.said_at >= SAID_EVERY:
-            self._say("limit acts", route=made.terms.name, why="retry budget", kept_out=held.kept_out)
-            held.said_at = now
+        limits.rejected_count += 1
+        if now - limits.logged_at >= LOG_INTERVAL_US:
+            self._say("limit acts", route=admission.terms.name, why="retry budget", kept_out=limits.rejected_count)
+            limits.logged_at = now
         return False
 
-    def refund_retry(self, made: AdmittedTicket, how: str, now: int) -> None:
-        """`again` allowed one more, and the decisions did not make it."""
-        held = self._held.get(made.terms.name)
-        if held is not None and held.budget is not None and how != "done":
-            held.budget.refund_retry(now)
-
-    def limit_deadlines(self, latest: int) -> None:
-        """The proxy stops: who waits or comes is to be over by then."""
-        self._latest = latest
-        for held in self._held.values():
-            if held.gate is not None:
-                held.gate.limit_deadlines(latest)
-
-    def finish(self, made: AdmittedTicket, end: str, worked: bool, now: int) -> None:
-        """The last word on a ticket: `end` is done, bounced, scrapped, or left (which tells nothing);
-        `worked` where its time tells of the servers."""
-        check_invariant(not made.over, "a ticket passes its gate once")
-        if made.over:
+    def refund_retry(self, admission: AdmittedTicket, outcome: str, now: int) -> None:
+        """Returns the budget that `retry_allowed` took for a retry that was not made."""
+        limits = self._limits_by_route.get(admission.terms.name)
+        if limits is not None and limits.budget is not None and outcome != "done":
+            limits.budget.refund_retry(now)
+
+    def limit_deadlines(self, latest_deadline: int) -> None:
+        """Caps the deadlines of queued and new tickets at `latest_deadline`; called when the proxy shuts down."""
+        self._latest_deadline = latest_deadline
+        for limits in self._limits_by_route.values():
+            if limits.gate is not None:
+                limits.gate.limit_deadlines(latest_deadline)
+
+    def finish(self, admission: AdmittedTicket, outcome: str, is_latency_sample: bool, now: int) -> None:
+        """Ends a ticket. `outcome` is done, bounced, scrapped, or left, which the error watch ignores;
+        `is_latency_sample` says whether the ticket's duration is a valid sample of the backends' latency."""
+        check_invariant(not admission.finished, "a ticket is finished only once")
+        if admission.finished:
             return
-        made.over = True
-        self.withdraw(made)
-        held = self._held.get(made.terms.name)
-        if made.inside and held is not None and held.gate is not None:
-            held.gate.release(made.customer, now - made.entered, worked, now)
-        if end != "left":
-            self.toll.add(made.version.number, end, now - made.came, now)
-        version = made.version
+        admission.finished = True
+        self.withdraw(admission)
+        limits = self._limits_by_route.get(admission.terms.name)
+        if admission.occupies_gate and limits is not None and limits.gate is not None:
+            limits.gate.release(admission.customer, now - admission.admitted_at, is_latency_sample, now)
+        if outcome != "left":
+            self.toll.add(admission.version.number, outcome, now - admission.arrived_at, now)
+        version = admission.version
         version.open_tickets -= 1
-        check_invariant(version.open_tickets >= 0, "a version's tickets are never under none")
+        check_invariant(version.open_tickets >= 0, "a version's count of open tickets is never negative")
         if not version.open_tickets and version not in (self.version, self.confirmed):
             self.versions.pop(version.number, None)
 
-    # --- what is in force -------------------------------------------------------------------------
+    # --- the version in force -------------------------------------------------------------------------
 
-    def _take_up(self, now: int) -> None:
-        """The present version's limits and marks, at one instant."""
+    def _apply_limits(self, now: int) -> None:
+        """Applies the limits and backend overrides of the current version."""
         own = self.version.read.own
         names = set()
         for route in own.routes:
             names.add(route.name)
-            held = self._held.setdefault(route.name, _Held())
+            limits = self._limits_by_route.setdefault(route.name, _RouteLimits())
             if route.concurrency is None:
-                # Those inside still leave it; nobody new enters.
-                if held.gate is not None:
-                    held.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
-            elif held.gate is None:
-                held.gate = Gate(_limit(route.concurrency, None), route.concurrency.queue, own.weights)
+                # Admitted tickets still release the old gate; the new limit is too high to reject any.
+                if limits.gate is not None:
+                    limits.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
+            elif limits.gate is None:
+                limits.gate = Gate(_limit(route.concurrency, None), route.concurrency.queue, own.weights)
             else:
-                held.gate.change(_limit(route.concurrency, held.gate), route.concurrency.queue, own.weights, now)
+                limits.gate.change(_limit(route.concurrency, limits.gate), route.concurrency.queue, own.weights, now)
             if route.rate is None:
-                held.buckets = None
-            elif held.buckets is None:
-                held.buckets = Buckets(route.rate.per_customer, route.rate.burst)
+                limits.buckets = None
+            elif limits.buckets is None:
+                limits.buckets = Buckets(route.rate.per_customer, route.rate.burst)
             else:
-                held.buckets.change(route.rate.per_customer, route.rate.burst)
+                limits.buckets.change(route.rate.per_customer, route.rate.burst)
             budget = route.retry_budget
             if budget is None:
-                held.budget = None
-            elif held.budget is None:
-                held.budget = RetryBudget(budget.share, budget.floor, budget.span, now)
+                limits.budget = None
+            elif limits.budget is None:
+                limits.budget = RetryBudget(budget.share, budget.floor, budget.span, now)
             else:
-                held.budget.change(budget.share, budget.floor)
-        for name, held in list(self._held.items()):
+                limits.budget.change(budget.share, budget.floor)
+        for name, limits in list(self._limits_by_route.items()):
             if name not in names:
-                if held.gate is not None and (held.gate.admitted_count or held.gate.waiting):
-                    held.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
-                    held.buckets = held.budget = None
+                if limits.gate is not None and (limits.gate.admitted_count or limits.gate.waiting):
+                    limits.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
+                    limits.buckets = limits.budget = None
                 else:
-                    del self._held[name]
-        changed = self.overlay.turn(self.version.marks)
+                    del self._limits_by_route[name]
+        changed = self.overlay.set_marks(self.version.marks)
         if changed:
-            self._list_again(changed)
+            self._update_endpoints(changed)
 
-    def _enter(self, read: Read, now: int) -> Version:
-        self._numbers += 1
-        self.version = Version(self._numbers, read)
-        self.versions[self._numbers] = self.version
-        self._take_up(now)
+    def _activate(self, read: Read, now: int) -> Version:
+        self._last_number += 1
+        self.version = Version(self._last_number, read)
+        self.versions[self._last_number] = self.version
+        self._apply_limits(now)
         return self.version
 
     # --- changes ----------------------------------------------------------------------------------
 
     def propose(self, read: Read, who: str, why: str, now: int) -> Change:
-        """Checked already; raises TransactionError where it can't be now, or changes nothing."""
+        """Proposes a validated configuration. Raises TransactionError if it equals the one in force, or if another
+        change is open and may not be waited for."""
         if read.digest == self.version.read.digest:
-            raise TransactionError(f"{read.digest} is what stands already")
+            raise TransactionError(f"{read.digest} is already in force")
         change = self.ledger.propose(read.digest, read, who, why, self.version.read.own.changes.wait, now)
-        self._said(change)
+        self._log_transition(change)
         return change
 
     def stage(self, change: Change, now: int) -> None:
-        """Whatever is needed ahead has been done, and it may be applied."""
-        self._move(change, STAGED, "the proxy", "checked", now)
+        """Marks a change as ready to apply, once its preparations are done."""
+        self._transition(change, STAGED, "the proxy", "checked", now)
 
     def apply(self, change: Change, now: int) -> None:
-        """At one instant: tickets that come from now on go by it."""
-        self._move(change, APPLIED, "the proxy", "staged", now)
-        version = self._enter(change.what, now)
+        """Puts a staged change into force: tickets that arrive from now on use it."""
+        self._transition(change, APPLIED, "the proxy", "staged", now)
+        version = self._activate(change.what, now)
         own = version.read.own
-        self.ledger.keep(own.changes.history)
-        self.toll.begin(version.number, own.changes.watch, now)
-        for name in self.overlay.unknown(version.marks):
-            self._say("a mark on a backend that is not listed", id=name)
+        self.ledger.set_history_limit(own.changes.history)
+        self.toll.start_comparison(version.number, own.changes.watch, now)
+        for name in self.overlay.unlisted_marks(version.marks):
+            self._say("override for a backend that discovery does not list as ready", id=name)
 
     def confirm(self, change: Change, who: str, why: str, now: int) -> None:
-        self._move(change, CONFIRMED, who, why, now)
-        self.toll.end()
-        before, self.confirmed = self.confirmed, self.version
-        if not before.open_tickets and before is not self.version:
-            self.versions.pop(before.number, None)
+        self._transition(change, CONFIRMED, who, why, now)
+        self.toll.stop_comparison()
+        previous, self.confirmed = self.confirmed, self.version
+        if not previous.open_tickets and previous is not self.version:
+            self.versions.pop(previous.number, None)
 
     def undo(self, change: Change, who: str, why: str, now: int) -> None:
-        """Before it was applied, it is given up. After, what was confirmed last stands again, as a version of
-        its own: tickets of the one undone go on to their end under it, and nothing is sent again."""
+        """Abandons a change that is not applied yet, or rolls an applied one back to the last confirmed configuration.
+        The rollback is a new version: tickets of the undone version finish under it, and none is sent again."""
         was_applied = change.state == APPLIED
-        self._move(change, UNDONE, who, why, now)
+        self._transition(change, UNDONE, who, why, now)
         if not was_applied:
             return
-        self.toll.end()
-        undone = self.version
-        self.confirmed = self._enter(self.confirmed.read, now)
+        self.toll.stop_comparison()
+        undone_version = self.version
+        self.confirmed = self._activate(self.confirmed.read, now)
         for version in list(self.versions.values()):
             if version is not self.version and not version.open_tickets:
                 del self.versions[version.number]
-        check_invariant(undone is not self.version, "an undo makes a version of its own")
+        check_invariant(undone_version is not self.version, "a rollback creates a new version")
 
-    def _move(self, change: Change, state: str, who: str, why: str, now: int) -> None:
+    def _transition(self, change: Change, state: str, who: str, why: str, now: int) -> None:
         self.ledger.move(change, state, who, why, now)
-        self._said(change)
+        self._log_transition(change)
 
-    def _said(self, change: Change) -> None:
+    def _log_transition(self, change: Change) -> None:
         step = change.steps[-1]
         self._say("change", number=change.number, name=change.name, state=step.state, who=step.who, why=step.why)
 
     def due(self, now: int) -> tuple[str, str] | None:
-        """What is to become of the open change now, and why; None while it is watched or none is open."""
+        """(CONFIRMED or UNDONE, reason) if the open change is to be decided now; None while it is still watched or no
+        change is open."""
         change = self.ledger.open
         if change is None:
             return None
-        terms = change.what.own.changes
-        # Judged by what stood before it: a change can't loosen the watch that it is under.
-        held = self.confirmed.read.own.changes
-        harm = self.toll.harm(
-            min(held.least, terms.least),
-            min(held.errors, terms.errors),
-            min(held.bounces, terms.bounces),
-            min(held.latency, terms.latency),
+        proposed_settings = change.what.own.changes
+        # The stricter of the confirmed and the proposed settings counts, so a change can't loosen its own watch.
+        confirmed_settings = self.confirmed.read.own.changes
+        harm = self.toll.find_harm(
+            min(confirmed_settings.least, proposed_settings.least),
+            min(confirmed_settings.errors, proposed_settings.errors),
+            min(confirmed_settings.bounces, proposed_settings.bounces),
+            min(confirmed_settings.latency, proposed_settings.latency),
+        )
+        confirm_automatically = proposed_settings.confirm == "by itself" and confirmed_settings.confirm == "by itself"
+        return transaction_log.verdict(
+            change, confirm_automatically, max(confirmed_settings.watch, proposed_settings.watch), harm, now
         )
-        by_itself = terms.confirm == "by itself" and held.confirm == "by itself"
-        return transaction_log.verdict(change, by_itself, max(held.watch, terms.watch), harm, now)
 
     def sweep(self, now: int) -> None:
-        for name, held in list(self._held.items()):
-            if held.gate is not None:
-                held.gate.sweep(now)
-            if held.buckets is not None:
-                held.buckets.sweep(now)
+        for name, limits in list(self._limits_by_route.items()):
+            if limits.gate is not None:
+                limits.gate.sweep(now)
+            if limits.buckets is not None:
+                limits.buckets.sweep(now)
             if (
-                held.gate is not None
-                and not held.gate.admitted_count
-                and not held.gate.waiting
+                limits.gate is not None
+                and not limits.gate.admitted_count
+                and not limits.gate.waiting
                 and all(route.name != name for route in self.version.read.own.routes)
             ):
-                del self._held[name]
+                del self._limits_by_route[name]
 
     def gates(self) -> list[dict[str, object]]:
-        """By route, for those who ask."""
+        """Limits and counters by route, for the status page."""
         return [
             {
                 "route": name,
-                "inside": held.gate.admitted_count if held.gate else 0,
-                "waiting": held.gate.waiting if held.gate else 0,
-                "limit": held.gate.limit if held.gate else None,
-                "customers": len(held.buckets) if held.buckets else 0,
-                "kept_out": held.kept_out,
+                "inside": limits.gate.admitted_count if limits.gate else 0,
+                "waiting": limits.gate.waiting if limits.gate else 0,
+                "limit": limits.gate.limit if limits.gate else None,
+                "customers": len(limits.buckets) if limits.buckets else 0,
+                "kept_out": limits.rejected_count,
             }
-            for name, held in self._held.items()
+            for name, limits in self._limits_by_route.items()
         ]
 
 
-def _limit(of: Concurrency, gate: Gate | None) -> Gradient | Fixed:
-    """A limit of these terms; an adaptive one that stood goes on from where it was."""
-    if not of.adaptive:
-        return Fixed(of.most)
-    before = gate.adaptive if gate is not None else None
-    if before is not None:
-        before.change(of.least, of.most, of.tolerance)
-        return before
-    return Gradient(of.least, of.most, of.start, of.tolerance)
+def _limit(settings: Concurrency, gate: Gate | None) -> Gradient | Fixed:
+    """Creates the route's limit; an existing adaptive limit keeps its current value."""
+    if not settings.adaptive:
+        return Fixed(settings.most)
+    existing = gate.adaptive if gate is not None else None
+    if existing is not None:
+        existing.change(settings.least, settings.most, settings.tolerance)
+        return existing
+    return Gradient(settings.least, settings.most, settings.start, settings.tolerance)
 
 
 __all__ = [
--- a/pepperusher/changes/confirmed_file.py
+++ b/pepperusher/changes/confirmed_file.py
@@ -1,8 +1,8 @@
-"""The last confirmed file on disk, and the mark of a change that is not; each replaced at once, and synced.
+"""The last confirmed configuration on disk and a marker for an unconfirmed change, each replaced atomically and synced.
 
-At a start: while the mark of an open change stands and the file is still the one it proposed, the last
-confirmed counts, since the proxy ended before that was confirmed. A file that was written since is the
-operators' newer word, and counts.
+At startup the last confirmed configuration is used if the marker of an open change exists and the configuration file
+still holds the text of that change: the proxy ended before the change was confirmed. A file that was edited since
+then is newer and is used instead.
 """
 
 from __future__ import annotations
@@ -16,67 +16,68 @@
 
 
 class Begin(NamedTuple):
-    """What to start from: a text, and why it is not the file's where it is not."""
+    """The configuration text to start with; `instead` says why it is not the text of the file, or is empty if it is."""
 
     text: str
     instead: str
 
 
 def _replace(path: Path, data: bytes) -> None:
-    fresh = path.with_name(path.name + ".new")
-    with open(fresh, "wb") as file:
+    temporary = path.with_name(path.name + ".new")
+    with open(temporary, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    fresh.replace(path)
+    temporary.replace(path)
     _sync(path.parent)
 
 
 def _sync(folder: Path) -> None:
-    """A rename lasts once its folder is on disk."""
-    number = os.open(folder, os.O_RDONLY)
+    """Syncs a folder: a rename is durable only once its folder is synced."""
+    descriptor = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(number)
+        os.fsync(descriptor)
     finally:
-        os.close(number)
+        os.close(descriptor)
 
 
 class ConfirmedFile:
-    """A folder's. Every call may block for as long as the disk does, and raises OSError."""
+    """The state files in one folder. Every call may block on the disk and raises OSError."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
 
     def begin(self, text: str) -> Begin:
-        """`text` is what the file says now."""
+        """Chooses the configuration to start with; `text` is the present text of the configuration file."""
         self._folder.mkdir(parents=True, exist_ok=True)
         try:
             confirmed = (self._folder / CONFIRMED).read_text()
-            mark = json.loads((self._folder / OPEN).read_text())
+            marker = json.loads((self._folder / OPEN).read_text())
         except FileNotFoundError:
             return Begin(text, "")
         except ValueError:
-            # A mark that can't be read was being written: nothing was applied under it yet.
-            mark = {}
-        if isinstance(mark, dict) and mark.get("text") == text and confirmed != text:
-            return Begin(confirmed, f"change {mark.get('number')} was not confirmed when the proxy ended")
+            # An unreadable marker was still being written, so its change had not been applied yet.
+            marker = {}
+        if isinstance(marker, dict) and marker.get("text") == text and confirmed != text:
+            return Begin(confirmed, f"change {marker.get('number')} was not confirmed when the proxy ended")
         return Begin(text, "")
 
     def open(self, number: int, text: str) -> None:
-        """Before a change is applied."""
+        """Writes the marker of a change; called before the change is applied."""
         _replace(self._folder / OPEN, json.dumps({"number": number, "text": text}).encode())
 
     def confirm(self, text: str) -> None:
+        """Stores `text` as the confirmed configuration and removes the marker."""
         _replace(self._folder / CONFIRMED, text.encode())
         (self._folder / OPEN).unlink(missing_ok=True)
         _sync(self._folder)
 
     def undo(self, text: str) -> None:
-        """The mark stays with the file that was undone, so that a start does not take it up again."""
+        """Keeps a marker with the text that was undone, so that the next startup does not use it again."""
         _replace(self._folder / OPEN, json.dumps({"number": "undone", "text": text}).encode())
 
     def restore(self, text: str) -> None:
-        """What is confirmed, as it was: a confirming that was overtaken by an undo may have written the
-        other."""
+        """Writes the confirmed configuration again if the stored one differs: a confirmation that raced with an undo
+        may have stored the undone text."""
         if not (self._folder / CONFIRMED).exists() or (self._folder / CONFIRMED).read_text() != text:
             _replace(self._folder / CONFIRMED, text.encode())
--- a/pepperusher/changes/overlay.py
+++ b/pepperusher/changes/overlay.py
@@ -1,6 +1,7 @@
-"""The marks of our own file on the list of backends; free of I/O.
+"""Applies the operator overrides of the proxy's own configuration to the endpoints from discovery; free of I/O.
 
-A mark can drain a backend or change its weight. A backend is ready where discovery and the mark both say so.
+An override (a `Mark` of the `backends` table) drains a backend or scales its weight. A backend is ready only if both
+discovery and its override say so.
 """
 
 from __future__ import annotations
@@ -13,27 +14,29 @@
 
 
 class Overlay:
+    """Filters endpoint updates through the overrides: `lines` filters an update, `ready` gives the ready endpoints."""
+
     def __init__(self) -> None:
         self._marks: Mapping[str, Mark] = {}
-        self._narrowed = EndpointFilter(self._marked)
-        self.lines = self._narrowed.filter
-        self.ready = self._narrowed.ready_endpoints
+        self._filter = EndpointFilter(self._apply_mark)
+        self.lines = self._filter.filter
+        self.ready = self._filter.ready_endpoints
 
-    def _marked(self, entry: Endpoint) -> Endpoint:
+    def _apply_mark(self, entry: Endpoint) -> Endpoint:
         mark = self._marks.get(entry.id)
         if mark is None:
             return entry
         weight = entry.weight * mark.weight if mark.weight is not None else entry.weight
         return entry._replace(weight=weight, ready=entry.ready and not mark.drain)
 
-    def turn(self, marks: Mapping[str, Mark]) -> list[Endpoint]:
-        """Other marks from now on; the lines that change by it."""
+    def set_marks(self, marks: Mapping[str, Mark]) -> list[Endpoint]:
+        """Replaces the overrides and returns the endpoints whose effective state changes."""
 
-        def turn() -> None:
+        def set_marks() -> None:
             self._marks = marks
 
-        return self._narrowed.replace_marks(turn)
+        return self._filter.replace_marks(set_marks)
 
-    def unknown(self, marks: Mapping[str, Mark]) -> list[str]:
-        """Marks on backends that the list does not have as ready now."""
-        return sorted(name for name in marks if name not in self._narrowed)
+    def unlisted_marks(self, marks: Mapping[str, Mark]) -> list[str]:
+        """Ids of overridden backends that discovery does not list as ready."""
+        return sorted(name for name in marks if name not in self._filter)
--- a/pepperusher/changes/transaction_log.py
+++ b/pepperusher/changes/transaction_log.py
@@ -1,8 +1,9 @@
-"""The life of a change: proposed, staged, applied, confirmed or undone; one at a time; free of I/O.
+"""The state machine of configuration changes: proposed, staged, applied, confirmed or undone; free of I/O.
 
-Whoever calls does what an answer says (write the state, apply the terms) and tells the ledger when it is
-done. What is proposed while another is open is refused by that one's name, or waits for it where the file
-says so; it is never merged, and one that waited is checked anew against what stands when its turn comes.
+One change is open at a time. The caller does the work of each step (writes the state, applies the configuration) and
+then moves the change to its next state here. A change that is proposed while another is open is refused with an
+error that names the open one, or queued if the configuration says so. Changes are never merged; the caller validates
+a queued change again, against the configuration then in force, when its turn comes.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from typing import Any, NamedTuple
 
 PROPOSED, STAGED, APPLIED, CONFIRMED, UNDONE = "proposed", "staged", "applied", "confirmed", "undone"
-# What may follow what. Undone before it was applied is a change that was given up.
+# Allowed next states by state. A change that is undone before it is applied was abandoned.
 FOLLOWS = {
     PROPOSED: (STAGED, UNDONE),
     STAGED: (APPLIED, UNDONE),
@@ -19,15 +20,15 @@
     CONFIRMED: (),
     UNDONE: (),
 }
-MOST_WAITING = 8
+MAX_QUEUED = 8
 
 
 class TransactionError(ValueError):
-    """What can't be done with a change now; its text is one line."""
+    """An operation that the state of the change doesn't allow; its text is one line."""
 
 
 class Step(NamedTuple):
-    """A change came to `state` at `when` (us), by whom and why."""
+    """One state transition: the change reached `state` at time `when` (us), caused by `who` for the reason `why`."""
 
     state: str
     when: int
@@ -36,8 +37,8 @@
 
 
 class Change:
-    """`what` is whatever the caller proposed; the ledger never looks into it. `name` is what it is called
-    by."""
+    """A proposed configuration change. `what` is the caller's payload, which the transaction log never inspects;
+    `name` is the payload's digest as shown to operators."""
 
     __slots__ = ("number", "name", "what", "steps")
 
@@ -45,7 +46,7 @@
         self.number = number
         self.name = name
         self.what = what
-        self.steps = [step]  # five at the most
+        self.steps = [step]  # at most one for each state
 
     @property
     def state(self) -> str:
@@ -55,29 +56,31 @@
     def over(self) -> bool:
         return not FOLLOWS[self.state]
 
-    def at(self, state: str) -> int:
-        """When it came to that state, -1 for never."""
+    def reached_at(self, state: str) -> int:
+        """The time (us) at which the change reached `state`; -1 if it never did."""
         return next((step.when for step in self.steps if step.state == state), -1)
 
 
 class TransactionLog:
+    """The open change, the queue of changes that wait for it, and the history of finished ones."""
+
     def __init__(self, history: int) -> None:
-        self._history: deque[Change] = deque(maxlen=history)  # those over, the last `history`
-        self._waiting: deque[Change] = deque()  # emptied as their turn comes, MOST_WAITING at the most
-        self._number = 0
+        self._history: deque[Change] = deque(maxlen=history)  # the last `history` finished changes
+        self._queue: deque[Change] = deque()  # queued changes, MAX_QUEUED at most
+        self._last_number = 0
         self.open: Change | None = None
 
-    def keep(self, history: int) -> None:
+    def set_history_limit(self, history: int) -> None:
         if history != self._history.maxlen:
             self._history = deque(self._history, history)
 
     @property
     def history(self) -> list[Change]:
-        """Oldest first; the open one and those that wait last."""
-        return [*self._history, *(() if self.open is None else (self.open,)), *self._waiting]
+        """Finished changes, oldest first, then the open change, then the queued ones."""
+        return [*self._history, *(() if self.open is None else (self.open,)), *self._queue]
 
     def find(self, number: int | None) -> Change:
-        """Raises TransactionError. None is the open one."""
+        """The change with this number; None stands for the open change. Raises TransactionError."""
         if number is None:
             if self.open is None:
                 raise TransactionError("no change is open")
@@ -87,26 +90,27 @@
                 return change
         raise TransactionError(f"no change {number} is known")
 
-    def propose(self, name: str, what: Any, who: str, why: str, waits: bool, now: int) -> Change:
-        """The change, open if none was, else waiting. Raises TransactionError, naming the one that is open."""
+    def propose(self, name: str, what: Any, who: str, why: str, may_queue: bool, now: int) -> Change:
+        """Returns the new change: open if no other is, otherwise queued. Raises TransactionError, which names the open
+        change, if the new one may not be queued."""
         if self.open is not None:
-            if not waits:
+            if not may_queue:
                 raise TransactionError(
                     f"change {self.open.number} ({self.open.name}) of {self.open.steps[0].who} is"
                     f" {self.open.state}; confirm or undo it first"
                 )
-            if len(self._waiting) >= MOST_WAITING:
-                raise TransactionError(f"{MOST_WAITING} changes wait already")
-        self._number += 1
-        change = Change(self._number, name, what, Step(PROPOSED, now, who, why))
+            if len(self._queue) >= MAX_QUEUED:
+                raise TransactionError(f"{MAX_QUEUED} changes are queued already")
+        self._last_number += 1
+        change = Change(self._last_number, name, what, Step(PROPOSED, now, who, why))
         if self.open is None:
             self.open = change
         else:
-            self._waiting.append(change)
+            self._queue.append(change)
         return change
 
     def move(self, change: Change, state: str, who: str, why: str, now: int) -> None:
-        """To the next state. Raises TransactionError where that can't follow."""
+        """Moves a change to its next state. Raises TransactionError if that transition is not allowed."""
         if state not in FOLLOWS[change.state]:
             raise TransactionError(f"change {change.number} is {change.state} and can't become {state}")
         if change is not self.open and state != UNDONE:
@@ -118,24 +122,26 @@
         if change is self.open:
             self.open = None
         else:
-            self._waiting.remove(change)
+            self._queue.remove(change)
 
     def next(self) -> Change | None:
-        """The one whose turn has come: it is open from now on, and to be checked anew."""
-        if self.open is None and self._waiting:
-            self.open = self._waiting.popleft()
+        """Opens the first queued change if no change is open; the caller has to validate it again."""
+        if self.open is None and self._queue:
+            self.open = self._queue.popleft()
             return self.open
         return None
 
 
-def verdict(change: Change, by_itself: bool, watch: int, harm: object | None, now: int) -> tuple[str, str] | None:
-    """What becomes of an applied change now: (CONFIRMED or UNDONE, why), or None while it is watched."""
+def verdict(
+    change: Change, confirm_automatically: bool, watch_period: int, harm: object | None, now: int
+) -> tuple[str, str] | None:
+    """Decides on an applied change: (CONFIRMED or UNDONE, reason), or None while it is still watched."""
     if change.state != APPLIED:
         return None
     if harm is not None:
         return UNDONE, str(harm)
-    if now - change.at(APPLIED) < watch:
+    if now - change.reached_at(APPLIED) < watch_period:
         return None
-    if by_itself:
-        return CONFIRMED, "watched, and nothing rose"
-    return UNDONE, "not confirmed by hand in time"
+    if confirm_automatically:
+        return CONFIRMED, "watch period passed without harm"
+    return UNDONE, "not confirmed manually in time"
--- a/pepperusher/configuration/validation.py
+++ b/pepperusher/configuration/validation.py
@@ -46,7 +46,7 @@
 
     key: str
     rule: str
-    what: str
+    problem: str
 
 
 Tell = Callable[[str, str, str], None]
--- a/pepperusher/store/__init__.py
+++ b/pepperusher/store/__init__.py
@@ -1,1 +1,1 @@
-"""A store that lasts: a log of checksummed records with snapshots, and what a proxy keeps in it."""
+"""The persistent store: a log of checksummed records with snapshots, and the tables that a proxy keeps in it."""
--- a/pepperusher/store/commands.py
+++ b/pepperusher/store/commands.py
@@ -1,4 +1,4 @@
-"""The commands that look after a store on disk: check, dump, compact, repair."""
+"""The commands for maintenance of a store on disk: check, dump, compact, repair."""
 
 from __future__ import annotations
 
@@ -16,21 +16,23 @@
 from pepperusher.store.log import Log, replay
 from pepperusher.store.recovery import RefusedError
 
-WORDS = {
+KIND_NAMES = {
     tables.SENT: "sent",
     tables.NEVER_RAN: "never ran",
     tables.BREAKER: "breaker",
     tables.LISTED: "listed",
     tables.UNLISTED: "unlisted",
 }
-LARGE = 16 * 1024 * 1024
-# Far over what any proxy holds: the commands drop nothing that a proxy would keep.
-MOST = 1 << 40
+# From this size on the commands show a progress bar.
+PROGRESS_BAR_MIN_BYTES = 16 * 1024 * 1024
+# Far above the size of any proxy's tables, so that the commands don't evict entries that a proxy would keep.
+UNLIMITED = 1 << 40
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 
 
 @contextmanager
-def one_line() -> Iterator[None]:
+def report_errors() -> Iterator[None]:
+    """Reports errors of the store as one line, without a traceback."""
     try:
         yield
     except (RefusedError, FolderLockedError) as error:
@@ -39,117 +41,122 @@
         raise click.ClickException(f"{error.filename or 'the folder'}: {error.strerror or error}") from None
 
 
-def _files(folder: Path) -> dict[str, bytes]:
-    """All of a folder, with a bar where that is much."""
-    paths = [one for one in sorted(folder.iterdir()) if one.is_file() and one.name != "lock"]
-    whole = sum(one.stat().st_size for one in paths)
-    if whole < LARGE:
-        return {one.name: one.read_bytes() for one in paths}
+def _read_files(folder: Path) -> dict[str, bytes]:
+    """Reads all files of a folder, with a progress bar if they are large."""
+    paths = [path for path in sorted(folder.iterdir()) if path.is_file() and path.name != "lock"]
+    total_bytes = sum(path.stat().st_size for path in paths)
+    if total_bytes < PROGRESS_BAR_MIN_BYTES:
+        return {path.name: path.read_bytes() for path in paths}
     files = {}
-    with click.progressbar(length=whole, label="reading", file=click.get_text_stream("stderr")) as bar:
-        for one in paths:
-            files[one.name] = one.read_bytes()
-            bar.update(len(files[one.name]))
+    with click.progressbar(length=total_bytes, label="reading", file=click.get_text_stream("stderr")) as bar:
+        for path in paths:
+            files[path.name] = path.read_bytes()
+            bar.update(len(files[path.name]))
     return files
 
 
-def _recovered(folder: Path) -> recovery.Recovered:
-    found = recovery.recover(_files(folder))
+def _recover_store(folder: Path) -> recovery.Recovered:
+    found = recovery.recover(_read_files(folder))
     if found is None:
-        raise click.ClickException(f"{folder}: holds no store")
+        raise click.ClickException(f"{folder}: contains no store")
     return found
 
 
 @click.group()
 def store() -> None:
-    """Look after a store on disk. Nothing but compact and repair writes, and repair to a folder of its own."""
+    """Maintain a store on disk. Only compact and repair write, and repair writes to a separate folder."""
 
 
 @store.command()
 @FOLDER
 def check(folder: Path) -> None:
-    """Say whether FOLDER holds a store that would be opened, and what is in it; ends with 1 where it would refuse."""
-    with one_line():
-        found = _recovered(folder)
+    """Check whether the store in FOLDER can be opened and summarize it; exits with 1 if it can't."""
+    with report_errors():
+        found = _recover_store(folder)
         kinds = Counter(kind for kind, _ in replay(found))
-        size = sum(one.stat().st_size for one in folder.iterdir())
+        size = sum(path.stat().st_size for path in folder.iterdir())
         click.echo(
-            f"{folder}: sound, {size} bytes, {len(found.state)} groups in {found.manifest.snapshot or 'no snapshot'},"
-            f" {len(found.log)} in segments {found.manifest.first} to {found.number}; the last is {found.sequence}"
+            f"{folder}: valid, {size} bytes, {len(found.state)} groups in {found.manifest.snapshot or 'no snapshot'},"
+            f" {len(found.log)} in segments {found.manifest.first_segment} to {found.segment_number}; the last group is"
+            f" {found.sequence}"
         )
         for kind, count in sorted(kinds.items()):
-            click.echo(f"  {WORDS.get(kind, f'kind {kind}'):<10} {count}")
-        if found.cut:
-            click.echo(f"  {found.cut} bytes at the end were being written, and never acknowledged")
+            click.echo(f"  {KIND_NAMES.get(kind, f'kind {kind}'):<10} {count}")
+        if found.truncated_bytes:
+            click.echo(
+                f"  {found.truncated_bytes} bytes at the end are an interrupted write that was never acknowledged"
+            )
         for name in found.stale:
-            click.echo(f"  {name} is left over, and goes when the store is opened")
+            click.echo(f"  {name} is unused, and is removed when the store is opened")
 
 
 @store.command()
 @FOLDER
 def dump(folder: Path) -> None:
-    """Print every record of FOLDER, a JSON line each, in their order."""
-    with one_line():
-        for kind, body in replay(_recovered(folder)):
-            words = tables.DECODE(body) if kind in WORDS else body.hex()
-            click.echo(json.dumps({"kind": WORDS.get(kind, kind), "record": words}))
+    """Print all records of the store in FOLDER in order, each as a line of JSON."""
+    with report_errors():
+        for kind, body in replay(_recover_store(folder)):
+            record = tables.DECODE(body) if kind in KIND_NAMES else body.hex()
+            click.echo(json.dumps({"kind": KIND_NAMES.get(kind, kind), "record": record}))
 
 
-def _tables(records: Iterator[tuple[int, bytes]]) -> tables.Tables:
-    made = tables.Tables(MOST, MOST, MOST)
+def _rebuild_tables(records: Iterator[tuple[int, bytes]]) -> tables.Tables:
+    store_tables = tables.Tables(UNLIMITED, UNLIMITED, UNLIMITED)
     for kind, body in records:
-        made.take(kind, body)
-    return made
+        store_tables.take(kind, body)
+    return store_tables
 
 
 @store.command()
 @FOLDER
 def compact(folder: Path) -> None:
-    """Put what FOLDER holds now into one snapshot. No proxy may have it open."""
-    with one_line():
-        before = sum(one.stat().st_size for one in folder.iterdir())
+    """Compact the store in FOLDER into one snapshot. No proxy may have it open."""
+    with report_errors():
+        before = sum(path.stat().st_size for path in folder.iterdir())
         log = Log(Disk(folder))
         found = log.open()
-        held = _tables(replay(found))
-        if held.unknown:
+        store_tables = _rebuild_tables(replay(found))
+        if store_tables.unknown:
             log.close()
-            raise click.ClickException(f"{folder}: {held.unknown} records are of a later program, and would be lost")
+            raise click.ClickException(
+                f"{folder}: {store_tables.unknown} records are from a later version of the program, and would be lost"
+            )
         sequence = log.rotate()
-        name = log.write_snapshot(sequence, held.state(time.time_ns() // 1000))
-        log.take_snapshot(name, sequence, log.number)
+        name = log.write_snapshot(sequence, store_tables.state(time.time_ns() // 1000))
+        log.commit_snapshot(name, sequence, log.number)
         log.close()
-        click.echo(f"{folder}: {before} bytes before, {sum(one.stat().st_size for one in folder.iterdir())} now")
+        click.echo(f"{folder}: {before} bytes before, {sum(path.stat().st_size for path in folder.iterdir())} now")
 
 
 @store.command()
 @FOLDER
-@click.option("--to", type=click.Path(path_type=Path), help="A new folder for it; FOLDER.repaired if left out.")
+@click.option("--to", type=click.Path(path_type=Path), help="The new folder; FOLDER.repaired by default.")
 def repair(folder: Path, to: Path | None) -> None:
-    """Write what can be kept of FOLDER to a new folder, and say what is dropped. FOLDER stays as it is."""
-    with one_line():
+    """Write the recoverable records of FOLDER to a new folder and list what is dropped. FOLDER is not changed."""
+    with report_errors():
         target = to or folder.with_name(folder.name + ".repaired")
         if target.exists():
-            raise click.ClickException(f"{target}: is there already")
-        kept = salvage.salvage(_files(folder))
+            raise click.ClickException(f"{target}: already exists")
+        salvaged = salvage.salvage(_read_files(folder))
         log = Log(Disk(target))
         log.open()
-        _write(log, kept)
+        _append_groups(log, salvaged)
         log.close()
-        click.echo(f"{target}: {len(kept.groups)} groups kept")
-        for line in kept.dropped:
+        click.echo(f"{target}: {len(salvaged.groups)} groups kept")
+        for line in salvaged.dropped:
             click.echo(f"  dropped: {line}")
-        if not kept.dropped:
-            click.echo("  nothing dropped: the store was sound")
+        if not salvaged.dropped:
+            click.echo("  nothing dropped: the store was valid")
 
 
-def _write(log: Log, kept: salvage.Salvaged) -> None:
-    """Group by group, with a bar where they are many."""
-    size = sum(len(one.body) for one in kept.groups)
-    if size < LARGE:
-        for one in kept.groups:
-            log.append(frames.unpacked(one.body))
+def _append_groups(log: Log, salvaged: salvage.Salvaged) -> None:
+    """Appends the groups one by one, with a progress bar if they are large."""
+    size = sum(len(group.body) for group in salvaged.groups)
+    if size < PROGRESS_BAR_MIN_BYTES:
+        for group in salvaged.groups:
+            log.append(frames.decode_records(group.body))
         return
     with click.progressbar(length=size, label="writing", file=click.get_text_stream("stderr")) as bar:
-        for one in kept.groups:
-            log.append(frames.unpacked(one.body))
-            bar.update(len(one.body))
+        for group in salvaged.groups:
+            log.append(frames.decode_records(group.body))
+            bar.update(len(group.body))
--- a/pepperusher/store/frames.py
+++ b/pepperusher/store/frames.py
@@ -1,11 +1,11 @@
-"""How records lie in files; free of I/O.
-
-A segment is a header and frames. A frame is its length, the crc32c of all else in it, a sequence number one
-over the one before, a kind and a body. A group that is written at once is one frame: in two, the second could
-last where power was lost and the first not, and that would look like a flaw in the middle of what was
-acknowledged. The tail file has two slots written in turn, each the last sequence number that was
-acknowledged: a log that ends before it has lost something, and one that ends after it was cut while it was
-being written.
+"""The binary format of the store's files; free of I/O.
+
+A segment is a header followed by frames. A frame holds its length, a crc32c over everything else in it, a sequence
+number (one above that of the frame before), a kind and a body. A group of records that is written together is one
+frame. If it were two, a power loss could preserve the second without the first, which would look like corruption
+amid acknowledged data. The tail file has two slots, written alternately, each with the last acknowledged
+sequence number. A log that ends before that number has lost acknowledged data; a log that ends after it was
+interrupted while it was written.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 
 VERSION = 1
 MAGIC = b"PPST"
-HEADER = struct.Struct("<4sHHQI")  # magic, version, 0, number, crc32c of what is before it
-FRAME = struct.Struct("<II")  # length of what follows the two, crc32c of length and what follows
-LEAD = struct.Struct("<QB")  # sequence number, kind
-RECORD = struct.Struct("<IB")  # length of the body, kind
+HEADER = struct.Struct("<4sHHQI")  # magic, version, 0, number, crc32c of the fields before
+FRAME_HEADER = struct.Struct("<II")  # length of the payload after these two fields, crc32c of length and payload
+PAYLOAD_HEADER = struct.Struct("<QB")  # sequence number, kind
+RECORD_HEADER = struct.Struct("<IB")  # length of the body, kind
 SLOT = struct.Struct("<QI4x")  # sequence number, crc32c of it
 SLOTS = 2
-LONGEST = 1 << 20
-# A frame's kinds: the end of a snapshot, and a group of records.
+MAX_PAYLOAD_BYTES = 1 << 20
+# Kinds of frames: the end of a snapshot, and a group of records.
 END, GROUP = 0, 1
 
 
 class FrameError(ValueError):
-    """Bytes that are no such file; its text says where."""
+    """Bytes that don't have the store's file format; its text says what is wrong."""
 
 
 class Frame(NamedTuple):
@@ -39,93 +39,95 @@
     body: bytes
 
 
-def header(number: int) -> bytes:
-    """Of the segment `number`."""
-    begin = HEADER.pack(MAGIC, VERSION, 0, number, 0)[:-4]
-    return begin + struct.pack("<I", crc32c(begin))
+def encode_header(number: int) -> bytes:
+    """Encodes the header of the segment `number`."""
+    fields = HEADER.pack(MAGIC, VERSION, 0, number, 0)[:-4]
+    return fields + struct.pack("<I", crc32c(fields))
 
 
-def read_header(data: bytes) -> tuple[int, int]:
-    """The version and number of a segment. Raises FrameError."""
+def decode_header(data: bytes) -> tuple[int, int]:
+    """Decodes a segment's header to its version and number. Raises FrameError."""
     if len(data) < HEADER.size:
-        raise FrameError("ends within its header")
-    magic, version, _, number, check = HEADER.unpack_from(data)
-    if magic != MAGIC or crc32c(data[: HEADER.size - 4]) != check:
-        raise FrameError("has a header that can't be read")
+        raise FrameError("is truncated within its header")
+    magic, version, _, number, checksum = HEADER.unpack_from(data)
+    if magic != MAGIC or crc32c(data[: HEADER.size - 4]) != checksum:
+        raise FrameError("has an invalid header")
     if version > VERSION:
-        raise FrameError(f"is of version {version}; this program reads up to {VERSION}")
+        raise FrameError(f"has version {version}; this program supports up to {VERSION}")
     return version, number
 
 
-def frame(sequence: int, kind: int, body: bytes) -> bytes:
-    whole = LEAD.pack(sequence, kind) + body
-    if len(whole) > LONGEST:
-        raise FrameError(f"a record of {len(whole)} bytes is over {LONGEST}")
-    length = struct.pack("<I", len(whole))
-    return length + struct.pack("<I", crc32c(length + whole)) + whole
+def encode_frame(sequence: int, kind: int, body: bytes) -> bytes:
+    """Encodes a frame. Raises FrameError if it is too long."""
+    payload = PAYLOAD_HEADER.pack(sequence, kind) + body
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        raise FrameError(f"a frame of {len(payload)} bytes exceeds the maximum of {MAX_PAYLOAD_BYTES}")
+    length = struct.pack("<I", len(payload))
+    return length + struct.pack("<I", crc32c(length + payload)) + payload
 
 
-def packed(records: Iterable[tuple[int, bytes]]) -> bytes:
-    """A group of (kind, body) as the body of one frame."""
-    return b"".join(RECORD.pack(len(body), kind) + body for kind, body in records)
+def encode_records(records: Iterable[tuple[int, bytes]]) -> bytes:
+    """Encodes a group of (kind, body) records as the body of one frame."""
+    return b"".join(RECORD_HEADER.pack(len(body), kind) + body for kind, body in records)
 
 
-def unpacked(body: bytes) -> Iterator[tuple[int, bytes]]:
-    """The records of a group."""
-    at = 0
-    while at < len(body):
-        length, kind = RECORD.unpack_from(body, at)
-        at += RECORD.size
-        yield kind, body[at : at + length]
-        at += length
+def decode_records(body: bytes) -> Iterator[tuple[int, bytes]]:
+    """Decodes the (kind, body) records of a group."""
+    offset = 0
+    while offset < len(body):
+        length, kind = RECORD_HEADER.unpack_from(body, offset)
+        offset += RECORD_HEADER.size
+        yield kind, body[offset : offset + length]
+        offset += length
 
 
-def frames(data: bytes, at: int) -> Iterator[tuple[int, Frame]]:
-    """(where it ends, the frame) from `at` to the first that is not whole and sound."""
+def iterate_frames(data: bytes, offset: int) -> Iterator[tuple[int, Frame]]:
+    """Yields (end offset, frame) for the frames from `offset` on, up to the first incomplete or corrupt one."""
     while True:
-        found = frame_at(data, at)
+        found = decode_frame(data, offset)
         if found is None:
             return
-        at, one = found
-        yield at, one
+        offset, decoded = found
+        yield offset, decoded
 
 
-def frame_at(data: bytes, at: int) -> tuple[int, Frame] | None:
-    """The frame that begins at `at` and where it ends; None where none does."""
-    if at + FRAME.size > len(data):
+def decode_frame(data: bytes, offset: int) -> tuple[int, Frame] | None:
+    """The end offset and the frame that begins at `offset`; None if no valid frame does."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    length, check = FRAME.unpack_from(data, at)
-    begin = at + FRAME.size
-    if not LEAD.size <= length <= LONGEST or begin + length > len(data):
+    length, checksum = FRAME_HEADER.unpack_from(data, offset)
+    payload_start = offset + FRAME_HEADER.size
+    if not PAYLOAD_HEADER.size <= length <= MAX_PAYLOAD_BYTES or payload_start + length > len(data):
         return None
-    whole = data[begin : begin + length]
-    if crc32c(data[at : at + 4] + whole) != check:
+    payload = data[payload_start : payload_start + length]
+    if crc32c(data[offset : offset + 4] + payload) != checksum:
         return None
-    sequence, kind = LEAD.unpack_from(whole)
-    return begin + length, Frame(sequence, kind, whole[LEAD.size :])
+    sequence, kind = PAYLOAD_HEADER.unpack_from(payload)
+    return payload_start + length, Frame(sequence, kind, payload[PAYLOAD_HEADER.size :])
 
 
-def sound_after(data: bytes, at: int) -> int | None:
-    """Where a sound frame begins at `at` or behind it; None where none does. A cut has none behind it, and a
-    flaw in the middle does."""
-    for place in range(at, len(data) - FRAME.size - LEAD.size + 1):
-        if frame_at(data, place) is not None:
-            return place
+def find_valid_frame(data: bytes, offset: int) -> int | None:
+    """The offset of the first valid frame at `offset` or later; None if there is none. No valid frame follows an
+    interrupted write, whereas valid frames do follow corruption in the middle of a file."""
+    for candidate in range(offset, len(data) - FRAME_HEADER.size - PAYLOAD_HEADER.size + 1):
+        if decode_frame(data, candidate) is not None:
+            return candidate
     return None
 
 
-def slot(sequence: int) -> bytes:
+def encode_slot(sequence: int) -> bytes:
+    """Encodes a slot of the tail file."""
     data = struct.pack("<Q", sequence)
     return SLOT.pack(sequence, crc32c(data))
 
 
-def read_tail(data: bytes) -> int:
-    """The last sequence number known as acknowledged; 0 where no slot can be read."""
-    known = 0
-    for place in range(SLOTS):
-        part = data[place * SLOT.size : (place + 1) * SLOT.size]
-        if len(part) == SLOT.size:
-            sequence, check = SLOT.unpack(part)
-            if crc32c(part[:8]) == check:
-                known = max(known, sequence)
-    return known
+def decode_tail(data: bytes) -> int:
+    """The last sequence number recorded as acknowledged; 0 if no slot is readable."""
+    acknowledged = 0
+    for slot_index in range(SLOTS):
+        slot_bytes = data[slot_index * SLOT.size : (slot_index + 1) * SLOT.size]
+        if len(slot_bytes) == SLOT.size:
+            sequence, checksum = SLOT.unpack(slot_bytes)
+            if crc32c(slot_bytes[:8]) == checksum:
+                acknowledged = max(acknowledged, sequence)
+    return acknowledged
--- a/pepperusher/store/log.py
+++ b/pepperusher/store/log.py
@@ -1,8 +1,8 @@
-"""The log on a disk: groups appended and acknowledged, segments, snapshots, compaction. Every call blocks.
+"""The write-ahead log on disk: appending of record groups, segments, snapshots and compaction. Every call blocks.
 
-The order of writes is what holds it together: a group is synced before the tail names it, a snapshot and the
-segment after it are on disk before the manifest names them, and nothing is removed before the manifest that
-no longer names it is.
+Crash safety depends on the order of writes. A group is synced before the tail file records it as acknowledged. A
+snapshot and the segment after it are on disk before the manifest refers to them. A file is removed only after a
+manifest that no longer refers to it is on disk.
 """
 
 from __future__ import annotations
@@ -22,73 +22,78 @@
     snapshot_name,
 )
 
-SEGMENT_MOST = 8 * 1024 * 1024
-# Of a snapshot, as one frame.
-PART = 1 << 18
+MAX_SEGMENT_BYTES = 8 * 1024 * 1024
+# Approximate size of one frame of a snapshot.
+SNAPSHOT_FRAME_BYTES = 1 << 18
 
 
 class Log:
-    """`sync` off leaves it to the kernel when a group is on disk: what is acknowledged then outlives the
-    process, and not the machine. A call that raised OSError leaves the log `broken`, since what of it is on
-    disk is not known: an fsync that failed is not tried again, for the kernel may have dropped what it could
-    not write."""
+    """An append-only log. Without `sync` the kernel decides when a group reaches the disk: acknowledged groups then
+    survive a crash of the process but not of the machine. A call that raises OSError leaves the log `broken`, because
+    it is unknown which of its writes reached the disk. A failed fsync is not retried: the kernel may have dropped the
+    pages that it could not write."""
 
-    def __init__(self, disk: Disk, sync: bool = True, segment_most: int = SEGMENT_MOST) -> None:
+    def __init__(self, disk: Disk, sync: bool = True, max_segment_bytes: int = MAX_SEGMENT_BYTES) -> None:
         self._disk = disk
         self._sync = sync
-        self._segment_most = segment_most
+        self._segment_most = max_segment_bytes
         self.broken = False
         self._manifest = Manifest("", 0, 1)
-        self._number = 1
-        self._length = HEADER.size
+        self._segment_number = 1
+        self._segment_length = HEADER.size
         self.sequence = 0
-        self._slot = 0
+        self._tail_slot = 0
 
     @property
-    def bytes_since(self) -> int:
-        """Of log since the last snapshot, roughly: what compaction would save."""
-        return (self._number - self._manifest.first) * self._segment_most + self._length
+    def log_bytes_since_snapshot(self) -> int:
+        """Approximate size of the log since the last snapshot, which compaction would free."""
+        return (self._segment_number - self._manifest.first_segment) * self._segment_most + self._segment_length
 
     def open(self) -> Recovered | None:
-        """What was there, or None for a new one. Raises RefusedError, Taken, OSError."""
+        """Returns the recovered content, or None for a new store. Raises RefusedError, FolderLockedError, OSError."""
         self._disk.lock()
         found = recovery.recover({name: self._disk.read(name) for name in self._disk.names()})
         if found is None:
-            self._begin()
+            self._create()
             return None
         for name in found.stale:
             self._disk.remove(name)
-        self._manifest, self._number, self._length = found.manifest, found.number, found.length
+        self._manifest, self._segment_number, self._segment_length = (
+            found.manifest,
+            found.segment_number,
+            found.segment_length,
+        )
         self.sequence = found.sequence
-        if found.cut and segment_name(self._number) not in found.stale:
-            # What was cut off would stand behind what is written next.
-            self._disk.cut(segment_name(self._number), self._length)
-            self._disk.sync(segment_name(self._number))
+        if found.truncated_bytes and segment_name(self._segment_number) not in found.stale:
+            # An incomplete frame at the end would otherwise remain after the next one that is written.
+            self._disk.cut(segment_name(self._segment_number), self._segment_length)
+            self._disk.sync(segment_name(self._segment_number))
         self._disk.sync_folder()
         return found
 
-    def _begin(self) -> None:
+    def _create(self) -> None:
         name = segment_name(1)
-        self._disk.write(name, 0, frames.header(1))
+        self._disk.write(name, 0, frames.encode_header(1))
         self._disk.cut(name, HEADER.size)
         self._disk.sync(name)
-        self._disk.write(TAIL, 0, frames.slot(0) * SLOTS)
+        self._disk.write(TAIL, 0, frames.encode_slot(0) * SLOTS)
         self._disk.sync(TAIL)
         self._disk.sync_folder()
         self._write_manifest(self._manifest)
 
     def _write_manifest(self, manifest: Manifest) -> None:
-        fresh = MANIFEST + ".new"
-        data = recovery.manifest_bytes(manifest)
-        self._disk.write(fresh, 0, data)
-        self._disk.cut(fresh, len(data))
-        self._disk.sync(fresh)
-        self._disk.rename(fresh, MANIFEST)
+        temporary_name = MANIFEST + ".new"
+        data = recovery.encode_manifest(manifest)
+        self._disk.write(temporary_name, 0, data)
+        self._disk.cut(temporary_name, len(data))
+        self._disk.sync(temporary_name)
+        self._disk.rename(temporary_name, MANIFEST)
         self._disk.sync_folder()
         self._manifest = manifest
 
     def append(self, records: Iterable[tuple[int, bytes]]) -> int:
-        """A group of (kind, body); its sequence number. Once it returns, all of it is acknowledged."""
+        """Appends a group of (kind, body) records and returns its sequence number. On return the group is
+        acknowledged."""
         if self.broken:
             raise OSError("the log is broken")
         try:
@@ -98,41 +103,41 @@
             raise
 
     def _append(self, records: Iterable[tuple[int, bytes]]) -> int:
-        body = frames.packed(records)
+        body = frames.encode_records(records)
         if not body:
             return self.sequence
         sequence = self.sequence + 1
-        data = frames.frame(sequence, frames.GROUP, body)
-        if self._length + len(data) > self._segment_most and self._length > HEADER.size:
+        data = frames.encode_frame(sequence, frames.GROUP, body)
+        if self._segment_length + len(data) > self._segment_most and self._segment_length > HEADER.size:
             self._rotate()
-        name = segment_name(self._number)
-        self._disk.write(name, self._length, data)
+        name = segment_name(self._segment_number)
+        self._disk.write(name, self._segment_length, data)
         if self._sync:
             self._disk.sync(name)
-        self._length += len(data)
+        self._segment_length += len(data)
         self.sequence = sequence
-        # Not synced: it lasts with the next group at the latest, and till then only tells less than is there.
-        self._slot = (self._slot + 1) % SLOTS
-        self._disk.write(TAIL, self._slot * SLOT.size, frames.slot(sequence))
+        # The tail is not synced here: until it reaches the disk it only understates what was acknowledged.
+        self._tail_slot = (self._tail_slot + 1) % SLOTS
+        self._disk.write(TAIL, self._tail_slot * SLOT.size, frames.encode_slot(sequence))
         return sequence
 
     def _rotate(self) -> None:
-        name = segment_name(self._number + 1)
-        self._disk.write(name, 0, frames.header(self._number + 1))
+        name = segment_name(self._segment_number + 1)
+        self._disk.write(name, 0, frames.encode_header(self._segment_number + 1))
         self._disk.cut(name, HEADER.size)
         self._disk.sync(name)
         self._disk.sync_folder()
-        self._disk.close(segment_name(self._number))
-        self._number += 1
-        self._length = HEADER.size
+        self._disk.close(segment_name(self._segment_number))
+        self._segment_number += 1
+        self._segment_length = HEADER.size
 
     def rotate(self) -> int:
-        """A new segment, so that a snapshot of all before it can take their place; the sequence number it
-        stands at."""
+        """Starts a new segment, so that a snapshot can replace all segments before it. Returns the sequence number of
+        the last group before it."""
         if self.broken:
             raise OSError("the log is broken")
         try:
-            if self._length > HEADER.size:
+            if self._segment_length > HEADER.size:
                 self._rotate()
         except OSError:
             self.broken = True
@@ -140,71 +145,72 @@
         return self.sequence
 
     def write_snapshot(self, sequence: int, state: Iterable[tuple[int, bytes]]) -> str:
-        """The state at `sequence`, as a file that nothing names yet. Touches nothing that `append` does."""
+        """Writes the state at `sequence` to a snapshot file that the manifest doesn't refer to yet. Shares no state
+        with `append`."""
         name = snapshot_name(sequence)
-        fresh = name + ".new"
-        at, count = HEADER.size, 0
-        self._disk.write(fresh, 0, frames.header(sequence))
+        temporary_name = name + ".new"
+        offset, count = HEADER.size, 0
+        self._disk.write(temporary_name, 0, frames.encode_header(sequence))
         for group in _groups(state):
             count += 1
-            data = frames.frame(count, frames.GROUP, group)
-            self._disk.write(fresh, at, data)
-            at += len(data)
-        data = frames.frame(count + 1, frames.END, b"%d" % count)
-        self._disk.write(fresh, at, data)
-        self._disk.cut(fresh, at + len(data))
-        self._disk.sync(fresh)
-        self._disk.rename(fresh, name)
+            frame = frames.encode_frame(count, frames.GROUP, group)
+            self._disk.write(temporary_name, offset, frame)
+            offset += len(frame)
+        frame = frames.encode_frame(count + 1, frames.END, b"%d" % count)
+        self._disk.write(temporary_name, offset, frame)
+        self._disk.cut(temporary_name, offset + len(frame))
+        self._disk.sync(temporary_name)
+        self._disk.rename(temporary_name, name)
         self._disk.sync_folder()
         return name
 
-    def take_snapshot(self, name: str, sequence: int, first: int) -> None:
-        """From now on the snapshot stands for all before segment `first`."""
-        before = self._manifest
+    def commit_snapshot(self, name: str, sequence: int, first_segment: int) -> None:
+        """Makes the snapshot replace all segments before `first_segment`, and removes these."""
+        previous = self._manifest
         try:
-            self._write_manifest(Manifest(name, sequence, first))
+            self._write_manifest(Manifest(name, sequence, first_segment))
         except OSError:
             self.broken = True
             raise
-        for number in range(before.first, first):
+        for number in range(previous.first_segment, first_segment):
             self._disk.remove(segment_name(number))
-        if before.snapshot and before.snapshot != name:
-            self._disk.remove(before.snapshot)
+        if previous.snapshot and previous.snapshot != name:
+            self._disk.remove(previous.snapshot)
         self._disk.sync_folder()
 
     @property
     def number(self) -> int:
-        """Of the segment that is written to."""
-        return self._number
+        """Number of the segment that is written to."""
+        return self._segment_number
 
     def close(self) -> None:
-        """Syncs what is left to, and lets the folder go."""
+        """Syncs the last segment and the tail file, and unlocks the folder."""
         try:
             if not self.broken:
-                self._disk.sync(segment_name(self._number))
+                self._disk.sync(segment_name(self._segment_number))
                 self._disk.sync(TAIL)
         finally:
             self._disk.close()
 
 
 def _groups(state: Iterable[tuple[int, bytes]]) -> Iterator[bytes]:
-    """Records as the bodies of frames, each well under the longest."""
-    waiting: list[tuple[int, bytes]] = []
+    """Packs records into frame bodies, each well below the maximum length."""
+    group: list[tuple[int, bytes]] = []
     size = 0
     for kind, body in state:
-        waiting.append((kind, body))
-        size += len(body) + frames.RECORD.size
-        if size > PART:
-            yield frames.packed(waiting)
-            waiting, size = [], 0
-    if waiting:
-        yield frames.packed(waiting)
+        group.append((kind, body))
+        size += len(body) + frames.RECORD_HEADER.size
+        if size > SNAPSHOT_FRAME_BYTES:
+            yield frames.encode_records(group)
+            group, size = [], 0
+    if group:
+        yield frames.encode_records(group)
 
 
 def replay(found: Recovered | None) -> Iterator[tuple[int, bytes]]:
-    """All records, (kind, body), in their order: the snapshot's state, then the log."""
-    for one in [] if found is None else [*found.state, *found.log]:
-        yield from frames.unpacked(one.body)
+    """Yields all (kind, body) records in order: those of the snapshot, then those of the log."""
+    for frame in [] if found is None else [*found.state, *found.log]:
+        yield from frames.decode_records(frame.body)
 
 
 __all__ = ["Log", "RefusedError", "replay"]
--- a/pepperusher/store/recovery.py
+++ b/pepperusher/store/recovery.py
@@ -1,8 +1,8 @@
-"""What a folder of files comes to: a consistent prefix of all that was written, or a refusal; free of I/O.
+"""Recovers a store from its files: a consistent prefix of all writes, or a refusal; free of I/O.
 
-Nothing that was acknowledged may be missing, and nothing may stand that was not written. So what is cut at
-the end of the last segment after the last that was acknowledged is left out, and all else that is not whole
-is refused by name.
+A recovered store contains every acknowledged record and none that was not written. So recovery drops an incomplete
+write at the end of the last segment, after the last acknowledged group. Any other damage is refused with an error
+that names the file.
 """
 
 from __future__ import annotations
@@ -21,31 +21,30 @@
 
 
 class RefusedError(ValueError):
-    """A store that can't be opened without losing or inventing something; its text is one line with the
-    file's name."""
+    """A store that can't be opened without losing acknowledged records; its text is one line with the file's name."""
 
 
 class Manifest(NamedTuple):
-    """Which snapshot holds everything up to `sequence` ("" for none), and the first segment after it."""
+    """The snapshot that holds all records up to `sequence` ("" for none), and the first segment after it."""
 
     snapshot: str
     sequence: int
-    first: int
+    first_segment: int
 
 
 class Recovered(NamedTuple):
-    """`state` is the snapshot's frames, `log` those after it. The next goes to segment `number`, after
-    `length` bytes of it, as `sequence` + 1. `stale` are files that no manifest names any more, `cut` how many
-    bytes at the end were none."""
+    """A recovered store. `state` are the frames of the snapshot, `log` the frames after it. The next frame goes to
+    segment `segment_number` at offset `segment_length`, with the number `sequence` + 1. `stale` are files that the
+    manifest doesn't refer to, `truncated_bytes` the length of the incomplete write that was dropped at the end."""
 
     manifest: Manifest
     state: list[Frame]
     log: list[Frame]
-    number: int
-    length: int
+    segment_number: int
+    segment_length: int
     sequence: int
     stale: list[str]
-    cut: int
+    truncated_bytes: int
 
 
 def segment_name(number: int) -> str:
@@ -56,38 +55,43 @@
     return f"{SNAPSHOT}{sequence:016d}"
 
 
-def manifest_bytes(manifest: Manifest) -> bytes:
+def encode_manifest(manifest: Manifest) -> bytes:
     body = json.dumps([frames.VERSION, *manifest]).encode()
     return body + f" {crc32c(body):08x}\n".encode()
 
 
-def read_manifest(data: bytes) -> Manifest:
-    """Raises RefusedError."""
-    body, _, check = data.rstrip(b"\n").rpartition(b" ")
+def decode_manifest(data: bytes) -> Manifest:
+    """Decodes the manifest. Raises RefusedError."""
+    body, _, checksum = data.rstrip(b"\n").rpartition(b" ")
     try:
-        if int(check, 16) != crc32c(body) or not data.endswith(b"\n") or len(check) != 8 or check.lower() != check:
+        if (
+            int(checksum, 16) != crc32c(body)
+            or not data.endswith(b"\n")
+            or len(checksum) != 8
+            or checksum.lower() != checksum
+        ):
             raise ValueError
         version, snapshot, sequence, first = json.loads(body)
     except ValueError:
-        raise RefusedError(f"{MANIFEST}: can't be read") from None
+        raise RefusedError(f"{MANIFEST}: is corrupt") from None
     if version > frames.VERSION:
-        raise RefusedError(f"{MANIFEST}: is of version {version}; this program reads up to {frames.VERSION}")
+        raise RefusedError(f"{MANIFEST}: has version {version}; this program supports up to {frames.VERSION}")
     return Manifest(snapshot, sequence, first)
 
 
 def recover(files: Mapping[str, bytes]) -> Recovered | None:
-    """From all files of the folder by name; None where there is no store yet. Raises RefusedError."""
+    """Recovers from the contents of all files by name; None if there is no store yet. Raises RefusedError."""
     if MANIFEST not in files:
-        left = sorted(name for name in files if name.startswith((SEGMENT, SNAPSHOT)) and not name.endswith(".new"))
-        # A store is made with its first segment and its tail before its manifest names them.
-        if left and (left != [segment_name(1)] or len(files[left[0]]) > HEADER.size):
-            raise RefusedError(f"{MANIFEST}: is missing, and {left[0]} is there")
+        remaining = sorted(name for name in files if name.startswith((SEGMENT, SNAPSHOT)) and not name.endswith(".new"))
+        # A new store writes its first segment and its tail before its manifest, so these may exist without one.
+        if remaining and (remaining != [segment_name(1)] or len(files[remaining[0]]) > HEADER.size):
+            raise RefusedError(f"{MANIFEST}: is missing, but {remaining[0]} exists")
         return None
-    manifest = read_manifest(files[MANIFEST])
-    state = snapshot_of(files, manifest)
+    manifest = decode_manifest(files[MANIFEST])
+    state = read_snapshot(files, manifest)
     log: list[Frame] = []
-    sequence, number, cut, length = manifest.sequence, manifest.first, 0, 0
-    acknowledged = frames.read_tail(files.get(TAIL, b""))
+    sequence, number, truncated_bytes, length = manifest.sequence, manifest.first_segment, 0, 0
+    acknowledged = frames.decode_tail(files.get(TAIL, b""))
     while True:
         name = segment_name(number)
         if name not in files:
@@ -95,33 +99,33 @@
         data = files[name]
         last = segment_name(number + 1) not in files
         try:
-            if frames.read_header(data)[1] != number:
-                raise RefusedError(f"{name}: is another segment")
+            if frames.decode_header(data)[1] != number:
+                raise RefusedError(f"{name}: has the number of another segment")
         except FrameError as error:
-            if not (last and number > manifest.first and len(data) <= HEADER.size and sequence >= acknowledged):
+            if not (last and number > manifest.first_segment and len(data) <= HEADER.size and sequence >= acknowledged):
                 raise RefusedError(f"{name}: {error}") from None
-            # The next segment was being begun, and nothing is in it.
-            return _ended(manifest, state, log, number - 1, length, sequence, files, len(data))
+            # The segment was being created at the crash, and holds no frame yet.
+            return _build_recovered(manifest, state, log, number - 1, length, sequence, files, len(data))
         length = HEADER.size
-        for end, one in frames.frames(data, HEADER.size):
-            if one.sequence != sequence + 1:
-                raise RefusedError(f"{name}: record {one.sequence} follows {sequence}")
-            sequence, length = one.sequence, end
-            log.append(one)
-        cut = len(data) - length
-        if cut and not last:
-            raise RefusedError(f"{name}: can't be read from byte {length} on, and is not the last")
-        if cut and (place := frames.sound_after(data, length + 1)) is not None:
-            raise RefusedError(f"{name}: can't be read at byte {length}, and can again at {place}")
+        for end, frame in frames.iterate_frames(data, HEADER.size):
+            if frame.sequence != sequence + 1:
+                raise RefusedError(f"{name}: group {frame.sequence} follows {sequence}")
+            sequence, length = frame.sequence, end
+            log.append(frame)
+        truncated_bytes = len(data) - length
+        if truncated_bytes and not last:
+            raise RefusedError(f"{name}: is corrupt from byte {length} on, and is not the last segment")
+        if truncated_bytes and (valid_offset := frames.find_valid_frame(data, length + 1)) is not None:
+            raise RefusedError(f"{name}: is corrupt at byte {length}, but valid again at byte {valid_offset}")
         if last:
             break
         number += 1
     if sequence < acknowledged:
-        raise RefusedError(f"{name}: ends with record {sequence}, and {acknowledged} was acknowledged")
-    return _ended(manifest, state, log, number, length, sequence, files, cut)
+        raise RefusedError(f"{name}: ends with group {sequence}, but group {acknowledged} was acknowledged")
+    return _build_recovered(manifest, state, log, number, length, sequence, files, truncated_bytes)
 
 
-def _ended(
+def _build_recovered(
     manifest: Manifest,
     state: list[Frame],
     log: list[Frame],
@@ -129,37 +133,42 @@
     length: int,
     sequence: int,
     files: Mapping[str, bytes],
-    cut: int,
+    truncated_bytes: int,
 ) -> Recovered:
     used = {
         MANIFEST,
         TAIL,
         manifest.snapshot,
-        *(segment_name(one) for one in range(manifest.first, number + 1)),
+        *(segment_name(segment) for segment in range(manifest.first_segment, number + 1)),
     }
     stale = sorted(
         name for name in files if name not in used and (name.startswith((SEGMENT, SNAPSHOT)) or name.endswith(".new"))
     )
-    return Recovered(manifest, state, log, number, length, sequence, stale, cut)
+    return Recovered(manifest, state, log, number, length, sequence, stale, truncated_bytes)
 
 
-def snapshot_of(files: Mapping[str, bytes], manifest: Manifest) -> list[Frame]:
-    """A snapshot is groups numbered from 1, and a frame with their count at its end."""
+def read_snapshot(files: Mapping[str, bytes], manifest: Manifest) -> list[Frame]:
+    """The frames of the snapshot: groups numbered from 1, then an end frame with their count, which is left out."""
     if not manifest.snapshot:
         return []
     data = files.get(manifest.snapshot)
     if data is None:
         raise RefusedError(f"{manifest.snapshot}: is missing")
     try:
-        if frames.read_header(data)[1] != manifest.sequence:
-            raise RefusedError(f"{manifest.snapshot}: is another snapshot")
+        if frames.decode_header(data)[1] != manifest.sequence:
+            raise RefusedError(f"{manifest.snapshot}: has the number of another snapshot")
     except FrameError as error:
         raise RefusedError(f"{manifest.snapshot}: {error}") from None
-    made: list[Frame] = []
+    snapshot_frames: list[Frame] = []
     end = HEADER.size
-    for end, one in frames.frames(data, HEADER.size):
-        made.append(one)
-    whole = made and made[-1].kind == frames.END and made[-1].body == b"%d" % (len(made) - 1) and end == len(data)
-    if not whole or any(one.sequence != place for place, one in enumerate(made, 1)):
-        raise RefusedError(f"{manifest.snapshot}: is not whole")
-    return made[:-1]
+    for end, frame in frames.iterate_frames(data, HEADER.size):
+        snapshot_frames.append(frame)
+    is_complete = (
+        snapshot_frames
+        and snapshot_frames[-1].kind == frames.END
+        and snapshot_frames[-1].body == b"%d" % (len(snapshot_frames) - 1)
+        and end == len(data)
+    )
+    if not is_complete or any(frame.sequence != expected for expected, frame in enumerate(snapshot_frames, 1)):
+        raise RefusedError(f"{manifest.snapshot}: is incomplete or corrupt")
+    return snapshot_frames[:-1]
--- a/pepperusher/store/salvage.py
+++ b/pepperusher/store/salvage.py
@@ -1,7 +1,8 @@
-"""What can be kept of a store that refuses: the longest prefix whose every group is sound, and what is dropped; free of I/O.
+"""Salvages a corrupt store: keeps the longest prefix of valid groups and lists what is dropped; free of I/O.
 
-It never invents. Behind a flaw nothing is taken even where it is sound, since what it says may hang on what the flaw
-held: an attempt that is known never to have run, say, whose sending is gone.
+Salvaging never produces records that were not written. It drops all groups after the first corruption, even valid
+ones, because they may depend on a corrupt record: for example a record that an attempt never ran, when the record that
+the attempt was sent is lost.
 """
 
 from __future__ import annotations
@@ -15,87 +16,96 @@
 
 
 class Salvaged(NamedTuple):
-    """`groups` are those to keep, in order; `dropped` says in lines what is not, each naming a file."""
+    """`groups` are the groups to keep, in order; `dropped` describes the dropped data, a line with the file name
+    each."""
 
     groups: list[Frame]
     dropped: list[str]
 
 
 def salvage(files: Mapping[str, bytes]) -> Salvaged:
-    """Of any folder's files. Without a manifest that can be read the newest whole snapshot stands for one."""
+    """Salvages from a folder's files by name. If the manifest is unreadable, the newest snapshot replaces it."""
     dropped: list[str] = []
-    manifest = _manifest(files, dropped)
+    manifest = _read_or_replace_manifest(files, dropped)
     groups: list[Frame] = []
     if manifest.snapshot:
         try:
-            groups = recovery.snapshot_of(files, manifest)
+            groups = recovery.read_snapshot(files, manifest)
         except RefusedError as error:
-            dropped.append(f"{error}: all behind it is dropped too, since it stands on it")
+            dropped.append(f"{error}: all data after it is dropped too, since it depends on the snapshot")
             return Salvaged([], dropped)
-    sequence, number = manifest.sequence, manifest.first
+    sequence, number = manifest.sequence, manifest.first_segment
     while (name := recovery.segment_name(number)) in files:
         data = files[name]
         try:
-            if frames.read_header(data)[1] != number:
-                raise FrameError("is another segment")
+            if frames.decode_header(data)[1] != number:
+                raise FrameError("has the number of another segment")
         except FrameError as error:
             dropped.append(f"{name}: {error}")
             break
         end = HEADER.size
-        for end, one in frames.frames(data, HEADER.size):
-            if one.sequence != sequence + 1:
-                dropped.append(f"{name}: group {one.sequence} follows {sequence}, and is dropped with all behind it")
-                return Salvaged(groups, dropped + _behind(files, number))
-            sequence = one.sequence
-            groups.append(one)
+        for end, frame in frames.iterate_frames(data, HEADER.size):
+            if frame.sequence != sequence + 1:
+                dropped.append(
+                    f"{name}: group {frame.sequence} follows {sequence}, and is dropped with all data after it"
+                )
+                return Salvaged(groups, dropped + _later_segments(files, number))
+            sequence = frame.sequence
+            groups.append(frame)
         if end < len(data):
-            sound = sum(1 for _ in _sound(data, end + 1))
-            dropped.append(f"{name}: {len(data) - end} bytes from byte {end} on, {sound} sound groups among them")
+            valid_count = sum(1 for _ in _valid_frames(data, end + 1))
+            dropped.append(
+                f"{name}: {len(data) - end} bytes from byte {end} on, with {valid_count} valid groups among them"
+            )
             break
         number += 1
-    dropped += _behind(files, number)
-    if (known := frames.read_tail(files.get(recovery.TAIL, b""))) > sequence:
+    dropped += _later_segments(files, number)
+    if (acknowledged := frames.decode_tail(files.get(recovery.TAIL, b""))) > sequence:
         dropped.append(
-            f"{recovery.TAIL}: groups up to {known} were acknowledged, and {sequence} is the last that is kept"
+            f"{recovery.TAIL}: groups up to {acknowledged} were acknowledged, but {sequence} is the last that is kept"
         )
     return Salvaged(groups, dropped)
 
 
-def _manifest(files: Mapping[str, bytes], dropped: list[str]) -> Manifest:
+def _read_or_replace_manifest(files: Mapping[str, bytes], dropped: list[str]) -> Manifest:
     try:
-        return recovery.read_manifest(files[MANIFEST])
+        return recovery.decode_manifest(files[MANIFEST])
     except KeyError:
         dropped.append(f"{MANIFEST}: is missing")
     except RefusedError as error:
         dropped.append(str(error))
-    for name in sorted((one for one in files if one.startswith(SNAPSHOT) and not one.endswith(".new")), reverse=True):
+    for name in sorted(
+        (file_name for file_name in files if file_name.startswith(SNAPSHOT) and not file_name.endswith(".new")),
+        reverse=True,
+    ):
         sequence = int(name.removeprefix(SNAPSHOT)) if name.removeprefix(SNAPSHOT).isdecimal() else -1
-        # Which segment follows it only the manifest said; the first there is that goes on from it will do.
-        first = _first_after(files, sequence)
-        if sequence >= 0 and first:
-            return Manifest(name, sequence, first)
+        # Only the manifest holds the segment after the snapshot; the first segment that continues its sequence
+        # replaces it.
+        first_segment = _first_segment_after(files, sequence)
+        if sequence >= 0 and first_segment:
+            return Manifest(name, sequence, first_segment)
     return Manifest("", 0, 1)
 
 
-def _first_after(files: Mapping[str, bytes], sequence: int) -> int:
-    for name in sorted(one for one in files if one.startswith(SEGMENT)):
-        found = frames.frame_at(files[name], HEADER.size)
+def _first_segment_after(files: Mapping[str, bytes], sequence: int) -> int:
+    for name in sorted(file_name for file_name in files if file_name.startswith(SEGMENT)):
+        found = frames.decode_frame(files[name], HEADER.size)
         if found is not None and found[1].sequence == sequence + 1:
             return int(name.removeprefix(SEGMENT))
     return 0
 
 
-def _behind(files: Mapping[str, bytes], number: int) -> list[str]:
-    """The segments after one that was the last to be kept of."""
+def _later_segments(files: Mapping[str, bytes], number: int) -> list[str]:
+    """Lines about the segments after `number`, the last segment from which groups are kept."""
     later = sorted(name for name in files if name.startswith(SEGMENT) and name > recovery.segment_name(number))
-    return [f"{name}: {len(files[name])} bytes, behind a flaw" for name in later]
+    return [f"{name}: {len(files[name])} bytes, after a corruption" for name in later]
 
 
-def _sound(data: bytes, at: int) -> list[Frame]:
-    made = []
-    while (place := frames.sound_after(data, at)) is not None:
-        found = frames.frame_at(data, place)
+def _valid_frames(data: bytes, offset: int) -> list[Frame]:
+    valid_frames = []
+    while (valid_offset := frames.find_valid_frame(data, offset)) is not None:
+        found = frames.decode_frame(data, valid_offset)
         assert found is not None
-        at, one = found
-        made.append(one)
-    return made
+        offset, frame = found
+        valid_frames.append(frame)
+    return valid_frames
--- a/pepperusher/store/store_writer.py
+++ b/pepperusher/store/store_writer.py
@@ -1,8 +1,8 @@
-"""The log behind a thread, so that a slow disk holds no ticket's loop: groups gathered while the one before
-is written.
+"""Writes the log in a thread, so that a slow disk doesn't block the event loop. Records are batched into a group while
+the group before is written.
 
-`put` says when what it took is on disk. What is not within `bound` is late for whoever waits, and is written
-all the same. A disk that fails ends the store with one line; all who wait are told so at once.
+`put` waits until its record is on disk, for at most `bound` seconds; after that it returns LATE, and the record is
+still written. A disk error disables the store with one log line, and all waiting calls of `put` return OFF at once.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 
 from pepperusher.store.log import Log
 
-# A group is well under the longest frame.
-GROUP = 1 << 18
+# A group is closed at this size, well below the maximum length of a frame.
+MAX_GROUP_BYTES = 1 << 18
 KEPT, LATE, OFF = "kept", "late", "off"
 
 
 class StoreWriter:
-    """`state` gives the records of all tables, called on the loop; `say` a log line with its figures."""
+    """`state` returns the snapshot records of all tables and is called on the event loop; `say` writes a log line with
+    its fields."""
 
     def __init__(
         self,
@@ -34,10 +35,10 @@
         self._compact_at = compact_at
         self._say = say
         self._loop = asyncio.get_running_loop()
-        self._wake = threading.Condition()
-        # What waits for the thread; emptied by it, and by the end of the store.
+        self._condition = threading.Condition()
+        # Records that wait for the thread, which removes them; cleared when the store is disabled.
         self._waiting: list[tuple[int, bytes, asyncio.Future[bool] | None]] = []
-        # What the thread is writing; emptied by it.
+        # Records that the thread is writing; the thread clears it.
         self._writing: list[tuple[int, bytes, asyncio.Future[bool] | None]] = []
         self._snapshot: tuple[int, int, list[tuple[int, bytes]]] | None = None
         self._compacting = False
@@ -45,114 +46,116 @@
         self.off = False
         self.groups = 0
         self.records = 0
-        self.longest = 0.0  # a group's writing, in seconds
+        self.longest_write = 0.0  # duration of the longest write of a group, in seconds
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
     def note(self, kind: int, body: bytes) -> None:
-        """Written with the next group; nobody waits for it."""
-        self._add(kind, body, None)
+        """Queues a record for the next group without waiting for it."""
+        self._enqueue(kind, body, None)
 
     async def put(self, kind: int, body: bytes, bound: float) -> str:
-        """KEPT once it is on disk, LATE if that took over `bound` seconds, OFF if there is no store any
-        more."""
+        """Writes a record: KEPT once it is on disk, LATE if that takes over `bound` seconds, OFF if the store is
+        disabled."""
         if self.off:
             return OFF
-        told: asyncio.Future[bool] = self._loop.create_future()
-        self._add(kind, body, told)
+        written: asyncio.Future[bool] = self._loop.create_future()
+        self._enqueue(kind, body, written)
         try:
             async with asyncio.timeout(bound):
-                return KEPT if await told else OFF
+                return KEPT if await written else OFF
         except TimeoutError:
             return LATE
 
-    def _add(self, kind: int, body: bytes, told: asyncio.Future[bool] | None) -> None:
+    def _enqueue(self, kind: int, body: bytes, written: asyncio.Future[bool] | None) -> None:
         if self.off:
             return
-        with self._wake:
-            self._waiting.append((kind, body, told))
-            self._wake.notify()
+        with self._condition:
+            self._waiting.append((kind, body, written))
+            self._condition.notify()
 
     # --- the thread -------------------------------------------------------------------------------
 
-    def _take(self) -> list[tuple[int, bytes, asyncio.Future[bool] | None]] | None:
-        """The next group, waited for, maybe empty where a snapshot is to be written; None at the end."""
-        with self._wake:
+    def _next_group(self) -> list[tuple[int, bytes, asyncio.Future[bool] | None]] | None:
+        """Waits for the next group, which may be empty if a snapshot is to be written; None once the store closes."""
+        with self._condition:
             while not self._waiting and not self._closing and self._snapshot is None:
-                self._wake.wait()
+                self._condition.wait()
             if not self._waiting and self._snapshot is None:
                 return None
-            size = place = 0
-            while place < len(self._waiting) and size < GROUP:
-                size += len(self._waiting[place][1])
-                place += 1
-            group, self._waiting = self._waiting[:place], self._waiting[place:]
+            size = count = 0
+            while count < len(self._waiting) and size < MAX_GROUP_BYTES:
+                size += len(self._waiting[count][1])
+                count += 1
+            group, self._waiting = self._waiting[:count], self._waiting[count:]
             self._writing = group
             return group
 
     def _run(self) -> None:
         try:
-            while (group := self._take()) is not None:
-                began = monotonic()
+            while (group := self._next_group()) is not None:
+                started_at = monotonic()
                 self._log.append((kind, body) for kind, body, _ in group)
-                self.longest = max(self.longest, monotonic() - began)
+                self.longest_write = max(self.longest_write, monotonic() - started_at)
                 self.groups += 1
                 self.records += len(group)
                 self._writing = []
-                self._loop.call_soon_threadsafe(self._told, [told for _, _, told in group if told is not None])
-                if self._log.bytes_since >= self._compact_at and not self._compacting:
+                self._loop.call_soon_threadsafe(
+                    self._notify_written, [written for _, _, written in group if written is not None]
+                )
+                if self._log.log_bytes_since_snapshot >= self._compact_at and not self._compacting:
                     self._compacting = True
-                    # The state is taken on the loop, where tables change; all before it is in segments before
-                    # this one.
-                    sequence, first = self._log.rotate(), self._log.number
-                    self._loop.call_soon_threadsafe(self._take_state, sequence, first)
-                with self._wake:
-                    ready, self._snapshot = self._snapshot, None
-                if ready is not None:
-                    sequence, first, state = ready
-                    self._log.take_snapshot(self._log.write_snapshot(sequence, state), sequence, first)
+                    # The state is copied on the event loop, where the tables change; it includes all records of the
+                    # segments before the new one.
+                    sequence, first_segment = self._log.rotate(), self._log.number
+                    self._loop.call_soon_threadsafe(self._copy_state, sequence, first_segment)
+                with self._condition:
+                    snapshot, self._snapshot = self._snapshot, None
+                if snapshot is not None:
+                    sequence, first_segment, state = snapshot
+                    self._log.commit_snapshot(self._log.write_snapshot(sequence, state), sequence, first_segment)
                     self._compacting = False
             self._log.close()
-        except Exception as error:  # the disk's trouble is not the tickets'
-            self._call(self._end, error)
+        except Exception as error:  # a disk error must not fail tickets
+            self._call_on_loop(self._disable, error)
         except BaseException as error:
-            self._call(self._end, error)
+            self._call_on_loop(self._disable, error)
             raise
 
-    def _call(self, what: Callable[..., None], *given: object) -> None:
+    def _call_on_loop(self, callback: Callable[..., None], *arguments: object) -> None:
         try:
-            self._loop.call_soon_threadsafe(what, *given)
+            self._loop.call_soon_threadsafe(callback, *arguments)
         except RuntimeError:
-            pass  # the loop has ended, and nobody is left to tell
+            pass  # the event loop has closed, so no call waits any more
 
     # --- the loop ---------------------------------------------------------------------------------
 
     @staticmethod
-    def _told(those: list[asyncio.Future[bool]]) -> None:
-        for told in those:
-            if not told.done():
-                told.set_result(True)
-
-    def _take_state(self, sequence: int, first: int) -> None:
-        """Tables hold more than `sequence` by now; the log after it says that again, which each table
-        bears."""
+    def _notify_written(futures: list[asyncio.Future[bool]]) -> None:
+        for written in futures:
+            if not written.done():
+                written.set_result(True)
+
+    def _copy_state(self, sequence: int, first_segment: int) -> None:
+        """Copies the tables for a snapshot at `sequence`. They may include later records, which recovery applies again
+        from the log: applying a record twice is harmless."""
         state = self._state()
-        with self._wake:
-            self._snapshot = (sequence, first, state)
-            self._wake.notify()
+        with self._condition:
+            self._snapshot = (sequence, first_segment, state)
+            self._condition.notify()
 
-    def _end(self, error: BaseException) -> None:
+    def _disable(self, error: BaseException) -> None:
         self.off = True
-        with self._wake:
+        with self._condition:
             waiting, self._waiting, self._writing = self._writing + self._waiting, [], []
-        for _, _, told in waiting:
-            if told is not None and not told.done():
-                told.set_result(False)
+        for _, _, written in waiting:
+            if written is not None and not written.done():
+                written.set_result(False)
         self._say("the store is off", why=str(error) or type(error).__name__)
 
     async def close(self) -> None:
-        """What waits is written, and the folder let go."""
-        with self._wake:
+        """Writes the queued records, stops the thread and unlocks the folder."""
+        with self._condition:
             self._closing = True
-            self._wake.notify()
+            self._condition.notify()
         await asyncio.to_thread(self._thread.join)
--- a/pepperusher/store/tables.py
+++ b/pepperusher/store/tables.py
@@ -1,8 +1,8 @@
-"""What a proxy keeps in its store, as tables in memory that records build up again; free of I/O.
+"""The tables that a proxy keeps in its store: held in memory, rebuilt by applying the log's records; free of I/O.
 
-Each table says what empties it and how large it may become. Times are us of Unix time, since they outlive the
-process: a clock that goes back keeps a mark for longer, which is safe; one that goes forward forgets it
-sooner by as much.
+Each table documents when entries are removed and how many it holds. Times are Unix times in us, since they outlive the
+process. If the clock is set back, a mark is kept for longer, which is safe; if it is set forward, the mark is removed
+earlier by the same amount.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 
 class PastAttempt(NamedTuple):
-    """One attempt of a mark: to whom, of which cell, when; `ran` is false once it is known never to have
-    run."""
+    """One attempt of the tickets with a mark: its backend and cell, and the time at which it was sent (us). `ran` is
+    false once the attempt is known never to have run."""
 
     backend: str
     cell: int
@@ -30,82 +30,89 @@
 
 
 class RequestMarks:
-    """The attempts made for each referenced ticket, by use case and mark, until its group's memory has
-    passed since the last. `most` marks at once; one more is turned away, for to forget one is to let it go
-    out a fourth time."""
-
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._held: dict[tuple[str, str], list[PastAttempt]] = {}  # emptied by `sweep`, most at the most
-        self._until: dict[tuple[str, str], int] = {}  # likewise
-        self._ends: list[tuple[int, tuple[str, str]]] = []  # a heap, an entry an attempt; emptied by `sweep`
+    """The attempts of each referenced ticket, by use case and mark (the ticket's idempotency key).
+
+    A mark is kept until the deduplication window of its group has passed since the last attempt. There are
+    `max_entries` marks at most. When the table is full, new marks are rejected and none is evicted: a ticket whose
+    mark is evicted could be sent a fourth time."""
+
+    def __init__(self, max_entries: int) -> None:
+        self._max_entries = max_entries
+        self._attempts: dict[
+            tuple[str, str], list[PastAttempt]
+        ] = {}  # removed by `sweep`, `max_entries` entries at most
+        self._expiry: dict[tuple[str, str], int] = {}  # the time at which a mark expires; removed by `sweep`
+        self._expiry_heap: list[
+            tuple[int, tuple[str, str]]
+        ] = []  # a heap with an entry for each attempt; removed by `sweep`
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._attempts)
 
     def past(self, use_case: str, mark: str, now: int) -> list[PastAttempt]:
         self.sweep(now)
-        return list(self._held.get((use_case, mark), ()))
+        return list(self._attempts.get((use_case, mark), ()))
 
     def room(self, use_case: str, mark: str, now: int) -> bool:
-        """Whether this mark can be held: it is already, or there is room for one more."""
+        """Whether this mark can be stored: it is in the table already, or the table is not full."""
         self.sweep(now)
-        return (use_case, mark) in self._held or len(self._held) < self._most
+        return (use_case, mark) in self._attempts or len(self._attempts) < self._max_entries
 
-    def sent(self, use_case: str, mark: str, backend: str, cell: int, at: int, until: int) -> bytes:
-        """One goes out now; the body of its record, which is to be on disk before the first byte is."""
-        body = ENCODE((use_case, mark, backend, cell, at, until))
-        self.take(SENT, body)
+    def sent(self, use_case: str, mark: str, backend: str, cell: int, sent_at: int, expires_at: int) -> bytes:
+        """Records that an attempt is being sent. Returns the record's body, which has to be on disk before the first
+        byte is sent."""
+        body = ENCODE((use_case, mark, backend, cell, sent_at, expires_at))
+        self.apply_record(SENT, body)
         return body
 
-    def never_ran(self, use_case: str, mark: str, at: int) -> bytes:
-        """The one sent at `at` is known never to have run."""
-        body = ENCODE((use_case, mark, at))
-        self.take(NEVER_RAN, body)
+    def never_ran(self, use_case: str, mark: str, sent_at: int) -> bytes:
+        """Records that the attempt sent at `sent_at` never ran. Returns the record's body."""
+        body = ENCODE((use_case, mark, sent_at))
+        self.apply_record(NEVER_RAN, body)
         return body
 
-    def take(self, kind: int, body: bytes) -> None:
-        """One record, as it was written."""
+    def apply_record(self, kind: int, body: bytes) -> None:
+        """Applies one record of the log or of a snapshot."""
         if kind == SENT:
-            use_case, mark, backend, cell, at, until = DECODE(body)
+            use_case, mark, backend, cell, sent_at, expires_at = DECODE(body)
             key = (use_case, mark)
-            # As it was then: what had been forgotten by this time is not taken up again from the log.
-            self.sweep(at)
-            held = self._held.setdefault(key, [])
-            # Twice where a snapshot was taken between its writing and its place in the log.
-            if not any(one.sent == at and one.backend == backend for one in held):
-                held.append(PastAttempt(backend, cell, at, True))
-            self._until[key] = max(until, self._until.get(key, 0))
-            heappush(self._ends, (until, key))
+            # Expires marks as of the time of the record, so that replaying the log doesn't revive expired ones.
+            self.sweep(sent_at)
+            attempts = self._attempts.setdefault(key, [])
+            # A record is applied twice if the snapshot already included it when it was appended to the log.
+            if not any(attempt.sent == sent_at and attempt.backend == backend for attempt in attempts):
+                attempts.append(PastAttempt(backend, cell, sent_at, True))
+            self._expiry[key] = max(expires_at, self._expiry.get(key, 0))
+            heappush(self._expiry_heap, (expires_at, key))
         else:
-            use_case, mark, at = DECODE(body)
-            held = self._held.get((use_case, mark), [])
-            for place, one in enumerate(held):
-                if one.sent == at:
-                    held[place] = one._replace(ran=False)
+            use_case, mark, sent_at = DECODE(body)
+            attempts = self._attempts.get((use_case, mark), [])
+            for index, attempt in enumerate(attempts):
+                if attempt.sent == sent_at:
+                    attempts[index] = attempt._replace(ran=False)
 
     def sweep(self, now: int) -> None:
-        """Forgets what its group has forgotten."""
-        while self._ends and self._ends[0][0] <= now:
-            _, key = heappop(self._ends)
-            if self._until.get(key, now + 1) <= now:
-                self._held.pop(key, None)
-                self._until.pop(key, None)
-
-    def state(self, now: int) -> Iterator[tuple[int, bytes]]:
-        """Records that build it up again."""
-        for key, held in self._held.items():
-            until = self._until[key]
-            if until <= now:
+        """Removes the marks whose deduplication window has passed."""
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            _, key = heappop(self._expiry_heap)
+            if self._expiry.get(key, now + 1) <= now:
+                self._attempts.pop(key, None)
+                self._expiry.pop(key, None)
+
+    def snapshot_records(self, now: int) -> Iterator[tuple[int, bytes]]:
+        """Yields the records that rebuild the table."""
+        for key, attempts in self._attempts.items():
+            expires_at = self._expiry[key]
+            if expires_at <= now:
                 continue
-            for one in held:
-                yield SENT, ENCODE((*key, one.backend, one.cell, one.sent, until))
-                if not one.ran:
-                    yield NEVER_RAN, ENCODE((*key, one.sent))
+            for attempt in attempts:
+                yield SENT, ENCODE((*key, attempt.backend, attempt.cell, attempt.sent, expires_at))
+                if not attempt.ran:
+                    yield NEVER_RAN, ENCODE((*key, attempt.sent))
 
 
 class SeenBackend(NamedTuple):
-    """A backend as the list last had it: where, and when that was last confirmed."""
+    """A backend as discovery last listed it; `confirmed` is when that was last confirmed (us)."""
 
     id: str
     address: str
@@ -117,92 +124,94 @@
 
 
 class ListedBackends:
-    """The list of backends that are ready. One that drains or is gone leaves it at once; `most` at the most,
-    the longest unconfirmed leaving first, since it is worth least at a start."""
+    """The ready backends. A backend that drains or is removed leaves the table at once. There are `max_entries`
+    backends at most; the one that was confirmed least recently is evicted first, since it is the least useful at
+    startup."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._held: dict[str, SeenBackend] = {}
+    def __init__(self, max_entries: int) -> None:
+        self._max_entries = max_entries
+        self._backends: dict[str, SeenBackend] = {}
 
-    def seen(self, one: SeenBackend) -> bytes:
-        body = ENCODE(one)
-        self.take(LISTED, body)
+    def record_listed(self, backend: SeenBackend) -> bytes:
+        body = ENCODE(backend)
+        self.apply_record(LISTED, body)
         return body
 
-    def gone(self, id: str) -> bytes:
+    def record_unlisted(self, id: str) -> bytes:
         body = ENCODE(id)
-        self.take(UNLISTED, body)
+        self.apply_record(UNLISTED, body)
         return body
 
-    def take(self, kind: int, body: bytes) -> None:
+    def apply_record(self, kind: int, body: bytes) -> None:
         if kind == UNLISTED:
-            self._held.pop(DECODE(body), None)
+            self._backends.pop(DECODE(body), None)
             return
-        one = SeenBackend(*DECODE(body))
-        self._held.pop(one.id, None)
-        self._held[one.id] = one
-        if len(self._held) > self._most:
-            del self._held[min(self._held.values(), key=lambda other: other.confirmed).id]
+        backend = SeenBackend(*DECODE(body))
+        self._backends.pop(backend.id, None)
+        self._backends[backend.id] = backend
+        if len(self._backends) > self._max_entries:
+            del self._backends[min(self._backends.values(), key=lambda listed_backend: listed_backend.confirmed).id]
 
     def all(self) -> list[SeenBackend]:
-        """The latest confirmed first."""
-        return sorted(self._held.values(), key=lambda one: (-one.confirmed, one.id))
+        """The backends, the most recently confirmed first."""
+        return sorted(self._backends.values(), key=lambda backend: (-backend.confirmed, backend.id))
 
-    def state(self) -> Iterator[tuple[int, bytes]]:
-        return ((LISTED, ENCODE(one)) for one in self._held.values())
+    def snapshot_records(self) -> Iterator[tuple[int, bytes]]:
+        return ((LISTED, ENCODE(backend)) for backend in self._backends.values())
 
 
 class BreakerStates:
-    """Since when and till when a breaker is open, by backend. One that closed leaves it; one that has been
-    past its end for `kept` tells nothing any more."""
+    """The opening and closing times of open breakers, by backend. An entry is removed when its breaker closes, or when
+    its closing time is `retention` us in the past, after which it no longer matters."""
 
-    def __init__(self, kept: int) -> None:
-        self._kept = kept
-        self._held: dict[str, tuple[int, int]] = {}  # emptied as they close, and by `sweep`
+    def __init__(self, retention: int) -> None:
+        self._retention = retention
+        self._open_spans: dict[str, tuple[int, int]] = {}  # removed when a breaker closes, and by `sweep`
 
-    def turned(self, id: str, opened: int, until: int) -> bytes:
-        """Open from `opened` to `until`; both 0 where it closed."""
+    def record_change(self, id: str, opened: int, until: int) -> bytes:
+        """Records that a breaker is open from `opened` to `until`, or closed if both are 0. Returns the record's
+        body."""
         body = ENCODE((id, opened, until))
-        self.take(BREAKER, body)
+        self.apply_record(BREAKER, body)
         return body
 
-    def take(self, kind: int, body: bytes) -> None:
+    def apply_record(self, kind: int, body: bytes) -> None:
         id, opened, until = DECODE(body)
         if until:
-            self._held[id] = (opened, until)
+            self._open_spans[id] = (opened, until)
         else:
-            self._held.pop(id, None)
+            self._open_spans.pop(id, None)
 
-    def open(self, now: int) -> dict[str, tuple[int, int]]:
+    def open_breakers(self, now: int) -> dict[str, tuple[int, int]]:
         self.sweep(now)
-        return dict(self._held)
+        return dict(self._open_spans)
 
     def sweep(self, now: int) -> None:
-        for id in [id for id, (_, until) in self._held.items() if now - until >= self._kept]:
-            del self._held[id]
+        for id in [id for id, (_, until) in self._open_spans.items() if now - until >= self._retention]:
+            del self._open_spans[id]
 
-    def state(self) -> Iterator[tuple[int, bytes]]:
-        return ((BREAKER, ENCODE((id, opened, until))) for id, (opened, until) in self._held.items())
+    def snapshot_records(self) -> Iterator[tuple[int, bytes]]:
+        return ((BREAKER, ENCODE((id, opened, until))) for id, (opened, until) in self._open_spans.items())
 
 
 class Tables:
-    """All of them, fed from a log and put into a snapshot."""
+    """All tables of the store."""
 
-    def __init__(self, most_marks: int, most_listed: int, breakers_kept: int) -> None:
-        self.marks = RequestMarks(most_marks)
-        self.listed = ListedBackends(most_listed)
-        self.breakers = BreakerStates(breakers_kept)
-        self.unknown = 0  # records of kinds that a later program wrote
+    def __init__(self, max_marks: int, max_listed: int, breaker_retention: int) -> None:
+        self.marks = RequestMarks(max_marks)
+        self.listed = ListedBackends(max_listed)
+        self.breakers = BreakerStates(breaker_retention)
+        self.unknown = 0  # count of records of unknown kinds, written by a later version of the program
 
     def take(self, kind: int, body: bytes) -> None:
         if kind in (SENT, NEVER_RAN):
-            self.marks.take(kind, body)
+            self.marks.apply_record(kind, body)
         elif kind in (LISTED, UNLISTED):
-            self.listed.take(kind, body)
+            self.listed.apply_record(kind, body)
         elif kind == BREAKER:
-            self.breakers.take(kind, body)
+            self.breakers.apply_record(kind, body)
         else:
             self.unknown += 1
 
     def state(self, now: int) -> list[tuple[int, bytes]]:
-        return [*self.marks.state(now), *self.listed.state(), *self.breakers.state()]
+        return [*self.marks.snapshot_records(now), *self.listed.snapshot_records(), *self.breakers.snapshot_records()]
