--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -159,7 +159,7 @@
         if now - limits.logged_at >= LOG_INTERVAL_US:
             gate = limits.gate
             self._say(
-                "limit acts",
+                "limit exceeded",
                 route=admission.terms.name,
                 why=how,
                 kept_out=limits.rejected_count,
@@ -213,7 +213,7 @@
             return True
         limits.rejected_count += 1
         if now - limits.logged_at >= LOG_INTERVAL_US:
-            self._say("limit acts", route=admission.terms.name, why="retry budget", kept_out=limits.rejected_count)
+            self._say("limit exceeded", route=admission.terms.name, why="retry budget", kept_out=limits.rejected_count)
             limits.logged_at = now
         return False
 
--- a/pepperusher/changes/error_watch.py
+++ b/pepperusher/changes/error_watch.py
@@ -20,16 +20,16 @@
 
 
 class Harm(NamedTuple):
-    """Why a change is rolled back: the metric `what` rose from `before` to `since`."""
+    """Why a change is rolled back: the metric rose from `before` to `since`."""
 
-    what: str
+    metric: str
     before: float
     since: float
 
     def __str__(self) -> str:
-        if self.what == "latency":
+        if self.metric == "latency":
             return f"the 90th percentile went from {self.before / 1000:.0f} ms to {self.since / 1000:.0f} ms"
-        return f"{self.what} went from {100 * self.before:.1f}% to {100 * self.since:.1f}%"
+        return f"{self.metric} went from {100 * self.before:.1f}% to {100 * self.since:.1f}%"
 
 
 class Counts:
@@ -123,12 +123,12 @@
         before, since = self._before, self._since
         if before is None or since is None or since.total < min_tickets:
             return None
-        for what, max_increase, share_before, share_since in (
+        for metric, max_increase, share_before, share_since in (
             ("scrapped", max_error_increase, before.share(before.scrapped), since.share(since.scrapped)),
             ("bounced", max_bounce_increase, before.share(before.bounced), since.share(since.bounced)),
         ):
             if share_since - share_before > max_increase:
-                return Harm(what, share_before, share_since)
+                return Harm(metric, share_before, share_since)
         if before.done >= min_tickets and since.done >= min_tickets:
             latency_before, latency_since = before.percentile(0.9), since.percentile(0.9)
             if (
--- a/pepperusher/changes/transaction_log.py
+++ b/pepperusher/changes/transaction_log.py
@@ -42,10 +42,10 @@
 
     __slots__ = ("number", "name", "what", "steps")
 
-    def __init__(self, number: int, name: str, what: Any, step: Step) -> None:
+    def __init__(self, number: int, name: str, payload: Any, step: Step) -> None:
         self.number = number
         self.name = name
-        self.what = what
+        self.what = payload
         self.steps = [step]  # at most one for each state
 
     @property
@@ -90,7 +90,7 @@
                 return change
         raise TransactionError(f"no change {number} is known")
 
-    def propose(self, name: str, what: Any, who: str, why: str, may_queue: bool, now: int) -> Change:
+    def propose(self, name: str, payload: Any, who: str, why: str, may_queue: bool, now: int) -> Change:
         """Returns the new change: open if no other is, otherwise queued. Raises TransactionError, which names the open
         change, if the new one may not be queued."""
         if self.open is not None:
@@ -102,7 +102,7 @@
             if len(self._queue) >= MAX_QUEUED:
                 raise TransactionError(f"{MAX_QUEUED} changes are queued already")
         self._last_number += 1
-        change = Change(self._last_number, name, what, Step(PROPOSED, now, who, why))
+        change = Change(self._last_number, name, payload, Step(PROPOSED, now, who, why))
         if self.open is None:
             self.open = change
         else:
--- a/pepperusher/configuration/loader.py
+++ b/pepperusher/configuration/loader.py
@@ -148,12 +148,14 @@
             Fault(source, lines.at(key), key, rule, problem) if origin == FILE else Fault(origin, 0, key, rule, problem)
         )
 
-    own, wrong_values = table_conversion.converted(raw, Own)
-    faults += [fault(one.key, "known key" if one.unknown else "form", one.what) for one in wrong_values]
+    own, conversion_errors = table_conversion.converted(raw, Own)
+    faults += [fault(error.key, "known key" if error.unknown else "form", error.what) for error in conversion_errors]
     if own is not None:
-        faults += [fault(*one) for one in validation.check(own, policy_settings)]
+        faults += [fault(*violation) for violation in validation.check(own, policy_settings)]
     if faults:
-        raise ConfigurationError(sorted(faults, key=lambda one: (one.source != source, one.line, one.key)))
+        raise ConfigurationError(
+            sorted(faults, key=lambda reported: (reported.source != source, reported.line, reported.key))
+        )
     assert own is not None
     digest = hashlib.sha256(
         msgspec.json.encode(own, enc_hook=table_conversion.hook, order="deterministic")
@@ -259,13 +261,13 @@
         raise KeyError(f"{key}: unknown key{table_conversion.nearest(key, keys())}")
     kind, field = found
     description = (
-        next((one.description for one in get_args(kind) if isinstance(one, msgspec.Meta)), "")
+        next((meta.description for meta in get_args(kind) if isinstance(meta, msgspec.Meta)), "")
         if get_origin(kind) is Annotated
         else ""
     )
     inner, is_list = table_conversion.table_of(kind)
     if inner is not None:
-        names = ", ".join(one.encode_name for one in msgspec.structs.fields(inner))
+        names = ", ".join(inner_field.encode_name for inner_field in msgspec.structs.fields(inner))
         type_description = f"{'a list of tables' if is_list else 'a table'} with {names}"
     else:
         type_description = _describe_type(kind)
@@ -276,13 +278,15 @@
 def _describe_type(kind: Any) -> str:
     schema = msgspec.json.schema(kind, schema_hook=_schema_hook)
     if "anyOf" in schema:
-        return " or ".join(_describe_schema(one) for one in schema["anyOf"] if one.get("type") != "null")
+        return " or ".join(
+            _describe_schema(alternative) for alternative in schema["anyOf"] if alternative.get("type") != "null"
+        )
     return _describe_schema(schema)
 
 
 def _describe_schema(schema: dict[str, Any]) -> str:
     if "enum" in schema:
-        return "one of " + ", ".join(str(one) for one in schema["enum"] if one is not None)
+        return "one of " + ", ".join(str(value) for value in schema["enum"] if value is not None)
     if "pattern" in schema:
         return 'a duration such as "250ms"'
     return {
--- a/pepperusher/configuration/tables.py
+++ b/pepperusher/configuration/tables.py
@@ -28,6 +28,8 @@
 
 
 class Match(Table, kw_only=True, frozen=True):
+    """The conditions under which a route applies to a request."""
+
     method: Annotated[str, _description("the HTTP method, such as GET or POST; any if omitted")] = ""
     path: Annotated[str, _description("a path template: /orders/{id}, or /files/{path*} for all paths below")] = (
         "/{any*}"
@@ -41,6 +43,8 @@
 
 
 class Concurrency(Table, kw_only=True, frozen=True):
+    """The concurrency limit of a route, fixed or adaptive, and its queue."""
+
     most: Annotated[int, _description("maximum number of concurrent tickets")]
     adaptive: Annotated[bool, _description("whether the limit adapts to response times, between least and most")] = (
         False
@@ -56,11 +60,15 @@
 
 
 class Rate(Table, kw_only=True, frozen=True):
+    """The rate limit of a route for each customer, a token bucket."""
+
     per_customer: Annotated[float, _description("sustained rate in tickets per second for each customer")]
     burst: Annotated[float, _description("burst size of the rate limit, in tickets")] = 10.0
 
 
 class Budget(Table, kw_only=True, frozen=True):
+    """The retry budget of a route."""
+
     share: Annotated[float, _description("retries allowed per first attempt")] = 0.2
     floor: Annotated[float, _description("retries per second that are allowed in any case")] = 1.0
     span: Annotated[Span, _description("time window over which the budget is counted")] = _duration_default(10_000_000)
@@ -70,6 +78,8 @@
 
 
 class Route(Table, kw_only=True, frozen=True):
+    """The settings of one route."""
+
     FORMER: ClassVar[dict[str, str]] = {"transmissions": "attempts"}  # former key names, accepted for one more version
 
     name: Annotated[str, _description("the route's name in logs, responses and ctl")]
@@ -98,12 +108,16 @@
 
 
 class Mark(Table, kw_only=True, frozen=True):
+    """An override for one backend."""
+
     id: Annotated[str, _description("the backend's id as discovery lists it")]
     weight: Annotated[float | None, _description("factor for the weight that discovery lists")] = None
     drain: Annotated[bool, _description("whether the backend is drained: it receives no new tickets")] = False
 
 
 class Changes(Table, kw_only=True, frozen=True):
+    """How configuration changes are watched and confirmed."""
+
     confirm: Annotated[
         Literal["by itself", "by hand"],
         _description("whether a change that did no harm is confirmed automatically or manually"),
@@ -129,6 +143,8 @@
 
 
 class Control(Table, kw_only=True, frozen=True):
+    """The control socket."""
+
     socket: Annotated[str | None, _description("path of the control socket; no socket if omitted")] = None
     connections: Annotated[int, _description("maximum number of concurrent connections")] = 8
     within: Annotated[
@@ -137,6 +153,8 @@
 
 
 class Said(Table, kw_only=True, frozen=True):
+    """The format of log lines, and details in responses."""
+
     form: Annotated[
         Literal["plain", "text", "json"], _description("format of log lines: plain lines, key=value or JSON")
     ] = "plain"
@@ -146,6 +164,8 @@
 
 
 class Store(Table, kw_only=True, frozen=True):
+    """The persistent store."""
+
     folder: Annotated[str | None, _description("a persistent folder for the store; no store if omitted")] = None
     sync: Annotated[
         bool,
@@ -163,6 +183,8 @@
 
 
 class Group(Table, kw_only=True, frozen=True):
+    """The group of proxies, whose members probe each other."""
+
     listen: Annotated[
         str | None,
         _description("address:port where other proxies reach this one, by UDP and TCP; no group if omitted"),
@@ -181,6 +203,8 @@
 
 
 class Distribution(Table, kw_only=True, frozen=True):
+    """The control machines, and the resources that this proxy receives from them."""
+
     machines: Annotated[
         list[str],
         _description("all control machines, as address:port; nothing is distributed to this proxy if omitted"),
--- a/pepperusher/control/client.py
+++ b/pepperusher/control/client.py
@@ -13,11 +13,12 @@
     """No response, or an error response; the text is the reason, followed by the faults, a line each."""
 
 
-def ask(path: str, do: str, **said: Any) -> dict[str, Any]:
+def ask(path: str, do: str, **parameters: Any) -> dict[str, Any]:
     """Sends the command `do` with its parameters and returns the response, merged from its parts. Raises
     RefusedError."""
     request = (
-        json.dumps({"do": do, **{key: value for key, value in said.items() if value is not None}}).encode() + b"\n"
+        json.dumps({"do": do, **{key: value for key, value in parameters.items() if value is not None}}).encode()
+        + b"\n"
     )
     connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     connection.settimeout(TIMEOUT_S)
--- a/pepperusher/store/commands.py
+++ b/pepperusher/store/commands.py
@@ -27,7 +27,7 @@
 PROGRESS_BAR_MIN_BYTES = 16 * 1024 * 1024
 # Far above the size of any proxy's tables, so that the commands don't evict entries that a proxy would keep.
 UNLIMITED = 1 << 40
-FOLDER = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
+FOLDER_ARGUMENT = click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
 
 
 @contextmanager
@@ -56,10 +56,10 @@
 
 
 def _recover_store(folder: Path) -> recovery.Recovered:
-    found = recovery.recover(_read_files(folder))
-    if found is None:
+    recovered = recovery.recover(_read_files(folder))
+    if recovered is None:
         raise click.ClickException(f"{folder}: contains no store")
-    return found
+    return recovered
 
 
 @click.group()
@@ -68,30 +68,30 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def check(folder: Path) -> None:
     """Check whether the store in FOLDER can be opened and summarize it; exits with 1 if it can't."""
     with report_errors():
-        found = _recover_store(folder)
-        kinds = Counter(kind for kind, _ in replay(found))
+        recovered = _recover_store(folder)
+        kinds = Counter(kind for kind, _ in replay(recovered))
         size = sum(path.stat().st_size for path in folder.iterdir())
         click.echo(
-            f"{folder}: valid, {size} bytes, {len(found.state)} groups in {found.manifest.snapshot or 'no snapshot'},"
-            f" {len(found.log)} in segments {found.manifest.first_segment} to {found.segment_number}; the last group is"
-            f" {found.sequence}"
+            f"{folder}: valid, {size} bytes, {len(recovered.state)} groups in"
+            f" {recovered.manifest.snapshot or 'no snapshot'}, {len(recovered.log)} in segments"
+            f" {recovered.manifest.first_segment} to {recovered.segment_number}; the last group is {recovered.sequence}"
         )
         for kind, count in sorted(kinds.items()):
             click.echo(f"  {KIND_NAMES.get(kind, f'kind {kind}'):<10} {count}")
-        if found.truncated_bytes:
+        if recovered.truncated_bytes:
             click.echo(
-                f"  {found.truncated_bytes} bytes at the end are an interrupted write that was never acknowledged"
+                f"  {recovered.truncated_bytes} bytes at the end are an interrupted write that was never acknowledged"
             )
-        for name in found.stale:
+        for name in recovered.stale:
             click.echo(f"  {name} is unused, and is removed when the store is opened")
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def dump(folder: Path) -> None:
     """Print all records of the store in FOLDER in order, each as a line of JSON."""
     with report_errors():
@@ -108,14 +108,14 @@
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 def compact(folder: Path) -> None:
     """Compact the store in FOLDER into one snapshot. No proxy may have it open."""
     with report_errors():
-        before = sum(path.stat().st_size for path in folder.iterdir())
+        bytes_before = sum(path.stat().st_size for path in folder.iterdir())
         log = Log(Disk(folder))
-        found = log.open()
-        store_tables = _rebuild_tables(replay(found))
+        recovered = log.open()
+        store_tables = _rebuild_tables(replay(recovered))
         if store_tables.unknown:
             log.close()
             raise click.ClickException(
@@ -125,11 +125,13 @@
         name = log.write_snapshot(sequence, store_tables.state(time.time_ns() // 1000))
         log.commit_snapshot(name, sequence, log.number)
         log.close()
-        click.echo(f"{folder}: {before} bytes before, {sum(path.stat().st_size for path in folder.iterdir())} now")
+        click.echo(
+            f"{folder}: {bytes_before} bytes before, {sum(path.stat().st_size for path in folder.iterdir())} now"
+        )
 
 
 @store.command()
-@FOLDER
+@FOLDER_ARGUMENT
 @click.option("--to", type=click.Path(path_type=Path), help="The new folder; FOLDER.repaired by default.")
 def repair(folder: Path, to: Path | None) -> None:
     """Write the recoverable records of FOLDER to a new folder and list what is dropped. FOLDER is not changed."""
--- a/pepperusher/store/disk.py
+++ b/pepperusher/store/disk.py
@@ -17,9 +17,7 @@
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
-        self._descriptors: dict[
-            str, int
-        ] = {}  # descriptors of the files that are written to, by name; `close` removes them
+        self._descriptors: dict[str, int] = {}  # open files by name; `close` removes them
         self._lock_descriptor = -1
 
     def lock(self) -> None:
@@ -39,7 +37,7 @@
     def read(self, name: str) -> bytes:
         return (self._folder / name).read_bytes()
 
-    def _file(self, name: str) -> int:
+    def _open_file(self, name: str) -> int:
         descriptor = self._descriptors.get(name)
         if descriptor is None:
             descriptor = self._descriptors[name] = os.open(
@@ -48,16 +46,17 @@
         return descriptor
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        descriptor, remaining = self._file(name), memoryview(data)
+        descriptor, remaining = self._open_file(name), memoryview(data)
         while remaining:
             written_bytes = os.pwrite(descriptor, remaining, offset)
             offset, remaining = offset + written_bytes, remaining[written_bytes:]
 
     def cut(self, name: str, length: int) -> None:
-        os.ftruncate(self._file(name), length)
+        """Truncates a file."""
+        os.ftruncate(self._open_file(name), length)
 
     def sync(self, name: str) -> None:
-        os.fdatasync(self._file(name))
+        os.fdatasync(self._open_file(name))
 
     def rename(self, name: str, new_name: str) -> None:
         self.close(name)
--- a/pepperusher/store/frames.py
+++ b/pepperusher/store/frames.py
@@ -23,7 +23,7 @@
 PAYLOAD_HEADER = struct.Struct("<QB")  # sequence number, kind
 RECORD_HEADER = struct.Struct("<IB")  # length of the body, kind
 SLOT = struct.Struct("<QI4x")  # sequence number, crc32c of it
-SLOTS = 2
+SLOT_COUNT = 2
 MAX_PAYLOAD_BYTES = 1 << 20
 # Kinds of frames: the end of a snapshot, and a group of records.
 END, GROUP = 0, 1
@@ -124,7 +124,7 @@
 def decode_tail(data: bytes) -> int:
     """The last sequence number recorded as acknowledged; 0 if no slot is readable."""
     acknowledged = 0
-    for slot_index in range(SLOTS):
+    for slot_index in range(SLOT_COUNT):
         slot_bytes = data[slot_index * SLOT.size : (slot_index + 1) * SLOT.size]
         if len(slot_bytes) == SLOT.size:
             sequence, checksum = SLOT.unpack(slot_bytes)
--- a/pepperusher/store/log.py
+++ b/pepperusher/store/log.py
@@ -11,10 +11,10 @@
 
 from pepperusher.store import frames, recovery
 from pepperusher.store.disk import Disk
-from pepperusher.store.frames import HEADER, SLOT, SLOTS
+from pepperusher.store.frames import HEADER, SLOT, SLOT_COUNT
 from pepperusher.store.recovery import (
-    MANIFEST,
-    TAIL,
+    MANIFEST_FILE,
+    TAIL_FILE,
     Manifest,
     Recovered,
     RefusedError,
@@ -36,7 +36,7 @@
     def __init__(self, disk: Disk, sync: bool = True, max_segment_bytes: int = MAX_SEGMENT_BYTES) -> None:
         self._disk = disk
         self._sync = sync
-        self._segment_most = max_segment_bytes
+        self._max_segment_bytes = max_segment_bytes
         self.broken = False
         self._manifest = Manifest("", 0, 1)
         self._segment_number = 1
@@ -47,47 +47,47 @@
     @property
     def log_bytes_since_snapshot(self) -> int:
         """Approximate size of the log since the last snapshot, which compaction would free."""
-        return (self._segment_number - self._manifest.first_segment) * self._segment_most + self._segment_length
+        return (self._segment_number - self._manifest.first_segment) * self._max_segment_bytes + self._segment_length
 
     def open(self) -> Recovered | None:
         """Returns the recovered content, or None for a new store. Raises RefusedError, FolderLockedError, OSError."""
         self._disk.lock()
-        found = recovery.recover({name: self._disk.read(name) for name in self._disk.names()})
-        if found is None:
+        recovered = recovery.recover({name: self._disk.read(name) for name in self._disk.names()})
+        if recovered is None:
             self._create()
             return None
-        for name in found.stale:
+        for name in recovered.stale:
             self._disk.remove(name)
         self._manifest, self._segment_number, self._segment_length = (
-            found.manifest,
-            found.segment_number,
-            found.segment_length,
+            recovered.manifest,
+            recovered.segment_number,
+            recovered.segment_length,
         )
-        self.sequence = found.sequence
-        if found.truncated_bytes and segment_name(self._segment_number) not in found.stale:
+        self.sequence = recovered.sequence
+        if recovered.truncated_bytes and segment_name(self._segment_number) not in recovered.stale:
             # An incomplete frame at the end would otherwise remain after the next one that is written.
             self._disk.cut(segment_name(self._segment_number), self._segment_length)
             self._disk.sync(segment_name(self._segment_number))
         self._disk.sync_folder()
-        return found
+        return recovered
 
     def _create(self) -> None:
         name = segment_name(1)
         self._disk.write(name, 0, frames.encode_header(1))
         self._disk.cut(name, HEADER.size)
         self._disk.sync(name)
-        self._disk.write(TAIL, 0, frames.encode_slot(0) * SLOTS)
-        self._disk.sync(TAIL)
+        self._disk.write(TAIL_FILE, 0, frames.encode_slot(0) * SLOT_COUNT)
+        self._disk.sync(TAIL_FILE)
         self._disk.sync_folder()
         self._write_manifest(self._manifest)
 
     def _write_manifest(self, manifest: Manifest) -> None:
-        temporary_name = MANIFEST + ".new"
+        temporary_name = MANIFEST_FILE + ".new"
         data = recovery.encode_manifest(manifest)
         self._disk.write(temporary_name, 0, data)
         self._disk.cut(temporary_name, len(data))
         self._disk.sync(temporary_name)
-        self._disk.rename(temporary_name, MANIFEST)
+        self._disk.rename(temporary_name, MANIFEST_FILE)
         self._disk.sync_folder()
         self._manifest = manifest
 
@@ -107,18 +107,18 @@
         if not body:
             return self.sequence
         sequence = self.sequence + 1
-        data = frames.encode_frame(sequence, frames.GROUP, body)
-        if self._segment_length + len(data) > self._segment_most and self._segment_length > HEADER.size:
+        frame = frames.encode_frame(sequence, frames.GROUP, body)
+        if self._segment_length + len(frame) > self._max_segment_bytes and self._segment_length > HEADER.size:
             self._rotate()
         name = segment_name(self._segment_number)
-        self._disk.write(name, self._segment_length, data)
+        self._disk.write(name, self._segment_length, frame)
         if self._sync:
             self._disk.sync(name)
-        self._segment_length += len(data)
+        self._segment_length += len(frame)
         self.sequence = sequence
         # The tail is not synced here: until it reaches the disk it only understates what was acknowledged.
-        self._tail_slot = (self._tail_slot + 1) % SLOTS
-        self._disk.write(TAIL, self._tail_slot * SLOT.size, frames.encode_slot(sequence))
+        self._tail_slot = (self._tail_slot + 1) % SLOT_COUNT
+        self._disk.write(TAIL_FILE, self._tail_slot * SLOT.size, frames.encode_slot(sequence))
         return sequence
 
     def _rotate(self) -> None:
@@ -151,7 +151,7 @@
         temporary_name = name + ".new"
         offset, count = HEADER.size, 0
         self._disk.write(temporary_name, 0, frames.encode_header(sequence))
-        for group in _groups(state):
+        for group in _pack_groups(state):
             count += 1
             frame = frames.encode_frame(count, frames.GROUP, group)
             self._disk.write(temporary_name, offset, frame)
@@ -188,12 +188,12 @@
         try:
             if not self.broken:
                 self._disk.sync(segment_name(self._segment_number))
-                self._disk.sync(TAIL)
+                self._disk.sync(TAIL_FILE)
         finally:
             self._disk.close()
 
 
-def _groups(state: Iterable[tuple[int, bytes]]) -> Iterator[bytes]:
+def _pack_groups(state: Iterable[tuple[int, bytes]]) -> Iterator[bytes]:
     """Packs records into frame bodies, each well below the maximum length."""
     group: list[tuple[int, bytes]] = []
     size = 0
@@ -207,9 +207,9 @@
         yield frames.encode_records(group)
 
 
-def replay(found: Recovered | None) -> Iterator[tuple[int, bytes]]:
+def replay(recovered: Recovered | None) -> Iterator[tuple[int, bytes]]:
     """Yields all (kind, body) records in order: those of the snapshot, then those of the log."""
-    for frame in [] if found is None else [*found.state, *found.log]:
+    for frame in [] if recovered is None else [*recovered.state, *recovered.log]:
         yield from frames.decode_records(frame.body)
 
 
--- a/pepperusher/store/recovery.py
+++ b/pepperusher/store/recovery.py
@@ -16,12 +16,13 @@
 from pepperusher.store import frames
 from pepperusher.store.frames import HEADER, Frame, FrameError
 
-MANIFEST, TAIL = "manifest", "tail"
-SEGMENT, SNAPSHOT = "log-", "snapshot-"
+MANIFEST_FILE, TAIL_FILE = "manifest", "tail"
+SEGMENT_PREFIX, SNAPSHOT_PREFIX = "log-", "snapshot-"
 
 
 class RefusedError(ValueError):
-    """A store that can't be opened without losing acknowledged records; its text is one line with the file's name."""
+    """A store that can't be opened without losing acknowledged records or accepting records that were never written.
+    The text is one line with the name of the file."""
 
 
 class Manifest(NamedTuple):
@@ -48,11 +49,11 @@
 
 
 def segment_name(number: int) -> str:
-    return f"{SEGMENT}{number:08d}"
+    return f"{SEGMENT_PREFIX}{number:08d}"
 
 
 def snapshot_name(sequence: int) -> str:
-    return f"{SNAPSHOT}{sequence:016d}"
+    return f"{SNAPSHOT_PREFIX}{sequence:016d}"
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
@@ -71,53 +72,60 @@
             or checksum.lower() != checksum
         ):
             raise ValueError
-        version, snapshot, sequence, first = json.loads(body)
+        version, snapshot, sequence, first_segment = json.loads(body)
     except ValueError:
-        raise RefusedError(f"{MANIFEST}: is corrupt") from None
+        raise RefusedError(f"{MANIFEST_FILE}: is corrupt") from None
     if version > frames.VERSION:
-        raise RefusedError(f"{MANIFEST}: has version {version}; this program supports up to {frames.VERSION}")
-    return Manifest(snapshot, sequence, first)
+        raise RefusedError(f"{MANIFEST_FILE}: has version {version}; this program supports up to {frames.VERSION}")
+    return Manifest(snapshot, sequence, first_segment)
 
 
 def recover(files: Mapping[str, bytes]) -> Recovered | None:
     """Recovers from the contents of all files by name; None if there is no store yet. Raises RefusedError."""
-    if MANIFEST not in files:
-        remaining = sorted(name for name in files if name.startswith((SEGMENT, SNAPSHOT)) and not name.endswith(".new"))
+    if MANIFEST_FILE not in files:
+        remaining = sorted(
+            name for name in files if name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX)) and not name.endswith(".new")
+        )
         # A new store writes its first segment and its tail before its manifest, so these may exist without one.
         if remaining and (remaining != [segment_name(1)] or len(files[remaining[0]]) > HEADER.size):
-            raise RefusedError(f"{MANIFEST}: is missing, but {remaining[0]} exists")
+            raise RefusedError(f"{MANIFEST_FILE}: is missing, but {remaining[0]} exists")
         return None
-    manifest = decode_manifest(files[MANIFEST])
+    manifest = decode_manifest(files[MANIFEST_FILE])
     state = read_snapshot(files, manifest)
     log: list[Frame] = []
     sequence, number, truncated_bytes, length = manifest.sequence, manifest.first_segment, 0, 0
-    acknowledged = frames.decode_tail(files.get(TAIL, b""))
+    acknowledged = frames.decode_tail(files.get(TAIL_FILE, b""))
     while True:
         name = segment_name(number)
         if name not in files:
             raise RefusedError(f"{name}: is missing")
         data = files[name]
-        last = segment_name(number + 1) not in files
+        is_last_segment = segment_name(number + 1) not in files
         try:
             if frames.decode_header(data)[1] != number:
                 raise RefusedError(f"{name}: has the number of another segment")
         except FrameError as error:
-            if not (last and number > manifest.first_segment and len(data) <= HEADER.size and sequence >= acknowledged):
+            if not (
+                is_last_segment
+                and number > manifest.first_segment
+                and len(data) <= HEADER.size
+                and sequence >= acknowledged
+            ):
                 raise RefusedError(f"{name}: {error}") from None
-            # The segment was being created at the crash, and holds no frame yet.
+            # The crash happened while this segment was created, so it holds no frame yet.
             return _build_recovered(manifest, state, log, number - 1, length, sequence, files, len(data))
         length = HEADER.size
-        for end, frame in frames.iterate_frames(data, HEADER.size):
+        for frame_end, frame in frames.iterate_frames(data, HEADER.size):
             if frame.sequence != sequence + 1:
                 raise RefusedError(f"{name}: group {frame.sequence} follows {sequence}")
-            sequence, length = frame.sequence, end
+            sequence, length = frame.sequence, frame_end
             log.append(frame)
         truncated_bytes = len(data) - length
-        if truncated_bytes and not last:
+        if truncated_bytes and not is_last_segment:
             raise RefusedError(f"{name}: is corrupt from byte {length} on, and is not the last segment")
         if truncated_bytes and (valid_offset := frames.find_valid_frame(data, length + 1)) is not None:
             raise RefusedError(f"{name}: is corrupt at byte {length}, but valid again at byte {valid_offset}")
-        if last:
+        if is_last_segment:
             break
         number += 1
     if sequence < acknowledged:
@@ -135,14 +143,16 @@
     files: Mapping[str, bytes],
     truncated_bytes: int,
 ) -> Recovered:
-    used = {
-        MANIFEST,
-        TAIL,
+    used_names = {
+        MANIFEST_FILE,
+        TAIL_FILE,
         manifest.snapshot,
         *(segment_name(segment) for segment in range(manifest.first_segment, number + 1)),
     }
     stale = sorted(
-        name for name in files if name not in used and (name.startswith((SEGMENT, SNAPSHOT)) or name.endswith(".new"))
+        name
+        for name in files
+        if name not in used_names and (name.startswith((SEGMENT_PREFIX, SNAPSHOT_PREFIX)) or name.endswith(".new"))
     )
     return Recovered(manifest, state, log, number, length, sequence, stale, truncated_bytes)
 
--- a/pepperusher/store/salvage.py
+++ b/pepperusher/store/salvage.py
@@ -12,7 +12,7 @@
 
 from pepperusher.store import frames, recovery
 from pepperusher.store.frames import HEADER, Frame, FrameError
-from pepperusher.store.recovery import MANIFEST, SEGMENT, SNAPSHOT, Manifest, RefusedError
+from pepperusher.store.recovery import MANIFEST_FILE, SEGMENT_PREFIX, SNAPSHOT_PREFIX, Manifest, RefusedError
 
 
 class Salvaged(NamedTuple):
@@ -60,25 +60,26 @@
             break
         number += 1
     dropped += _later_segments(files, number)
-    if (acknowledged := frames.decode_tail(files.get(recovery.TAIL, b""))) > sequence:
+    if (acknowledged := frames.decode_tail(files.get(recovery.TAIL_FILE, b""))) > sequence:
         dropped.append(
-            f"{recovery.TAIL}: groups up to {acknowledged} were acknowledged, but {sequence} is the last that is kept"
+            f"{recovery.TAIL_FILE}: groups up to {acknowledged} were acknowledged,"
+            f" but {sequence} is the last that is kept"
         )
     return Salvaged(groups, dropped)
 
 
 def _read_or_replace_manifest(files: Mapping[str, bytes], dropped: list[str]) -> Manifest:
     try:
-        return recovery.decode_manifest(files[MANIFEST])
+        return recovery.decode_manifest(files[MANIFEST_FILE])
     except KeyError:
-        dropped.append(f"{MANIFEST}: is missing")
+        dropped.append(f"{MANIFEST_FILE}: is missing")
     except RefusedError as error:
         dropped.append(str(error))
     for name in sorted(
-        (file_name for file_name in files if file_name.startswith(SNAPSHOT) and not file_name.endswith(".new")),
+        (file_name for file_name in files if file_name.startswith(SNAPSHOT_PREFIX) and not file_name.endswith(".new")),
         reverse=True,
     ):
-        sequence = int(name.removeprefix(SNAPSHOT)) if name.removeprefix(SNAPSHOT).isdecimal() else -1
+        sequence = int(name.removeprefix(SNAPSHOT_PREFIX)) if name.removeprefix(SNAPSHOT_PREFIX).isdecimal() else -1
         # Only the manifest holds the segment after the snapshot; the first segment that continues its sequence
         # replaces it.
         first_segment = _first_segment_after(files, sequence)
@@ -88,16 +89,16 @@
 
 
 def _first_segment_after(files: Mapping[str, bytes], sequence: int) -> int:
-    for name in sorted(file_name for file_name in files if file_name.startswith(SEGMENT)):
+    for name in sorted(file_name for file_name in files if file_name.startswith(SEGMENT_PREFIX)):
         found = frames.decode_frame(files[name], HEADER.size)
         if found is not None and found[1].sequence == sequence + 1:
-            return int(name.removeprefix(SEGMENT))
+            return int(name.removeprefix(SEGMENT_PREFIX))
     return 0
 
 
 def _later_segments(files: Mapping[str, bytes], number: int) -> list[str]:
     """Lines about the segments after `number`, the last segment from which groups are kept."""
-    later = sorted(name for name in files if name.startswith(SEGMENT) and name > recovery.segment_name(number))
+    later = sorted(name for name in files if name.startswith(SEGMENT_PREFIX) and name > recovery.segment_name(number))
     return [f"{name}: {len(files[name])} bytes, after a corruption" for name in later]
 
 
--- a/pepperusher/store/store_writer.py
+++ b/pepperusher/store/store_writer.py
@@ -16,6 +16,7 @@
 
 # A group is closed at this size, well below the maximum length of a frame.
 MAX_GROUP_BYTES = 1 << 18
+# Results of `put`.
 KEPT, LATE, OFF = "kept", "late", "off"
 
 
@@ -74,7 +75,7 @@
             self._waiting.append((kind, body, written))
             self._condition.notify()
 
-    # --- the thread -------------------------------------------------------------------------------
+    # --- methods that run in the writer thread ----------------------------------------------------
 
     def _next_group(self) -> list[tuple[int, bytes, asyncio.Future[bool] | None]] | None:
         """Waits for the next group, which may be empty if a snapshot is to be written; None once the store closes."""
@@ -128,7 +129,7 @@
         except RuntimeError:
             pass  # the event loop has closed, so no call waits any more
 
-    # --- the loop ---------------------------------------------------------------------------------
+    # --- methods that run on the event loop -------------------------------------------------------
 
     @staticmethod
     def _notify_written(futures: list[asyncio.Future[bool]]) -> None:
--- a/pepperusher/store/tables.py
+++ b/pepperusher/store/tables.py
@@ -38,18 +38,16 @@
 
     def __init__(self, max_entries: int) -> None:
         self._max_entries = max_entries
-        self._attempts: dict[
-            tuple[str, str], list[PastAttempt]
-        ] = {}  # removed by `sweep`, `max_entries` entries at most
-        self._expiry: dict[tuple[str, str], int] = {}  # the time at which a mark expires; removed by `sweep`
-        self._expiry_heap: list[
-            tuple[int, tuple[str, str]]
-        ] = []  # a heap with an entry for each attempt; removed by `sweep`
+        # All three are emptied by `sweep`. The heap has an entry (expiry, key) for each attempt.
+        self._attempts: dict[tuple[str, str], list[PastAttempt]] = {}
+        self._expiry: dict[tuple[str, str], int] = {}
+        self._expiry_heap: list[tuple[int, tuple[str, str]]] = []
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     def past(self, use_case: str, mark: str, now: int) -> list[PastAttempt]:
+        """The unexpired attempts for a mark, oldest first."""
         self.sweep(now)
         return list(self._attempts.get((use_case, mark), ()))
 
