--- a/pepperusher/configuration/key_locations.py
+++ b/pepperusher/configuration/key_locations.py
@@ -27,10 +27,11 @@
 
     def __init__(self, text: str) -> None:
         self._lines: dict[str, int] = {}  # by key path
-        self._last_indices: dict[str, int] = {}
+        self._last_indices: dict[str, int] = {}  # of arrays of tables, by path
         self._read(text)
 
     def at(self, path: str) -> int:
+        """The line of the key or of its nearest parent; 0 if neither is found."""
         while path:
             if path in self._lines:
                 return self._lines[path]
@@ -41,6 +42,7 @@
         self._lines.setdefault(path, line)
 
     def _read_header(self, opening: str, dotted: str, line: int) -> str:
+        """Records a table header and returns the path of its table, with indices for arrays of tables."""
         prefix = ""
         parts = _split_dotted_key(dotted)
         for index, part in enumerate(parts):
--- a/pepperusher/control/commands.py
+++ b/pepperusher/control/commands.py
@@ -38,12 +38,12 @@
     if path is None:
         raise click.UsageError("Missing option '--socket'.", context)
     try:
-        answer = client.ask(path, do, **parameters)
+        response = client.ask(path, do, **parameters)
     except RefusedError as error:
         raise click.ClickException(str(error)) from None
     if as_json:
-        click.echo(json.dumps(answer))
-    return answer, as_json
+        click.echo(json.dumps(response))
+    return response, as_json
 
 
 def _format_time(us: int) -> str:
@@ -73,18 +73,18 @@
 @click.pass_context
 def status(context: click.Context) -> None:
     """Show the version in force, tickets in hand, limits and the open change."""
-    answer, as_json = _send_command(context, "status")
+    response, as_json = _send_command(context, "status")
     if as_json:
         return
     click.echo(
-        f"version {answer['version']} ({answer['digest']}), program {answer['program']}, {answer['in_hand']} tickets"
-        f" in hand{', stopping' if answer['stopping'] else ''}; versions with tickets {answer['versions']}"
+        f"version {response['version']} ({response['digest']}), program {response['program']}, {response['in_hand']} tickets"
+        f" in hand{', stopping' if response['stopping'] else ''}; versions with tickets {response['versions']}"
     )
-    if answer["open_change"]:
-        since = answer["since_change"]
-        click.echo(_format_change(answer["open_change"]))
+    if response["open_change"]:
+        since = response["since_change"]
+        click.echo(_format_change(response["open_change"]))
         click.echo(f"  since: {since['done']} done, {since['bounced']} bounced, {since['scrapped']} scrapped")
-    distribution = answer["distribution"]
+    distribution = response["distribution"]
     if distribution is not None:
         confirmation_age = distribution["confirmed_us_ago"]
         if distribution["resource"] is not None:
@@ -96,16 +96,16 @@
             )
         if distribution.get("endpoints") is not None:
             click.echo(_format_endpoints(distribution["endpoints"]))
-    click.echo(client.table(answer["limits"]))
+    click.echo(client.table(response["limits"]))
 
 
-def _add_listing_command(name: str, key: str, words: str) -> None:
-    @ctl.command(name, help=words)
+def _add_listing_command(name: str, key: str, help_text: str) -> None:
+    @ctl.command(name, help=help_text)
     @click.pass_context
     def listing(context: click.Context) -> None:
-        answer, as_json = _send_command(context, name)
+        response, as_json = _send_command(context, name)
         if not as_json:
-            click.echo(client.table(answer[key]))
+            click.echo(client.table(response[key]))
 
 
 _add_listing_command("backends", "backends", "All known backends, with their breakers.")
@@ -113,24 +113,24 @@
 _add_listing_command("tickets", "tickets", "Tickets in hand, oldest first.")
 
 
-def _format_members(answer: dict[str, Any]) -> str:
-    reach, orders = answer["reach"], answer["orders"]
+def _format_members(response: dict[str, Any]) -> str:
+    reach, orders = response["reach"], response["orders"]
     reach_texts = {
         "majority": "reaches a majority",
-        "part": "CUT OFF from a majority",
-        "nobody": "CUT OFF: reaches nobody",
+        "part": "CUT OFF: reaches only a minority",
+        "nobody": "CUT OFF: reaches no other member",
     }
     lines = [
         f"{reach_texts[reach['word']]}: {reach['here']} reachable, {reach['silent']} silent, {reach['gone']} gone,"
-        f" {reach['never']} never seen; shares limits as one of {answer['sharers']} (the settings say"
-        f" {answer['told']}); local health score {answer['doubt']}",
+        f" {reach['never']} never seen; shares limits as one of {response['sharers']} (the settings say"
+        f" {response['told']}); local health score {response['doubt']}",
         client.table(
             [
                 {
                     key: row[key]
                     for key in ("name", "is", "found", "since_s", "answered_s", "orders", "list", "place", "at")
                 }
-                for row in answer["members"]
+                for row in response["members"]
             ]
         ),
     ]
@@ -146,9 +146,9 @@
 def members(context: click.Context, watch: bool) -> None:
     """Show the group's members as this proxy sees them, which are silent, and whether it is itself cut off."""
     while True:
-        answer, as_json = _send_command(context, "members")
+        response, as_json = _send_command(context, "members")
         if not as_json:
-            click.echo(("\f" if watch else "") + _format_members(answer))
+            click.echo(("\f" if watch else "") + _format_members(response))
         if not watch:
             return
         time.sleep(1.0)
@@ -159,24 +159,24 @@
 @click.pass_context
 def forget(context: click.Context, name: str) -> None:
     """Remove NAME, a silent or gone member that will not return, from this proxy's member list."""
-    answer, as_json = _send_command(context, "forget", id=name)
+    response, as_json = _send_command(context, "forget", id=name)
     if not as_json:
-        click.echo(f"{answer['forgotten']} is removed from this proxy's member list")
+        click.echo(f"{response['forgotten']} is removed from this proxy's member list")
 
 
 @ctl.command()
 @click.pass_context
 def history(context: click.Context) -> None:
     """Show the changes, each with its user, time and reason."""
-    answer, as_json = _send_command(context, "history")
+    response, as_json = _send_command(context, "history")
     if not as_json:
-        click.echo("\n".join(map(_format_change, answer["changes"])) or "none")
+        click.echo("\n".join(map(_format_change, response["changes"])) or "none")
 
 
 def _send_change(context: click.Context, do: str, **parameters: Any) -> None:
-    answer, as_json = _send_command(context, do, who=getpass.getuser(), **parameters)
+    response, as_json = _send_command(context, do, who=getpass.getuser(), **parameters)
     if not as_json:
-        click.echo(_format_change(answer["change"]))
+        click.echo(_format_change(response["change"]))
 
 
 WHY = click.option("--why", default=None, help="The reason, which is kept in the history.")
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -40,22 +40,22 @@
 
 
 class CrashingDisk:
-    """A disk in memory that simulates power loss. `lasting` holds the synced files. After a power loss, any sector
+    """A disk in memory that simulates power loss. `synced` holds the synced files. After a power loss, any sector
     of an unsynced write may be missing, and so may unsynced renames and removals."""
 
     def __init__(
         self, random: Random, files: dict[str, bytes] | None = None, kill_at: int = -1, fail_at: int = -1
     ) -> None:
-        self.lasting = dict(files or {})
+        self.synced = dict(files or {})
         self._random = random
-        self._now = {name: bytearray(data) for name, data in self.lasting.items()}
+        self._contents = {name: bytearray(data) for name, data in self.synced.items()}
         # The writes to each file since its last sync, and the renames since the last sync of the folder.
         self._pending: dict[str, list[tuple[int, bytes | int]]] = {}
         self._renames: list[tuple[str, str | None]] = []
         self._calls = 0
         self._kill_at, self._fail_at = kill_at, fail_at
 
-    def _call(self) -> None:
+    def _count_call(self) -> None:
         self._calls += 1
         if self._calls == self._kill_at:
             raise PowerLossError
@@ -66,81 +66,83 @@
         pass
 
     def names(self) -> list[str]:
-        return sorted(self._now)
+        return sorted(self._contents)
 
     def read(self, name: str) -> bytes:
-        return bytes(self._now[name])
+        return bytes(self._contents[name])
 
     @staticmethod
-    def _written(data: bytearray, at: int, change: bytes | int) -> None:
+    def _apply(data: bytearray, offset: int, change: bytes | int) -> None:
         if isinstance(change, int):
             del data[change:]
             return
-        if len(data) < at:
-            data += bytes(at - len(data))
-        data[at : at + len(change)] = change
+        if len(data) < offset:
+            data += bytes(offset - len(data))
+        data[offset : offset + len(change)] = change
 
-    def write(self, name: str, at: int, data: bytes) -> None:
-        self._call()
-        self._written(self._now.setdefault(name, bytearray()), at, data)
-        self._pending.setdefault(name, []).append((at, bytes(data)))
+    def write(self, name: str, offset: int, data: bytes) -> None:
+        self._count_call()
+        self._apply(self._contents.setdefault(name, bytearray()), offset, data)
+        self._pending.setdefault(name, []).append((offset, bytes(data)))
 
     def cut(self, name: str, length: int) -> None:
-        self._call()
-        self._written(self._now[name], 0, length)
+        self._count_call()
+        self._apply(self._contents[name], 0, length)
         self._pending.setdefault(name, []).append((0, length))
 
     def sync(self, name: str) -> None:
-        self._call()
-        self.lasting[name] = bytes(self._now[name])
+        self._count_call()
+        self.synced[name] = bytes(self._contents[name])
         self._pending.pop(name, None)
 
-    def rename(self, name: str, to: str) -> None:
-        self._call()
-        self._now[to] = self._now.pop(name)
-        self._renames.append((name, to))
+    def rename(self, name: str, new_name: str) -> None:
+        self._count_call()
+        self._contents[new_name] = self._contents.pop(name)
+        self._renames.append((name, new_name))
 
     def remove(self, name: str) -> None:
-        self._call()
-        self._now.pop(name, None)
+        self._count_call()
+        self._contents.pop(name, None)
         self._pending.pop(name, None)
         self._renames.append((name, None))
 
     def sync_folder(self) -> None:
-        self._call()
-        for name, to in self._renames:
-            self._take(self.lasting, name, to)
+        self._count_call()
+        for name, new_name in self._renames:
+            self._move(self.synced, name, new_name)
         self._renames = []
 
     @staticmethod
-    def _take(files: dict[str, bytes], name: str, to: str | None) -> None:
+    def _move(files: dict[str, bytes], name: str, new_name: str | None) -> None:
         data = files.pop(name, None)
-        if to is not None and data is not None:
-            files[to] = data
+        if new_name is not None and data is not None:
+            files[new_name] = data
 
     def close(self, name: str | None = None) -> None:
         pass
 
     def files_after_power_loss(self) -> dict[str, bytes]:
         """The files that are left after the power loss."""
-        files = {name: bytearray(data) for name, data in self.lasting.items()}
+        files = {name: bytearray(data) for name, data in self.synced.items()}
         for name, writes in self._pending.items():
-            for at, change in writes:
+            for offset, change in writes:
                 if isinstance(change, int):
                     if self._random.random() < 0.5:
-                        self._written(files.setdefault(name, bytearray()), 0, change)
+                        self._apply(files.setdefault(name, bytearray()), 0, change)
                     continue
-                for begin in range(0, len(change), SECTOR_BYTES):
+                for sector_start in range(0, len(change), SECTOR_BYTES):
                     if self._random.random() < 0.6:
-                        self._written(
-                            files.setdefault(name, bytearray()), at + begin, change[begin : begin + SECTOR_BYTES]
+                        self._apply(
+                            files.setdefault(name, bytearray()),
+                            offset + sector_start,
+                            change[sector_start : sector_start + SECTOR_BYTES],
                         )
-        whole = {name: bytes(data) for name, data in files.items()}
-        for name, to in self._renames:
+        files_by_name = {name: bytes(data) for name, data in files.items()}
+        for name, new_name in self._renames:
             if self._random.random() < 0.5:
                 break  # renames reach the disk in order, as a journaling file system guarantees
-            self._take(whole, name, to)
-        return whole
+            self._move(files_by_name, name, new_name)
+        return files_by_name
 
 
 class History:
@@ -188,67 +190,71 @@
     log.open()
     history.play(log, steps)
     log.close()
-    return dict(disk.lasting), history
+    return dict(disk.synced), history
 
 
 class Damage(unittest.TestCase):
     def recover(self, files: dict[str, bytes], history: History) -> str:
         try:
-            found = recovery.recover(files)
+            recovered = recovery.recover(files)
         except RefusedError as refused:
             self.assertNotIn("\n", str(refused))
             return "refused"
-        self.assertIsNotNone(found, "recovery found an empty store, but records were written")
-        wrong = history.find_fault([body for _, body in replay(found)])
-        self.assertEqual(wrong, "")
-        return "whole"
+        self.assertIsNotNone(recovered, "recovery found an empty store, but records were written")
+        fault = history.find_fault([body for _, body in replay(recovered)])
+        self.assertEqual(fault, "")
+        return "recovered"
 
     def test_a_store_is_recovered_as_it_was(self) -> None:
         files, history = create_store_files()
         self.assertGreater(len([name for name in files if name.startswith("log-")]), 1)
         self.assertTrue(any(name.startswith("snapshot-") for name in files))
-        self.assertEqual(self.recover(files, history), "whole")
+        self.assertEqual(self.recover(files, history), "recovered")
 
     def test_every_file_cut_at_every_byte(self) -> None:
         files, history = create_store_files()
-        seen = {"whole": 0, "refused": 0}
+        outcomes = {"recovered": 0, "refused": 0}
         for name, data in files.items():
             for length in range(len(data)):
-                seen[self.recover({**files, name: data[:length]}, history)] += 1
-            seen[self.recover({one: other for one, other in files.items() if one != name}, history)] += 1
+                outcomes[self.recover({**files, name: data[:length]}, history)] += 1
+            outcomes[
+                self.recover(
+                    {other_name: other_data for other_name, other_data in files.items() if other_name != name}, history
+                )
+            ] += 1
         # Only truncation of the tail file may go undetected.
-        self.assertGreater(seen["refused"], 1000)
-        self.assertLess(seen["whole"], 40)
+        self.assertGreater(outcomes["refused"], 1000)
+        self.assertLess(outcomes["recovered"], 40)
 
     def test_every_single_bit_flipped(self) -> None:
         files, history = create_store_files()
-        seen = {"whole": 0, "refused": 0}
+        outcomes = {"recovered": 0, "refused": 0}
         for name, data in files.items():
-            for place in range(len(data)):
+            for byte_index in range(len(data)):
                 for bit in range(8):
                     flipped = bytearray(data)
-                    flipped[place] ^= 1 << bit
-                    seen[self.recover({**files, name: bytes(flipped)}, history)] += 1
-        self.assertGreater(seen["refused"], 8000)
-        self.assertLess(seen["whole"], 300)
+                    flipped[byte_index] ^= 1 << bit
+                    outcomes[self.recover({**files, name: bytes(flipped)}, history)] += 1
+        self.assertGreater(outcomes["refused"], 8000)
+        self.assertLess(outcomes["recovered"], 300)
 
     def test_what_was_never_acknowledged_may_be_cut_off(self) -> None:
         files, history = create_store_files()
-        name = max(one for one in files if one.startswith("log-"))
-        found = recovery.recover(files)
-        last = frames.encode_frame(
-            found.sequence + 1, frames.GROUP, frames.encode_records([(1, b"%d-" % history.acknowledged)])
+        name = max(file_name for file_name in files if file_name.startswith("log-"))
+        recovered = recovery.recover(files)
+        unacknowledged_frame = frames.encode_frame(
+            recovered.sequence + 1, frames.GROUP, frames.encode_records([(1, b"%d-" % history.acknowledged)])
         )
         history.appended.append(b"%d-" % history.acknowledged)
-        for length in range(len(last) + 1):
-            torn = {**files, name: files[name] + last[:length]}
-            self.assertEqual(self.recover(torn, history), "whole")
+        for length in range(len(unacknowledged_frame) + 1):
+            truncated_files = {**files, name: files[name] + unacknowledged_frame[:length]}
+            self.assertEqual(self.recover(truncated_files, history), "recovered")
             # The next group is written at the end of the last valid one.
-            disk = CrashingDisk(Random(1), torn)
+            disk = CrashingDisk(Random(1), truncated_files)
             log = Log(disk, max_segment_bytes=SMALL_SEGMENT_BYTES)  # type: ignore[arg-type]
-            kept = len(open_bodies(log))
+            kept_count = len(open_bodies(log))
             log.append([(1, b"next")])
-            self.assertEqual([body for _, body in replay(recovery.recover(disk.lasting))][kept:], [b"next"])
+            self.assertEqual([body for _, body in replay(recovery.recover(disk.synced))][kept_count:], [b"next"])
 
     def test_files_of_another_store_or_program_are_refused(self) -> None:
         files, _ = create_store_files()
@@ -269,7 +275,7 @@
     def test_power_lost_at_every_call(self) -> None:
         """A power loss during appends, rotation, snapshots and manifest writes. Unsynced writes are complete,
         partial or missing, at random."""
-        whole = 0
+        recovered_count = 0
         for seed in range(6):
             kill_at = 0
             while True:
@@ -287,26 +293,26 @@
                 else:
                     break
                 files = disk.files_after_power_loss()
-                again = CrashingDisk(Random(0), files)
+                recovered_disk = CrashingDisk(Random(0), files)
                 # A store without a manifest has acknowledged nothing.
-                kept = open_bodies(Log(again, max_segment_bytes=SMALL_SEGMENT_BYTES))  # type: ignore[arg-type]
-                self.assertEqual(history.find_fault(kept), "", f"seed {seed}, killed at call {kill_at}")
-                whole += 1
-        self.assertGreater(whole, 600)
+                bodies = open_bodies(Log(recovered_disk, max_segment_bytes=SMALL_SEGMENT_BYTES))  # type: ignore[arg-type]
+                self.assertEqual(history.find_fault(bodies), "", f"seed {seed}, killed at call {kill_at}")
+                recovered_count += 1
+        self.assertGreater(recovered_count, 600)
 
     def test_power_lost_over_and_over(self) -> None:
         """Random operations on one store, interrupted by repeated power losses, compared with a list in memory."""
         for seed in range(40):
-            chance = Random(seed)
-            history, files = History(chance), {}
+            random = Random(seed)
+            history, files = History(random), {}
             for _ in range(8):
-                disk = CrashingDisk(chance, files, kill_at=chance.randint(1, 90))
+                disk = CrashingDisk(random, files, kill_at=random.randint(1, 90))
                 log = Log(disk, max_segment_bytes=SMALL_SEGMENT_BYTES)  # type: ignore[arg-type]
                 try:
-                    kept = open_bodies(log)
-                    self.assertEqual(history.find_fault(kept), "", f"seed {seed}")
-                    history.appended = kept
-                    history.acknowledged = len(kept)
+                    bodies = open_bodies(log)
+                    self.assertEqual(history.find_fault(bodies), "", f"seed {seed}")
+                    history.appended = bodies
+                    history.acknowledged = len(bodies)
                     history.play(log, 25)
                 except PowerLossError:
                     pass
@@ -324,13 +330,13 @@
                 if log.broken:
                     with self.assertRaisesRegex(OSError, "the log is broken"):
                         log.append([(1, b"more")])
-            kept = open_bodies(
+            bodies = open_bodies(
                 Log(
                     CrashingDisk(Random(0), disk.files_after_power_loss()),  # type: ignore[arg-type]
                     max_segment_bytes=SMALL_SEGMENT_BYTES,
                 )
             )
-            self.assertEqual(history.find_fault(kept), "", f"failing from call {fail_at}")
+            self.assertEqual(history.find_fault(bodies), "", f"failing from call {fail_at}")
 
 
 class Held(unittest.TestCase):
@@ -338,11 +344,11 @@
 
     def test_marks_count_until_they_are_forgotten_and_no_mark_is_forgotten_for_another(self) -> None:
         marks = RequestMarks(2)
-        for at in (10, 20, 30):
-            marks.sent("release", "m", f"b{at}", 4, at, at + 100)
+        for sent_at in (10, 20, 30):
+            marks.sent("release", "m", f"b{sent_at}", 4, sent_at, sent_at + 100)
         marks.never_ran("release", "m", 20)
         self.assertEqual(
-            [(one.backend, one.ran) for one in marks.past("release", "m", 40)],
+            [(attempt.backend, attempt.ran) for attempt in marks.past("release", "m", 40)],
             [("b10", True), ("b20", False), ("b30", True)],
         )
         self.assertEqual(marks.past("submit", "m", 40), [])
@@ -361,9 +367,9 @@
         listed = ListedBackends(2)
         for id, confirmed in (("a", 5), ("b", 9), ("c", 7)):
             listed.record_listed(SeenBackend(id, f"{id}:1", "z", 1, 1.0, 0, confirmed))
-        self.assertEqual([one.id for one in listed.all()], ["b", "c"])
+        self.assertEqual([backend.id for backend in listed.all()], ["b", "c"])
         listed.record_unlisted("b")
-        self.assertEqual([one.id for one in listed.all()], ["c"])
+        self.assertEqual([backend.id for backend in listed.all()], ["c"])
 
     def test_breakers_are_known_while_they_tell_something(self) -> None:
         breakers = BreakerStates(100)
@@ -376,46 +382,48 @@
     def test_records_and_snapshots_build_the_same_tables(self) -> None:
         """A snapshot may include records that were appended after it began; recovery then applies them twice."""
         for seed in range(20):
-            chance, tables = Random(seed), Tables(1000, 50, 1000)
+            random, tables = Random(seed), Tables(1000, 50, 1000)
             records: list[tuple[int, bytes]] = []
             snapshot: list[tuple[int, bytes]] = []
-            begun = 0
+            snapshot_start = 0
             for now in range(1, 400):
-                turn = chance.random()
-                mark = f"m{chance.randrange(30)}"
-                if turn < 0.5:
-                    records.append((SENT, tables.marks.sent("u", mark, "b", chance.randrange(3), now, now + 150)))
-                elif turn < 0.6 and (past := tables.marks.past("u", mark, now)):
+                choice = random.random()
+                mark = f"m{random.randrange(30)}"
+                if choice < 0.5:
+                    records.append((SENT, tables.marks.sent("u", mark, "b", random.randrange(3), now, now + 150)))
+                elif choice < 0.6 and (past := tables.marks.past("u", mark, now)):
                     records.append((NEVER_RAN, tables.marks.never_ran("u", mark, past[-1].sent)))
-                elif turn < 0.8:
+                elif choice < 0.8:
                     records.append(
                         (
                             LISTED,
                             tables.listed.record_listed(
-                                SeenBackend(f"s{chance.randrange(60)}", "a:1", "z", 1, 1.0, 0, now)
+                                SeenBackend(f"s{random.randrange(60)}", "a:1", "z", 1, 1.0, 0, now)
                             ),
                         )
                     )
-                elif turn < 0.9:
+                elif choice < 0.9:
                     records.append(
                         (
                             BREAKER,
-                            tables.breakers.record_change(f"s{chance.randrange(9)}", now, chance.choice((0, now + 50))),
+                            tables.breakers.record_change(f"s{random.randrange(9)}", now, random.choice((0, now + 50))),
                         )
                     )
                 if now == 180:
-                    begun = len(records)
+                    snapshot_start = len(records)
                 if now == 200:
                     snapshot = tables.state(now)
-            again = Tables(1000, 50, 1000)
-            for kind, body in [*snapshot, *records[begun:]]:
-                again.take(kind, body)
-            again.take(99, b"of a later program")
-            self.assertEqual(again.unknown, 1)
+            rebuilt_tables = Tables(1000, 50, 1000)
+            for kind, body in [*snapshot, *records[snapshot_start:]]:
+                rebuilt_tables.take(kind, body)
+            rebuilt_tables.take(99, b"of a later program")
+            self.assertEqual(rebuilt_tables.unknown, 1)
             for number in range(30):
-                self.assertEqual(again.marks.past("u", f"m{number}", 400), tables.marks.past("u", f"m{number}", 400))
-            self.assertEqual(sorted(again.listed.all()), sorted(tables.listed.all()))
-            self.assertEqual(again.breakers.open_breakers(400), tables.breakers.open_breakers(400))
+                self.assertEqual(
+                    rebuilt_tables.marks.past("u", f"m{number}", 400), tables.marks.past("u", f"m{number}", 400)
+                )
+            self.assertEqual(sorted(rebuilt_tables.listed.all()), sorted(tables.listed.all()))
+            self.assertEqual(rebuilt_tables.breakers.open_breakers(400), tables.breakers.open_breakers(400))
 
 
 class Keeping(unittest.IsolatedAsyncioTestCase):
@@ -442,8 +450,8 @@
                 super().sync(name)
 
         store_writer = self.create_writer(Slow(self.at))
-        ends = await asyncio.gather(*(store_writer.put(1, b"%d" % number, 5.0) for number in range(2000)))
-        self.assertEqual(set(ends), {KEPT})
+        results = await asyncio.gather(*(store_writer.put(1, b"%d" % number, 5.0) for number in range(2000)))
+        self.assertEqual(set(results), {KEPT})
         # Records are batched while a group is written, so there are far fewer groups than records.
         self.assertLess(store_writer.groups, 100)
         await store_writer.close()
@@ -453,19 +461,19 @@
         )
 
     async def test_it_compacts_under_way_and_stays_small(self) -> None:
-        kept: dict[bytes, bytes] = {}
-        store_writer = self.create_writer(Disk(self.at), lambda: [(1, body) for body in kept.values()], 40_000)
+        expected: dict[bytes, bytes] = {}
+        store_writer = self.create_writer(Disk(self.at), lambda: [(1, body) for body in expected.values()], 40_000)
         for number in range(4000):
             body = b"%d:%d" % (number % 50, number) + b"x" * 40
-            kept[body.split(b":")[0]] = body
+            expected[body.split(b":")[0]] = body
             store_writer.note(1, body)
             if number % 50 == 0:
                 self.assertEqual(await store_writer.put(1, body, 5.0), KEPT)
         await store_writer.close()
         self.assertEqual(self.log_lines, [])
-        self.assertLess(sum(one.stat().st_size for one in self.at.iterdir()), 150_000)
-        last = {body.split(b":")[0]: body for _, body in replay(Log(Disk(self.at)).open())}
-        self.assertEqual(last, kept)
+        self.assertLess(sum(path.stat().st_size for path in self.at.iterdir()), 150_000)
+        recovered = {body.split(b":")[0]: body for _, body in replay(Log(Disk(self.at)).open())}
+        self.assertEqual(recovered, expected)
 
     async def test_a_slow_disk_is_late_and_holds_nobody_up(self) -> None:
         class Slow(Disk):
@@ -474,21 +482,21 @@
                 super().sync(name)
 
         store_writer = self.create_writer(Slow(self.at))
-        longest, going = 0.0, True
+        longest_delay, measuring = 0.0, True
 
-        async def turns() -> None:
-            nonlocal longest
-            while going:
-                began = time.monotonic()
+        async def measure_loop_delay() -> None:
+            nonlocal longest_delay
+            while measuring:
+                started_at = time.monotonic()
                 await asyncio.sleep(0)
-                longest = max(longest, time.monotonic() - began)
+                longest_delay = max(longest_delay, time.monotonic() - started_at)
 
-        turning = asyncio.create_task(turns())
+        measurement = asyncio.create_task(measure_loop_delay())
         self.assertEqual(await store_writer.put(1, b"a", 0.03), LATE)
         self.assertEqual(await store_writer.put(1, b"b", 5.0), KEPT)
-        going = False
-        await turning
-        self.assertLess(longest, 0.1)
+        measuring = False
+        await measurement
+        self.assertLess(longest_delay, 0.1)
         await store_writer.close()
         self.assertEqual([body for _, body in replay(Log(Disk(self.at)).open())], [b"a", b"b"])
 
@@ -505,8 +513,8 @@
         store_writer = self.create_writer(disk)
         self.assertEqual(await store_writer.put(1, b"a", 5.0), KEPT)
         disk.full = True
-        ends = await asyncio.gather(*(store_writer.put(1, b"b", 5.0) for _ in range(10)))
-        self.assertEqual(set(ends), {OFF})
+        results = await asyncio.gather(*(store_writer.put(1, b"b", 5.0) for _ in range(10)))
+        self.assertEqual(set(results), {OFF})
         self.assertTrue(store_writer.off)
         self.assertEqual(len(self.log_lines), 1)
         self.assertIn("No space left", self.log_lines[0])
@@ -524,66 +532,66 @@
         """One flipped bit anywhere: salvaging yields only written records, and reports when it drops any."""
         files, history = create_store_files()
         for name, data in files.items():
-            for place in range(0, len(data), 3):
+            for byte_index in range(0, len(data), 3):
                 flipped = bytearray(data)
-                flipped[place] ^= 1 << place % 8
+                flipped[byte_index] ^= 1 << byte_index % 8
                 damaged = {**files, name: bytes(flipped)}
-                kept = salvage.salvage(damaged)
-                bodies = [body for one in kept.groups for _, body in frames.decode_records(one.body)]
-                self.assertEqual(bodies, history.appended[: len(bodies)], (name, place))
+                salvaged = salvage.salvage(damaged)
+                bodies = [body for group in salvaged.groups for _, body in frames.decode_records(group.body)]
+                self.assertEqual(bodies, history.appended[: len(bodies)], (name, byte_index))
                 if len(bodies) < len(history.appended):
-                    self.assertTrue(kept.dropped, (name, place))
+                    self.assertTrue(salvaged.dropped, (name, byte_index))
         self.assertEqual(salvage.salvage(files).dropped, [])
 
     def test_the_commands(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            at = Path(folder) / "store"
-            log, marks = Log(Disk(at)), RequestMarks(1000)
+            store_folder = Path(folder) / "store"
+            log, marks = Log(Disk(store_folder)), RequestMarks(1000)
             log.open()
             for number in range(300):
                 # All but the last ten have expired.
                 until = (1 << 60) if number >= 290 else 20
                 log.append([(SENT, marks.sent("release", f"m{number}", "b", 1, number, until))])
             with self.assertRaises(AssertionError):
-                self.call("compact", str(at))
+                self.call("compact", str(store_folder))
             log.close()
-            self.assertIn("sent       300", self.call("check", str(at)))
-            self.assertEqual(len(self.call("dump", str(at)).splitlines()), 300)
-            self.assertRegex(self.call("compact", str(at)), r"\d{5} bytes before, \d{3,4} now")
-            self.assertIn("sent       10", self.call("check", str(at)))
-            name = max(one.name for one in at.iterdir() if one.name.startswith("snapshot"))
-            data = bytearray((at / name).read_bytes())
+            self.assertIn("sent       300", self.call("check", str(store_folder)))
+            self.assertEqual(len(self.call("dump", str(store_folder)).splitlines()), 300)
+            self.assertRegex(self.call("compact", str(store_folder)), r"\d{5} bytes before, \d{3,4} now")
+            self.assertIn("sent       10", self.call("check", str(store_folder)))
+            name = max(path.name for path in store_folder.iterdir() if path.name.startswith("snapshot"))
+            data = bytearray((store_folder / name).read_bytes())
             data[40] ^= 1
-            (at / name).write_bytes(data)
-            self.assertIn(f"{name}: is incomplete or corrupt", self.call("check", str(at), exit_code=1))
-            said = self.call("repair", str(at))
-            self.assertIn("0 groups kept", said)
-            self.assertIn(f"dropped: {name}: is incomplete or corrupt", said)
-            self.assertIn("already exists", self.call("repair", str(at), exit_code=1))
-            self.assertIn(": valid,", self.call("check", str(at) + ".repaired"))
+            (store_folder / name).write_bytes(data)
+            self.assertIn(f"{name}: is incomplete or corrupt", self.call("check", str(store_folder), exit_code=1))
+            output = self.call("repair", str(store_folder))
+            self.assertIn("0 groups kept", output)
+            self.assertIn(f"dropped: {name}: is incomplete or corrupt", output)
+            self.assertIn("already exists", self.call("repair", str(store_folder), exit_code=1))
+            self.assertIn(": valid,", self.call("check", str(store_folder) + ".repaired"))
             self.assertIn("contains no store", self.call("check", folder, exit_code=1))
 
 
 class OnDisk(unittest.TestCase):
     def test_a_real_folder_one_writer_and_compaction(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            at, history = Path(folder) / "store", History(Random(4))
-            log = Log(Disk(at), max_segment_bytes=SMALL_SEGMENT_BYTES)
+            store_folder, history = Path(folder) / "store", History(Random(4))
+            log = Log(Disk(store_folder), max_segment_bytes=SMALL_SEGMENT_BYTES)
             self.assertIsNone(log.open())
             with self.assertRaisesRegex(FolderLockedError, "another process"):
-                Log(Disk(at)).open()
+                Log(Disk(store_folder)).open()
             history.play(log, 60)
-            size = sum(one.stat().st_size for one in at.iterdir())
+            size = sum(path.stat().st_size for path in store_folder.iterdir())
             self.assertLess(size, 3 * sum(len(body) + 30 for body in history.appended) + 2000)
             log.close()
-            log = Log(Disk(at), sync=False, max_segment_bytes=SMALL_SEGMENT_BYTES)
+            log = Log(Disk(store_folder), sync=False, max_segment_bytes=SMALL_SEGMENT_BYTES)
             self.assertEqual(open_bodies(log), history.appended)
             history.play(log, 20)
             log.close()
-            log = Log(Disk(at))
+            log = Log(Disk(store_folder))
             self.assertEqual(open_bodies(log), history.appended)
             log.close()
-            self.assertEqual([name for name in os.listdir(at) if name.endswith(".new")], [])
+            self.assertEqual([name for name in os.listdir(store_folder) if name.endswith(".new")], [])
 
     def test_a_folder_that_may_not_be_written(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
