--- a/pepperusher/__main__.py
+++ b/pepperusher/__main__.py
@@ -16,7 +16,7 @@
 
 
 LOAD_REPORT_SOURCES = {
-    REPORTS_NONE: "no one",
+    REPORTS_NONE: "nobody",
     REPORTS_IN_RESPONSES: "responses",
     REPORTS_BY_PROBES: "probes, which this proxy does not send",
 }
--- a/pepperusher/configuration/loader.py
+++ b/pepperusher/configuration/loader.py
@@ -22,7 +22,7 @@
 
 ENVIRONMENT_PREFIX = "PEPPERUSHER_"
 DEFAULT, FILE, ENVIRONMENT, COMMAND_LINE = "default", "file", "environment", "command line"
-MAX_FILE_BYTES = 4 * 1024 * 1024
+LARGEST = 4 * 1024 * 1024
 # Keys whose values are redacted when the effective configuration is shown.
 REDACTED_KEYS = ("group.key",)
 
@@ -185,9 +185,9 @@
     """Reads a file and parses it as `parse` does. Raises ConfigurationError."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MAX_FILE_BYTES + 1)
-        if len(data) > MAX_FILE_BYTES:
-            raise ConfigurationError([Fault(str(path), 0, "", "form", f"is larger than {MAX_FILE_BYTES} bytes")])
+            data = file.read(LARGEST + 1)
+        if len(data) > LARGEST:
+            raise ConfigurationError([Fault(str(path), 0, "", "form", f"is larger than {LARGEST} bytes")])
         text = data.decode()
     except OSError as error:
         raise ConfigurationError([Fault(str(path), 0, "", "form", error.strerror or str(error))]) from None
