--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -290,7 +290,7 @@
         if changed:
             self._update_endpoints(changed)
 
-    def _activate(self, read: Read, now: int) -> Version:
+    def _enter(self, read: Read, now: int) -> Version:
         self._last_number += 1
         self.version = Version(self._last_number, read)
         self.versions[self._last_number] = self.version
@@ -315,7 +315,7 @@
     def apply(self, change: Change, now: int) -> None:
         """Puts a staged change into force: tickets that arrive from now on use it."""
         self._transition(change, APPLIED, "the proxy", "staged", now)
-        version = self._activate(change.what, now)
+        version = self._enter(change.what, now)
         own = version.read.own
         self.ledger.set_history_limit(own.changes.history)
         self.toll.start_comparison(version.number, own.changes.watch, now)
@@ -338,7 +338,7 @@
             return
         self.toll.stop_comparison()
         undone_version = self.version
-        self.confirmed = self._activate(self.confirmed.read, now)
+        self.confirmed = self._enter(self.confirmed.read, now)
         for version in list(self.versions.values()):
             if version is not self.version and not version.open_tickets:
                 del self.versions[version.number]
