--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -716,9 +716,9 @@
             # Nor what is a proxy's own; the operator is told before it is sent.
             (self.folder / "bad.toml").write_text('[control]\nsocket = "/elsewhere"\n')
             said = await self.ctl("publish", "shop", str(self.folder / "bad.toml"), *machine)
-            self.assertIn("control is a proxy's own", said)
+            self.assertIn("control belongs to a single proxy", said)
             await publish(self.at, SECRET, *KEY, b'[control]\nsocket = "/elsewhere"\n')
-            await until(lambda: "control is" in (self.distributed.status()["refused"] or ""), what="refused too")
+            await until(lambda: "control belongs" in (self.distributed.status()["refused"] or ""), what="refused too")
             # What people do by hand stands beside it.
             await self.house.drain("a1", False, "test", "by hand")
             self.assertEqual(["own", "shared"], self.names())
--- a/tests/test_shelf.py
+++ b/tests/test_shelf.py
@@ -198,7 +198,7 @@
         await self.kill()
         said = [line for line in (self.at / "log").read_text().splitlines() if "the store is off" in line]
         self.assertEqual(len(said), 1)
-        self.assertIn("manifest: can't be read", said[0])
+        self.assertIn("manifest: is corrupt", said[0])
 
     async def test_two_proxies_on_one_folder(self) -> None:
         await self.start()
