--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -58,15 +58,15 @@
         "attempted",
     )
 
-    def __init__(self, version: Version, terms: Terms, customer: str, came: int, until: int) -> None:
+    def __init__(self, version: Version, terms: Terms, customer: str, arrived_at: int, deadline: int) -> None:
         self.version = version
         self.terms = terms
         self.customer = customer
         self.how = ADMITTED
         self.advice = 0
-        self.arrived_at = came
-        self.admitted_at = came
-        self.until = until
+        self.arrived_at = arrived_at
+        self.admitted_at = arrived_at
+        self.until = deadline
         self.waiting: Waiting | None = None
         self.finished = False
         self.occupies_gate = False
@@ -263,9 +263,11 @@
                 if limits.gate is not None:
                     limits.gate.change(Fixed(1 << 30), 1 << 30, own.weights, now)
             elif limits.gate is None:
-                limits.gate = Gate(_limit(route.concurrency, None), route.concurrency.queue, own.weights)
+                limits.gate = Gate(_create_limit(route.concurrency, None), route.concurrency.queue, own.weights)
             else:
-                limits.gate.change(_limit(route.concurrency, limits.gate), route.concurrency.queue, own.weights, now)
+                limits.gate.change(
+                    _create_limit(route.concurrency, limits.gate), route.concurrency.queue, own.weights, now
+                )
             if route.rate is None:
                 limits.buckets = None
             elif limits.buckets is None:
@@ -401,7 +403,7 @@
         ]
 
 
-def _limit(settings: Concurrency, gate: Gate | None) -> Gradient | Fixed:
+def _create_limit(settings: Concurrency, gate: Gate | None) -> Gradient | Fixed:
     """Creates the route's limit; an existing adaptive limit keeps its current value."""
     if not settings.adaptive:
         return Fixed(settings.most)
--- a/pepperusher/control/commands.py
+++ b/pepperusher/control/commands.py
@@ -234,11 +234,11 @@
     from pepperusher.distribution.control_file import read_key
     from pepperusher.configuration.validation import address_of
 
-    async def asked() -> T:
+    async def send_request() -> T:
         return await ask(address_of(machine), read_key(key_file))
 
     try:
-        return asyncio.run(asked())
+        return asyncio.run(send_request())
     except (NoAnswerError, ValueError) as error:
         raise click.ClickException(str(error)) from None
 
--- a/pepperusher/store/tables.py
+++ b/pepperusher/store/tables.py
@@ -166,17 +166,17 @@
         self._retention = retention
         self._open_spans: dict[str, tuple[int, int]] = {}  # removed when a breaker closes, and by `sweep`
 
-    def record_change(self, id: str, opened: int, until: int) -> bytes:
-        """Records that a breaker is open from `opened` to `until`, or closed if both are 0. Returns the record's
+    def record_change(self, id: str, opened_at: int, closes_at: int) -> bytes:
+        """Records that a breaker is open from `opened_at` to `closes_at`, or closed if both are 0. Returns the record's
         body."""
-        body = ENCODE((id, opened, until))
+        body = ENCODE((id, opened_at, closes_at))
         self.apply_record(BREAKER, body)
         return body
 
     def apply_record(self, kind: int, body: bytes) -> None:
-        id, opened, until = DECODE(body)
-        if until:
-            self._open_spans[id] = (opened, until)
+        id, opened_at, closes_at = DECODE(body)
+        if closes_at:
+            self._open_spans[id] = (opened_at, closes_at)
         else:
             self._open_spans.pop(id, None)
 
@@ -185,11 +185,13 @@
         return dict(self._open_spans)
 
     def sweep(self, now: int) -> None:
-        for id in [id for id, (_, until) in self._open_spans.items() if now - until >= self._retention]:
+        for id in [id for id, (_, closes_at) in self._open_spans.items() if now - closes_at >= self._retention]:
             del self._open_spans[id]
 
     def snapshot_records(self) -> Iterator[tuple[int, bytes]]:
-        return ((BREAKER, ENCODE((id, opened, until))) for id, (opened, until) in self._open_spans.items())
+        return (
+            (BREAKER, ENCODE((id, opened_at, closes_at))) for id, (opened_at, closes_at) in self._open_spans.items()
+        )
 
 
 class Tables:
--- a/pepperusher/table_conversion.py
+++ b/pepperusher/table_conversion.py
@@ -26,10 +26,10 @@
     unknown: bool
 
 
-def unhook(kind: type, given: Any) -> Any:
+def unhook(kind: type, encoded: Any) -> Any:
     """Decodes a duration; msgspec calls it for types that it doesn't know."""
     if kind is Span:
-        return span(given)
+        return span(encoded)
     raise NotImplementedError(kind)
 
 
