--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -1,4 +1,4 @@
-"""The real `serve`, a process for each proxy: started, told of backends, signalled, watched and sampled."""
+"""Runs the real `serve`, one process per proxy: configures, starts, signals, monitors and samples it."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 
 CONSOLE_PORT = 7072
 READY_WITHIN = 20.0
-LOOK_EVERY = 0.02
+READY_POLL_INTERVAL = 0.02
 SAMPLE_EVERY = 0.5
-# A starved process has its processor and has it not, together for so long.
-STARVED_TURN = 0.1
-TICK = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-# SIGKILL follows SIGTERM by the longest wait of any client, or this if that is shorter, and a moment more.
+# Period in seconds in which a CPU-starved process runs once and is suspended once.
+STARVED_PERIOD = 0.1
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+# SIGKILL follows SIGTERM after the longest client time limit, but at most LONGEST_GRACE, plus GRACE_MARGIN (us).
 LONGEST_GRACE = 3_000_000
-MOMENT = 700_000
-BREAKER = re.compile(r"^[0-9.]+ [^:]+: (\S+) (open|closed): ")
-EFFECT = {"replayable": "pure", "referenced": "token", "single-use": "side_effect"}
+GRACE_MARGIN = 700_000
+BREAKER_LINE = re.compile(r"^[0-9.]+ [^:]+: (\S+) (open|closed): ")
+EFFECT_OF_REPEAT = {"replayable": "pure", "referenced": "token", "single-use": "side_effect"}
 
 
 def settings(script: Script, gate: Gate) -> dict[str, Any]:
-    """What a proxy of this place is told, as the platform's settings object (times in ms)."""
+    """The settings that a proxy of this gate gets from the platform (times in ms)."""
     rules = script.rules
     kinds = [kind for kind in script.tiers[gate.tier].kinds]
-    cold = min((kind.cold_from for kind in kinds), default=1.0)
-    offered = _rate(script)
+    cold_share = min((kind.cold_from for kind in kinds), default=1.0)
+    quota_per_share = _default_quota(script)
     return {
         "group-size": gate.group,
         "ordinal": gate.ordinal,
@@ -63,7 +63,7 @@
         "use-cases": [
             {
                 "name": use.name,
-                "effect": EFFECT[use.repeat],
+                "effect": EFFECT_OF_REPEAT[use.repeat],
                 "key-scope": use.scope,
                 "window": use.remembered / 1000,
                 "importance": use.importance,
@@ -73,7 +73,10 @@
             }
             for use in script.use_cases
         ],
-        "customers": [{"name": one.name, "quota-rps": one.quota or one.share * offered} for one in script.customers],
+        "customers": [
+            {"name": customer.name, "quota-rps": customer.quota or customer.share * quota_per_share}
+            for customer in script.customers
+        ],
         "policy-limits": {
             "cancel": rules.cancel,
             "connect-timeout": rules.connect_within / 1000,
@@ -84,7 +87,7 @@
         },
         "rules": {
             "ask-within": rules.ask_within / 1000,
-            "cold-share": cold,
+            "cold-share": cold_share,
             "warm-after": max(kind.warm_for for kind in kinds) / 1000,
             "tip-multiple": rules.tip_multiple,
             "overload-for": rules.tip_for / 1000,
@@ -95,20 +98,21 @@
     }
 
 
-def _rate(script: Script) -> float:
-    """A customer's share of 1 in tickets a second, where the script gives no quota: the highest rate of the
-    load."""
+def _default_quota(script: Script) -> float:
+    """Tickets a second that a customer with share 1 may send where the script gives no quota: the highest rate of
+    the load, divided by the sum of all shares."""
     rates = [phase.rate for phase in script.load.phases] + script.load.day
-    return max(rates, default=100.0) / max(1e-9, sum(one.share for one in script.customers))
+    return max(rates, default=100.0) / max(1e-9, sum(customer.share for customer in script.customers))
 
 
 def python_of(build: Path | None) -> str:
+    """The interpreter of the checkout `build`, or this process's where it has none."""
     own = build / ".venv" / "bin" / "python" if build else None
     return str(own) if own is not None and own.exists() else sys.executable
 
 
 class Runner:
-    """One proxy's place and the processes that stand there in turn."""
+    """Runs the `serve` processes of one gate, one after another."""
 
     def __init__(
         self,
@@ -118,102 +122,103 @@
         build: Path | None,
         writer: Writer,
         start: Start,
-        known: Callable[[Gate], dict[str, object]],
-        found: Callable[[Gate, int], tuple[str, int]],
+        known_backends: Callable[[Gate], dict[str, object]],
+        discovery_address: Callable[[Gate, int], tuple[str, int]],
         grouping: GroupRun | None = None,
         twin: bool = False,
     ) -> None:
         self.gate = gate
         self._grouping = grouping
         self.seat = grouping.seat(gate, twin) if grouping is not None else gate.name
-        self.believed: list[MembershipBelief] = []  # what it said that it finds, the oldest first
+        self.believed: list[MembershipBelief] = []  # group membership as the proxy logged it, oldest first
         self._script = script
         self._work = work
         self._build = build
         self._writer = writer
         self._start = start
-        self._known = known
-        self._found = found
+        self._known_backends = known_backends
+        self._discovery_address = discovery_address
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
-        self._times: dict[str, int] = {}  # on the clock: the rehearsal's start may be still to come
-        self._stays = 0
+        self._log_reader: asyncio.Task[None] | None = None
+        self._event_times: dict[str, int] = {}  # absolute clock times, as the start of the run may not be known yet
+        self._start_count = 0
         self.ready = False
 
     def _now(self) -> int:
         return clock() - self._start.at
 
     def write_configuration(self) -> Path:
-        """The file as `serve` reads it; with a new discovery it is written anew before a SIGHUP."""
+        """Writes the configuration file that `serve` reads, with the current discovery address."""
         gate, path = self.gate, self._work / f"{self.seat}.json"
-        host, port = self._found(gate, self._now())
-        told = {
+        host, port = self._discovery_address(gate, self._now())
+        configuration = {
             "name": gate.name,
             "listen": f"{gate.address[0]}:{gate.address[1]}",
             "discovery": f"{host}:{port}",
-            "seed": f"{(self._script.seed * 7919 + gate.number * 31 + self._stays) & 0xFFFFFFFFFFFF:x}",
+            "seed": f"{(self._script.seed * 7919 + gate.number * 31 + self._start_count) & 0xFFFFFFFFFFFF:x}",
             "limits": {
                 "cores": 1.0,
                 "memory_mb": self._script.proxies.memory_mb,
                 "sockets": self._script.proxies.sockets,
             },
-            "known": self._known(gate),
+            "known": self._known_backends(gate),
             "settings": settings(self._script, gate),
         }
-        fresh = path.with_suffix(".new")
-        fresh.write_text(json.dumps(told))
-        fresh.replace(path)
+        new_file = path.with_suffix(".new")
+        new_file.write_text(json.dumps(configuration))
+        new_file.replace(path)
         return path
 
     async def run(self) -> None:
-        """Starts a process; returns once it is ready, or raises RuntimeError. So it does where one stands already."""
+        """Starts a process and returns once it is ready. Raises RuntimeError if it does not become ready, or if a
+        process is running already."""
         if self._process is not None:
-            raise RuntimeError(f"{self.gate.name} was to be started while a process stands there")
+            raise RuntimeError(f"{self.gate.name} cannot be started: its process is still running")
         path = self.write_configuration()
-        self._stays += 1
-        flags = ["-O"] if self._script.proxies.optimised else []
-        own = self._script.proxies.own
-        more = []
-        if own and self.gate.tier == 0:
-            text = (Path(self._script.folder) / own).read_text()
-            mine = self._work / f"{self.seat}.toml"
-            mine.write_text(text.replace("HERE", str(self.folder())))
-            more = ["--own", str(mine)]
-        seen = environment(self._build)
+        self._start_count += 1
+        interpreter_flags = ["-O"] if self._script.proxies.optimised else []
+        own_settings = self._script.proxies.own
+        options = []
+        if own_settings and self.gate.tier == 0:
+            text = (Path(self._script.folder) / own_settings).read_text()
+            own_file = self._work / f"{self.seat}.toml"
+            own_file.write_text(text.replace("HERE", str(self.folder())))
+            options = ["--own", str(own_file)]
+        process_environment = environment(self._build)
         if self._grouping is not None:
-            more = ["--own", str(self._grouping.write_own(self.gate, self.seat, self.folder()))]
+            options = ["--own", str(self._grouping.write_own(self.gate, self.seat, self.folder()))]
         if self._script.proxies.console or self._grouping is not None:
-            more += ["--console", f"{self.gate.address[0]}:{CONSOLE_PORT}"]
-            seen["TMPDIR"] = str(self.folder())
-        self._times = {"started": clock()}
+            options += ["--console", f"{self.gate.address[0]}:{CONSOLE_PORT}"]
+            process_environment["TMPDIR"] = str(self.folder())
+        self._event_times = {"started": clock()}
         self._process = process = await asyncio.create_subprocess_exec(
             python_of(self._build),
-            *flags,
+            *interpreter_flags,
             "-m",
             "pepperusher",
             "serve",
             "--config",
             str(path),
-            *more,
+            *options,
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
-            env=seen,
+            env=process_environment,
             cwd=self._work,
             start_new_session=True,
             preexec_fn=with_parent,
         )
-        self._reading = asyncio.get_running_loop().create_task(self._read(process))
+        self._log_reader = asyncio.get_running_loop().create_task(self._read(process))
         try:
             async with asyncio.timeout(READY_WITHIN):
                 while not await self._is_ready():
                     if process.returncode is not None:
-                        await self._gone()
-                        raise RuntimeError(f"{self.gate.name} ended at its start: {self._last_line()}")
-                    await asyncio.sleep(LOOK_EVERY)
+                        await self._wait_for_exit()
+                        raise RuntimeError(f"{self.gate.name} exited before it was ready: {self._last_line()}")
+                    await asyncio.sleep(READY_POLL_INTERVAL)
         except TimeoutError:
             raise RuntimeError(f"{self.gate.name} was not ready in {READY_WITHIN:g} s") from None
-        self._times["ready"] = clock()
+        self._event_times["ready"] = clock()
         self.ready = True
 
     async def _is_ready(self) -> bool:
@@ -231,15 +236,15 @@
             peer.abort()
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
-        """Its log goes to a file; what it says of breakers goes to the records."""
+        """Copies the process's log to a file, and adds breaker changes and its exit to the records."""
         assert process.stderr is not None
         with open(self._work / f"{self.seat}.log", "ab") as log:
             async for line in process.stderr:
                 log.write(line)
                 log.flush()
-                self._heard(line)
+                self._handle_log_line(line)
         status = await process.wait()
-        times, self._times = self._times, {}
+        times, self._event_times = self._event_times, {}
         if self._process is process:
             self._process, self.ready = None, False
         self._writer.add(
@@ -255,99 +260,102 @@
             )
         )
 
-    def _heard(self, line: bytes) -> None:
-        turn = BREAKER.match(line.decode("utf-8", "replace"))
-        if turn:
-            self._writer.add(BreakerChange(self.gate.number, self._now(), turn[1], turn[2]))
+    def _handle_log_line(self, line: bytes) -> None:
+        match = BREAKER_LINE.match(line.decode("utf-8", "replace"))
+        if match:
+            self._writer.add(BreakerChange(self.gate.number, self._now(), match[1], match[2]))
             return
-        if self._grouping is None or not (told := parsed(line)):
+        if self._grouping is None or not (entry := parsed(line)):
             return
-        if told.get("event") == "breaker":
-            self._writer.add(BreakerChange(self.gate.number, self._now(), str(told.get("id")), str(told.get("state"))))
-        elif (found := self._grouping.heard(self.gate, self.seat, told, self._start.at)) is not None:
-            self.believed.append(found)
-            self._writer.add(found)
+        if entry.get("event") == "breaker":
+            self._writer.add(
+                BreakerChange(self.gate.number, self._now(), str(entry.get("id")), str(entry.get("state")))
+            )
+        elif (belief := self._grouping.heard(self.gate, self.seat, entry, self._start.at)) is not None:
+            self.believed.append(belief)
+            self._writer.add(belief)
 
-    # --- for plays by hand ----------------------------------------------------------------------------
+    # --- control socket and console -------------------------------------------------------------------
 
     @property
     def pid(self) -> int | None:
         return self._process.pid if self._process is not None and self._process.returncode is None else None
 
     async def ask(self, do: str, **said: Any) -> dict[str, Any]:
-        """Over its control socket. Raises client.Refused."""
+        """Sends a command over the proxy's control socket. Raises client.Refused."""
         assert self._grouping is not None
         return await asyncio.to_thread(client.ask, str(self._grouping.control(self.seat)), do, **said)
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
-        """At its console: status and body; 0 where nobody answers."""
+        """Sends a request to the proxy's console; returns status and body, with status 0 if it does not answer."""
         try:
             reader, writer = await asyncio.open_connection(self.gate.address[0], CONSOLE_PORT)
             writer.write(f"{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n".encode())
-            said = (await reader.read()).decode()
+            response = (await reader.read()).decode()
             writer.close()
         except OSError:
             return 0, ""
-        head, _, body = said.partition("\r\n\r\n")
+        head, _, body = response.partition("\r\n\r\n")
         return int(head.split()[1]) if " " in head else 0, body.strip()
 
-    # --- kept from running ----------------------------------------------------------------------------
+    # --- suspending the process -----------------------------------------------------------------------
 
     async def stopped(self, until: Callable[[], Awaitable[None]]) -> None:
-        """Stands still (SIGSTOP) until `until` is over, and goes on."""
-        at = self._now()
+        """Suspends the process (SIGSTOP) until the coroutine `until` returns, then resumes it (SIGCONT)."""
+        stopped_at = self._now()
         self._signal(signal.SIGSTOP)
         try:
             await until()
         finally:
             self._signal(signal.SIGCONT)
-            self._writer.add(ProxyPause(self.gate.number, at, self._now()))
+            self._writer.add(ProxyPause(self.gate.number, stopped_at, self._now()))
 
     async def starved(self, part: float, until: int) -> None:
-        """Has its processor for a part of the time, in short turns."""
+        """Lets the process run for the share `part` of each STARVED_PERIOD, until `until`."""
         while self._now() < until:
-            await asyncio.sleep(part * STARVED_TURN)
-            await self.stopped(lambda: asyncio.sleep((1 - part) * STARVED_TURN))
+            await asyncio.sleep(part * STARVED_PERIOD)
+            await self.stopped(lambda: asyncio.sleep((1 - part) * STARVED_PERIOD))
 
-    # --- its disk --------------------------------------------------------------------------------------
+    # --- the proxy's disk ------------------------------------------------------------------------------
 
     def folder(self) -> Path:
-        """What lasts of its seat, for one process in place of another and for a store."""
-        lasting = self._work / f"{self.seat}.disk"
-        lasting.mkdir(exist_ok=True)
-        return lasting
+        """The folder for the proxy's persistent data, which outlives its processes."""
+        disk = self._work / f"{self.seat}.disk"
+        disk.mkdir(exist_ok=True)
+        return disk
 
     def full_disk(self, on: bool) -> None:
-        """No file of its process may grow: writes fail as on a full disk, with another number (EFBIG). Its log is a pipe."""
+        """Simulates a full disk by a file size limit of 0: writes fail, with EFBIG instead of ENOSPC. The log is not
+        affected, as it goes to a pipe."""
         if self.pid is not None:
-            most = 0 if on else resource.RLIM_INFINITY
-            resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+            size_limit = 0 if on else resource.RLIM_INFINITY
+            resource.prlimit(self.pid, resource.RLIMIT_FSIZE, (size_limit, resource.RLIM_INFINITY))
 
     def take_disk(self, away: bool) -> None:
-        """Its folder is away, or back as it was; whatever was made in its place meanwhile goes."""
-        here, aside = self.folder(), self._work / f"{self.seat}.aside"
+        """Moves the proxy's folder away, or back. Files that the proxy created at its path meanwhile are deleted."""
+        disk, moved_disk = self.folder(), self._work / f"{self.seat}.aside"
         if away:
-            here.rename(aside)
+            disk.rename(moved_disk)
         else:
-            shutil.rmtree(here, ignore_errors=True)
-            aside.rename(here)
+            shutil.rmtree(disk, ignore_errors=True)
+            moved_disk.rename(disk)
 
     def keep_disk(self) -> None:
-        """As it is now, for `old_disk`."""
+        """Copies the proxy's folder, for `old_disk` to restore."""
         shutil.copytree(self.folder(), self._work / f"{self.seat}.old", dirs_exist_ok=True)
 
     def old_disk(self) -> None:
-        """Put back as it was kept: for a process that has ended, as from a backup of an hour before."""
+        """Restores the copy made by `keep_disk`, like a restore from an old backup. The process has to have ended."""
         shutil.rmtree(self.folder(), ignore_errors=True)
         shutil.copytree(self._work / f"{self.seat}.old", self.folder(), dirs_exist_ok=True)
 
     def _last_line(self) -> str:
         lines = (self._work / f"{self.seat}.log").read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "its log is empty"
 
     def hang_up(self) -> None:
-        """A new configuration; nothing where no process has been ready, also where it was told to stop since."""
-        if "ready" not in self._times:
+        """Writes a new configuration and sends SIGHUP. Does nothing unless the current process has been ready."""
+        if "ready" not in self._event_times:
             return
         self.write_configuration()
         self._writer.add(Reconfiguration(self.gate.number, self._now()))
@@ -360,30 +368,31 @@
     async def kill(self) -> None:
         if self._process is None:
             return
-        self._times["killed"] = clock()
+        self._event_times["killed"] = clock()
         self.ready = False
         self._signal(signal.SIGKILL)
-        await self._gone()
+        await self._wait_for_exit()
 
     async def terminate(self) -> None:
-        """As a planned restart does: SIGTERM, and SIGKILL when the platform would."""
+        """Stops the process as a planned restart does: by SIGTERM, then by SIGKILL after the grace period."""
         if self._process is None:
             return
-        self._times["told"] = clock()
+        self._event_times["told"] = clock()
         self.ready = False
         self._signal(signal.SIGTERM)
         longest = max(use.outer for use in self._script.use_cases)
         try:
-            async with asyncio.timeout((min(longest, LONGEST_GRACE) + MOMENT) / 1e6):
-                await self._gone()
+            async with asyncio.timeout((min(longest, LONGEST_GRACE) + GRACE_MARGIN) / 1e6):
+                await self._wait_for_exit()
         except TimeoutError:
             await self.kill()
 
-    async def _gone(self) -> None:
-        if self._reading is not None:
-            await asyncio.shield(self._reading)
+    async def _wait_for_exit(self) -> None:
+        if self._log_reader is not None:
+            await asyncio.shield(self._log_reader)
 
     def sample(self) -> None:
+        """Records CPU time, resident memory and open descriptors of the process."""
         process = self._process
         if process is None or process.returncode is not None:
             return
@@ -393,5 +402,5 @@
             descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
         except (OSError, IndexError, ValueError):
             return
-        cpu = (int(stat[11]) + int(stat[12])) * 1_000_000 // TICK
-        self._writer.add(Sample(self.gate.number, self._now(), cpu, pages * PAGE // 1024, descriptors))
+        cpu = (int(stat[11]) + int(stat[12])) * 1_000_000 // TICKS_PER_SECOND
+        self._writer.add(Sample(self.gate.number, self._now(), cpu, pages * PAGE_BYTES // 1024, descriptors))
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -1,5 +1,5 @@
-"""Plays one rehearsal: starts fleet, discovery, proxies and load, strikes with what is not the fleet's own,
-and keeps the records until all is over."""
+"""Runs one rehearsal: starts the backend fleet, discovery, the proxies and the load generators, injects the
+faults that the fleet processes do not inject themselves, and keeps the records until the run is over."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
-# Struck here, and not by the fleet itself.
-BY_DIRECTOR = OF_LINKS | {
+# Faults that the controller injects; the fleet processes inject all others.
+CONTROLLER_FAULTS = OF_LINKS | {
     "proxy-kill",
     "proxy-term",
     "proxy-hup",
@@ -42,18 +42,22 @@
     "discovery-moved",
     "pause-generator",
 }
-# From all being ready to the first ticket.
+# Time in us between the moment when every process is ready and the start of the run.
 LEAD = 400_000
-# A backend's own proxy is started so long before it, and is ready when it is.
-AHEAD = 1_500_000
-# A proxy told to stop still gets new connections for so long.
-STILL_DEALT = 300_000
-SETTLE = 0.3
+# A backend's own proxy is started this long (us) before the backend, so that both are ready together.
+OWN_PROXY_LEAD = 1_500_000
+# The clients keep opening connections to a proxy for this long (us) after its SIGTERM.
+ENDPOINT_REMOVAL_DELAY = 300_000
+# Seconds between the end of the load and the end of the fleet.
+SETTLE_SECONDS = 0.3
 
 
 class RunController:
-    """`progress` is told the time played (us) now and then; `build` is another checkout whose `serve` is
-    played."""
+    """Starts, drives and ends all processes of one run.
+
+    `progress` is called twice a second with the elapsed time of the run (us). `build` is another checkout whose
+    `serve` is run in place of this one's.
+    """
 
     def __init__(
         self,
@@ -82,15 +86,15 @@
             self.grouping = GroupRun(script, self.plan.gates, net, work, base)
         self._build = build
         self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
-        # Second processes under a name that is taken; what they wrote is no record of the fleet's.
-        self._aside = Writer(work / "twins.aside")
-        self._twins: list[Runner] = []
+        # Duplicate processes run under the name of another proxy; their records are kept apart from the run's.
+        self._duplicate_writer = Writer(work / "twins.aside")
+        self._duplicates: list[Runner] = []
         self._fleet: list[Worker] = []
         self._load: list[Worker] = []
         self._tasks: list[asyncio.Task[None]] = []
-        self._troubles: list[str] = []
-        self._admitted: set[int] = set()
-        self._ended = False
+        self._failures: list[str] = []
+        self._target_numbers: set[int] = set()
+        self._closed = False
 
     def _runner(self, gate: Gate, twin: bool, writer: Writer) -> Runner:
         return Runner(
@@ -110,13 +114,13 @@
         return clock() - self._start.at
 
     def runner(self, name: str) -> Runner:
-        """The process that stands at a proxy's place."""
-        return next(one for one in self._runners if one.gate.name == name)
+        """The runner of the proxy with this name."""
+        return next(runner for runner in self._runners if runner.gate.name == name)
 
     # --- start ------------------------------------------------------------------------------------
 
     async def stand(self, load: bool = True) -> None:
-        """Everything up and ready, nothing begun."""
+        """Starts all processes and waits until they are ready; the run itself does not start yet."""
         await self.listing.listen()
         if self.grouping is not None:
             await self.grouping.open()
@@ -133,21 +137,21 @@
                 )
             )
         if load:
-            await self._stand_load()
+            await self._start_load()
         for worker in self._fleet:
             await worker.said("standing", START_WITHIN)
-        await self._stand_proxies()
+        await self._start_proxies()
         for worker in self._load:
             await worker.said("planned", START_WITHIN)
 
-    async def _stand_load(self) -> None:
+    async def _start_load(self) -> None:
         front = self.plan.front
         targets = [
             {"number": gate.number, "zone": gate.zone, "host": gate.address[0], "port": gate.address[1]}
             for gate in front
         ]
         if not front:
-            # Without proxies clients ask the backends of the first tier themselves.
+            # Without proxies the clients send to the backends of the first tier directly.
             targets = [
                 {"number": -1, "zone": place.zone, "host": place.address[0], "port": place.address[1]}
                 for place in self.plan.places
@@ -166,29 +170,32 @@
                 )
             )
 
-    async def _stand_proxies(self) -> None:
-        # A few at a time: hundreds at once would each be late.
-        turns = asyncio.Semaphore(max(2, (os.cpu_count() or 2) // 2))
+    async def _start_proxies(self) -> None:
+        # Limits concurrent starts: if hundreds of processes started at once, none would be ready in time.
+        start_slots = asyncio.Semaphore(max(2, (os.cpu_count() or 2) // 2))
 
-        async def one(runner: Runner) -> None:
-            async with turns:
+        async def start_runner(runner: Runner) -> None:
+            async with start_slots:
                 await runner.run()
 
-        for turn, done in enumerate(await asyncio.gather(*map(one, self._runners), return_exceptions=True)):
-            if isinstance(done, BaseException):
-                raise RehearsalError(str(done)) from None
-            gate = self.plan.gates[turn]
+        for number, outcome in enumerate(
+            await asyncio.gather(*map(start_runner, self._runners), return_exceptions=True)
+        ):
+            if isinstance(outcome, BaseException):
+                raise RehearsalError(str(outcome)) from None
+            gate = self.plan.gates[number]
             if gate.tier == 0:
-                self._admitted.add(gate.number)
-        self._admit()
+                self._target_numbers.add(gate.number)
+        self._announce_targets()
 
-    def _admit(self) -> None:
+    def _announce_targets(self) -> None:
         for worker in self._load:
-            worker.tell(admit=sorted(self._admitted) if self.plan.front else [-1])
+            worker.tell(admit=sorted(self._target_numbers) if self.plan.front else [-1])
 
-    # --- the play ---------------------------------------------------------------------------------
+    # --- run --------------------------------------------------------------------------------------
 
     def begin(self) -> None:
+        """Sets the start of the run, announces it to all processes, and schedules the faults."""
         self._start.at = clock() + LEAD
         if any(strike.what == "disk-old" for strike in self._line.strikes):
             for runner in self._runners:
@@ -198,45 +205,46 @@
             worker.tell(start=self._start.at)
         loop = asyncio.get_running_loop()
         self._tasks = [
-            loop.create_task(self._strike(strike)) for strike in self._line.strikes if strike.what in BY_DIRECTOR
+            loop.create_task(self._inject(strike)) for strike in self._line.strikes if strike.what in CONTROLLER_FAULTS
         ]
         self._tasks += [
-            loop.create_task(self._own_proxy(life.place, life.born, life.ends))
+            loop.create_task(self._follow_backend(life.place, life.born, life.ends))
             for life in self._line.lives
             if self.plan.places[life.place].proxy is not None
         ]
-        self._tasks.append(loop.create_task(self._watch()))
+        self._tasks.append(loop.create_task(self._sample_loop()))
 
     async def play(self) -> None:
-        """To the end of the load. Raises RehearsalError where a process of the rehearsal's own failed."""
+        """Runs the load to its end. Raises RehearsalError if a process of the test harness failed."""
         self.begin()
         await self.over()
 
     async def over(self) -> None:
-        """The end of a play that has begun. Raises RehearsalError likewise."""
+        """Waits until the load generators have finished, then ends the fleet. Raises RehearsalError if a process
+        of the test harness failed."""
         longest = max(use.outer for use in self._script.use_cases)
         within = (self._script.span + longest) / 1e6 + START_WITHIN
         sent = 0
         for worker in self._load:
-            told = await worker.said("over", within)
-            sent += told["sent"]
-        await asyncio.sleep(SETTLE)
+            report = await worker.said("over", within)
+            sent += report["sent"]
+        await asyncio.sleep(SETTLE_SECONDS)
         for worker in self._fleet:
             worker.tell(end=True)
             await worker.said("ended", START_WITHIN)
-        if self._troubles:
-            raise RehearsalError(self._troubles[0])
+        if self._failures:
+            raise RehearsalError(self._failures[0])
 
-    async def _until(self, at: int) -> None:
+    async def _sleep_until(self, at: int) -> None:
         while (left := self._start.at + at - clock()) > 0:
             await asyncio.sleep(left / 1e6)
 
-    async def _strike(self, strike: Strike) -> None:
-        await self._until(strike.at)
+    async def _inject(self, strike: Strike) -> None:
+        await self._sleep_until(strike.at)
         if strike.what == "pause-generator":
             for worker in self._load:
                 worker.signal(signal.SIGSTOP)
-            await self._until(strike.until)
+            await self._sleep_until(strike.until)
             for worker in self._load:
                 worker.signal(signal.SIGCONT)
             return
@@ -244,7 +252,7 @@
             if self.grouping is None:
                 return
             self.grouping.struck(strike, True)
-            await self._until(strike.until)
+            await self._sleep_until(strike.until)
             self.grouping.struck(strike, False)
             return
         if strike.what == "discovery-moved":
@@ -257,116 +265,117 @@
             elif strike.what == "proxy-starve":
                 await self._runners[number].starved(strike.by, strike.until)
             elif strike.what == "proxy-stop":
-                await self._stop_for(number, strike.until)
+                await self._suspend(number, strike.until)
             elif strike.what == "disk-full":
                 self._runners[number].full_disk(True)
-                await self._until(strike.until)
+                await self._sleep_until(strike.until)
                 self._runners[number].full_disk(False)
             elif strike.what == "disk-gone":
                 self._runners[number].take_disk(True)
-                await self._until(strike.until)
+                await self._sleep_until(strike.until)
                 self._runners[number].take_disk(False)
             elif strike.what == "disk-old":
-                await self._old_disk(number)
+                await self._restore_old_disk(number)
             elif strike.what == "proxy-hand":
-                await self._by_hand(number, strike.until)
+                await self._drain_and_resume(number, strike.until)
             elif strike.what == "proxy-twin":
                 await self.twin(number, strike.until)
             else:
-                await self._away(strike, number)
+                await self._stop_proxy(strike, number)
 
-    async def _away(self, strike: Strike, number: int) -> None:
-        """One proxy goes, and its place is taken again where the script has it."""
+    async def _stop_proxy(self, strike: Strike, number: int) -> None:
+        """Kills or terminates one proxy, and starts it again if the fault has an end."""
         runner = self._runners[number]
         if strike.what == "proxy-term":
             ending = asyncio.get_running_loop().create_task(runner.terminate())
-            await asyncio.sleep(STILL_DEALT / 1e6)
-            self._out(number)
+            await asyncio.sleep(ENDPOINT_REMOVAL_DELAY / 1e6)
+            self._remove_target(number)
             await ending
         else:
             await runner.kill()
-            # The front notices only after a while that one has died.
+            # The clients detect a dead proxy only after the detection delay of the script.
             await asyncio.sleep(self._script.load.notice / 1e6)
-            self._out(number)
+            self._remove_target(number)
         if strike.until < 0:
             return
-        await self._until(strike.until)
-        await self._again(runner)
+        await self._sleep_until(strike.until)
+        await self._start_again(runner)
         if runner.ready and runner.gate.tier == 0:
-            self._admitted.add(number)
-            self._admit()
+            self._target_numbers.add(number)
+            self._announce_targets()
 
-    async def _stop_for(self, number: int, until: int) -> None:
-        """It stands still; the front notices after a while, and when it goes on."""
+    async def _suspend(self, number: int, until: int) -> None:
+        """Suspends a proxy until `until`. The clients stop using it after their detection delay, and use it again
+        once it resumes."""
 
-        async def noticed() -> None:
+        async def wait_for_resume() -> None:
             await asyncio.sleep(min(self._script.load.notice, max(0, until - self._now())) / 1e6)
-            self._out(number)
-            await self._until(until)
+            self._remove_target(number)
+            await self._sleep_until(until)
 
-        await self._runners[number].stopped(noticed)
+        await self._runners[number].stopped(wait_for_resume)
         if self._runners[number].gate.tier == 0:
-            self._admitted.add(number)
-            self._admit()
+            self._target_numbers.add(number)
+            self._announce_targets()
 
-    async def _old_disk(self, number: int) -> None:
-        """It is killed, and started with its disk as that was when the load began."""
+    async def _restore_old_disk(self, number: int) -> None:
+        """Kills a proxy and starts it with a copy of its disk from the start of the run."""
         runner = self._runners[number]
         await runner.kill()
         runner.old_disk()
-        await self._again(runner)
+        await self._start_again(runner)
 
-    async def _by_hand(self, number: int, until: int) -> None:
-        """Staff send its clients away at its console, and let them come again."""
+    async def _drain_and_resume(self, number: int, until: int) -> None:
+        """Drains a proxy by its console, as an operator does, and resumes it at `until`."""
         await self._runners[number].call("POST", "/-/drain")
         await asyncio.sleep(self._script.load.notice / 1e6)
-        self._out(number)
-        await self._until(until)
+        self._remove_target(number)
+        await self._sleep_until(until)
         await self._runners[number].call("POST", "/-/resume")
         await asyncio.sleep(self._script.load.notice / 1e6)
         if self._runners[number].gate.tier == 0:
-            self._admitted.add(number)
-            self._admit()
+            self._target_numbers.add(number)
+            self._announce_targets()
 
     async def twin(self, number: int, until: int) -> None:
-        """A second process under the name of a proxy, at another address, for a while."""
+        """Runs a second process under the name of a proxy, at another address, until `until`."""
         assert self.grouping is not None
         await self.grouping.open_twin(self.plan.gates[number])
-        made = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._aside)
-        self._twins.append(made)
-        await self._again(made)
-        await self._until(until)
-        await made.kill()
+        duplicate = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._duplicate_writer)
+        self._duplicates.append(duplicate)
+        await self._start_again(duplicate)
+        await self._sleep_until(until)
+        await duplicate.kill()
 
-    def _out(self, number: int) -> None:
-        self._admitted.discard(number)
-        self._admit()
+    def _remove_target(self, number: int) -> None:
+        self._target_numbers.discard(number)
+        self._announce_targets()
 
-    async def _again(self, runner: Runner) -> None:
+    async def _start_again(self, runner: Runner) -> None:
         try:
             await runner.run()
         except RuntimeError as error:
-            self._troubles.append(str(error))
+            self._failures.append(str(error))
 
-    async def _own_proxy(self, place: int, born: int, ends: int) -> None:
-        """A backend's own proxy stops and starts with it."""
+    async def _follow_backend(self, place: int, born: int, ends: int) -> None:
+        """Starts and stops a backend's own proxy together with the backend."""
         gate = self.plan.places[place].proxy
         assert gate is not None
         runner = self._runners[gate.number]
         follows = any(life.place == place and life.born == ends for life in self._line.lives if ends >= 0)
         continues = any(life.place == place and life.ends == born for life in self._line.lives if born >= 0)
         if born >= 0 and not continues:
-            before = max(
+            previous_end = max(
                 (life.ends for life in self._line.lives if life.place == place and 0 <= life.ends < born),
                 default=0,
             )
-            await self._until(max(before + 50_000, born - AHEAD))
-            await self._again(runner)
+            await self._sleep_until(max(previous_end + 50_000, born - OWN_PROXY_LEAD))
+            await self._start_again(runner)
         if ends >= 0 and not follows:
-            await self._until(ends)
+            await self._sleep_until(ends)
             await runner.kill()
 
-    async def _watch(self) -> None:
+    async def _sample_loop(self) -> None:
         while True:
             await asyncio.sleep(SAMPLE_EVERY)
             for runner in self._runners:
@@ -375,61 +384,63 @@
             if self._progress is not None:
                 self._progress(max(0, self._now()))
 
-    # --- the end ----------------------------------------------------------------------------------
+    # --- shutdown ---------------------------------------------------------------------------------
 
     async def end(self) -> None:
-        """All that was started is over when this returns; once more it does nothing."""
-        if self._ended:
+        """Ends every process and task that the controller started. Further calls do nothing."""
+        if self._closed:
             return
-        self._ended = True
+        self._closed = True
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for worker in [*self._load, *self._fleet]:
             await worker.end()
-        # What was being started when this came has to be over too, or its pipes outlive the loop.
+        # A process that a cancelled task was just starting has to be ended too, or its pipes outlive the event loop.
         await asyncio.sleep(0)
-        await asyncio.gather(*(runner.kill() for runner in [*self._runners, *self._twins]))
+        await asyncio.gather(*(runner.kill() for runner in [*self._runners, *self._duplicates]))
         if self.grouping is not None:
             self.grouping.links.close()
         self.listing.close()
-        self._aside.close()
+        self._duplicate_writer.close()
         self._writer.close()
 
     def records(self) -> rule_checker.Records:
-        kept = rule_checker.Records()
+        """The records of all processes of the run."""
+        all_records = rule_checker.Records()
         for path in sorted(self._work.glob("*.records")):
             for record in records.read(path):
-                kept.add(record)
-        # What ended a process at the end of the play is not what killed it within.
-        for ran in kept.proxy_runs:
-            if ran.killed >= self._end_of(kept):
-                ran.killed = -1
-        return kept
+                all_records.add(record)
+        # A proxy killed by the shutdown after the run does not count as killed by a fault.
+        for proxy_run in all_records.proxy_runs:
+            if proxy_run.killed >= self._run_end(all_records):
+                proxy_run.killed = -1
+        return all_records
 
-    def _end_of(self, kept: rule_checker.Records) -> int:
-        return max((one.ended for one in kept.client_attempts), default=self._script.span)
+    def _run_end(self, all_records: rule_checker.Records) -> int:
+        return max((attempt.ended for attempt in all_records.client_attempts), default=self._script.span)
 
     @property
     def line(self) -> fault_schedule.FaultSchedule:
+        """The faults and backend lifetimes of the run."""
         return self._line
 
 
 def plan_digest(script: Script) -> str:
-    """The plan of arrivals in a few letters; a closed loop has none."""
+    """A short digest of the arrival plan; "closed" for a closed-loop load, which has no plan."""
     return "closed" if script.load.users else arrivals.digest(traces.plan_of(script))
 
 
-async def _play(
+async def _run(
     script: Script, net: int, work: Path, build: Path | None, progress: Callable[[int], None] | None
 ) -> tuple[rule_checker.Records, RunController]:
-    director = RunController(script, net, work, build, progress)
+    controller = RunController(script, net, work, build, progress)
     try:
-        await director.stand()
-        await director.play()
+        await controller.stand()
+        await controller.play()
     finally:
-        await director.end()
-    return director.records(), director
+        await controller.end()
+    return controller.records(), controller
 
 
 def rehearse(
@@ -438,24 +449,24 @@
     work: Path | None = None,
     progress: Callable[[int], None] | None = None,
 ) -> Result:
-    """Plays a script and returns its result. `work` keeps logs and records; without one they go when it is
-    over.
+    """Runs a script and returns its result. Logs and records stay in the folder `work`; without one they are
+    deleted after the run.
 
-    Raises RehearsalError (one line), and ScriptError where a trace can't be read.
+    Raises RehearsalError with a one-line message, and ScriptError if a trace cannot be read.
     """
     digest = plan_digest(script)
     with reserve_network() as net, tempfile.TemporaryDirectory(prefix="rehearsal-") as spare:
         folder = work or Path(spare)
         folder.mkdir(parents=True, exist_ok=True)
-        for old in folder.glob("*.records"):
-            old.unlink()
+        for stale_records in folder.glob("*.records"):
+            stale_records.unlink()
         played_at = datetime.now(timezone.utc).isoformat(timespec="seconds")
         try:
-            kept, director = asyncio.run(_play(script, net, folder, build, progress))
+            all_records, controller = asyncio.run(_run(script, net, folder, build, progress))
         except (RuntimeError, OSError) as error:
             raise RehearsalError(str(error)) from None
-        book = rule_checker.check(script, kept)
-        names = [gate.name for gate in director.plan.gates]
+        findings = rule_checker.check(script, all_records)
+        gate_names = [gate.name for gate in controller.plan.gates]
         return Result(
             VERSION,
             script.title,
@@ -465,11 +476,11 @@
             __version__,
             int(script.span),
             digest,
-            fault_schedule.digest(director.line),
-            book.counts,
-            book.entries,
-            tally.tally(script, names, kept),
-            [place.name for place in director.plan.places],
-            names,
+            fault_schedule.digest(controller.line),
+            findings.counts,
+            findings.entries,
+            tally.tally(script, gate_names, all_records),
+            [place.name for place in controller.plan.places],
+            gate_names,
             logs=str(work or ""),
         )
