--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -1,5 +1,5 @@
-"""A stand-in backend on a socket: reads tickets, has the engine work on them, calls the next tier, and
-misbehaves."""
+"""A simulated backend on a real socket: reads tickets, executes them on the engine's model, calls the next tier, and
+injects faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import h11
 
-from pepperusher.rehearsal import active_faults as weathers
+from pepperusher.rehearsal import active_faults as faults
 from pepperusher.rehearsal.caller import Asked, Client, Reply
 from pepperusher.rehearsal.engine import FULL, RUNS, Engine, Job, Memory, parts_of
 from pepperusher.rehearsal.fleet_plan import Place
@@ -20,15 +20,15 @@
 from pepperusher.rehearsal.wire import READ, BrokenConnection, Message, Peer, Start, answer_body, clock, relative_time
 
 BACKLOG = 512
-# A repeat that is known costs this part of the work.
-REPEAT_COST = 0.01
-# An answer in two parts stops after this many bytes of its body.
-HALF_AT = 3
-NOISE = b"\x16\x03\x01\x02\x00garbled\xff\xfe not HTTP\r\n\r\n"
+# A repeat of a ticket that is already done costs this share of the work.
+REPEAT_WORK_SHARE = 0.01
+# A truncated response ends after this many bytes of its body.
+TRUNCATED_BODY_BYTES = 3
+GARBLED_RESPONSE = b"\x16\x03\x01\x02\x00garbled\xff\xfe not HTTP\r\n\r\n"
 
 
 class Task:
-    """One ticket at work at `at`."""
+    """One ticket that the backend `at` executes."""
 
     __slots__ = (
         "at",
@@ -39,9 +39,9 @@
         "info",
         "limit",
         "over",
-        "child",
-        "settled",
-        "waited_for",
+        "call_task",
+        "connection_release",
+        "waiting_repeats",
     )
 
     def __init__(
@@ -52,20 +52,20 @@
         self.record = record
         self.job = job
         self.calls = calls
-        self.info = info  # the whole ticket's work, as drawn
-        self.limit = limit  # when its sender gives up (clock), 0 if it did not say
+        self.info = info  # work of the ticket over all tiers, as drawn by the load generator
+        self.limit = limit  # when the sender times out (clock), 0 if it sent no timeout
         self.over = False
-        self.child: asyncio.Task[None] | None = None
-        self.settled: asyncio.Future[None] | None = None  # what its connection waits for
-        self.waited_for: list[Task] = []  # by repeats of it; emptied when it is over
+        self.call_task: asyncio.Task[None] | None = None
+        self.connection_release: asyncio.Future[None] | None = None  # resolved when the connection may go on
+        self.waiting_repeats: list[Task] = []  # repeats that wait for this ticket; emptied when it is over
 
-    def settle(self) -> None:
-        if self.settled is not None and not self.settled.done():
-            self.settled.set_result(None)
+    def release_connection(self) -> None:
+        if self.connection_release is not None and not self.connection_release.done():
+            self.connection_release.set_result(None)
 
 
 class Backend:
-    """One stay of a backend at its place."""
+    """One lifetime of a backend at its place."""
 
     def __init__(
         self, script: Script, place: Place, id: str, born: int, memory: Memory, writer: Writer, start: Start
@@ -79,35 +79,35 @@
         self._memory = memory
         self._writer = writer
         self._start = start
-        self._chance = Random(f"{script.seed}:backend:{id}")
-        from_when = start.at + born if born >= 0 else (now if kind.started == "cold" else now - kind.warm_for)
+        self._random = Random(f"{script.seed}:backend:{id}")
+        warm_up_start = start.at + born if born >= 0 else (now if kind.started == "cold" else now - kind.warm_for)
         rules = script.rules
-        self._engine = Engine(kind, from_when, now, rules.tip_multiple, rules.tip_for)
-        self._weather = ActiveFaults()
-        self._thawed = asyncio.Event()
-        self._thawed.set()
-        self._peers: dict[Peer, Task | None] = {}  # emptied as connections end
-        self._tasks: dict[Job, Task] = {}  # emptied as tickets end
+        self._engine = Engine(kind, warm_up_start, now, rules.tip_multiple, rules.tip_for)
+        self._active_faults = ActiveFaults()
+        self._reachable = asyncio.Event()
+        self._reachable.set()
+        self._peers: dict[Peer, Task | None] = {}  # an entry is removed when its connection ends
+        self._tasks: dict[Job, Task] = {}  # an entry is removed when its ticket ends
         self._timer: asyncio.TimerHandle | None = None
         self._server: asyncio.Server | None = None
-        self._listening = asyncio.Lock()
+        self._listen_lock = asyncio.Lock()
         self._client: Client | None = None
-        self._uses = {use.name.encode(): number for number, use in enumerate(script.use_cases)}
+        self._use_case_numbers = {use.name.encode(): number for number, use in enumerate(script.use_cases)}
         self._ended = False
         self._calls = 0
         if place.proxy is not None:
             self._client = Client(place.proxy.address, place.proxy.number)
         tier = script.tiers[place.tier]
-        portion = tier.work
-        for above in script.tiers[: place.tier]:
-            portion /= above.calls
-        self._portion = portion
+        tier_work_share = tier.work
+        for upper_tier in script.tiers[: place.tier]:
+            tier_work_share /= upper_tier.calls
+        self._tier_work_share = tier_work_share
         self._mean_calls = tier.calls if place.proxy is not None else 0.0
 
     # --- start and end ----------------------------------------------------------------------------
 
     async def listen(self) -> None:
-        async with self._listening:
+        async with self._listen_lock:
             if self._server is not None or self._ended:
                 return
             listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -122,7 +122,7 @@
             self._server = None
 
     def end(self, at: int) -> None:
-        """Killed, or its time over: connections are reset and its address refuses."""
+        """Ends the backend at once: resets its connections and stops listening, so that new ones are refused."""
         if self._ended:
             return
         self._ended = True
@@ -138,7 +138,7 @@
         self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
 
     def renamed(self, id: str, at: int) -> None:
-        """Discovery knows it under another id from now on; it goes on as it was."""
+        """Records that discovery lists the backend under another id from now on; nothing else changes."""
         self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
         self.id, self.born = id, at
 
@@ -147,20 +147,20 @@
         return relative_time(self._engine.fell, self._start.at)
 
     async def weather(self, now: ActiveFaults) -> None:
-        """The timeline has it that its weather changes."""
-        before, self._weather = self._weather, now
-        self._turn()
+        """Applies the faults that are active from now on."""
+        before, self._active_faults = self._active_faults, now
+        self._advance_engine()
         self._engine.frozen = now.frozen
         self._engine.slower = now.slower
-        self._turn()
+        self._advance_engine()
         if now.frozen or now.silent:
-            self._thawed.clear()
+            self._reachable.clear()
         else:
             if before.silent and not now.silent:
-                # What a silent machine had is gone when it is back.
+                # A machine that was unreachable has lost its connections when it returns.
                 for peer in list(self._peers):
                     _reset(peer)
-            self._thawed.set()
+            self._reachable.set()
         if now.refuses:
             self._refuse()
         elif self._engine.fell < 0:
@@ -173,43 +173,44 @@
         self._peers[peer] = None
         try:
             while not self._ended:
-                message = await self._next(peer)
+                message = await self._receive_next(peer)
                 if message is None:
                     break
-                if not await self._take(peer, message):
+                if not await self._handle_ticket(peer, message):
                     break
         except BrokenConnection as broken:
             if broken.begun and self._peers.get(peer) is None and not self._ended and not writer.transport.is_closing():
                 writer.write(b"HTTP/1.1 400 Bad\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
         except asyncio.CancelledError:
-            pass  # the process ends
+            pass  # the process is shutting down
         finally:
             task = self._peers.pop(peer, None)
             if task is not None and not task.over:
-                self._gone(task)
+                self._handle_disconnect(task)
             peer.close()
 
-    async def _next(self, peer: Peer) -> Message | None:
+    async def _receive_next(self, peer: Peer) -> Message | None:
         try:
             async with asyncio.timeout(self.place.kind.idle / 1e6):
                 return await peer.receive()
         except TimeoutError:
             return None
 
-    async def _take(self, peer: Peer, message: Message) -> bool:
-        """One ticket, from its last byte until its sender is gone or the answer is out."""
-        most = self._weather.idle_most
+    async def _handle_ticket(self, peer: Peer, message: Message) -> bool:
+        """Handles one ticket until the response is sent or the sender disconnects; returns whether the connection can
+        be reused."""
+        most = self._active_faults.idle_most
         if most and peer.used and message.first - peer.idle_since > most:
             _reset(peer)
             return False
         target = message.head.target.partition(b"?")[0]
         if target in (b"/health", b"/status/load"):
-            self._plain(peer, 200, b"up\n")
+            self._respond(peer, 200, b"up\n")
             return peer.again()
-        use = self._uses.get(target.lstrip(b"/").partition(b"/")[0])
+        use = self._use_case_numbers.get(target.lstrip(b"/").partition(b"/")[0])
         name = message.headers.get(b"request-id", b"").decode("latin-1")
         if use is None or not name:
-            self._plain(peer, 404, b"no such use case, or no Request-Id\n")
+            self._respond(peer, 404, b"no such use case, or no Request-Id\n")
             return peer.again()
         mark = message.headers.get(b"idempotency-key", b"").decode("latin-1")
         record = BackendAttempt(
@@ -232,104 +233,104 @@
             "",
             0,
         )
-        # A machine that is frozen or silent has it in its kernel at the most.
-        if not self._thawed.is_set() and not await self._thaws(peer):
+        # On a frozen or unreachable machine a ticket at most waits in a kernel buffer.
+        if not self._reachable.is_set() and not await self._wait_until_reachable(peer):
             record.ended = record.gone = self._now()
-            record.fate = "silent" if self._weather.silent else "frozen"
+            record.fate = "silent" if self._active_faults.silent else "frozen"
             self._writer.add(record)
             return False
-        task = self._began(peer, message, record)
+        task = self._start_ticket(peer, message, record)
         if task is None:
             return peer.again()
         self._peers[peer] = task
-        # Nothing more may come on it before the answer but its end.
-        early = await self._watch(peer, task)
+        # Before the response the sender may only close the connection: any other data ends it too.
+        disconnected = await self._wait_for_end(peer, task)
         self._peers[peer] = None
-        if early:
+        if disconnected:
             return False
         return not peer.writer.transport.is_closing() and peer.again()
 
-    async def _thaws(self, peer: Peer) -> bool:
-        thaw = asyncio.ensure_future(self._thawed.wait())
-        end = asyncio.ensure_future(_ends(peer))
+    async def _wait_until_reachable(self, peer: Peer) -> bool:
+        reachable = asyncio.ensure_future(self._reachable.wait())
+        end = asyncio.ensure_future(_read_until_closed(peer))
         try:
-            await asyncio.wait((thaw, end), return_when=asyncio.FIRST_COMPLETED)
-            return thaw.done() and not end.done() and not peer.writer.transport.is_closing()
+            await asyncio.wait((reachable, end), return_when=asyncio.FIRST_COMPLETED)
+            return reachable.done() and not end.done() and not peer.writer.transport.is_closing()
         finally:
-            thaw.cancel()
-            await _no_more(end)
+            reachable.cancel()
+            await _cancel_and_wait(end)
 
-    async def _watch(self, peer: Peer, task: Task) -> bool:
-        """Until the ticket is over; whether its sender left, or spoke out of turn, before."""
-        task.settled = over = asyncio.get_running_loop().create_future()
+    async def _wait_for_end(self, peer: Peer, task: Task) -> bool:
+        """Waits until the ticket is over; returns whether the sender disconnected before."""
+        task.connection_release = over = asyncio.get_running_loop().create_future()
         if task.over:
             return False
-        end = asyncio.ensure_future(_ends(peer))
+        end = asyncio.ensure_future(_read_until_closed(peer))
         await asyncio.wait((over, end), return_when=asyncio.FIRST_COMPLETED)
         if over.done():
-            await _no_more(end)
+            await _cancel_and_wait(end)
             return False
-        self._gone(task)
+        self._handle_disconnect(task)
         return True
 
     # --- one ticket -------------------------------------------------------------------------------
 
-    def _began(self, peer: Peer, message: Message, record: BackendAttempt) -> Task | None:
-        """Offers it to the engine; None where it was turned away at once."""
+    def _start_ticket(self, peer: Peer, message: Message, record: BackendAttempt) -> Task | None:
+        """Starts the ticket on the engine; returns None if it is over at once, as when it is rejected."""
         use = self._script.use_cases[record.use]
-        info = _figure(message.headers.get(b"request-info", b""), b"work")
+        info = _integer_value(message.headers.get(b"request-info", b""), b"work")
         if info is None:
             info = int(use.work.mean)
-        fate = weathers.response_outcome(self._weather, use.name, self._chance)
+        fate = faults.response_outcome(self._active_faults, use.name, self._random)
         record.fate = fate
-        calls = int(self._mean_calls + self._chance.random()) if self._mean_calls else 0
-        work = round(info * self._portion)
+        calls = int(self._mean_calls + self._random.random()) if self._mean_calls else 0
+        work = round(info * self._tier_work_share)
         if not peer.used:
             work += self.place.kind.handshake
         if len(self._peers) > self.place.kind.connections * self.place.kind.cores:
-            self._away(peer, record, 503)
+            self._reject(peer, record, 503)
             return None
         job = Job([])
         known, holder = "new", None
         if use.repeat == "referenced" and record.mark:
             known, holder = self._memory.ask(record.use, record.mark, use.remembered, job, clock())
         if known == "done":
-            calls, work, record.repeat = 0, round(work * REPEAT_COST), True
+            calls, work, record.repeat = 0, round(work * REPEAT_WORK_SHARE), True
         job.parts = parts_of(work, calls)
-        task = Task(self, peer, record, job, calls, info, _limit(message))
+        task = Task(self, peer, record, job, calls, info, _sender_timeout_at(message))
         job.owner = task
         if known == "under way" and holder is not None:
-            # Until the first is over, it waits for the same work; if that is stopped, it does it itself.
+            # The repeat waits until the first ticket is over. If that one is stopped, the repeat does the work itself.
             record.repeat = True
-            holder.owner.waited_for.append(task)
+            holder.owner.waiting_repeats.append(task)
             return task
         self._offer(task, work)
         return None if task.over else task
 
     def _offer(self, task: Task, work: int) -> None:
-        self._turn()
+        self._advance_engine()
         self._tasks[task.job] = task
-        how = self._engine.offer(task.job, work)
-        if how == FULL:
+        admission = self._engine.offer(task.job, work)
+        if admission == FULL:
             self._forget_mark(task, False)
             del self._tasks[task.job]
             task.over = True
-            self._away(task.peer, task.record, 503)
-            task.settle()
+            self._reject(task.peer, task.record, 503)
+            task.release_connection()
             return
-        if how == RUNS:
+        if admission == RUNS:
             task.record.begun = self._now()
-        self._turn()
+        self._advance_engine()
 
-    def _turn(self) -> None:
-        """Brings the engine up to now and acts on what ended."""
+    def _advance_engine(self) -> None:
+        """Advances the engine to the current time and handles the parts of tickets that ended."""
         if self._ended:
             return
         now = clock()
         for job in self._engine.advance(now):
             task = self._tasks.get(job)
             if task is not None:
-                self._part_ended(task)
+                self._handle_part_end(task)
         if self._engine.fell >= 0:
             self._refuse()
             for task in list(self._tasks.values()):
@@ -342,9 +343,9 @@
             self._timer = None
         due = self._engine.due()
         if due is not None:
-            self._timer = asyncio.get_running_loop().call_later(max(0, due - clock()) / 1e6, self._turn)
+            self._timer = asyncio.get_running_loop().call_later(max(0, due - clock()) / 1e6, self._advance_engine)
 
-    def _part_ended(self, task: Task) -> None:
+    def _handle_part_end(self, task: Task) -> None:
         if not task.job.parts:
             task.record.effect = self._now() if not task.record.repeat else -1
             self._answer(task)
@@ -352,48 +353,49 @@
         if self._client is None:
             self._engine.resume(task.job)
             return
-        task.child = asyncio.get_running_loop().create_task(self._call(task))
+        task.call_task = asyncio.get_running_loop().create_task(self._call(task))
 
     async def _call(self, task: Task) -> None:
-        """One call to the next tier. It fails if the call does."""
+        """Sends one call to the next tier. The ticket fails if the call does."""
         assert self._client is not None
         use = self._script.use_cases[task.record.use]
         self._calls += 1
-        turn = task.calls - len(task.job.parts)
+        call_index = task.calls - len(task.job.parts)
         name = f"{self.id}:{self._calls}"
-        mark = f"{task.record.mark or task.record.name}.{turn}" if use.repeat == "referenced" else ""
+        mark = f"{task.record.mark or task.record.name}.{call_index}" if use.repeat == "referenced" else ""
         left = 0
         if task.limit and self._script.rules.passes_limit:
             left = max(1, task.limit - clock())
-        asked = Asked(name, use, "", task.info, left, mark, b"", self._hint(task.info))
+        call_request = Asked(name, use, "", task.info, left, mark, b"", self._hint(task.info))
         intended = self._now()
         try:
-            reply = await self._client.ask(asked, self._patience(task, use.outer))
+            reply = await self._client.ask(call_request, self._call_timeout(task, use.outer))
         except asyncio.CancelledError:
-            self._note(task, asked, intended, Reply(LEFT))
+            self._record_call(task, call_request, intended, Reply(LEFT))
             raise
-        self._note(task, asked, intended, reply)
-        if not self._thawed.is_set():
-            await self._thawed.wait()
-        task.child = None
+        self._record_call(task, call_request, intended, reply)
+        if not self._reachable.is_set():
+            await self._reachable.wait()
+        task.call_task = None
         if task.over or self._ended:
             return
         if reply.how != DONE:
             self._fail(task)
             return
-        self._turn()
+        self._advance_engine()
         if not task.over:
             self._engine.resume(task.job)
-            self._turn()
+            self._advance_engine()
 
     def _hint(self, info: int) -> int:
+        """Expected work of the call (us), sent as a hint to the next tier; -1 where the script sends no hints."""
         tiers = self._script.tiers
         if not self._script.load.hints:
             return -1
         return (
             round(
                 info
-                * self._portion
+                * self._tier_work_share
                 / tiers[self.place.tier].work
                 * tiers[self.place.tier + 1].work
                 / tiers[self.place.tier].calls
@@ -402,89 +404,91 @@
             else -1
         )
 
-    def _patience(self, task: Task, outer: int) -> int:
-        """How long it waits for a call: as its own sender does, or as any client of the use case."""
+    def _call_timeout(self, task: Task, outer: int) -> int:
+        """Timeout of a call (us): the time left of the ticket's own, or the client time limit of the use case."""
         return max(1000, task.limit - clock()) if task.limit else outer
 
-    def _note(self, task: Task, asked: Asked, intended: int, reply: Reply) -> None:
-        """A call's own record, as a client's try has."""
+    def _record_call(self, task: Task, call_request: Asked, intended: int, reply: Reply) -> None:
+        """Records a call in the same form as an attempt of a client."""
         assert self.place.proxy is not None
         self._writer.add(
             ClientAttempt(
-                asked.name,
-                asked.name,
+                call_request.name,
+                call_request.name,
                 0,
-                asked.mark,
+                call_request.mark,
                 task.record.use,
                 -1,
                 self.place.proxy.number,
                 task.record.name,
-                asked.work,
+                call_request.work,
                 intended,
-                relative_time(asked.sent, self._start.at),
-                relative_time(asked.written, self._start.at),
+                relative_time(call_request.sent, self._start.at),
+                relative_time(call_request.written, self._start.at),
                 self._now(),
                 reply.how,
                 reply.status,
                 reply.advice,
-                asked.fresh,
-                asked.left,
-                relative_time(asked.crossed, self._start.at),
+                call_request.fresh,
+                call_request.left,
+                relative_time(call_request.crossed, self._start.at),
             )
         )
 
     def _answer(self, task: Task) -> None:
-        """Its work is whole: answers as its fate has it."""
+        """Responds to a ticket whose work is done, according to the fault drawn for it."""
         record, peer = task.record, task.peer
         fate = record.fate
-        if fate == weathers.ERROR:
-            self._plain(peer, 500, b"an error\n")
-        elif fate == weathers.RESET:
+        if fate == faults.ERROR:
+            self._respond(peer, 500, b"an error\n")
+        elif fate == faults.RESET:
             _reset(peer)
-        elif fate == weathers.GARBLE:
-            peer.writer.write(NOISE)
-        elif fate == weathers.LOST:
+        elif fate == faults.GARBLE:
+            peer.writer.write(GARBLED_RESPONSE)
+        elif fate == faults.LOST:
             pass
-        elif fate == weathers.HALF:
-            peer.writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 64\r\n\r\n" + answer_body(record.name)[:HALF_AT])
+        elif fate == faults.HALF:
+            peer.writer.write(
+                b"HTTP/1.1 200 OK\r\ncontent-length: 64\r\n\r\n" + answer_body(record.name)[:TRUNCATED_BODY_BYTES]
+            )
         else:
-            self._plain(peer, 200, answer_body(record.name))
+            self._respond(peer, 200, answer_body(record.name))
             record.answered = not peer.writer.transport.is_closing()
-        self._settle(task, answered=fate in (weathers.GOOD, weathers.ERROR))
+        self._settle(task, answered=fate in (faults.GOOD, faults.ERROR))
 
     def _fail(self, task: Task) -> None:
-        self._plain(task.peer, 500, b"a call failed\n")
+        self._respond(task.peer, 500, b"a call failed\n")
         self._settle(task)
 
     def _settle(self, task: Task, stopped: bool = False, answered: bool = True) -> None:
-        """It is over here. Repeats that wait for it get their answer, or do the work themselves."""
+        """Ends a ticket. Repeats that wait for it are answered if its work is done, or do the work themselves."""
         if task.over:
             return
         task.over = True
         job = task.job
-        if task.child is not None and not task.child.done():
-            task.child.cancel()
+        if task.call_task is not None and not task.call_task.done():
+            task.call_task.cancel()
         done = task.record.effect >= 0
         self._forget_mark(task, done or task.record.repeat)
         self._tasks.pop(job, None)
-        for entered in self._engine.leave(job):
-            if (following := self._tasks.get(entered)) is not None:
-                following.record.begun = self._now()
+        for started_job in self._engine.leave(job):
+            if (started_task := self._tasks.get(started_job)) is not None:
+                started_task.record.begun = self._now()
         task.record.ended = self._now()
         task.record.worked = round(job.done_work)
         self._writer.add(task.record)
-        for waiting in task.waited_for:
+        for waiting in task.waiting_repeats:
             if waiting.over:
                 continue
             if done:
                 waiting.job.parts = [1]
-            waiting.at.revive(waiting, done)
-        task.waited_for.clear()
+            waiting.at.resume_repeat(waiting, done)
+        task.waiting_repeats.clear()
         if answered and not stopped:
-            task.settle()
+            task.release_connection()
 
-    def revive(self, waiting: Task, done: bool) -> None:
-        """A repeat here whose first, maybe at another backend of the cell, is over."""
+    def resume_repeat(self, waiting: Task, done: bool) -> None:
+        """Continues a repeat here after the first ticket, maybe at another backend of the cell, is over."""
         if self._ended:
             return
         if not done:
@@ -494,9 +498,9 @@
                 waiting.record.use, waiting.record.mark, use.remembered, waiting.job, clock()
             )
             if known == "under way" and holder is not None:
-                # Of several that waited the first one does it.
+                # Another waiting repeat has already taken over the work; this one waits for it.
                 waiting.record.repeat = True
-                holder.owner.waited_for.append(waiting)
+                holder.owner.waiting_repeats.append(waiting)
                 return
         self._offer(waiting, 0)
 
@@ -504,24 +508,24 @@
         if self._script.use_cases[task.record.use].repeat == "referenced" and task.record.mark:
             self._memory.over(task.record.use, task.record.mark, task.job, done)
 
-    def _gone(self, task: Task) -> None:
-        """Its sender closed: what stops is the kind's to say."""
+    def _handle_disconnect(self, task: Task) -> None:
+        """Handles a disconnect of the sender: the backend kind configures which work is cancelled."""
         if task.over:
             return
         task.record.gone = self._now()
         cancel = self.place.kind.cancel
         if cancel == "all" or cancel == "waiting" and task.job.waiting:
-            self._turn()
+            self._advance_engine()
             if not task.over:
                 self._settle(task, stopped=True)
-            self._turn()
+            self._advance_engine()
 
-    def _away(self, peer: Peer, record: BackendAttempt, status: int) -> None:
+    def _reject(self, peer: Peer, record: BackendAttempt, status: int) -> None:
         record.away, record.ended = True, self._now()
         self._writer.add(record)
-        self._plain(peer, status, b"not started\n", (b"not-started", b"1"))
+        self._respond(peer, status, b"not started\n", (b"not-started", b"1"))
 
-    def _plain(self, peer: Peer, status: int, body: bytes, *more: tuple[bytes, bytes]) -> None:
+    def _respond(self, peer: Peer, status: int, body: bytes, *more: tuple[bytes, bytes]) -> None:
         if peer.writer.transport.is_closing() or peer.parser.our_state is not h11.SEND_RESPONSE:
             return
         headers = [(b"content-type", b"text/plain"), (b"content-length", b"%d" % len(body)), *more]
@@ -531,14 +535,15 @@
         return clock() - self._start.at
 
 
-async def _no_more(task: asyncio.Task[None]) -> None:
-    """Cancelled and over: a stream has one reader at a time, and one that is only told to go still reads."""
+async def _cancel_and_wait(task: asyncio.Task[None]) -> None:
+    """Cancels a task and waits for its end: a stream allows one reader at a time, and a cancelled task keeps reading
+    until it has ended."""
     task.cancel()
     await asyncio.wait((task,))
 
 
-async def _ends(peer: Peer) -> None:
-    """Until the other side ends; what it sends ahead is kept for its turn."""
+async def _read_until_closed(peer: Peer) -> None:
+    """Reads until the other side closes; data that it sends before is passed to the parser."""
     try:
         while data := await peer.reader.read(READ):
             peer.parser.receive_data(data)
@@ -547,18 +552,18 @@
 
 
 def _reset(peer: Peer) -> None:
-    """Ends a connection by a reset, as a process that dies does; a plain close would end it in order."""
-    taken = peer.writer.get_extra_info("socket")
-    if taken is not None and not peer.writer.transport.is_closing():
+    """Ends a connection by a TCP reset, as a crashed process does; a plain close would send a FIN."""
+    tcp_socket = peer.writer.get_extra_info("socket")
+    if tcp_socket is not None and not peer.writer.transport.is_closing():
         try:
-            taken.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except OSError:
             pass
     peer.abort()
 
 
-def _figure(header: bytes, name: bytes) -> int | None:
-    """One whole figure of a `name=value,name=value` header."""
+def _integer_value(header: bytes, name: bytes) -> int | None:
+    """The non-negative integer value of `name` in a `name=value,name=value` header; None if there is none."""
     for part in header.split(b","):
         key, _, value = part.strip().partition(b"=")
         if key == name and value.isdigit() and len(value) < 13:
@@ -566,10 +571,10 @@
     return None
 
 
-def _limit(message: Message) -> int:
-    """When its sender gives up (clock), 0 where it did not say."""
-    given = message.headers.get(b"request-timeout", b"")
-    unit = {b"m": 1000, b"u": 1}.get(given[-1:])
-    if unit is None or not given[:-1].isdigit() or len(given) > 13:
+def _sender_timeout_at(message: Message) -> int:
+    """When the sender times out (clock), 0 if the ticket has no valid Request-Timeout header."""
+    timeout_header = message.headers.get(b"request-timeout", b"")
+    unit = {b"m": 1000, b"u": 1}.get(timeout_header[-1:])
+    if unit is None or not timeout_header[:-1].isdigit() or len(timeout_header) > 13:
         return 0
-    return message.last + int(given[:-1]) * unit
+    return message.last + int(timeout_header[:-1]) * unit
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -152,14 +152,14 @@
     def test_a_drain_not_kept_is_found_however_long_all_takes_to_stand(self) -> None:
         """The proxy's own start was dated from the making of the play, and so into it: by the books it was
         a new process then, to whom nobody had said anything of the drain."""
-        stand = run_controller.RunController._stand_proxies
+        stand = run_controller.RunController._start_proxies
 
         async def slowly(self: run_controller.RunController) -> None:
             await asyncio.sleep(0.55)
             await stand(self)
 
         with (
-            mock.patch.object(run_controller.RunController, "_stand_proxies", slowly),
+            mock.patch.object(run_controller.RunController, "_start_proxies", slowly),
             mock.patch.dict(os.environ, {"WRONG": "drains"}),
             tempfile.TemporaryDirectory() as work,
         ):
