--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -11,7 +11,7 @@
 import h11
 
 from pepperusher.rehearsal import active_faults as faults
-from pepperusher.rehearsal.caller import Asked, Client, Reply
+from pepperusher.rehearsal.caller import OutgoingTicket, Client, Reply
 from pepperusher.rehearsal.engine import FULL, RUNS, Engine, Job, Memory, parts_of
 from pepperusher.rehearsal.fleet_plan import Place
 from pepperusher.rehearsal.records import DONE, LEFT, BackendAttempt, BackendLifetimeRecord, ClientAttempt, Writer
@@ -366,7 +366,7 @@
         left = 0
         if task.limit and self._script.rules.passes_limit:
             left = max(1, task.limit - clock())
-        call_request = Asked(name, use, "", task.info, left, mark, b"", self._hint(task.info))
+        call_request = OutgoingTicket(name, use, "", task.info, left, mark, b"", self._hint(task.info))
         intended = self._now()
         try:
             reply = await self._client.ask(call_request, self._call_timeout(task, use.outer))
@@ -379,7 +379,7 @@
         task.call_task = None
         if task.over or self._ended:
             return
-        if reply.how != DONE:
+        if reply.outcome != DONE:
             self._fail(task)
             return
         self._advance_engine()
@@ -408,7 +408,7 @@
         """Timeout of a call (us): the time left of the ticket's own, or the client time limit of the use case."""
         return max(1000, task.limit - clock()) if task.limit else outer
 
-    def _record_call(self, task: Task, call_request: Asked, intended: int, reply: Reply) -> None:
+    def _record_call(self, task: Task, call_request: OutgoingTicket, intended: int, reply: Reply) -> None:
         """Records a call in the same form as an attempt of a client."""
         assert self.place.proxy is not None
         self._writer.add(
@@ -416,22 +416,22 @@
                 call_request.name,
                 call_request.name,
                 0,
-                call_request.mark,
+                call_request.idempotency_key,
                 task.record.use,
                 -1,
                 self.place.proxy.number,
                 task.record.name,
                 call_request.work,
                 intended,
-                relative_time(call_request.sent, self._start.at),
-                relative_time(call_request.written, self._start.at),
+                relative_time(call_request.sent_at, self._start.at),
+                relative_time(call_request.written_at, self._start.at),
                 self._now(),
-                reply.how,
+                reply.outcome,
                 reply.status,
-                reply.advice,
-                call_request.fresh,
-                call_request.left,
-                relative_time(call_request.crossed, self._start.at),
+                reply.retry_after,
+                call_request.on_new_connection,
+                call_request.sent_timeout,
+                relative_time(call_request.resent_at, self._start.at),
             )
         )
 
--- a/pepperusher/rehearsal/client_behavior.py
+++ b/pepperusher/rehearsal/client_behavior.py
@@ -1,4 +1,4 @@
-"""How a client behaves from try to try, free of I/O: how long it waits, whether it asks again, and when."""
+"""The timeout and retry policy of a simulated client, free of I/O."""
 
 from __future__ import annotations
 
@@ -7,56 +7,56 @@
 from pepperusher.rehearsal.records import BOUNCED, DONE, NOBODY, UNREACHED
 from pepperusher.rehearsal.script import Load, UseCase
 
-# Tries that certainly came to nothing: a single-use ticket may be asked again after these alone.
-NEVER_RAN = (BOUNCED, UNREACHED, NOBODY)
-# A client that finds nobody looks again after this, or after its own wait if that is longer.
-LOOK_AGAIN = 50_000
+# Outcomes after which no backend has executed the ticket; only after these may a single-use ticket be retried.
+NOT_EXECUTED = (BOUNCED, UNREACHED, NOBODY)
+# Minimum delay (us) before a retry after no proxy could be reached.
+UNREACHED_BACKOFF = 50_000
 
 
 class RequestBehavior:
-    """What one client wants once, over all its tries. All chance is its own, from the script's seed and its
-    place in the plan, so that what one client does never changes another's draws."""
+    """The policy for one request over all its attempts. Its random numbers depend only on the seed of the script and on
+    the request's position in the plan, so requests do not influence each other's draws."""
 
-    __slots__ = ("use", "_load", "_chance", "_intended", "nth", "timeout", "_leaves")
+    __slots__ = ("use", "_load", "_random", "_intended", "nth", "timeout", "_disconnect_after")
 
     def __init__(self, use: UseCase, load: Load, seed: int, order: int, intended: int) -> None:
         self.use = use
         self._load = load
-        self._chance = Random(seed * 1_000_003 + order)
+        self._random = Random(seed * 1_000_003 + order)
         self._intended = intended
         self.nth = 0
-        self._draw(use.outer)
+        self._draw_timeout(use.outer)
 
-    def _draw(self, left: int) -> None:
-        self.timeout = int(max(1, min(left, round(self.use.outer * self._load.patience))))
-        self._leaves = -1
-        if self._load.leave and self._chance.random() < self._load.leave:
-            self._leaves = max(1, round(self.timeout * self._chance.random()))
+    def _draw_timeout(self, remaining: int) -> None:
+        self.timeout = int(max(1, min(remaining, round(self.use.outer * self._load.patience))))
+        self._disconnect_after = -1
+        if self._load.leave and self._random.random() < self._load.leave:
+            self._disconnect_after = max(1, round(self.timeout * self._random.random()))
 
     def wait_time(self, slack: int) -> int:
-        """How long it waits on the socket: what it told and the rules' slack, so that an answer that comes
-        just in time is seen; or less, where it is one that leaves before."""
-        return self._leaves if self._leaves >= 0 else self.timeout + slack
+        """How long the client waits for the response (us): the timeout that it sent plus `slack`, so that a response
+        just before the timeout still arrives. A client that disconnects early waits less."""
+        return self._disconnect_after if self._disconnect_after >= 0 else self.timeout + slack
 
     @property
     def deadline(self) -> int:
-        """When it is no longer wanted at all."""
+        """When the client gives up on the request, including retries (clock)."""
         return self._intended + self.use.outer
 
     def next_attempt_time(self, how: str, advice: int, now: int) -> int | None:
-        """When to ask again after a try that ended `how`, with what was advised (us, 0 nothing); None for
-        never."""
+        """When to send the next attempt, after one that ended with the outcome `how` and the Retry-After delay `advice`
+        (us, 0 for none). None if there is no further attempt."""
         if how == DONE or self.nth >= self._load.retries:
             return None
-        if self.use.repeat == "single-use" and how not in NEVER_RAN:
+        if self.use.repeat == "single-use" and how not in NOT_EXECUTED:
             return None
-        wait = int(self._load.backoff)
+        delay = int(self._load.backoff)
         if how == NOBODY or how == UNREACHED:
-            wait = max(wait, LOOK_AGAIN)
-        if advice and self._chance.random() < self._load.honours:
-            wait = max(wait, advice)
-        if now + wait >= self.deadline:
+            delay = max(delay, UNREACHED_BACKOFF)
+        if advice and self._random.random() < self._load.honours:
+            delay = max(delay, advice)
+        if now + delay >= self.deadline:
             return None
         self.nth += 1
-        self._draw(self.deadline - now - wait)
-        return now + wait
+        self._draw_timeout(self.deadline - now - delay)
+        return now + delay
--- a/pepperusher/rehearsal/fleet.py
+++ b/pepperusher/rehearsal/fleet.py
@@ -1,6 +1,6 @@
-"""The process that plays backends: `python -m pepperusher.rehearsal.fleet SCRIPT.json NET PROCESS WORK`.
+"""The process that runs simulated backends: `python -m pepperusher.rehearsal.fleet SCRIPT.json NET PROCESS WORK`.
 
-It works out for itself who stands where when and what strikes whom, and is only told when the start is.
+It derives all lifetimes and faults of its backends from the script; the controller only sends the start time.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
         self._line = timeline(script, plan)
         self._writer = writer
         self._start = Start()
-        self._mine = [place for place in plan.places if plan.process_of(place, script.processes) == process]
-        self._memories: dict[object, Memory] = {}  # one for each group that shares one, so as many as the script has
-        self._standing: dict[int, Backend] = {}  # by place; emptied as stays end
+        self._places = [place for place in plan.places if plan.process_of(place, script.processes) == process]
+        self._memories: dict[object, Memory] = {}  # one for each scope of idempotency keys in the script
+        self._running_backends: dict[int, Backend] = {}  # by place; an entry is removed when its backend ends
         self._tasks: list[asyncio.Task[None]] = []
 
     def _memory(self, place: Place) -> Memory:
@@ -47,59 +47,62 @@
         return self._memories.setdefault(key, Memory())
 
     async def stand(self) -> None:
-        """Those that stand from the beginning."""
+        """Starts the backends that exist from the beginning of the run."""
         for life in self._line.lives:
-            if life.born < 0 and (place := self._plan.places[life.place]) in self._mine:
-                await self._arrive(life, place)
+            if life.born < 0 and (place := self._plan.places[life.place]) in self._places:
+                await self._start_backend(life, place)
 
-    async def _arrive(self, life: Life, place: Place) -> None:
+    async def _start_backend(self, life: Life, place: Place) -> None:
         backend = Backend(self._script, place, life.id, life.born, self._memory(place), self._writer, self._start)
-        self._standing[place.number] = backend
+        self._running_backends[place.number] = backend
         await backend.listen()
 
     def begin(self, at: int) -> None:
-        """The start is at `at` on the clock."""
+        """Schedules the lifetimes and faults; the run starts at clock time `at`."""
         self._start.at = at
         loop = asyncio.get_running_loop()
-        for place in self._mine:
-            self._tasks.append(loop.create_task(self._live(place)))
+        for place in self._places:
+            self._tasks.append(loop.create_task(self._run_place(place)))
 
-    async def _until(self, at: int) -> None:
+    async def _sleep_until(self, at: int) -> None:
         while (left := self._start.at + at - clock()) > 0:
             await asyncio.sleep(left / 1e6)
 
-    async def _live(self, place: Place) -> None:
-        """All that happens at one place, in its order."""
-        edges = [(at, 1, None) for at in active_faults.transition_times(self._line.strikes, place.number)]
-        stays: list[tuple[int, int, Life | None]] = []
+    async def _run_place(self, place: Place) -> None:
+        """Applies all starts, ends and faults at one place, in the order of their times."""
+        transitions = [(at, 1, None) for at in active_faults.transition_times(self._line.strikes, place.number)]
+        lifetime_events: list[tuple[int, int, Life | None]] = []
         for life in self._line.lives:
             if life.place != place.number:
                 continue
             if life.born >= 0:
-                stays.append((life.born, 0, life))
+                lifetime_events.append((life.born, 0, life))
             if life.ends >= 0:
-                stays.append((life.ends, -1, life))
-        for at, _, life in sorted([*edges, *stays], key=lambda one: one[:2]):
-            await self._until(at)
+                lifetime_events.append((life.ends, -1, life))
+        for at, _, life in sorted([*transitions, *lifetime_events], key=lambda event: event[:2]):
+            await self._sleep_until(at)
             if life is not None and at == life.ends:
-                backend = self._standing[place.number]
-                followed = any(one.place == place.number and one.born == at for one in self._line.lives)
-                if followed:
-                    # A new id at an old address: the same process goes on under another name.
+                backend = self._running_backends[place.number]
+                continues = any(
+                    next_life.place == place.number and next_life.born == at for next_life in self._line.lives
+                )
+                if continues:
+                    # Only the id changes: the same backend continues at its address.
                     continue
-                del self._standing[place.number]
+                del self._running_backends[place.number]
                 backend.end(at)
                 continue
             if life is not None:
-                standing = self._standing.get(place.number)
-                if standing is not None:
-                    standing.renamed(life.id, at)
+                running_backend = self._running_backends.get(place.number)
+                if running_backend is not None:
+                    running_backend.renamed(life.id, at)
                 else:
-                    await self._arrive(life, place)
-            if (backend_now := self._standing.get(place.number)) is not None:
-                await backend_now.weather(active_faults.faults_at(self._line.strikes, place.number, at))
+                    await self._start_backend(life, place)
+            if (active_backend := self._running_backends.get(place.number)) is not None:
+                await active_backend.weather(active_faults.faults_at(self._line.strikes, place.number, at))
 
     async def flush(self) -> None:
+        """Flushes the records to disk every FLUSH_EVERY seconds."""
         while True:
             await asyncio.sleep(FLUSH_EVERY)
             self._writer.flush()
@@ -107,7 +110,7 @@
     def end(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for backend in self._standing.values():
+        for backend in self._running_backends.values():
             backend.end(-1)
         self._writer.close()
 
@@ -116,9 +119,9 @@
     fleet = Fleet(script, FleetPlan(script, net), process, Writer(work / f"fleet-{process}.records"))
     orders = await Orders.open()
     await fleet.stand()
-    flushing = asyncio.get_running_loop().create_task(fleet.flush())
+    flush_task = asyncio.get_running_loop().create_task(fleet.flush())
     asyncio.get_running_loop().set_exception_handler(
-        lambda _, trouble: orders.say(failed=f"{trouble.get('message')}: {trouble.get('exception')!r}")
+        lambda _, context: orders.say(failed=f"{context.get('message')}: {context.get('exception')!r}")
     )
     orders.say(standing=True)
     while (order := await orders.next()) is not None:
@@ -126,7 +129,7 @@
             fleet.begin(order["start"])
         if "end" in order:
             break
-    flushing.cancel()
+    flush_task.cancel()
     fleet.end()
     orders.say(ended=True)
 
--- a/pepperusher/rehearsal/fleet_plan.py
+++ b/pepperusher/rehearsal/fleet_plan.py
@@ -1,6 +1,6 @@
-"""Who is in the fleet and where: backends, proxies and addresses, worked out from the script alone.
+"""The backends and proxies of the fleet with their addresses, derived from the script alone.
 
-Every process of a rehearsal works it out for itself and comes to the same, so none of it need be sent about.
+Every process of a rehearsal derives the same plan by itself, so the plan is not sent between processes.
 """
 
 from __future__ import annotations
@@ -14,12 +14,13 @@
 DISCOVERY_PORT = 8500
 
 
-def _host(net: int, third: int, number: int) -> str:
-    return f"127.{net}.{third + number // 250}.{1 + number % 250}"
+def _host(net: int, third_octet: int, number: int) -> str:
+    return f"127.{net}.{third_octet + number // 250}.{1 + number % 250}"
 
 
 class Place:
-    """One place for a backend. Whoever stands there may be replaced; `generation` tells them apart."""
+    """A fixed address at which backends run one after another. A backend's id holds its `generation`, which counts the
+    replacements."""
 
     __slots__ = ("number", "name", "tier", "kind", "zone", "cell", "address", "proxy")
 
@@ -33,14 +34,15 @@
         self.zone = zone
         self.cell = cell
         self.address = address
-        self.proxy: Gate | None = None  # its own, to the next tier
+        self.proxy: Gate | None = None  # the backend's own proxy, for its calls to the next tier
 
     def id_at(self, generation: int) -> str:
         return f"{self.name}.{generation}" if generation else self.name
 
 
 class Gate:
-    """One proxy's place. `of` is the backend whose calls it carries, None in the first tier."""
+    """A fixed address at which processes of one proxy run one after another. `of` is the backend whose calls the proxy
+    forwards, None in the first tier."""
 
     __slots__ = ("number", "name", "tier", "zone", "ordinal", "group", "address", "discovery", "of")
 
@@ -68,8 +70,7 @@
 
 
 class FleetPlan:
-    """`places` and `gates` in the script's order. `net` is the second number of all addresses,
-    127.net.x.y."""
+    """All backend places and proxy gates, in the order of the script. All addresses are of the form 127.net.x.y."""
 
     def __init__(self, script: Script, net: int) -> None:
         self.script = script
@@ -77,29 +78,29 @@
         self.places: list[Place] = []
         self.gates: list[Gate] = []
         self.by_name: dict[str, Place] = {}
-        for level, tier in enumerate(script.tiers):
-            at = 0
+        for tier_index, tier in enumerate(script.tiers):
+            index = 0
             for kind in tier.kinds:
                 for _ in range(kind.count):
                     number = len(self.places)
-                    zone = tier.zones[at % len(tier.zones)]
+                    zone = tier.zones[index % len(tier.zones)]
                     place = Place(
                         number,
-                        f"{tier.name}-{at + 1}",
-                        level,
+                        f"{tier.name}-{index + 1}",
+                        tier_index,
                         kind,
                         zone,
-                        1000 * level + at // tier.cell,
+                        1000 * tier_index + index // tier.cell,
                         (_host(net, 20, number), BACKEND_PORT),
                     )
                     self.places.append(place)
                     self.by_name[place.name] = place
-                    at += 1
-        for level, tier in enumerate(script.tiers):
-            if level == 0:
+                    index += 1
+        for tier_index, tier in enumerate(script.tiers):
+            if tier_index == 0:
                 callers: list[Place | None] = [None] * tier.proxies
             else:
-                callers = [place for place in self.places if place.tier == level - 1]
+                callers = [place for place in self.places if place.tier == tier_index - 1]
             for ordinal, of in enumerate(callers):
                 number = len(self.gates)
                 zone = of.zone if of else tier.zones[ordinal % len(tier.zones)]
@@ -107,7 +108,7 @@
                 gate = Gate(
                     number,
                     name,
-                    level,
+                    tier_index,
                     zone,
                     ordinal,
                     len(callers),
@@ -120,11 +121,11 @@
                     of.proxy = gate
 
     def process_of(self, place: Place, processes: int) -> int:
-        """Which process of the fleet holds it: those of one cell stand together, since they share a
-        memory."""
+        """The number of the fleet process that runs the backend. Backends of one cell run in one process, since they
+        share their memory of idempotency keys."""
         return zlib.crc32(b"%d" % place.cell) % processes if processes > 1 else 0
 
     @property
     def front(self) -> list[Gate]:
-        """Where clients come in; where the script has no proxies, nobody."""
+        """The proxies that receive the clients' tickets; empty if the script has no proxies."""
         return [gate for gate in self.gates if gate.tier == 0]
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -1,8 +1,8 @@
-"""The process that plays clients: `python -m pepperusher.rehearsal.generator SCRIPT.json PROCESS WORK
-TARGETS`.
+"""The load generator process: `python -m pepperusher.rehearsal.generator SCRIPT.json PROCESS WORK TARGETS`.
 
-Open loop: each first try goes out at its intended time whatever became of those before. It works out the plan
-for itself and plays each `processes`-th ticket of it. TARGETS is JSON, each with number, zone and address.
+The load is open-loop: each first attempt is sent at its intended time, whatever the state of earlier ones. Each process
+derives the arrival plan from the script and sends every `processes`-th ticket of it. TARGETS is a JSON list of proxies,
+each with number, zone, host and port.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from pepperusher.rehearsal import script as scripts
 from pepperusher.rehearsal import traces
 from pepperusher.rehearsal.arrivals import Arrival, Mix, work_of
-from pepperusher.rehearsal.caller import Asked, Client, Reply
+from pepperusher.rehearsal.caller import OutgoingTicket, Client, Reply
 from pepperusher.rehearsal.client_behavior import RequestBehavior
 from pepperusher.rehearsal.records import NOBODY, Stall, ClientAttempt, Writer
 from pepperusher.rehearsal.script import Script
@@ -25,60 +25,73 @@
 from pepperusher.rehearsal.wire import Start, clock, relative_time
 from pepperusher.rehearsal.worker import Orders
 
-BEAT = 5_000
+STALL_CHECK_INTERVAL = 5_000
 FLUSH_EVERY = 0.25
-# Timers of the loop are whole milliseconds of the kernel's, rounded up, and a busy machine wakes later still:
-# it sleeps to between these short of a time, and goes round without sleeping for the rest.
-COARSE, COARSEST = 1_300, 8_000
-# After the last ticket was due, the longest that anything is waited for beyond the longest outer limit.
-BEYOND = 1_000_000
+# Event loop timers are rounded up to whole milliseconds, and a busy machine wakes the process later still. The
+# generator therefore sleeps until a margin (us) before the intended time and polls for the rest. The margin adapts
+# between these limits.
+MIN_SLEEP_MARGIN, MAX_SLEEP_MARGIN = 1_300, 8_000
+# Extra time (us) beyond the longest client time limit for the last tickets to finish.
+FINISH_GRACE = 1_000_000
 
 
-# Of so many proxies one gets more than its part where traffic is uneven.
-ONE_OF = 15
+# With uneven traffic, one in this many proxies gets more than its share.
+PROXIES_PER_BUSY_PROXY = 15
 
 
 class Front:
-    """Deals tickets out among the proxies of a client's zone that are in, in turn; those kept open go
-    first. One of ONE_OF gets `uneven` times the mean."""
+    """Selects the proxy for each ticket: round-robin over the admitted proxies in the client's zone.
+
+    With `uneven` above 1, one in PROXIES_PER_BUSY_PROXY gets `uneven` times the mean traffic. With probability `stays`
+    a ticket goes to a proxy that is not admitted, over a connection that is still open.
+    """
 
     def __init__(
         self, clients: list[tuple[str, Client]], uneven: float = 1.0, seed: int = 0, stays: float = 0.0
     ) -> None:
         self._clients = clients
-        self._stays = stays
-        self._staying = Random(f"{seed}:stays")
-        busy = len(clients) // ONE_OF if uneven > 1.0 else 0
-        rest = (len(clients) - uneven * busy) / (len(clients) - busy) if busy else 1.0
-        self._weights = {id(one): uneven if place < busy else rest for place, (_, one) in enumerate(clients)}
-        self._chance = Random(f"{seed}:front") if busy else None
-        self._in = list(clients)
-        self._last = list(clients)
-        self._turn = 0
+        self._sticky_share = stays
+        self._sticky_random = Random(f"{seed}:stays")
+        busy_count = len(clients) // PROXIES_PER_BUSY_PROXY if uneven > 1.0 else 0
+        other_weight = (len(clients) - uneven * busy_count) / (len(clients) - busy_count) if busy_count else 1.0
+        self._weights = {
+            id(client): uneven if index < busy_count else other_weight for index, (_, client) in enumerate(clients)
+        }
+        self._weighted_random = Random(f"{seed}:front") if busy_count else None
+        self._admitted = list(clients)
+        self._last_admitted = list(clients)
+        self._next_index = 0
 
     def admit(self, numbers: set[int]) -> None:
-        self._in = [one for one in self._clients if one[1].proxy in numbers]
-        if self._in:
-            self._last = self._in
+        """Sets the proxies that clients may select."""
+        self._admitted = [target for target in self._clients if target[1].proxy in numbers]
+        if self._admitted:
+            self._last_admitted = self._admitted
 
     def next(self, zone: str) -> Client | None:
-        """Where none is in, clients go on as they did; None where there never was one. Some stay with a proxy that is out,
-        for as long as a connection to it is open."""
-        if self._stays and self._staying.random() < self._stays:
-            left = [one for one in self._clients if one not in self._in and one[1].rests]
-            if left:
-                return self._staying.choice(left)[1]
-        those = self._in or self._last
-        near = [one for one in those if one[0] == zone] or those
-        if not near:
+        """The connections to the selected proxy; None if there is no proxy at all. If no proxy is admitted, the last
+        admitted ones stay in use."""
+        if self._sticky_share and self._sticky_random.random() < self._sticky_share:
+            removed = [
+                target for target in self._clients if target not in self._admitted and target[1].has_idle_connection
+            ]
+            if removed:
+                return self._sticky_random.choice(removed)[1]
+        candidates = self._admitted or self._last_admitted
+        same_zone = [target for target in candidates if target[0] == zone] or candidates
+        if not same_zone:
             return None
-        if self._chance is not None:
-            return self._chance.choices(near, [self._weights[id(one)] for _, one in near])[0][1]
-        self._turn += 1
-        return near[self._turn % len(near)][1]
+        if self._weighted_random is not None:
+            return self._weighted_random.choices(same_zone, [self._weights[id(client)] for _, client in same_zone])[0][
+                1
+            ]
+        self._next_index += 1
+        return same_zone[self._next_index % len(same_zone)][1]
 
 
 class Generator:
+    """Sends the tickets of one load generator process and records their attempts."""
+
     def __init__(self, script: Script, process: int, front: Front, zones: list[str], writer: Writer) -> None:
         self._script = script
         self._process = process
@@ -86,25 +99,27 @@
         self._zones = zones
         self._writer = writer
         self._start = Start()
-        self._open: set[asyncio.Task[None]] = set()  # emptied as wishes end
-        self._margin = SleepMargin(COARSE, COARSEST)
+        self._open_requests: set[asyncio.Task[None]] = set()  # an entry is removed when its request ends
+        self._margin = SleepMargin(MIN_SLEEP_MARGIN, MAX_SLEEP_MARGIN)
         self.sent = 0
 
     def plan(self) -> list[Arrival]:
+        """The arrivals that this process sends; empty for a closed-loop load."""
         if self._script.load.users:
             return []
         return traces.plan_of(self._script)[self._process :: self._script.load.processes]
 
     async def play(self, start: int, plan: list[Arrival]) -> None:
+        """Sends all tickets; returns once all have ended, or after a time limit."""
         self._start.at = start
         loop = asyncio.get_running_loop()
         gc.collect()
         gc.freeze()
-        # A collection among tens of thousands of live objects stops all clients for longer than a send may be
-        # late; none at all, and a script whose clients open a connection a ticket grows without end.
+        # A garbage collection over tens of thousands of live objects would pause all clients for longer than a send
+        # may be late. Without any collection, a script that opens a connection per ticket would leak memory.
         gc.set_threshold(20_000, 50, 1_000)
         if self._script.load.users:
-            await self._users()
+            await self._run_closed_loop()
             return
         for arrival in plan:
             due = start + arrival.at
@@ -112,53 +127,55 @@
                 if left <= self._margin.now:
                     await asyncio.sleep(0)
                     continue
-                wakes = due - self._margin.now
-                await asyncio.sleep((wakes - clock()) / 1e6)
-                self._margin.woke(clock() - wakes)
-            wish = loop.create_task(self._wish(arrival, due))
-            self._open.add(wish)
-            wish.add_done_callback(self._open.discard)
+                wake_at = due - self._margin.now
+                await asyncio.sleep((wake_at - clock()) / 1e6)
+                self._margin.woke(clock() - wake_at)
+            request = loop.create_task(self._run_request(arrival, due))
+            self._open_requests.add(request)
+            request.add_done_callback(self._open_requests.discard)
             self.sent += 1
-        if self._open:
-            await asyncio.wait(self._open, timeout=(self._longest() + BEYOND) / 1e6)
+        if self._open_requests:
+            await asyncio.wait(self._open_requests, timeout=(self._longest_time_limit() + FINISH_GRACE) / 1e6)
 
-    def _longest(self) -> int:
+    def _longest_time_limit(self) -> int:
         return max(use.outer for use in self._script.use_cases)
 
-    def _portion(self) -> float:
-        """The part of a ticket's work that falls in the first tier, for the hint."""
+    def _first_tier_share(self) -> float:
+        """The share of a ticket's work that is done in the first tier, for the work hint."""
         return self._script.tiers[0].work
 
-    async def _wish(self, arrival: Arrival, due: int) -> None:
+    async def _run_request(self, arrival: Arrival, due: int) -> None:
         use = self._script.use_cases[arrival.use]
-        wish = RequestBehavior(use, self._script.load, self._script.seed, arrival.order, due)
+        request = RequestBehavior(use, self._script.load, self._script.seed, arrival.order, due)
         intended: int | None = due
         zone = self._zones[arrival.order % len(self._zones)]
         while intended is not None:
             if (left := intended - clock()) > 0:
                 await asyncio.sleep(left / 1e6)
-            intended = await self._try(arrival, wish, intended, zone)
+            intended = await self._send_attempt(arrival, request, intended, zone)
 
-    async def _try(self, arrival: Arrival, wish: RequestBehavior, intended: int, zone: str) -> int | None:
-        """One try; when the next is to be."""
-        use, nth = wish.use, wish.nth
+    async def _send_attempt(self, arrival: Arrival, request: RequestBehavior, intended: int, zone: str) -> int | None:
+        """Sends one attempt and records it; returns when the next attempt is due, None if there is none."""
+        use, nth = request.use, request.nth
         customers = self._script.customers
         name = f"w{arrival.order}.{nth}"
         mark = f"m{arrival.order}" if use.repeat == "referenced" else ""
-        hint = round(arrival.work * self._portion()) if self._script.load.hints else -1
-        asked = Asked(
+        hint = round(arrival.work * self._first_tier_share()) if self._script.load.hints else -1
+        ticket = OutgoingTicket(
             name,
             use,
             customers[arrival.customer].name if arrival.customer >= 0 else "",
             arrival.work,
-            wish.timeout,
+            request.timeout,
             mark,
             b"x" * use.body,
             hint,
             nth > 0,
         )
         client = self._front.next(zone)
-        reply = Reply(NOBODY) if client is None else await client.ask(asked, wish.wait_time(self._script.rules.slack))
+        reply = (
+            Reply(NOBODY) if client is None else await client.ask(ticket, request.wait_time(self._script.rules.slack))
+        )
         ended = clock()
         start = self._start.at
         self._writer.add(
@@ -173,65 +190,69 @@
                 "",
                 arrival.work,
                 intended - start,
-                relative_time(asked.sent, start),
-                relative_time(asked.written, start),
+                relative_time(ticket.sent_at, start),
+                relative_time(ticket.written_at, start),
                 ended - start,
-                reply.how,
+                reply.outcome,
                 reply.status,
-                reply.advice,
-                asked.fresh,
-                wish.timeout,
-                relative_time(asked.crossed, start),
+                reply.retry_after,
+                ticket.on_new_connection,
+                request.timeout,
+                relative_time(ticket.resent_at, start),
             )
         )
-        return wish.next_attempt_time(reply.how, reply.advice, ended)
+        return request.next_attempt_time(reply.outcome, reply.retry_after, ended)
 
-    async def _users(self) -> None:
-        """Closed loop: so many users, each asking again when it has its answer. For comparison, since it
-        hides a stall: while it lasts nobody asks."""
-        ends = self._start.at + self._script.span
+    async def _run_closed_loop(self) -> None:
+        """Runs a closed-loop load: each user sends its next ticket once the last one has ended. It exists for
+        comparison, since it hides stalls: during a stall no tickets are sent."""
+        end_at = self._start.at + self._script.span
         mix = Mix(self._script)
         orders = iter(range(self._process, 1 << 60, self._script.load.processes))
 
         async def user(number: int) -> None:
-            chance = Random(f"{self._script.seed}:user:{number}")
+            user_random = Random(f"{self._script.seed}:user:{number}")
             while (left := self._start.at - clock()) > 0:
                 await asyncio.sleep(left / 1e6)
-            while clock() < ends:
-                use, customer = mix.draw(chance)
+            while clock() < end_at:
+                use, customer = mix.draw(user_random)
                 due = clock()
                 arrival = Arrival(
                     due - self._start.at,
                     use,
                     customer,
-                    work_of(self._script.use_cases[use], chance),
+                    work_of(self._script.use_cases[use], user_random),
                     next(orders),
                 )
-                await self._wish(arrival, due)
+                await self._run_request(arrival, due)
 
         await asyncio.gather(
             *(user(number) for number in range(self._process, self._script.load.users, self._script.load.processes))
         )
 
     async def beat(self) -> None:
-        heart = StallDetector(BEAT, self._script.load.stall)
-        flushed = 0.0
+        """Records stalls of the event loop of this process, and flushes the records regularly."""
+        stall_detector = StallDetector(STALL_CHECK_INTERVAL, self._script.load.stall)
+        since_flush = 0.0
         while True:
-            stall = heart.beat(clock())
+            stall = stall_detector.beat(clock())
             if stall is not None:
                 self._writer.add(Stall(self._process, stall[0] - self._start.at, stall[1] - self._start.at))
-            await asyncio.sleep(BEAT / 1e6)
-            flushed += BEAT / 1e6
-            if flushed >= FLUSH_EVERY:
-                flushed = 0.0
+            await asyncio.sleep(STALL_CHECK_INTERVAL / 1e6)
+            since_flush += STALL_CHECK_INTERVAL / 1e6
+            if since_flush >= FLUSH_EVERY:
+                since_flush = 0.0
                 self._writer.flush()
 
 
 async def run(script: Script, process: int, work: Path, targets: list[dict[str, object]]) -> None:
-    kept = script.load.connections == "kept"
+    reuse_connections = script.load.connections == "kept"
     clients = [
-        (str(one["zone"]), Client((str(one["host"]), int(str(one["port"]))), int(str(one["number"])), kept))
-        for one in targets
+        (
+            str(target["zone"]),
+            Client((str(target["host"]), int(str(target["port"]))), int(str(target["number"])), reuse_connections),
+        )
+        for target in targets
     ]
     front = Front(clients, script.load.uneven, script.seed, script.load.stays)
     writer = Writer(work / f"load-{process}.records")
@@ -240,11 +261,11 @@
     orders = await Orders.open()
     plan = generator.plan()
     orders.say(planned=len(plan))
-    playing: asyncio.Task[None] | None = None
-    beating: asyncio.Task[None] | None = None
+    play_task: asyncio.Task[None] | None = None
+    stall_check_task: asyncio.Task[None] | None = None
     loop = asyncio.get_running_loop()
 
-    def over(task: asyncio.Task[None]) -> None:
+    def report_end(task: asyncio.Task[None]) -> None:
         if task.cancelled():
             return
         error = task.exception()
@@ -258,11 +279,11 @@
         if "admit" in order:
             front.admit(set(order["admit"]))
         if "start" in order:
-            beating = loop.create_task(generator.beat())
-            beating.add_done_callback(over)
-            playing = loop.create_task(generator.play(order["start"], plan))
-            playing.add_done_callback(over)
-    for task in (playing, beating):
+            stall_check_task = loop.create_task(generator.beat())
+            stall_check_task.add_done_callback(report_end)
+            play_task = loop.create_task(generator.play(order["start"], plan))
+            play_task.add_done_callback(report_end)
+    for task in (play_task, stall_check_task):
         if task is not None:
             task.cancel()
     writer.close()
--- a/pepperusher/rehearsal/worker.py
+++ b/pepperusher/rehearsal/worker.py
@@ -1,5 +1,5 @@
-"""A process of a rehearsal: told what to do by lines of JSON on its standard input, it says what it has done
-on its standard output. The director's side of it is `Worker`, the process's own is `Orders`."""
+"""The control channel between the controller and a process of a rehearsal: JSON lines, with orders on the standard input
+of the process and reports on its standard output. `Worker` is the controller's side, `Orders` the process's."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class WorkerError(RuntimeError):
-    """A process of the rehearsal ended, or did not do as told; its text is one line."""
+    """A process of the rehearsal exited, failed or did not report in time. The message is one line."""
 
 
 class Worker:
-    """One process of the module `module`, started by the director."""
+    """One process started by the controller, with its control channel."""
 
     def __init__(self, process: asyncio.subprocess.Process, name: str, log: Path) -> None:
         self._process = process
@@ -53,37 +53,41 @@
         return self._process.pid
 
     def tell(self, **order: Any) -> None:
+        """Sends an order; does nothing if the process has exited."""
         assert self._process.stdin is not None
         if self._process.returncode is None:
             self._process.stdin.write(json.dumps(order).encode() + b"\n")
 
     async def said(self, what: str, within: float) -> dict[str, Any]:
-        """The next line that says `what`. Raises WorkerError if the process fails, ends or takes longer."""
+        """Waits for the next report with the key `what`. Raises WorkerError if the process fails, exits, or does not
+        report within `within` seconds."""
         assert self._process.stdout is not None
         try:
             async with asyncio.timeout(within):
                 while True:
                     line = await self._process.stdout.readline()
                     if not line:
-                        raise WorkerError(f"{self.name} ended: {self._last_words()}")
-                    told = json.loads(line)
-                    if "failed" in told:
-                        raise WorkerError(f"{self.name} failed: {told['failed']}")
-                    if what in told:
-                        return told
+                        raise WorkerError(f"{self.name} ended: {self._last_log_line()}")
+                    report = json.loads(line)
+                    if "failed" in report:
+                        raise WorkerError(f"{self.name} failed: {report['failed']}")
+                    if what in report:
+                        return report
         except TimeoutError:
-            raise WorkerError(f"{self.name} did not say {what} within {within:g} s: {self._last_words()}") from None
+            raise WorkerError(
+                f"{self.name} did not report {what} within {within:g} s: {self._last_log_line()}"
+            ) from None
 
-    def _last_words(self) -> str:
+    def _last_log_line(self) -> str:
         lines = self._log.read_text(errors="replace").strip().splitlines()
-        return lines[-1] if lines else "it said nothing"
+        return lines[-1] if lines else "its log is empty"
 
     def signal(self, number: int) -> None:
         if self._process.returncode is None:
             self._process.send_signal(number)
 
     async def end(self) -> None:
-        """Lets it go by closing its input; kills it if it stays."""
+        """Asks the process to exit by closing its standard input; kills it if it has not exited within END_WITHIN."""
         if self._process.returncode is not None:
             return
         self.signal(signal.SIGCONT)
@@ -101,8 +105,8 @@
 
 
 def with_parent() -> None:
-    """In a new process, before its program: it ends when the one that started it does, however that ended. Else a director
-    that is killed would leave a fleet behind (prctl(2); elsewhere than on Linux it does nothing)."""
+    """Makes the kernel kill this process when its parent dies; called in the child before exec. Otherwise a controller
+    that is killed would leave its fleet running. Uses prctl(2); does nothing on systems other than Linux."""
     try:
         ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     except (OSError, AttributeError):
@@ -110,15 +114,15 @@
 
 
 def environment(build: Path | None = None) -> dict[str, str]:
-    """What a process started by a rehearsal sees: this program's modules, or those of `build`, whatever the
-    folder."""
+    """The environment of a process started by a rehearsal: without the BALANCER_ variables, and with PYTHONPATH set to
+    this checkout or to `build`."""
     root = str(build or Path(__file__).resolve().parents[2])
     kept = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
     return {**kept, "PYTHONPATH": root}
 
 
 class Orders:
-    """The process's own side: orders by `next`, answers by `say`."""
+    """The process's side of the control channel: receives orders by `next` and sends reports by `say`."""
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         self._reader = reader
@@ -130,10 +134,10 @@
         return cls(reader)
 
     async def next(self) -> dict[str, Any] | None:
-        """None once the director has gone or wants no more."""
+        """The next order; None once the controller has closed the channel or exited."""
         line = await self._reader.readline()
         return json.loads(line) if line else None
 
     @staticmethod
-    def say(**told: Any) -> None:
-        print(json.dumps(told), flush=True)
+    def say(**report: Any) -> None:
+        print(json.dumps(report), flush=True)
