--- a/pepperusher/rehearsal/engine.py
+++ b/pepperusher/rehearsal/engine.py
@@ -269,38 +269,38 @@
 class Memory:
     """The idempotency keys that one cell remembers, each with whether its work is in progress or done.
 
-    `_expiries` is sorted by expiry time, so each lookup drops the expired keys from its front. It holds at most the
+    `_since` is sorted by expiry time, so each lookup drops the expired keys from its front. It holds at most the
     keys that arrived within the longest retention time.
     """
 
     def __init__(self) -> None:
-        self._entries: dict[tuple[int, str], tuple[int, Job | None]] = {}
-        self._expiries: deque[tuple[int, tuple[int, str]]] = deque()
+        self._known: dict[tuple[int, str], tuple[int, Job | None]] = {}
+        self._since: deque[tuple[int, tuple[int, str]]] = deque()
 
     def ask(self, use: int, mark: str, remembered: int, job: Job, now: int) -> tuple[str, Job | None]:
         """Looks up a key: "new" (and remembers it from now on), "done", or "under way" with the job that does the
         work."""
-        while self._expiries and self._expiries[0][0] <= now:
-            expires_at, key = self._expiries.popleft()
-            if key in self._entries and self._entries[key][0] == expires_at:
-                del self._entries[key]
+        while self._since and self._since[0][0] <= now:
+            expires_at, key = self._since.popleft()
+            if key in self._known and self._known[key][0] == expires_at:
+                del self._known[key]
         key = (use, mark)
-        entry = self._entries.get(key)
+        entry = self._known.get(key)
         if entry is not None:
             return ("done", None) if entry[1] is None else ("under way", entry[1])
         expires_at = now + remembered
-        self._entries[key] = (expires_at, job)
-        self._expiries.append((expires_at, key))
-        if len(self._expiries) > 1 and self._expiries[-2][0] > expires_at:
-            self._expiries = deque(sorted(self._expiries))
+        self._known[key] = (expires_at, job)
+        self._since.append((expires_at, key))
+        if len(self._since) > 1 and self._since[-2][0] > expires_at:
+            self._since = deque(sorted(self._since))
         return "new", None
 
     def over(self, use: int, mark: str, job: Job, done: bool) -> None:
         """Marks the work of a key as done, or forgets the key if the work was stopped, so that a repeat does it."""
-        entry = self._entries.get((use, mark))
+        entry = self._known.get((use, mark))
         if entry is None or entry[1] is not job:
             return
         if done:
-            self._entries[(use, mark)] = (entry[0], None)
+            self._known[(use, mark)] = (entry[0], None)
         else:
-            del self._entries[(use, mark)]
+            del self._known[(use, mark)]
--- a/pepperusher/rehearsal/wire.py
+++ b/pepperusher/rehearsal/wire.py
@@ -1,5 +1,5 @@
-"""HTTP/1.1 as the stand-ins speak it: h11 on asyncio streams, apart from the proxy's own code, which it is to
-test."""
+"""The HTTP/1.1 implementation of the simulated clients, backends and discovery: h11 on asyncio streams. It shares no
+code with the proxy, which it is used to test."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import h11
 
 READ = 64 * 1024
-HEAD = 64 * 1024
-MOST = 256 * 1024
+MAX_HEAD_BYTES = 64 * 1024
+MAX_BODY_BYTES = 256 * 1024
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -22,27 +22,28 @@
     return monotonic_ns() // 1000
 
 
-# Far beyond what a fleet takes to stand.
-NOT_YET = 3_600_000_000
+# One hour in us: longer than the processes of any rehearsal take to start.
+START_UNKNOWN = 3_600_000_000
 
 
 class Start:
-    """When the rehearsal starts, on the clock; told once the fleet stands, and till then still to come: what
-    happens before it has a time below 0."""
+    """The clock time at which the run starts. It is set once the fleet is ready and lies in the future until then, so
+    that earlier events have times below 0."""
 
     __slots__ = ("at",)
 
     def __init__(self) -> None:
-        self.at = clock() + NOT_YET
+        self.at = clock() + START_UNKNOWN
 
 
 def relative_time(at: int, start: int) -> int:
-    """A time of the clock as records have it, us after the start; -1 stays never."""
+    """Converts a clock time to the form used in records, us after the start; -1 ("never") stays -1."""
     return at - start if at >= 0 else -1
 
 
 class Message(NamedTuple):
-    """A ticket or an answer. `first` and `last` are when its first and its last byte were read (clock)."""
+    """A complete request or response. `first` and `last` are the clock times at which its first and last byte were
+    read."""
 
     head: h11.Request | h11.Response
     headers: dict[bytes, bytes]
@@ -52,7 +53,8 @@
 
 
 class BrokenConnection(Exception):
-    """The other side ended, or sent what is no HTTP; `begun` where a part of a message had come."""
+    """The peer closed the connection within a message or sent invalid HTTP. `begun` is whether a part of the message had
+    arrived."""
 
     def __init__(self, text: str, begun: bool = False) -> None:
         super().__init__(text)
@@ -60,20 +62,21 @@
 
 
 class Peer:
-    """One connection with its parser, on either side."""
+    """One connection with its HTTP parser, for a client or a server."""
 
     __slots__ = ("reader", "writer", "parser", "used", "idle_since", "first")
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, role: type) -> None:
         self.reader = reader
         self.writer = writer
-        self.parser = h11.Connection(role, max_incomplete_event_size=HEAD)
+        self.parser = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.used = 0
         self.idle_since = clock()
-        self.first = -1  # when a message's first byte came, -1 between messages
+        self.first = -1  # clock time of the current message's first byte, -1 between messages
 
     async def receive(self) -> Message | None:
-        """The next whole message, None where the other side ended between two. Raises BrokenConnection."""
+        """The next complete message; None if the peer closed the connection between messages. Raises
+        BrokenConnection."""
         head: h11.Request | h11.Response | None = None
         body: list[bytes] = []
         size = 0
@@ -94,8 +97,8 @@
                     head = event
                 elif isinstance(event, h11.Data):
                     size += len(event.data)
-                    if size > MOST:
-                        raise BrokenConnection("a body without end", True)
+                    if size > MAX_BODY_BYTES:
+                        raise BrokenConnection("message body exceeds the size limit", True)
                     body.append(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage):
                     assert head is not None
@@ -113,7 +116,7 @@
         self.writer.write(b"".join(part for part in parts if part))
 
     def again(self) -> bool:
-        """Whether another message may follow; readies the parser for it."""
+        """Prepares the parser for the next message; returns false if the connection cannot be reused."""
         if self.parser.our_state is not h11.DONE or self.parser.their_state is not h11.DONE:
             return False
         self.parser.start_next_cycle()
@@ -137,9 +140,10 @@
 
 
 def answer_body(name: str, size: int = 0) -> bytes:
-    """What a backend answers to the ticket `name`: nobody else makes this one."""
-    made = f"done {name} {zlib.crc32(name.encode()) ^ 0x5EED:08x}\n".encode()
-    return made + b"." * max(0, size - len(made))
+    """The response body of a backend for the ticket `name`, padded to `size` bytes. The checksum tells it from the
+    bodies of other tickets."""
+    content = f"done {name} {zlib.crc32(name.encode()) ^ 0x5EED:08x}\n".encode()
+    return content + b"." * max(0, size - len(content))
 
 
 def is_answer(body: bytes, name: str) -> bool:
