--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -1,9 +1,9 @@
-"""A crowd that asks one discovery: how late each hears of a change after discovery is back, how many calls
-that takes, and how soon new processes are ready.
+"""Measures many proxies on one discovery server: how late each receives a change after an outage of discovery, how many
+requests that takes, and how soon new processes are ready.
 
-Hollow askers are the proxy's own Discovery, Facade and Backends with no tickets, all in one process; the
-discovery that they ask is `queued_discovery.QueuedDiscovery`. Times are those of `steady_loop`, and real where there are whole
-processes. What an asker has is in force once the decisions were told of it."""
+A hollow client consists of the proxy's own Discovery, Facade and Backends without tickets; all run in one process,
+against `queued_discovery.QueuedDiscovery`. Times are those of the clock of `steady_loop`, or real time for whole
+processes. A client counts as notified once its load balancing has received the change."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 from pepperusher.rehearsal.steady_loop import SteadyLoop
 from pepperusher.rehearsal.queued_discovery import KEEPING, REFUSING, SILENT, QueuedDiscovery
 
-Made = TypeVar("Made")
+CoroutineResult = TypeVar("CoroutineResult")
 BACKENDS = 20
-# A scene that has not come to its end by then has failed.
-MOST = 60.0
-LOOK_EVERY = 0.05
-# Seconds after which a call in the queue is refused, in the scene of that name.
-PATIENCE = 2.0
+# Time limit in seconds for one step of a scenario, after which the scenario has failed.
+STEP_TIME_LIMIT = 60.0
+READY_POLL_INTERVAL = 0.05
+# Seconds after which a request in the queue is refused, in the "keeping" scenario.
+KEEPING_MAX_WAIT = 2.0
 SETTINGS: dict[str, Any] = {
     "group-size": 1,
     "ordinal": 0,
@@ -70,24 +70,26 @@
 
 
 class Figures(NamedTuple):
-    """Seconds: what was told late, or how long until ready. Calls came to discovery; those in its worst
-    second, those it answered 503, and those that it worked through for nobody."""
+    """The result of one scenario. `lags` are the delays of notifications, or the times until ready (s). `calls` are the
+    requests to discovery, `worst_second` the most in one second, `refused` those answered 503, and `wasted` those
+    processed after their client had left."""
 
     scene: str
     lags: list[float]
-    unheard: int  # within the span of the scene
+    not_notified: int  # clients not notified, or not ready, within the scenario
     calls: int
     worst_second: int
     refused: int
-    in_vain: int
+    wasted: int
 
     def row(self) -> str:
+        """The result as a row of the Markdown table that HEAD begins."""
         lags = sorted(self.lags)
-        parts = (0.5, 0.9, 0.99, 1.0)
-        at = [lags[min(len(lags) - 1, int(part * len(lags)))] if lags else float("nan") for part in parts]
+        quantiles = (0.5, 0.9, 0.99, 1.0)
+        values = [lags[min(len(lags) - 1, int(part * len(lags)))] if lags else float("nan") for part in quantiles]
         return (
-            f"| {self.scene} | {len(lags)} | {' | '.join(f'{one:.2f}' for one in at)} | {self.unheard}"
-            f" | {self.calls} | {self.worst_second} | {self.refused} | {self.in_vain} |"
+            f"| {self.scene} | {len(lags)} | {' | '.join(f'{value:.2f}' for value in values)} | {self.not_notified}"
+            f" | {self.calls} | {self.worst_second} | {self.refused} | {self.wasted} |"
         )
 
 
@@ -98,160 +100,171 @@
 
 
 class DiscoveryClient:
-    """One hollow proxy: a list, and nobody who sends it a ticket."""
+    """One hollow proxy: it follows the endpoint list and receives no tickets."""
 
-    def __init__(self, number: int, of: int, address: tuple[str, int], seed: int, ask_within: float) -> None:
+    def __init__(self, number: int, group_size: int, address: tuple[str, int], seed: int, ask_within: float) -> None:
         settings = {
             **SETTINGS,
-            "group-size": of,
+            "group-size": group_size,
             "ordinal": number,
             "rules": {**SETTINGS["rules"], "ask-within": 1000 * ask_within},
         }
         log = Log(f"asker{number}")
         log.say = lambda line, figures=None: None  # type: ignore[method-assign]
-        self.heard_at: dict[int, float] = {}  # by version, by the loop's clock; one measurement long
-        told = read_settings(settings, seed * 1000 + number)
-        self.facade = Facade(told, clock.now(), log.say)
+        self.notified_at: dict[int, float] = {}  # version -> event loop time of its arrival
+        policy_settings = read_settings(settings, seed * 1000 + number)
+        self.facade = Facade(policy_settings, clock.now(), log.say)
         backends = Backends(Budget(1024), Pool(4, 1024 * 1024), 500_000, 10_000_000)
-        self.discovery = Discovery(address, self.facade, backends, log, [self._narrow], told.seed)
+        self.discovery = Discovery(address, self.facade, backends, log, [self._record_update], policy_settings.seed)
 
-    def _narrow(self, entries: list[Endpoint], whole: bool) -> list[Endpoint]:
+    def _record_update(self, entries: list[Endpoint], whole: bool) -> list[Endpoint]:
         if entries or whole:
-            self.heard_at.setdefault(self.discovery.version, asyncio.get_running_loop().time())
+            self.notified_at.setdefault(self.discovery.version, asyncio.get_running_loop().time())
         return entries
 
 
-async def wait_until(true: Callable[[], bool], most: float = MOST) -> bool:
+async def wait_until(condition: Callable[[], bool], limit: float = STEP_TIME_LIMIT) -> bool:
+    """Polls until the condition holds; returns whether it did within `most` seconds."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + most
-    while not true():
+    end = loop.time() + limit
+    while not condition():
         if loop.time() > end:
             return False
         await asyncio.sleep(0.01)
     return True
 
 
-def _down(turns: QueuedDiscovery) -> None:
-    turns.down()
+def _down(discovery_server: QueuedDiscovery) -> None:
+    discovery_server.down()
 
 
-def _refusing(turns: QueuedDiscovery) -> None:
-    turns.manner = REFUSING
-    turns.end_watches()
+def _refusing(discovery_server: QueuedDiscovery) -> None:
+    discovery_server.mode = REFUSING
+    discovery_server.end_watches()
 
 
-def _silent(turns: QueuedDiscovery) -> None:
-    """It takes calls and never answers those, while open watches say nothing."""
-    turns.manner = SILENT
-    turns.hush()
+def _silent(discovery_server: QueuedDiscovery) -> None:
+    """Discovery accepts requests and never answers them, and sends nothing on open watches."""
+    discovery_server.mode = SILENT
+    discovery_server.mute_watches()
 
 
-def _keeping(turns: QueuedDiscovery) -> None:
-    """Its process is up, takes calls into its queue and works none through: each is refused when its patience
-    is over."""
-    turns.manner = KEEPING
-    turns.end_watches()
+def _keeping(discovery_server: QueuedDiscovery) -> None:
+    """Discovery queues requests and processes none, so each is refused when its waiting time is over."""
+    discovery_server.mode = KEEPING
+    discovery_server.end_watches()
 
 
-def _ended(turns: QueuedDiscovery) -> None:
-    turns.end_watches()
+def _watches_end(discovery_server: QueuedDiscovery) -> None:
+    discovery_server.end_watches()
 
 
-def _hushed(turns: QueuedDiscovery) -> None:
-    turns.hush()
+def _watches_silent(discovery_server: QueuedDiscovery) -> None:
+    discovery_server.mute_watches()
 
 
-# What befalls discovery, and whether it lasts; otherwise discovery is well at once.
+# Scenario name -> the fault of discovery, and whether it lasts; a fault that does not last is over at once.
 SCENES: dict[str, tuple[Callable[[QueuedDiscovery], None], bool]] = {
     "down": (_down, True),
     "refusing": (_refusing, True),
     "silent": (_silent, True),
     "unreachable": (QueuedDiscovery.unreachable, True),
-    "watches-end": (_ended, False),
-    "watches-silent": (_hushed, False),
+    "watches-end": (_watches_end, False),
+    "watches-silent": (_watches_silent, False),
 }
-# The same, where more is asked of discovery than it can work through while anybody waits.
+# Also the scenario in which discovery gets more requests than it can process while their clients wait.
 TROUBLES = {**SCENES, "keeping": (_keeping, True)}
 STARTS = ("start-slow", "start-full", "start-back")
 
 
 @asynccontextmanager
-async def _crowd(
-    askers: int, turns: QueuedDiscovery, seed: int, ask_within: float = 10.0
+async def _running_clients(
+    client_count: int, discovery_server: QueuedDiscovery, seed: int, ask_within: float = 10.0
 ) -> AsyncIterator[list[DiscoveryClient]]:
-    await turns.open()
-    those = [DiscoveryClient(number, askers, turns.address, seed, ask_within) for number in range(askers)]
+    await discovery_server.open()
+    clients = [
+        DiscoveryClient(number, client_count, discovery_server.address, seed, ask_within)
+        for number in range(client_count)
+    ]
     try:
-        yield those
+        yield clients
     finally:
-        for one in those:
-            if hasattr(one.discovery._source, "following"):
-                one.discovery.stop()
-        turns.close()
+        for client in clients:
+            if hasattr(client.discovery._source, "following"):
+                client.discovery.stop()
+        discovery_server.close()
         await asyncio.sleep(0.1)
 
 
-def _figures(scene: str, turns: QueuedDiscovery, lags: list[float], unheard: int) -> Figures:
-    first = min(turns.calls, default=0.0)
-    seconds = Counter(int(at - first) for at in turns.calls)
+def _make_figures(scene: str, discovery_server: QueuedDiscovery, lags: list[float], not_notified: int) -> Figures:
+    first = min(discovery_server.calls, default=0.0)
+    seconds = Counter(int(at - first) for at in discovery_server.calls)
     return Figures(
-        scene, lags, unheard, len(turns.calls), max(seconds.values(), default=0), turns.refused, turns.in_vain
+        scene,
+        lags,
+        not_notified,
+        len(discovery_server.calls),
+        max(seconds.values(), default=0),
+        discovery_server.refused,
+        discovery_server.wasted,
     )
 
 
 async def notification_delays(
     scene: str,
-    askers: int,
-    each: float,
+    client_count: int,
+    seconds_per_request: float,
     queue: int,
     trials: int,
     seed: int,
     ask_within: float = 10.0,
     spans: tuple[float, float] = (3.0, 20.0),
-    most: float = MOST,
-    patience: float | None = None,
+    limit: float = STEP_TIME_LIMIT,
+    max_wait: float | None = None,
 ) -> Figures:
-    """A change in the time of the trouble, told so much later than discovery had it and could be reached: for
-    each asker and each of `trials` troubles of a length by chance. `each`, `ask_within` (the settings' time
-    for asking) and `patience` (after which a call in the queue is refused) are seconds."""
-    befalls, lasts = TROUBLES[scene]
-    patience = PATIENCE if scene == "keeping" and patience is None else patience
-    chance = Random(seed)
-    turns = QueuedDiscovery(BACKENDS, each, queue)
-    late: list[float] = []
-    unheard = 0
+    """Measures how long after discovery has a change and is reachable again each client receives it. The change happens
+    during a fault; there are `trials` faults of random length (`spans`, in seconds). `ask_within` is the time limit for
+    requests in the settings, and `max_wait` the time after which a queued request is refused, both in seconds."""
+    apply_fault, is_lasting = TROUBLES[scene]
+    max_wait = KEEPING_MAX_WAIT if scene == "keeping" and max_wait is None else max_wait
+    rng = Random(seed)
+    discovery_server = QueuedDiscovery(BACKENDS, seconds_per_request, queue)
+    delays: list[float] = []
+    not_notified = 0
     loop = asyncio.get_running_loop()
-    async with _crowd(askers, turns, seed, ask_within) as those:
-        for one in those:
-            one.discovery.start()
+    async with _running_clients(client_count, discovery_server, seed, ask_within) as clients:
+        for client in clients:
+            client.discovery.start()
         for _ in range(trials):
-            if not await wait_until(lambda: all(turns.version in one.heard_at for one in those)):
-                raise TimeoutError("the crowd was not told of the list as it is")
-            await asyncio.sleep(3.0)  # calls beside the one that spoke are over
-            turns.patience = patience  # not at the start, where all are to be told
+            if not await wait_until(lambda: all(discovery_server.version in client.notified_at for client in clients)):
+                raise TimeoutError("not all clients received the current endpoint list before the fault")
+            await asyncio.sleep(3.0)  # parallel requests of the same client have ended by then
+            discovery_server.max_wait = max_wait  # not set before, as every client has to receive the first list
             if _ == 0:
-                turns.calls.clear()
-                turns.refused = turns.in_vain = 0
-            befalls(turns)
-            turns.change()
-            version = turns.version
-            if lasts:
-                await asyncio.sleep(chance.uniform(*spans))
-                await turns.back()
-            at = loop.time()
-            await wait_until(lambda: all(version in one.heard_at for one in those), most)
-            late += [one.heard_at[version] - at for one in those if version in one.heard_at]
-            unheard += sum(version not in one.heard_at for one in those)
-        return _figures(scene, turns, late, unheard)
+                discovery_server.calls.clear()
+                discovery_server.refused = discovery_server.wasted = 0
+            apply_fault(discovery_server)
+            discovery_server.change()
+            version = discovery_server.version
+            if is_lasting:
+                await asyncio.sleep(rng.uniform(*spans))
+                await discovery_server.recover()
+            reachable_at = loop.time()
+            await wait_until(lambda: all(version in client.notified_at for client in clients), limit)
+            delays += [
+                client.notified_at[version] - reachable_at for client in clients if version in client.notified_at
+            ]
+            not_notified += sum(version not in client.notified_at for client in clients)
+        return _make_figures(scene, discovery_server, delays, not_notified)
 
 
 class ServeProcess:
-    """A process as an operator starts it, with no list of its own, asked whether it is ready."""
+    """A whole `serve` process, started without a saved endpoint list and polled for readiness."""
 
-    def __init__(self, folder: Path, number: int, of: int, discovery: tuple[str, int], python: str) -> None:
+    def __init__(self, folder: Path, number: int, group_size: int, discovery: tuple[str, int], python: str) -> None:
         self._path = folder / f"{number}.json"
         self._python = python
-        self._port = _free()
+        self._port = _free_port()
         self._path.write_text(
             json.dumps(
                 {
@@ -260,12 +273,13 @@
                     "discovery": f"{discovery[0]}:{discovery[1]}",
                     "seed": f"{number:x}",
                     "limits": {"sockets": 256},
-                    "settings": {**SETTINGS, "group-size": of, "ordinal": number},
+                    "settings": {**SETTINGS, "group-size": group_size, "ordinal": number},
                 }
             )
         )
 
     async def ready(self) -> None:
+        """Starts the process, waits until it is ready, and kills it. Raises RuntimeError if it exits before."""
         process = await asyncio.create_subprocess_exec(
             self._python,
             "-m",
@@ -281,8 +295,8 @@
         try:
             while not await self._is_ready():
                 if process.returncode is not None:
-                    raise RuntimeError(f"a process ended at its start with {process.returncode}")
-                await asyncio.sleep(LOOK_EVERY)
+                    raise RuntimeError(f"a process exited before it was ready, with status {process.returncode}")
+                await asyncio.sleep(READY_POLL_INTERVAL)
         finally:
             if process.returncode is None:
                 process.kill()
@@ -302,63 +316,77 @@
             writer.transport.abort()
 
 
-def _free() -> int:
-    """A port that the kernel gave and nobody holds now."""
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        port: int = one.getsockname()[1]
+def _free_port() -> int:
+    """A free TCP port, as assigned by the kernel."""
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port: int = probe.getsockname()[1]
     return port
 
 
-async def startup_times(scene: str, askers: int, whole: int, each: float, queue: int, seed: int) -> Figures:
-    """How long until ready, each from its own start, of all that start at once without a list: `whole`
-    processes and so many hollow ones that they are `askers` together. Discovery is slow (`each` seconds a
-    call), full (503 beyond `queue`), or down and back after 5 s. Of processes where there are any, otherwise
-    of the hollow ones."""
-    turns = QueuedDiscovery(BACKENDS, each, queue if scene == "start-full" else 1_000_000)
+async def startup_times(
+    scene: str, client_count: int, process_count: int, seconds_per_request: float, queue: int, seed: int
+) -> Figures:
+    """Measures the time from start to ready of `client_count` clients that all start at once without an endpoint list.
+    `process_count` of them are processes, the others hollow. Discovery is slow (`seconds_per_request`), full (503 beyond
+    `queue` waiting requests), or down for the first 5 s. Only the processes are measured if there are any, otherwise the
+    hollow clients."""
+    discovery_server = QueuedDiscovery(BACKENDS, seconds_per_request, queue if scene == "start-full" else 1_000_000)
     loop = asyncio.get_running_loop()
-    took: list[float] = []
+    durations: list[float] = []
 
-    async def timed(what: Awaitable[object]) -> None:
-        began = loop.time()
-        await what
-        took.append(loop.time() - began)
+    async def measure(ready: Awaitable[object]) -> None:
+        started_at = loop.time()
+        await ready
+        durations.append(loop.time() - started_at)
 
-    async with _crowd(askers - whole, turns, seed) as those:
+    async with _running_clients(client_count - process_count, discovery_server, seed) as clients:
         if scene == "start-back":
-            turns.down()
+            discovery_server.down()
         with tempfile.TemporaryDirectory() as folder:
-            started = [
-                ServeProcess(Path(folder), number, askers, turns.address, sys.executable) for number in range(whole)
+            processes = [
+                ServeProcess(Path(folder), number, client_count, discovery_server.address, sys.executable)
+                for number in range(process_count)
             ]
-            for one in those:
-                one.discovery.start()
-            tasks = [loop.create_task(timed(one.ready())) for one in started]
-            if not whole:
-                tasks = [loop.create_task(timed(wait_until(partial(bool, one.heard_at)))) for one in those]
+            for client in clients:
+                client.discovery.start()
+            tasks = [loop.create_task(measure(process.ready())) for process in processes]
+            if not process_count:
+                tasks = [loop.create_task(measure(wait_until(partial(bool, client.notified_at)))) for client in clients]
             if scene == "start-back":
                 await asyncio.sleep(5.0)
-                await turns.back()
-            _, missing = await asyncio.wait(tasks, timeout=MOST)
+                await discovery_server.recover()
+            _, missing = await asyncio.wait(tasks, timeout=STEP_TIME_LIMIT)
             for task in missing:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            return _figures(scene, turns, took, len(missing))
+            return _make_figures(scene, discovery_server, durations, len(missing))
 
 
 def run_scenes(
-    scenes: list[str], askers: int, whole: int, each: float, queue: int, trials: int, seed: int, ask_within: float
+    scenes: list[str],
+    client_count: int,
+    process_count: int,
+    seconds_per_request: float,
+    queue: int,
+    trials: int,
+    seed: int,
+    ask_within: float,
 ) -> Iterator[Figures]:
     for scene in scenes:
         if scene in TROUBLES:
-            yield run_on_steady_loop(notification_delays(scene, askers, each, queue, trials, seed, ask_within))
-        elif whole:
-            yield asyncio.run(startup_times(scene, askers, min(whole, askers), each, queue, seed))
+            yield run_on_steady_loop(
+                notification_delays(scene, client_count, seconds_per_request, queue, trials, seed, ask_within)
+            )
+        elif process_count:
+            yield asyncio.run(
+                startup_times(scene, client_count, min(process_count, client_count), seconds_per_request, queue, seed)
+            )
         else:
-            yield run_on_steady_loop(startup_times(scene, askers, 0, each, queue, seed))
+            yield run_on_steady_loop(startup_times(scene, client_count, 0, seconds_per_request, queue, seed))
 
 
-def run_on_steady_loop(what: Coroutine[Any, Any, Made]) -> Made:
-    """By a clock that does not count what this machine is busy with."""
+def run_on_steady_loop(coroutine: Coroutine[Any, Any, CoroutineResult]) -> CoroutineResult:
+    """Runs the coroutine on a clock that excludes the time in which this machine was busy."""
     with asyncio.Runner(loop_factory=SteadyLoop) as runner:
-        return runner.run(what)
+        return runner.run(coroutine)
--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -1,5 +1,5 @@
-"""Discovery on a socket: list and watch, one listener for each proxy, so that it is known who was told what
-when."""
+"""The simulated discovery server: serves list and watch requests. Each proxy has a listener of its own, so that the
+records show which proxy received which state when."""
 
 from __future__ import annotations
 
@@ -17,154 +17,160 @@
 from pepperusher.rehearsal.fault_schedule import FaultSchedule
 from pepperusher.rehearsal.wire import BrokenConnection, Peer, Start, clock
 
-EMPTY_EVERY = 2_000_000
-# A discovery that has moved closes what is open at its old address after this.
-OLD_CLOSES = 1_500_000
-# So long a call waits in a full queue before it is refused, and how often it is looked at.
-QUEUE_PATIENCE = 3_000_000
-QUEUE_LOOK = 0.02
+HEARTBEAT_INTERVAL = 2_000_000
+# When discovery moves, it closes the connections at its old address after this time (us).
+OLD_ADDRESS_GRACE = 1_500_000
+# How long a request waits in a full queue before it is refused (us), and how often that is checked (s).
+QUEUE_TIMEOUT = 3_000_000
+POLL_INTERVAL = 0.02
 
 
 class DiscoveryServer:
-    """Discovery for all gates. Its `moves` are the times at which it goes to another port, one after
-    another."""
+    """Discovery for all proxies. `moves` are the times (us after the start) at which it moves to the next port."""
 
     def __init__(
-        self, plan: FleetPlan, line: FaultSchedule, roster: EndpointHistory, writer: Writer, start: Start
+        self, plan: FleetPlan, line: FaultSchedule, history: EndpointHistory, writer: Writer, start: Start
     ) -> None:
         self._plan = plan
-        self._roster = roster
+        self._history = history
         self._writer = writer
         self._start = start
         chance, spread = Random(f"{plan.script.seed}:discovery"), plan.script.discovery.spread
-        # How much later than others each is told; it stays the same, so that no word overtakes another.
-        self._later = {gate.number: int(chance.random() * spread) for gate in plan.gates}
-        self.moves = [one.at for one in line.strikes if one.what == "discovery-moved"]
+        # Each proxy receives changes with an extra delay of its own, constant so that the changes stay in order.
+        self._extra_delay = {gate.number: int(chance.random() * spread) for gate in plan.gates}
+        self.moves = [strike.at for strike in line.strikes if strike.what == "discovery-moved"]
         self._servers: list[asyncio.Server] = []
-        self._serving: set[asyncio.Task[None]] = set()  # emptied as connections end
-        self._begun = False
+        self._connection_tasks: set[asyncio.Task[None]] = set()  # an entry is removed when its connection ends
+        self._started = False
 
     async def listen(self) -> None:
         for gate in self._plan.gates:
-            for turn in range(len(self.moves) + 1):
+            for address_index in range(len(self.moves) + 1):
 
                 async def serve(
                     reader: asyncio.StreamReader,
                     writer: asyncio.StreamWriter,
                     gate: Gate = gate,
-                    turn: int = turn,
+                    address_index: int = address_index,
                 ) -> None:
-                    await self._serve(Peer(reader, writer, h11.SERVER), gate, turn)
+                    await self._serve(Peer(reader, writer, h11.SERVER), gate, address_index)
 
                 self._servers.append(
-                    await asyncio.start_server(serve, gate.discovery[0], gate.discovery[1] + turn, reuse_address=True)
+                    await asyncio.start_server(
+                        serve, gate.discovery[0], gate.discovery[1] + address_index, reuse_address=True
+                    )
                 )
 
     def begin(self) -> None:
-        """The rehearsal starts: before it the list stands still."""
-        self._begun = True
+        """Marks the start of the run; the list does not change before."""
+        self._started = True
 
     def address(self, gate: Gate, now: int) -> tuple[str, int]:
-        """Where this proxy finds it at `now`."""
+        """The address of discovery for this proxy at `now`."""
         return gate.discovery[0], gate.discovery[1] + sum(1 for at in self.moves if at <= now)
 
     def known(self, gate: Gate) -> dict[str, object]:
-        """What a proxy is told at its start: the list as it was before anything changed."""
-        return self._roster.line(gate.tier, self._roster.version(-1), None, self._began_ms())
+        """The endpoint list that a proxy's configuration file holds: the list at the start of the run."""
+        return self._history.line(gate.tier, self._history.version(-1), None, self._start_unix_ms())
 
     def _now(self) -> int:
-        return max(-1, clock() - self._start.at) if self._begun else -1
+        return max(-1, clock() - self._start.at) if self._started else -1
 
-    def _heard(self, gate: Gate) -> int:
-        """Up to when this proxy is told."""
-        return max(-1, self._now() - self._later[gate.number])
+    def _published_until(self, gate: Gate) -> int:
+        """The time up to which this proxy has received changes."""
+        return max(-1, self._now() - self._extra_delay[gate.number])
 
-    def _began_ms(self) -> float:
+    def _start_unix_ms(self) -> float:
         return time.time() * 1000 - (clock() - self._start.at) / 1000
 
-    def _away(self, turn: int, now: int, open_already: bool) -> bool:
-        if self._roster.down(now):
+    def _is_closed(self, address_index: int, now: int, already_open: bool) -> bool:
+        if self._history.down(now):
             return True
-        if turn < len(self.moves):
-            return now >= self.moves[turn] + (OLD_CLOSES if open_already else 0)
+        if address_index < len(self.moves):
+            return now >= self.moves[address_index] + (OLD_ADDRESS_GRACE if already_open else 0)
         return False
 
-    async def _serve(self, peer: Peer, gate: Gate, turn: int) -> None:
+    async def _serve(self, peer: Peer, gate: Gate, address_index: int) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving.add(task)
+        self._connection_tasks.add(task)
         try:
             while (message := await peer.receive()) is not None:
-                if self._away(turn, self._now(), False):
+                if self._is_closed(address_index, self._now(), False):
                     break
                 target, _, query = message.head.target.decode("latin-1").partition("?")
-                asked = parse_qs(query)
+                parameters = parse_qs(query)
                 if target != "/v1/endpoints":
                     peer.send(h11.Response(status_code=404, headers=[(b"content-length", b"0")]))
-                elif await self._refused_by_queue(peer, turn):
+                elif await self._refused_by_queue(peer, address_index):
                     peer.send(h11.Response(status_code=503, headers=[(b"content-length", b"0")]))
                     break
-                elif asked.get("watch") == ["1"]:
-                    after = asked.get("after", [""])[0]
-                    await self._watch(peer, gate, turn, int(after) if after.isdecimal() else None)
+                elif parameters.get("watch") == ["1"]:
+                    after = parameters.get("after", [""])[0]
+                    await self._watch(peer, gate, address_index, int(after) if after.isdecimal() else None)
                     break
                 else:
-                    body = self._line(gate, self._roster.version(self._heard(gate)), None)
+                    body = self._line(gate, self._history.version(self._published_until(gate)), None)
                     peer.send(h11.Response(status_code=200, headers=[(b"content-length", b"%d" % len(body))]), body)
                 if not peer.again():
                     break
         except (BrokenConnection, OSError, asyncio.CancelledError):
-            pass  # the other side's end, or the rehearsal's
+            pass  # the proxy closed the connection, or the run ends
         finally:
-            self._serving.discard(task)
+            self._connection_tasks.discard(task)
             peer.abort()
 
-    async def _refused_by_queue(self, peer: Peer, turn: int) -> bool:
-        """A call waits while the queue is full; whether it waited too long, or its address was closed."""
-        until = clock() + QUEUE_PATIENCE
-        while self._roster.full(self._now()):
-            if clock() >= until or peer.ended or self._away(turn, self._now(), True):
+    async def _refused_by_queue(self, peer: Peer, address_index: int) -> bool:
+        """Waits while the queue is full; returns whether the request is refused, because it waited too long or its
+        address was closed."""
+        refuse_at = clock() + QUEUE_TIMEOUT
+        while self._history.full(self._now()):
+            if clock() >= refuse_at or peer.ended or self._is_closed(address_index, self._now(), True):
                 return True
-            await asyncio.sleep(QUEUE_LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
         return False
 
     def _line(self, gate: Gate, version: int, after: int | None) -> bytes:
-        told = self._roster.line(gate.tier, version, after, self._began_ms())
+        update = self._history.line(gate.tier, version, after, self._start_unix_ms())
         now = self._now()
-        for one in told["servers"]:
-            self._writer.add(StateNotification(gate.number, one["id"], one["state"], now))
-        return msgspec.json.encode(told) + b"\n"
+        for server in update["servers"]:
+            self._writer.add(StateNotification(gate.number, server["id"], server["state"], now))
+        return msgspec.json.encode(update) + b"\n"
 
-    async def _watch(self, peer: Peer, gate: Gate, turn: int, after: int | None) -> None:
+    async def _watch(self, peer: Peer, gate: Gate, address_index: int, after: int | None) -> None:
         peer.writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
-        opened = self._now()
-        version = self._roster.version(self._heard(gate))
+        opened_at = self._now()
+        version = self._history.version(self._published_until(gate))
         data = self._line(gate, version, after)
         while not peer.ended:
             peer.writer.write(b"%x\r\n%b\r\n" % (len(data), data))
             await peer.writer.drain()
-            empty_at = clock() + EMPTY_EVERY
+            heartbeat_at = clock() + HEARTBEAT_INTERVAL
             while True:
-                now = self._heard(gate)
-                if self._roster.silent(self._now()) or self._roster.fell_silent(opened, self._now()):
-                    if peer.ended or self._away(turn, self._now(), True):
+                now = self._published_until(gate)
+                if self._history.silent(self._now()) or self._history.fell_silent(opened_at, self._now()):
+                    if peer.ended or self._is_closed(address_index, self._now(), True):
                         return
-                    await asyncio.sleep(QUEUE_LOOK)
+                    await asyncio.sleep(POLL_INTERVAL)
                     continue
-                if peer.ended or self._away(turn, self._now(), True) or self._roster.version(now) < version:
+                if (
+                    peer.ended
+                    or self._is_closed(address_index, self._now(), True)
+                    or self._history.version(now) < version
+                ):
                     return
-                if self._roster.version(now) > version:
-                    before, version = version, self._roster.version(now)
+                if self._history.version(now) > version:
+                    before, version = version, self._history.version(now)
                     data = self._line(gate, version, before)
                     break
-                if clock() >= empty_at:
+                if clock() >= heartbeat_at:
                     data = b"\n"
                     break
-                change = self._roster.next_change(now) if self._begun else None
+                change = self._history.next_change(now) if self._started else None
                 wait = min(
-                    empty_at - clock(),
+                    heartbeat_at - clock(),
                     100_000
-                    if change is None or turn < len(self.moves) or not self._begun
+                    if change is None or address_index < len(self.moves) or not self._started
                     else max(0, change - now) + 500,
                 )
                 await asyncio.sleep(max(0, wait) / 1e6)
@@ -172,5 +178,5 @@
     def close(self) -> None:
         for server in self._servers:
             server.close()
-        for task in list(self._serving):
+        for task in list(self._connection_tasks):
             task.cancel()
--- a/pepperusher/rehearsal/queued_discovery.py
+++ b/pepperusher/rehearsal/queued_discovery.py
@@ -1,8 +1,8 @@
-"""Discovery that works through calls in turn: slow, full, down, silent, out of reach, and back, as it is
-told.
+"""A simulated discovery server that processes requests one after another from a queue, and can be made slow, full, down,
+silent or unreachable.
 
-One listener for all that ask, as a crowd finds it. It also works through calls that were given up meanwhile:
-whether one was is only seen when its answer is written."""
+All clients share one listener. The server also processes requests whose client has disconnected meanwhile, because it
+notices that only when it writes the response."""
 
 from __future__ import annotations
 
@@ -12,51 +12,53 @@
 from collections import deque
 from urllib.parse import parse_qs
 
-EMPTY_EVERY = 2.0
-REFUSED = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-BEGUN = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WELL, REFUSING, SILENT, KEEPING = "well", "refusing", "silent", "keeping"
+HEARTBEAT_INTERVAL = 2.0
+SERVICE_UNAVAILABLE = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
+WATCH_STARTED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+WORKING, REFUSING, SILENT, KEEPING = "well", "refusing", "silent", "keeping"
 
 
 class QueuedDiscovery:
-    """`each` seconds for a call, and 503 for those beyond `queue` that wait, as for those that have waited
-    `patience` seconds: at once, while the work for them is still done in its turn."""
+    """Processes each request in `seconds_per_request`. It answers 503 at once to requests beyond `queue` waiting ones, and to
+    those that have waited `patience` seconds; the latter are still processed in their turn."""
 
-    def __init__(self, backends: int, each: float, queue: int, patience: float | None = None) -> None:
-        self.each, self.queue, self.patience = each, queue, patience
-        self.manner = WELL
+    def __init__(self, backends: int, seconds_per_request: float, queue: int, max_wait: float | None = None) -> None:
+        self.seconds_per_request, self.queue, self.max_wait = seconds_per_request, queue, max_wait
+        self.mode = WORKING
         self.version = 1
-        self.calls: list[float] = []  # when each call came, by the loop's clock; one measurement long
-        self.refused = self.in_vain = 0  # answered 503; worked through for nobody
+        self.calls: list[float] = []  # arrival time of each request (event loop clock), cleared for each measurement
+        self.refused = self.wasted = 0  # requests answered 503; requests processed after their client left
         self._changed = {number: 1 for number in range(backends)}
         self._draining: set[int] = set()
         self._waiting: deque[tuple[asyncio.StreamWriter, int | None]] = deque()
-        self._waits: dict[asyncio.StreamWriter, asyncio.Timeout] = {}  # emptied as connections end
-        self._come = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()  # emptied as connections end
+        self._wait_timeouts: dict[
+            asyncio.StreamWriter, asyncio.Timeout
+        ] = {}  # an entry is removed when its connection ends
+        self._arrived = asyncio.Event()
+        self._open: set[asyncio.StreamWriter] = set()  # an entry is removed when its connection ends
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
-        self._deaf: list[socket.socket] = []
+        self._unserved_sockets: list[socket.socket] = []
         self._tasks: list[asyncio.Task[None]] = []
         self.address = ("127.0.0.1", 0)
 
     async def open(self) -> None:
-        await self.back()
+        await self.recover()
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._work()), loop.create_task(self._keep())]
-
-    async def back(self) -> None:
-        """Reached, and well, from here on."""
-        for one in self._deaf:
-            one.close()
-        self._deaf.clear()
-        self.manner = WELL
+        self._tasks = [loop.create_task(self._process_queue()), loop.create_task(self._send_heartbeats())]
+
+    async def recover(self) -> None:
+        """Makes the server reachable and working again."""
+        for unserved in self._unserved_sockets:
+            unserved.close()
+        self._unserved_sockets.clear()
+        self.mode = WORKING
         if self._server is None:
             self._server = await asyncio.start_server(self._serve, *self.address, backlog=1024, reuse_address=True)
             self.address = self._server.sockets[0].getsockname()
 
     def down(self) -> None:
-        """Its process is gone: what is open is reset, and new connections are refused."""
+        """Simulates a dead process: open connections are reset, and new ones are refused."""
         assert self._server is not None
         self._server.close()
         self._server = None
@@ -64,47 +66,48 @@
         self._waiting.clear()
 
     def unreachable(self) -> None:
-        """New connections never come up: a full backlog that nobody empties."""
+        """Makes new connections time out: the backlog of the listener is full and never accepted from."""
         self.down()
-        deaf = socket.socket()
-        deaf.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        deaf.bind(self.address)
-        deaf.listen(0)
-        self._deaf.append(deaf)
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.bind(self.address)
+        listener.listen(0)
+        self._unserved_sockets.append(listener)
         for _ in range(2):
-            one = socket.socket()
-            one.setblocking(False)
-            one.connect_ex(self.address)
-            self._deaf.append(one)
-
-    def end_watches(self, those: list[asyncio.StreamWriter] | None = None) -> None:
-        for writer in list(self._watches) if those is None else those:
+            pending = socket.socket()
+            pending.setblocking(False)
+            pending.connect_ex(self.address)
+            self._unserved_sockets.append(pending)
+
+    def end_watches(self, writers: list[asyncio.StreamWriter] | None = None) -> None:
+        """Resets the given connections, or those of all open watches."""
+        for writer in list(self._watches) if writers is None else writers:
             writer.transport.abort()
             self._watches.discard(writer)
 
-    def hush(self) -> None:
-        """Open watches say nothing from here on, and stay open."""
+    def mute_watches(self) -> None:
+        """Stops sending on all open watches, without closing them."""
         self._watches.clear()
 
     def change(self) -> None:
-        """One backend more drains, or one fewer."""
+        """Publishes a new version: one backend starts or stops draining."""
         self.version += 1
         number = self.version % len(self._changed)
         self._changed[number] = self.version
         self._draining ^= {number}
         for writer in self._watches:
-            self._say(writer, self._line(self.version - 1))
+            self._send_chunk(writer, self._line(self.version - 1))
 
     def close(self) -> None:
         if self._server is not None:
             self.down()
         for task in self._tasks:
             task.cancel()
-        for one in self._deaf:
-            one.close()
+        for unserved in self._unserved_sockets:
+            unserved.close()
 
     def _line(self, after: int | None) -> bytes:
-        told = [
+        servers = [
             {
                 "id": f"b{number}",
                 "addr": f"127.0.0.1:{2 + number}",
@@ -117,10 +120,10 @@
             for number, version in self._changed.items()
             if after is None or version > after
         ]
-        return json.dumps({"version": self.version, "full": after is None, "servers": told}).encode() + b"\n"
+        return json.dumps({"version": self.version, "full": after is None, "servers": servers}).encode() + b"\n"
 
     @staticmethod
-    def _say(writer: asyncio.StreamWriter, line: bytes) -> None:
+    def _send_chunk(writer: asyncio.StreamWriter, line: bytes) -> None:
         writer.write(b"%x\r\n%b\r\n" % (len(line), line))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -128,50 +131,50 @@
         try:
             head = await reader.readuntil(b"\r\n\r\n")
             self.calls.append(asyncio.get_running_loop().time())
-            if self.manner == REFUSING or self.manner == WELL and len(self._waiting) >= self.queue:
+            if self.mode == REFUSING or self.mode == WORKING and len(self._waiting) >= self.queue:
                 self.refused += 1
-                writer.write(REFUSED)
+                writer.write(SERVICE_UNAVAILABLE)
                 return
-            if self.manner == WELL:
+            if self.mode == WORKING:
                 after = parse_qs(head.split()[1].decode().partition("?")[2]).get("after")
                 self._waiting.append((writer, int(after[0]) if after else None))
-                self._come.set()
+                self._arrived.set()
             try:
-                async with asyncio.timeout(self.patience) as waits:
-                    self._waits[writer] = waits
-                    await reader.read()  # till it is left
+                async with asyncio.timeout(self.max_wait) as wait_timeout:
+                    self._wait_timeouts[writer] = wait_timeout
+                    await reader.read()  # returns when the client disconnects
             except TimeoutError:
                 self.refused += 1
-                writer.write(REFUSED)
+                writer.write(SERVICE_UNAVAILABLE)
         except (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            self._waits.pop(writer, None)
+            self._wait_timeouts.pop(writer, None)
             self._open.discard(writer)
             self._watches.discard(writer)
             writer.close()
 
-    async def _work(self) -> None:
+    async def _process_queue(self) -> None:
         loop = asyncio.get_running_loop()
         free_at = loop.time()
         while True:
             if not self._waiting:
-                self._come.clear()
-                await self._come.wait()
-            free_at = max(free_at, loop.time()) + self.each
+                self._arrived.clear()
+                await self._arrived.wait()
+            free_at = max(free_at, loop.time()) + self.seconds_per_request
             await asyncio.sleep(free_at - loop.time())
             if self._waiting:
                 writer, after = self._waiting.popleft()
                 if writer in self._open and not writer.is_closing():
-                    self._waits[writer].reschedule(None)
-                    writer.write(BEGUN)
-                    self._say(writer, self._line(after))
+                    self._wait_timeouts[writer].reschedule(None)
+                    writer.write(WATCH_STARTED)
+                    self._send_chunk(writer, self._line(after))
                     self._watches.add(writer)
                 else:
-                    self.in_vain += 1
+                    self.wasted += 1
 
-    async def _keep(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(EMPTY_EVERY)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
             for writer in self._watches:
-                self._say(writer, b"\n")
+                self._send_chunk(writer, b"\n")
