--- a/pepperusher/rehearsal/cold_backend_sum.py
+++ b/pepperusher/rehearsal/cold_backend_sum.py
@@ -1,9 +1,10 @@
-"""The sum of all proxies at a cold backend, in virtual time: what each backend got in any window of the rule
-on cold backends, against what the settings allow. Simulated: the decisions are the program's own, backends,
-clients and discovery are the model's. `pepperusher cold-figures` prints the figures.
+"""Simulates, in virtual time, how many requests all proxies together send to a cold backend, against the limit of the
+cold overload rule. The balancing code is the program's own; backends, clients and discovery are models.
+`pepperusher cold-figures` prints the figures.
 
-A window begins with a request at a cold backend and is as long as the rule's. N is the rule's multiple of
-what the backend can do as it stands when the window begins, the least in it; chance has 2 x root of N + 2.
+A window begins with each request to a cold backend and has the length that the rule sets. N is the rule's multiple of
+the backend's capacity at the begin of the window, which is the lowest within it. The limit is N + 2 x root of N + 2, to
+allow for random variation.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 SECOND = 1_000_000
 STEP = 5_000
-# Before anything happens all have learned their rates.
-BEFORE = 15 * SECOND
-AWAY = 3 * SECOND
-TOLD_LATEST = 2 * SECOND
-STALE_FOR = 6 * SECOND
-# A tenth of the proxies have so many times the mean, as far as it goes round.
-MANY_TIMES = 10.0
-# A backend that holds so many takes no more.
-HOLDS = 40
+# Warm-up time (us) of the simulation, in which all proxies learn their rates.
+LEARNING_TIME = 15 * SECOND
+COLD_START_OFFSET = 3 * SECOND
+MAX_NOTIFY_DELAY = 2 * SECOND
+STALE_NOTIFY_DELAY = 6 * SECOND
+# With uneven traffic, one proxy in 15 gets this many times the mean.
+UNEVEN_FACTOR = 10.0
+# Most requests that a backend executes at once; it rejects further ones.
+MAX_CONCURRENT_REQUESTS = 40
 
 
 class Deployment(NamedTuple):
-    """What settings may tell: the cold share, until when a backend is warm, the rule's multiple and window;
-    beside them the mean work of a request (s) and how many backends there are. Times in seconds."""
+    """The settings of a simulated deployment: the speed share of a cold backend, its warm-up time, the multiple and
+    window of the cold overload rule, the mean work of a request, and the number of backends. Times in seconds."""
 
     name: str
     share: float
@@ -48,34 +49,38 @@
     backends: int
 
     def allowed(self, age: float) -> float:
-        """N of a window that begins when a backend has this age (s)."""
-        grown = self.share + (1.0 - self.share) * min(1.0, max(0.0, age) / self.warm)
-        return self.multiple * grown * self.window / self.work
+        """N of a window that begins when the backend has this age (s)."""
+        speed_share = self.share + (1.0 - self.share) * min(1.0, max(0.0, age) / self.warm)
+        return self.multiple * speed_share * self.window / self.work
 
 
 class Case(NamedTuple):
-    """What happens: how many backends start cold, when each (s, over which they are spread), and what is
-    uneven about the proxies."""
+    """One simulated scenario: how many backends start cold, over how many seconds (`spread`) their starts are
+    distributed, and which disturbances there are."""
 
     name: str
-    cold: float  # the part of the backends; 0 is a single one
+    cold: float  # share of the backends that start cold; 0 means a single one
     spread: float = 0.0
     zones: int = 1
     uneven: bool = False
     late: bool = False
-    stale: int = 0  # proxies that are told neither of the end nor of the start till much later
+    stale: int = 0  # number of proxies that learn of the end and of the start STALE_NOTIFY_DELAY late
     restarted: int = 0
     burst: float = 1.0
-    load: float = 0.7  # of what the warm backends can do
-    away: float = 3.0  # from the end to the start (s); 0 where others take their places
-    slow: float = 1.0  # the speed of those that start cold, where no list tells it
-    lost: float = 0.0  # the part of the others that is gone for good, 1.5 s after the start
+    load: float = 0.7  # as a share of the capacity of the warm backends
+    away: float = 3.0  # time from the end to the start (s); 0 if other backends replace the old ones
+    slow: float = 1.0  # speed of the backends that start cold; the endpoint list does not show it
+    lost: float = 0.0  # share of the other backends that end for good 1.5 s after the start
 
 
 class Reading(NamedTuple):
-    """Of one run, or of several: windows that were judged, those over the limit, the worst count beside its N
-    and limit, by count and by work; requests to cold backends in their first window as a part of N; the part
-    of all requests that succeeded after the start."""
+    """The figures of one run or of several.
+
+    `windows` are the evaluated windows and `over` those above the limit; `worst` is the highest ratio of a window's
+    count to its limit, with the `count` and the N (`allowed`) of that window. The `by_work` fields are the same for the
+    work of the requests instead of their count. `first` are the requests to a cold backend in its first window, as a
+    share of N. `served` is the share of all requests after the start that succeeded in time.
+    """
 
     windows: int
     over: int
@@ -88,23 +93,23 @@
     served: float
 
 
-# A request as it came to a backend: when, whether its proxy had been told of the start, and its work (s).
-Arrived = tuple[int, bool, float]
+# One request at a backend: its time, whether its proxy knew of the backend's start, and its work (s).
+ArrivedRequest = tuple[int, bool, float]
 
 
 class Server:
-    """One backend as it is: a core shared evenly by what it holds."""
+    """One simulated backend: its requests share one core evenly."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.name, self.zone = name, zone
         self.up, self.ready, self.born, self.speed = True, True, 0, 1.0
         self.work: dict[Ticket, float] = {}
-        # Since it started; emptied by a start.
-        self.sent: list[Arrived] = []
+        # The requests since the backend's last start.
+        self.received: list[ArrivedRequest] = []
 
 
 class Proxy:
-    """One balancer, and what it has been told of each backend."""
+    """One proxy: the program's balancer, and the backends that it knows."""
 
     def __init__(self, number: int, settings: PolicySettings, now: int) -> None:
         self.number, self.settings = number, settings
@@ -113,35 +118,37 @@
 
 
 class Model:
+    """One run of a case in a deployment, with its virtual clock and event queue."""
+
     def __init__(self, deployment: Deployment, case: Case, proxies: int, seed: int) -> None:
         self.deployment, self.case = deployment, case
         self.now = 1_000 * SECOND
-        self.chance = Random(f"{deployment.name}:{case.name}:{seed}")
-        zones = [f"z{one}" for one in range(case.zones)]
-        servers = [Server(f"b{one:02}", zones[one % len(zones)]) for one in range(deployment.backends)]
-        self.servers = {one.name: one for one in servers}
+        self.rng = Random(f"{deployment.name}:{case.name}:{seed}")
+        zones = [f"z{number}" for number in range(case.zones)]
+        servers = [Server(f"b{number:02}", zones[number % len(zones)]) for number in range(deployment.backends)]
+        self.servers = {server.name: server for server in servers}
         self.seed, self.zones = seed, zones
-        self.proxies = [self._proxy(one, proxies) for one in range(proxies)]
-        self.size = proxies
+        self.proxies = [self._make_proxy(number, proxies) for number in range(proxies)]
+        self.proxy_count = proxies
         busy = max(1, proxies // 15) if case.uneven else 0
-        rest = (proxies - MANY_TIMES * busy) / (proxies - busy) if busy else 1.0
-        self.weights = [MANY_TIMES if one < busy else rest for one in range(proxies)]
-        self.chance.shuffle(self.weights)
-        self.out: dict[Ticket, tuple[Proxy, Server, int]] = {}
+        other_weight = (proxies - UNEVEN_FACTOR * busy) / (proxies - busy) if busy else 1.0
+        self.weights = [UNEVEN_FACTOR if number < busy else other_weight for number in range(proxies)]
+        self.rng.shuffle(self.weights)
+        self.in_flight: dict[Ticket, tuple[Proxy, Server, int]] = {}
         self.tally: Counter[str] = Counter()
-        self.due: list[tuple[int, int, Callable[[], None]]] = []  # a heap; emptied as the times come
+        self.events: list[tuple[int, int, Callable[[], None]]] = []  # a heap of (time, sequence number, event)
         self.order = count()
         self.rate = case.load * deployment.backends / deployment.work
         for proxy in self.proxies:
-            self._tell(proxy, list(self.servers.values()))
+            self._notify(proxy, list(self.servers.values()))
 
-    def _proxy(self, number: int, size: int) -> Proxy:
-        told, deployment = PolicySettings(), self.deployment
-        most = round(20 * deployment.work * SECOND)
-        given = {
+    def _make_proxy(self, number: int, proxy_count: int) -> Proxy:
+        settings, deployment = PolicySettings(), self.deployment
+        latency_target = round(20 * deployment.work * SECOND)
+        values = {
             "seed": self.seed * 1000 + number + self.now,
             "customers": [],
-            "group_size": size,
+            "group_size": proxy_count,
             "proxy_index": number,
             "tier_index": 0,
             "last_tier": True,
@@ -164,190 +171,215 @@
             "only_drain_binds": False,
             "list_is_pushed": False,
             "drain_within": SECOND // 2,
-            "use_cases": [UseCase("look", most, 2 * most, 1.0)],
+            "use_cases": [UseCase("look", latency_target, 2 * latency_target, 1.0)],
         }
-        for name, value in given.items():
-            setattr(told, name, value)
-        return Proxy(number, told, self.now)
+        for name, value in values.items():
+            setattr(settings, name, value)
+        return Proxy(number, settings, self.now)
 
-    # --- what happens -----------------------------------------------------------------------------
+    # --- events -----------------------------------------------------------------------------------
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
-        heappush(self.due, (when, next(self.order), what))
+    def schedule(self, time: int, event: Callable[[], None]) -> None:
+        heappush(self.events, (time, next(self.order), event))
 
-    def _tell(self, proxy: Proxy, servers: list[Server]) -> None:
+    def _notify(self, proxy: Proxy, servers: list[Server]) -> None:
         lines = [
-            Listing(proxy.known.setdefault(one.name, Backend(one.name)), one.zone, 0, 1.0, one.born, one.ready)
-            for one in servers
+            Listing(
+                proxy.known.setdefault(server.name, Backend(server.name)),
+                server.zone,
+                0,
+                1.0,
+                server.born,
+                server.ready,
+            )
+            for server in servers
         ]
         proxy.balancer.update_endpoints(lines, False, self.now)
 
-    def _spoken(self, server: Server, stale: set[int]) -> None:
-        """Every proxy is told how it stands now, each in its own time."""
+    def _notify_all(self, server: Server, stale: set[int]) -> None:
+        """Notifies every proxy of the server's state, each with its own delay."""
         for proxy in self.proxies:
-            wait = STALE_FOR if proxy.number in stale else self.chance.random() * TOLD_LATEST if self.case.late else 0
-            self.at(self.now + int(wait), lambda number=proxy.number: self._tell(self.proxies[number], [server]))
-
-    def _ends(self, server: Server, stale: set[int]) -> None:
+            wait = (
+                STALE_NOTIFY_DELAY
+                if proxy.number in stale
+                else self.rng.random() * MAX_NOTIFY_DELAY
+                if self.case.late
+                else 0
+            )
+            self.schedule(
+                self.now + int(wait), lambda number=proxy.number: self._notify(self.proxies[number], [server])
+            )
+
+    def _stop_server(self, server: Server, stale: set[int]) -> None:
         server.up = server.ready = False
-        for ticket, (_, at, _) in list(self.out.items()):
-            if at is server:
-                self._over(ticket, UNREACHED)
+        for ticket, (_, ticket_server, _) in list(self.in_flight.items()):
+            if ticket_server is server:
+                self._end_attempt(ticket, UNREACHED)
         server.work.clear()
-        self._spoken(server, stale)
+        self._notify_all(server, stale)
 
-    def _starts(self, server: Server, stale: set[int]) -> None:
+    def _start_server(self, server: Server, stale: set[int]) -> None:
         server.up, server.ready, server.born = True, True, self.now
-        server.sent.clear()
-        self._spoken(server, stale)
+        server.received.clear()
+        self._notify_all(server, stale)
 
-    def _replaced(self, olds: list[Server], stale: set[int]) -> None:
-        """Others stand in their places; the old ones finish what they hold."""
+    def _replace(self, olds: list[Server], stale: set[int]) -> None:
+        """Starts a replacement for each of the old servers, which finish their requests and get no new ones."""
         for old in olds:
             old.ready = False
             new = self.servers[f"n{old.name}"]
             new.speed = self.case.slow
-            self._starts(new, stale)
-            self._spoken(old, stale)
+            self._start_server(new, stale)
+            self._notify_all(old, stale)
 
     def _restart(self, number: int) -> None:
         old = self.proxies[number]
-        for ticket, (proxy, server, _) in list(self.out.items()):
+        for ticket, (proxy, server, _) in list(self.in_flight.items()):
             if proxy is old:
-                del self.out[ticket]
-        self.proxies[number] = self._proxy(number, self.size)
-        self._tell(self.proxies[number], list(self.servers.values()))
+                del self.in_flight[ticket]
+        self.proxies[number] = self._make_proxy(number, self.proxy_count)
+        self._notify(self.proxies[number], list(self.servers.values()))
 
     def play(self) -> Reading:
+        """Runs the case and returns the figures of its cold backends."""
         case, deployment = self.case, self.deployment
         cold = list(self.servers.values())
         if case.zones > 1:
-            cold = [one for one in cold if one.zone == self.zones[0]]
+            cold = [server for server in cold if server.zone == self.zones[0]]
         else:
             cold = cold[: max(1, ceil(case.cold * len(cold)))]
-        stale = set(self.chance.sample(range(self.size), case.stale))
-        start = self.now + BEFORE
-        for place, server in enumerate(cold):
-            at = start + AWAY + int(case.spread * SECOND * place / len(cold))
+        stale = set(self.rng.sample(range(self.proxy_count), case.stale))
+        start = self.now + LEARNING_TIME
+        for index, server in enumerate(cold):
+            change_at = start + COLD_START_OFFSET + int(case.spread * SECOND * index / len(cold))
             if not case.away:
-                self.at(at, lambda one=server: self._replaced([one], stale))
+                self.schedule(change_at, lambda old=server: self._replace([old], stale))
                 continue
             server.speed = case.slow
-            at -= int(case.away * SECOND)
-            self.at(at, lambda one=server: self._ends(one, stale))
-            self.at(at + int(case.away * SECOND), lambda one=server: self._starts(one, stale))
+            change_at -= int(case.away * SECOND)
+            self.schedule(change_at, lambda server=server: self._stop_server(server, stale))
+            self.schedule(change_at + int(case.away * SECOND), lambda server=server: self._start_server(server, stale))
         if not case.away:
-            new = [Server(f"n{one.name}", one.zone) for one in cold]
-            for one in new:
-                one.up = one.ready = False
-                self.servers[one.name] = one
-        others = [one for one in self.servers.values() if one.ready and one not in cold]
+            replacements = [Server(f"n{server.name}", server.zone) for server in cold]
+            for server in replacements:
+                server.up = server.ready = False
+                self.servers[server.name] = server
+        others = [server for server in self.servers.values() if server.ready and server not in cold]
         for server in others[: round(case.lost * len(others))]:
-            self.at(start + AWAY + 3 * SECOND // 2, lambda one=server: self._ends(one, stale))
-        for number in self.chance.sample(range(self.size), case.restarted):
-            self.at(start + AWAY + self.chance.randrange(3 * SECOND), lambda one=number: self._restart(one))
+            self.schedule(
+                start + COLD_START_OFFSET + 3 * SECOND // 2, lambda server=server: self._stop_server(server, stale)
+            )
+        for number in self.rng.sample(range(self.proxy_count), case.restarted):
+            self.schedule(
+                start + COLD_START_OFFSET + self.rng.randrange(3 * SECOND), lambda number=number: self._restart(number)
+            )
         if case.burst != 1.0:
-            self.at(start + AWAY + SECOND, lambda: setattr(self, "rate", self.rate * case.burst))
-        self._run(start + AWAY)
+            self.schedule(start + COLD_START_OFFSET + SECOND, lambda: setattr(self, "rate", self.rate * case.burst))
+        self._run_until(start + COLD_START_OFFSET)
         self.tally.clear()
-        self._run(start + AWAY + int((case.spread + min(deployment.warm, 10.0)) * SECOND))
-        return self._read(cold if case.away else new)
+        self._run_until(start + COLD_START_OFFSET + int((case.spread + min(deployment.warm, 10.0)) * SECOND))
+        return self._evaluate(cold if case.away else replacements)
 
     # --- time and requests ------------------------------------------------------------------------
 
-    def _run(self, until: int) -> None:
-        following = self.now + self.chance.expovariate(self.rate) * SECOND
+    def _run_until(self, until: int) -> None:
+        next_request = self.now + self.rng.expovariate(self.rate) * SECOND
         while self.now < until:
             self.now += STEP
-            while self.due and self.due[0][0] <= self.now:
-                heappop(self.due)[2]()
+            while self.events and self.events[0][0] <= self.now:
+                heappop(self.events)[2]()
             for server in self.servers.values():
                 if server.work:
-                    self._work(server)
-            for ticket, (_, _, due) in list(self.out.items()):
-                if self.now >= due and ticket in self.out:
-                    self._over(ticket, TIMED_OUT)
-            while following <= self.now:
-                self._request(self.chance.choices(self.proxies, self.weights)[0])
-                following += self.chance.expovariate(self.rate) * SECOND
-
-    def _work(self, server: Server) -> None:
+                    self._advance_work(server)
+            for ticket, (_, _, timeout_at) in list(self.in_flight.items()):
+                if self.now >= timeout_at and ticket in self.in_flight:
+                    self._end_attempt(ticket, TIMED_OUT)
+            while next_request <= self.now:
+                self._request(self.rng.choices(self.proxies, self.weights)[0])
+                next_request += self.rng.expovariate(self.rate) * SECOND
+
+    def _advance_work(self, server: Server) -> None:
         age = (self.now - server.born) / SECOND if server.born else self.deployment.warm
         share = self.deployment.share + (1.0 - self.deployment.share) * min(1.0, age / self.deployment.warm)
-        each = server.speed * share * STEP / SECOND / len(server.work)
-        for ticket in [one for one, left in server.work.items() if left <= each]:
-            if ticket in self.out:
-                self._over(ticket, DONE)
+        done_work = server.speed * share * STEP / SECOND / len(server.work)
+        for ticket in [ticket for ticket, remaining in server.work.items() if remaining <= done_work]:
+            if ticket in self.in_flight:
+                self._end_attempt(ticket, DONE)
             else:
                 del server.work[ticket]
         for ticket in server.work:
-            server.work[ticket] -= each
+            server.work[ticket] -= done_work
 
     def _request(self, proxy: Proxy) -> None:
         use = proxy.settings.use_cases[0]
         ticket = Ticket(use, None, self.now, self.now + use.outer_limit)
         self.tally["asked"] += 1
-        self._place(proxy, ticket)
+        self._dispatch(proxy, ticket)
 
-    def _place(self, proxy: Proxy, ticket: Ticket) -> None:
-        where = proxy.balancer.choose_backend(ticket, self.now)
-        if not isinstance(where, Backend):
+    def _dispatch(self, proxy: Proxy, ticket: Ticket) -> None:
+        chosen = proxy.balancer.choose_backend(ticket, self.now)
+        if not isinstance(chosen, Backend):
             self.tally["rejected"] += 1
             return
-        server = self.servers[where.address]
-        self.out[ticket] = proxy, server, self.now + proxy.balancer.wait_time(ticket, self.now)
+        server = self.servers[chosen.address]
+        self.in_flight[ticket] = proxy, server, self.now + proxy.balancer.wait_time(ticket, self.now)
         if not server.up:
-            self._over(ticket, UNREACHED)
+            self._end_attempt(ticket, UNREACHED)
             return
-        work = self.chance.expovariate(1.0 / self.deployment.work)
-        server.sent.append((self.now, where.started_at == server.born, work))
-        if len(server.work) >= HOLDS:
-            self._over(ticket, FULL)
+        work = self.rng.expovariate(1.0 / self.deployment.work)
+        server.received.append((self.now, chosen.started_at == server.born, work))
+        if len(server.work) >= MAX_CONCURRENT_REQUESTS:
+            self._end_attempt(ticket, FULL)
             return
         server.work[ticket] = work
 
-    def _over(self, ticket: Ticket, how: int) -> None:
-        proxy, server, _ = self.out.pop(ticket)
+    def _end_attempt(self, ticket: Ticket, outcome: int) -> None:
+        proxy, server, _ = self.in_flight.pop(ticket)
         server.work.pop(ticket, None)
-        if how == DONE:
+        if outcome == DONE:
             self.tally["done"] += self.now - ticket.arrived_at <= ticket.use_case.latency_target
-        if proxy.balancer.attempt_ended(ticket.attempts[-1], how, how == DONE, self.now) == AGAIN:
-            self._place(proxy, ticket)
+        if proxy.balancer.attempt_ended(ticket.attempts[-1], outcome, outcome == DONE, self.now) == AGAIN:
+            self._dispatch(proxy, ticket)
 
-    def _read(self, cold: list[Server]) -> Reading:
+    def _evaluate(self, cold: list[Server]) -> Reading:
         served = self.tally["done"] / max(1, self.tally["asked"])
-        return joined([read(self.deployment, one.sent, one.born, one.speed, served) for one in cold])
+        return combine(
+            [evaluate_windows(self.deployment, server.received, server.born, server.speed, served) for server in cold]
+        )
 
 
-def read(deployment: Deployment, sent: list[Arrived], born: int, speed: float = 1.0, served: float = 0.0) -> Reading:
-    """What came to one backend from its start on, in order of time, window by window; `born` in us."""
-    span = deployment.window * SECOND
-    windows = over = over_by_work = most_sent = ends = 0
+def evaluate_windows(
+    deployment: Deployment, received: list[ArrivedRequest], born: int, speed: float = 1.0, served: float = 0.0
+) -> Reading:
+    """Evaluates the windows of one backend from its start on. `received` are its requests in order of time, and `born` is
+    its start in us."""
+    window_us = deployment.window * SECOND
+    windows = over = over_by_work = worst_count = end_index = 0
     worst = worst_by_work = allowed = 0.0
-    first = sum(at < born + span for at, _, _ in sent) / deployment.allowed(0.0)
-    for begins, (since, _, _) in enumerate(sent):
-        if since >= born + deployment.warm * SECOND:
+    first = sum(time < born + window_us for time, _, _ in received) / deployment.allowed(0.0)
+    for start_index, (window_start, _, _) in enumerate(received):
+        if window_start >= born + deployment.warm * SECOND:
             break
-        while ends < len(sent) and sent[ends][0] < since + span:
-            ends += 1
-        got = sent[begins:ends]
-        # As the rule has it: a fall counts where over two thirds came from those told of the start.
-        if 3 * sum(told for _, told, _ in got) <= 2 * len(got):
+        while end_index < len(received) and received[end_index][0] < window_start + window_us:
+            end_index += 1
+        requests = received[start_index:end_index]
+        # The rule counts a window only if over two thirds of its requests came from proxies that knew of the start.
+        if 3 * sum(knew_of_start for _, knew_of_start, _ in requests) <= 2 * len(requests):
             continue
         windows += 1
-        may = speed * deployment.allowed((since - born) / SECOND)
-        most = may + 2 * sqrt(may) + 2
-        work = sum(one for _, _, one in got) / deployment.work
-        over, over_by_work = over + (len(got) > most), over_by_work + (work > most)
-        worst_by_work = max(worst_by_work, work / most)
-        if len(got) / most > worst:
-            worst, most_sent, allowed = len(got) / most, len(got), may
-    return Reading(windows, over, worst, most_sent, allowed, over_by_work, worst_by_work, first, served)
-
-
-def of_run(script: Script, records: Records) -> list[Reading]:
-    """The same of a scenario run with whole processes, one for each start of a cold backend while it ran. The
-    script has one tier, one kind of backend, and one mean work."""
+        window_allowed = speed * deployment.allowed((window_start - born) / SECOND)
+        limit = window_allowed + 2 * sqrt(window_allowed) + 2
+        work = sum(request_work for _, _, request_work in requests) / deployment.work
+        over, over_by_work = over + (len(requests) > limit), over_by_work + (work > limit)
+        worst_by_work = max(worst_by_work, work / limit)
+        if len(requests) / limit > worst:
+            worst, worst_count, allowed = len(requests) / limit, len(requests), window_allowed
+    return Reading(windows, over, worst, worst_count, allowed, over_by_work, worst_by_work, first, served)
+
+
+def readings_of_run(script: Script, records: Records) -> list[Reading]:
+    """The figures of a rehearsal with real processes, one for each cold start of a backend during the run. The script
+    has to have one tier, one kind of backend, and one use case or the same mean work for all."""
     kind, rules = script.tiers[0].kinds[0], script.rules
     speed = kind.speed * kind.cores
     deployment = Deployment(
@@ -359,23 +391,29 @@
         script.use_cases[0].work.mean / SECOND,
         kind.count,
     )
-    proxy = {one.name: one.proxy for one in records.client_attempts}
+    proxy_of_ticket = {attempt.name: attempt.proxy for attempt in records.client_attempts}
     readings = []
-    for stood in records.backend_lifetimes:
-        if stood.born < 0:
+    for lifetime in records.backend_lifetimes:
+        if lifetime.born < 0:
             continue
-        told: dict[int, int] = {}
-        for word in records.state_notifications:
-            if word.id == stood.id and word.state == "ready" and word.at >= stood.born:
-                told[word.proxy] = min(word.at, told.get(word.proxy, word.at))
-        ends = stood.ends if stood.ends >= 0 else script.span + SECOND
+        notified_at: dict[int, int] = {}
+        for notification in records.state_notifications:
+            if notification.id == lifetime.id and notification.state == "ready" and notification.at >= lifetime.born:
+                notified_at[notification.proxy] = min(
+                    notification.at, notified_at.get(notification.proxy, notification.at)
+                )
+        end = lifetime.ends if lifetime.ends >= 0 else script.span + SECOND
         never = script.span * 2
-        sent = sorted(
-            (one.first, one.first >= told.get(proxy.get(one.name, -1), never), deployment.work)
-            for one in records.backend_attempts
-            if one.id == stood.id and one.place == stood.place and stood.born <= one.first < ends
+        received = sorted(
+            (
+                attempt.first,
+                attempt.first >= notified_at.get(proxy_of_ticket.get(attempt.name, -1), never),
+                deployment.work,
+            )
+            for attempt in records.backend_attempts
+            if attempt.id == lifetime.id and attempt.place == lifetime.place and lifetime.born <= attempt.first < end
         )
-        readings.append(read(deployment, sent, stood.born, speed))
+        readings.append(evaluate_windows(deployment, received, lifetime.born, speed))
     return readings
 
 
@@ -424,29 +462,29 @@
 ]
 
 
-def joined(readings: list[Reading]) -> Reading:
-    """Several runs as one."""
-    worst = max(readings, key=lambda one: one.worst)
+def combine(readings: list[Reading]) -> Reading:
+    """Combines the figures of several runs."""
+    worst = max(readings, key=lambda reading: reading.worst)
     return Reading(
-        sum(one.windows for one in readings),
-        sum(one.over for one in readings),
+        sum(reading.windows for reading in readings),
+        sum(reading.over for reading in readings),
         worst.worst,
         worst.count,
         worst.allowed,
-        sum(one.over_by_work for one in readings),
-        max(one.worst_by_work for one in readings),
-        sum(one.first for one in readings) / len(readings),
-        sum(one.served for one in readings) / len(readings),
+        sum(reading.over_by_work for reading in readings),
+        max(reading.worst_by_work for reading in readings),
+        sum(reading.first for reading in readings) / len(readings),
+        sum(reading.served for reading in readings) / len(readings),
     )
 
 
 def rows(proxies: int, seeds: Iterable[int], names: Sequence[str]) -> Iterator[tuple[Deployment, Case, Reading]]:
-    """Each case at each of the deployments named, as it is read."""
-    for deployment in (one for one in DEPLOYMENTS if one.name in names):
+    """Runs each case in each of the named deployments and yields the figures."""
+    for deployment in (deployment for deployment in DEPLOYMENTS if deployment.name in names):
         for case in CASES:
             if proxies >= max(case.restarted, case.stale):
                 runs = [Model(deployment, case, proxies, seed).play() for seed in seeds]
-                yield deployment, case, joined(runs)
+                yield deployment, case, combine(runs)
 
 
 HEAD = (
@@ -455,9 +493,10 @@
 )
 
 
-def line(deployment: Deployment, case: Case, got: Reading) -> str:
+def line(deployment: Deployment, case: Case, reading: Reading) -> str:
+    """One row of the Markdown table that HEAD begins."""
     return (
-        f"| {deployment.name} | {case.name} | {got.windows} | {got.over}"
-        f" | {got.worst:.2f} ({got.count} of N {got.allowed:.1f})"
-        f" | {got.over_by_work} over, {got.worst_by_work:.2f} | {got.first:.2f} | {got.served:.3f} |"
+        f"| {deployment.name} | {case.name} | {reading.windows} | {reading.over}"
+        f" | {reading.worst:.2f} ({reading.count} of N {reading.allowed:.1f})"
+        f" | {reading.over_by_work} over, {reading.worst_by_work:.2f} | {reading.first:.2f} | {reading.served:.3f} |"
     )
--- a/pepperusher/rehearsal/group_run.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -1,5 +1,5 @@
-"""The proxies of a rehearsal as one group: their own files, the links between them, and what each says that
-it finds.
+"""Runs the proxies of a rehearsal as one group: their configuration files, the simulated links between them, and the
+membership changes that each proxy logs.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from pepperusher.rehearsal.wire import clock
 
 KEY = "of this rehearsal alone"
-TWINS = 200  # hosts of second processes under one name come after those of all proxies
+DUPLICATE_HOST_OFFSET = 200  # offset of the host numbers of duplicate processes, beyond those of all proxies
 SECOND = 1_000_000
-IN, SAYS = "in the group", "group: "
+IN, EVENT_PREFIX = "in the group", "group: "
 
 
 def link_properties(link: Link) -> LinkProperties:
@@ -30,8 +30,8 @@
 
 
 def duplicate_gate(gate: Gate, net: int) -> Gate:
-    """Another place for a second process under the same name."""
-    number = TWINS + gate.number
+    """A gate for a duplicate process of a proxy: the same name at another address."""
+    number = DUPLICATE_HOST_OFFSET + gate.number
     return Gate(
         gate.number,
         gate.name,
@@ -46,46 +46,50 @@
 
 
 class GroupRun:
-    """`base` is the text of the own file that the members have beside this."""
+    """The group of one run. `base` is the text of the script's own configuration file, which precedes the group's
+    settings."""
 
     def __init__(self, script: Script, gates: list[Gate], net: int, work: Path, base: str = "") -> None:
         assert script.proxies.group is not None
-        self._said: Grouped = script.proxies.group
+        self._group: Grouped = script.proxies.group
         self._script = script
         self._gates = gates
         self._work = work
         self._base = base
         self._net = net
         self.links = Links(f"127.{net}.0.2", Random(f"{script.seed}:links"))
-        self._on: dict[int, Strike] = {}  # faults of links that are on, by their number; emptied as they end
+        self._active_faults: dict[int, Strike] = {}  # active link faults by their number in the script
 
     async def open(self) -> None:
-        """Before any process is started: each is told of the others by addresses that stand here."""
+        """Opens the front of every proxy. Has to be called before any process starts, since the processes are configured
+        with the addresses of the fronts."""
         for gate in self._gates:
             await self.links.open(gate.name)
 
     async def open_twin(self, gate: Gate) -> None:
-        """A second process under its name has a place and links of its own."""
+        """Opens a front of its own for a duplicate process of a proxy."""
         if (seat := self.seat(gate, True)) not in self.links.names:
             await self.links.open(seat)
 
     # --- a process ------------------------------------------------------------------------------------
 
     def seat(self, gate: Gate, twin: bool) -> str:
-        """What its links are called: the same for every process that stands there in turn."""
+        """The name of a proxy's front and files, the same for all processes that run one after another at a gate."""
         return f"{gate.name}#2" if twin else gate.name
 
     def control(self, seat: str) -> Path:
+        """The path of a proxy's control socket."""
         return self._work / f"{seat}.ctl"
 
     def write_own(self, gate: Gate, seat: str, folder: Path) -> Path:
-        others = [one.name for one in self._gates if one is not gate][: self._said.seeds]
+        """Writes the configuration file of one group member and returns its path."""
+        others = [other.name for other in self._gates if other is not gate][: self._group.seeds]
         host, port = self.links.address(seat)
-        seeds = ", ".join(f'"{at[0]}:{at[1]}"' for at in map(self.links.address, others))
+        seeds = ", ".join(f'"{address[0]}:{address[1]}"' for address in map(self.links.address, others))
         base = self._base.replace("HERE", str(folder))
         text = (
             f'{base}\n[group]\nlisten = "{gate.address[0]}:0"\nadvertise = "{host}:{port}"\nseeds = [{seeds}]\n'
-            f'key = "{KEY}"\nperiod = "{self._said.period}us"\nwithin = "{self._said.within}us"\n'
+            f'key = "{KEY}"\nperiod = "{self._group.period}us"\nwithin = "{self._group.within}us"\n'
             f'[control]\nsocket = "{self.control(seat)}"\n[said]\nform = "json"\n'
         )
         path = self._work / f"{seat}.toml"
@@ -93,20 +97,21 @@
         return path
 
     def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> MembershipBelief | None:
-        """A line of its log: where it listens now, or what it finds, with the time of its saying."""
+        """Handles an entry of a proxy's log: registers the address at which it listens, or returns a membership change
+        with the time at which it was logged."""
         event = str(line.get("event", ""))
         if event == IN:
             host, _, port = str(line["listen"]).rpartition(":")
             self.links.stands(seat, (host, int(port)))
             return None
-        if not event.startswith(SAYS):
+        if not event.startswith(EVENT_PREFIX):
             return None
-        said = float(line.get("time", time.time()))
-        ago = max(0, round((time.time() - said) * SECOND))
+        logged_at = float(line.get("time", time.time()))
+        age = max(0, round((time.time() - logged_at) * SECOND))
         return MembershipBelief(
             gate.number,
-            clock() - ago - start,
-            event.removeprefix(SAYS),
+            clock() - age - start,
+            event.removeprefix(EVENT_PREFIX),
             str(line.get("of", "")),
             str(line.get("by", "")),
         )
@@ -114,14 +119,14 @@
     # --- links --------------------------------------------------------------------------------------
 
     def struck(self, strike: Strike, on: bool) -> None:
-        """A fault of links begins or ends; those that are still on stay so."""
+        """Starts or ends a link fault; the other active faults continue."""
         number = strike.targets[0]
         if on:
-            self._on[number] = strike
+            self._active_faults[number] = strike
         else:
-            self._on.pop(number, None)
+            self._active_faults.pop(number, None)
         self.links.heal()
-        for other in self._on:
+        for other in self._active_faults:
             fault = self._script.faults[other]
             if fault.what == "link-part":
                 self.links.part(fault.sides)
@@ -132,11 +137,11 @@
 
 
 def parsed(line: bytes) -> dict[str, Any]:
-    """A line of a log in JSON; empty where it is none."""
+    """The fields of a JSON log line; empty if the line is not a JSON object."""
     if not line.startswith(b"{"):
         return {}
     try:
-        told = json.loads(line)
+        fields = json.loads(line)
     except ValueError:
         return {}
-    return told if isinstance(told, dict) else {}
+    return fields if isinstance(fields, dict) else {}
--- a/pepperusher/rehearsal/links.py
+++ b/pepperusher/rehearsal/links.py
@@ -1,8 +1,9 @@
-"""Links of our own between proxies, in user space: what passes between each two, one way and the other.
+"""Simulates the network links between proxies in user space, for datagrams and streams and separately for each
+direction.
 
-Each proxy is told to others by the address of its front here, so that all for it comes by; who sent it is
-known by where it came from. Datagrams and streams: cut, cut one way, lost, late, out of order, doubled,
-damaged, cut to a size, slow. No proxy knows of any of it.
+Each proxy is advertised to the others by the address of a front in this process, so that all traffic to it passes here;
+the sender is identified by its source address. Traffic can be blocked in one or both directions, lost, delayed,
+reordered, duplicated, damaged, truncated or limited in rate. The proxies are not aware of the simulation.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 from random import Random
 from typing import NamedTuple
 
-LONGEST = 65_536
-# A link that is slow holds back so much; what comes beyond that is lost, as in a router's queue.
-HELD_BACK = 1.0
-LOOK_EVERY = 0.02
-BATCH = 64
-# Streams that wait to be taken: a few hundred proxies of a zone may connect to one front at one moment, and beyond it
-# the kernel drops them, to be tried again after 1 s and 3 s.
+READ_SIZE = 65_536
+# Longest queue of a rate-limited link, in seconds. Datagrams beyond it are lost, as in a router's queue.
+MAX_QUEUE_SECONDS = 1.0
+BLOCK_POLL_INTERVAL = 0.02
+DATAGRAMS_PER_WAKE_UP = 64
+# Listen backlog: a few hundred proxies of a zone may connect to one front at once. Beyond the backlog the kernel drops
+# connection attempts, which are retried after 1 s and 3 s.
 BACKLOG = 1024
 
 
 class LinkProperties(NamedTuple):
-    """What befalls what one sends another. Shares from 0 to 1, times in seconds, `rate` in bytes a second (0:
-    no bound); `size` is what a datagram is cut to (0: none is). With a jitter over the time between two they
-    change order.
+    """The properties of a link in one direction: `lost`, `twice` (duplicated) and `damaged` as shares from 0 to 1,
+    `delay` and `jitter` in seconds, `rate` in bytes per second (0: unlimited), and `size`, the length that datagrams are
+    truncated to (0: not truncated). Datagrams are reordered if the jitter exceeds the time between them.
     """
 
     lost: float = 0.0
@@ -42,8 +43,9 @@
 
 
 class Front:
-    """Where others reach one proxy, and where that really listens once it has said so. `side` is what it
-    counts as where links are cut and shaped: its own name, or that of all who stand with it.
+    """The sockets at which the others reach one proxy. `stands` is the address at which the proxy itself listens, None
+    until it is known. `side` identifies it when links are blocked or shaped: its own name, or a name that it shares with
+    other proxies.
     """
 
     __slots__ = ("name", "side", "address", "sock", "server", "stands")
@@ -58,17 +60,19 @@
 
 
 class Links:
-    def __init__(self, host: str, chance: Random) -> None:
+    """All links between the proxies of a rehearsal."""
+
+    def __init__(self, host: str, next_random: Random) -> None:
         self._host = host
-        self._chance = chance
+        self._random = next_random
         self._fronts: dict[str, Front] = {}
-        self._of_host: dict[str, str] = {}  # by a proxy's own host, its side
-        self._sides: set[str] = set()  # those of several, within which links are shaped as well
-        self._cut: set[tuple[str, str]] = set()
-        self._manners: dict[tuple[str, str], LinkProperties] = {}
-        self._free: dict[tuple[str, str], float] = {}  # when a slow link has sent what it holds back
-        self._tasks: set[asyncio.Task[None]] = set()  # of streams; emptied as they end
-        self._late: set[asyncio.TimerHandle] = set()
+        self._side_of_host: dict[str, str] = {}  # host of a proxy -> its side
+        self._sides: set[str] = set()  # sides of several proxies; links within such a side can be shaped too
+        self._blocked: set[tuple[str, str]] = set()
+        self._properties: dict[tuple[str, str], LinkProperties] = {}
+        self._queue_empty_at: dict[tuple[str, str], float] = {}  # when the queue of a rate-limited link is empty
+        self._tasks: set[asyncio.Task[None]] = set()  # one for each stream; removed when it ends
+        self._pending_sends: set[asyncio.TimerHandle] = set()
         self.counts: dict[str, int] = {
             "passed": 0,
             "passed bytes": 0,
@@ -83,10 +87,10 @@
         }
 
     async def open(self, name: str, side: str = "") -> tuple[str, int]:
-        """The address to be told of it; of the same number for datagrams and streams."""
+        """Opens the front of a proxy, with the same port for datagrams and streams; returns the address to advertise."""
         while True:
             server = await asyncio.start_server(
-                lambda reader, writer: self._accepted(name, reader, writer), self._host, 0, backlog=BACKLOG
+                lambda reader, writer: self._accept_stream(name, reader, writer), self._host, 0, backlog=BACKLOG
             )
             port = server.sockets[0].getsockname()[1]
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -101,18 +105,19 @@
         front = self._fronts[name] = Front(name, side or name, sock, server)
         if side:
             self._sides.add(side)
-        asyncio.get_running_loop().add_reader(sock, self._come, front)
+        asyncio.get_running_loop().add_reader(sock, self._receive_datagrams, front)
         return front.address
 
     def stands(self, name: str, address: tuple[str, int]) -> None:
-        """Where its process listens now. Each has a host of its own: by that it is known as a sender."""
+        """Sets the address at which a proxy's process listens. Each process has a host of its own, which identifies it as
+        a sender."""
         front = self._fronts[name]
         front.stands = address
-        self._of_host[address[0]] = front.side
+        self._side_of_host[address[0]] = front.side
 
     def sends_from(self, host: str, side: str) -> None:
-        """One whose own front is in another process."""
-        self._of_host[host] = side
+        """Registers a sender whose front is in another process."""
+        self._side_of_host[host] = side
 
     def address(self, name: str) -> tuple[str, int]:
         return self._fronts[name].address
@@ -127,91 +132,93 @@
             loop.remove_reader(front.sock)
             front.sock.close()
             front.server.close()
-        for handle in self._late:
+        for handle in self._pending_sends:
             handle.cancel()
         for task in self._tasks:
             task.cancel()
 
-    # --- what is broken -----------------------------------------------------------------------------
+    # --- link faults --------------------------------------------------------------------------------
 
     def part(self, sides: Iterable[Iterable[str]]) -> None:
-        """Nothing passes between members of different sides; whoever is on no side reaches all."""
-        held = [set(side) for side in sides]
-        for number, side in enumerate(held):
-            for other in held[number + 1 :]:
+        """Blocks all traffic between members of different sides; proxies on no side still reach all others."""
+        members = [set(side) for side in sides]
+        for number, side in enumerate(members):
+            for other in members[number + 1 :]:
                 self.cut(side, other)
                 self.cut(other, side)
 
     def cut(self, senders: Iterable[str], receivers: Iterable[str]) -> None:
-        """One way."""
+        """Blocks all traffic from the senders to the receivers, but not in the other direction."""
         receivers = list(receivers)
-        self._cut |= {(a, b) for a in senders for b in receivers if a != b}
+        self._blocked |= {(sender, receiver) for sender in senders for receiver in receivers if sender != receiver}
 
-    def shape(self, manner: LinkProperties, senders: Iterable[str], receivers: Iterable[str]) -> None:
+    def shape(self, properties: LinkProperties, senders: Iterable[str], receivers: Iterable[str]) -> None:
+        """Sets the properties of all links from the senders to the receivers."""
         receivers = list(receivers)
-        for a in senders:
-            for b in receivers:
-                if a != b or a in self._sides:
-                    self._manners[a, b] = manner
+        for sender in senders:
+            for receiver in receivers:
+                if sender != receiver or sender in self._sides:
+                    self._properties[sender, receiver] = properties
 
     def heal(self) -> None:
-        self._cut.clear()
-        self._manners.clear()
-        self._free.clear()
+        """Removes all blocks and link properties."""
+        self._blocked.clear()
+        self._properties.clear()
+        self._queue_empty_at.clear()
 
     # --- datagrams ------------------------------------------------------------------------------------
 
-    def _come(self, front: Front) -> None:
-        for _ in range(BATCH):
+    def _receive_datagrams(self, front: Front) -> None:
+        for _ in range(DATAGRAMS_PER_WAKE_UP):
             try:
-                data, source = front.sock.recvfrom(LONGEST)
+                data, source = front.sock.recvfrom(READ_SIZE)
             except OSError:
                 return
             self.counts["came"] += 1
             self.counts["came bytes"] += len(data)
-            self._pass(self._of_host.get(source[0], ""), front, data)
+            self._pass(self._side_of_host.get(source[0], ""), front, data)
 
     def _pass(self, sender: str, front: Front, data: bytes) -> None:
-        way = sender, front.side
-        if way in self._cut:
+        direction = sender, front.side
+        if direction in self._blocked:
             self.counts["cut"] += 1
             return
-        manner = self._manners.get(way, PLAIN)
-        chance = self._chance.random
-        if manner.lost and chance() < manner.lost:
+        properties = self._properties.get(direction, PLAIN)
+        next_random = self._random.random
+        if properties.lost and next_random() < properties.lost:
             self.counts["lost"] += 1
             return
-        if manner.damaged and chance() < manner.damaged:
+        if properties.damaged and next_random() < properties.damaged:
             self.counts["damaged"] += 1
-            at = self._chance.randrange(len(data) or 1)
-            data = data[:at] + bytes([data[at] ^ 1 << self._chance.randrange(8)]) + data[at + 1 :] if data else data
-        if manner.size:
-            data = data[: manner.size]
-        copies = 2 if manner.twice and chance() < manner.twice else 1
-        self.counts["doubled"] += copies - 1
-        for _ in range(copies):
-            self._send(way, manner, front, data)
-
-    def _send(self, way: tuple[str, str], manner: LinkProperties, front: Front, data: bytes) -> None:
+            at = self._random.randrange(len(data) or 1)
+            data = data[:at] + bytes([data[at] ^ 1 << self._random.randrange(8)]) + data[at + 1 :] if data else data
+        if properties.size:
+            data = data[: properties.size]
+        copy_count = 2 if properties.twice and next_random() < properties.twice else 1
+        self.counts["doubled"] += copy_count - 1
+        for _ in range(copy_count):
+            self._send_copy(direction, properties, front, data)
+
+    def _send_copy(self, direction: tuple[str, str], properties: LinkProperties, front: Front, data: bytes) -> None:
         loop = asyncio.get_running_loop()
-        wait = manner.delay + (self._chance.random() * manner.jitter if manner.jitter else 0.0)
-        if manner.rate:
-            free = max(loop.time(), self._free.get(way, 0.0))
-            if free - loop.time() > HELD_BACK:
+        delay_seconds = properties.delay + (self._random.random() * properties.jitter if properties.jitter else 0.0)
+        if properties.rate:
+            queue_empty_at = max(loop.time(), self._queue_empty_at.get(direction, 0.0))
+            if queue_empty_at - loop.time() > MAX_QUEUE_SECONDS:
                 self.counts["lost"] += 1
                 return
-            self._free[way] = free + len(data) / manner.rate
-            wait += self._free[way] - loop.time()
-        if wait <= 0:
+            self._queue_empty_at[direction] = queue_empty_at + len(data) / properties.rate
+            delay_seconds += self._queue_empty_at[direction] - loop.time()
+        if delay_seconds <= 0:
             self._out(front, data)
             return
 
-        def late() -> None:
-            self._late.discard(handle)
+        def send_delayed() -> None:
+            self._pending_sends.discard(handle)
             self._out(front, data)
 
-        handle = loop.call_later(wait, late)
-        self._late.add(handle)
+        handle = loop.call_later(delay_seconds, send_delayed)
+        self._pending_sends.add(handle)
 
     def _out(self, front: Front, data: bytes) -> None:
         if front.stands is None:
@@ -225,45 +232,46 @@
 
     # --- streams ----------------------------------------------------------------------------------------
 
-    async def _accepted(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept_stream(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        onward: asyncio.StreamWriter | None = None
+        upstream_writer: asyncio.StreamWriter | None = None
         try:
-            sender = self._of_host.get(writer.get_extra_info("peername")[0], "")
+            sender = self._side_of_host.get(writer.get_extra_info("peername")[0], "")
             front = self._fronts[name]
             if front.stands is None:
                 return
             self.counts["streams"] += 1
-            await self._open_way(sender, front.side)
-            back, onward = await asyncio.open_connection(*front.stands)
+            await self._wait_until_open(sender, front.side)
+            upstream_reader, upstream_writer = await asyncio.open_connection(*front.stands)
             await asyncio.gather(
-                self._pump(sender, front.side, reader, onward), self._pump(front.side, sender, back, writer)
+                self._copy_stream(sender, front.side, reader, upstream_writer),
+                self._copy_stream(front.side, sender, upstream_reader, writer),
             )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
             self._tasks.discard(task)
             writer.transport.abort()
-            if onward is not None:
-                onward.transport.abort()
+            if upstream_writer is not None:
+                upstream_writer.transport.abort()
 
-    async def _open_way(self, sender: str, receiver: str) -> None:
-        """A cut is silence, and no end of a connection: what is written waits, as in a kernel that sends
-        again.
+    async def _wait_until_open(self, sender: str, receiver: str) -> None:
+        """Waits while the direction is blocked. A block does not end connections: data waits, as in a kernel that
+        retransmits.
         """
-        while (sender, receiver) in self._cut:
-            await asyncio.sleep(LOOK_EVERY)
+        while (sender, receiver) in self._blocked:
+            await asyncio.sleep(BLOCK_POLL_INTERVAL)
 
-    async def _pump(
+    async def _copy_stream(
         self, sender: str, receiver: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(LONGEST):
+        while data := await reader.read(READ_SIZE):
             self.counts["stream bytes"] += len(data)
-            await self._open_way(sender, receiver)
-            manner = self._manners.get((sender, receiver), PLAIN)
-            await asyncio.sleep(manner.delay + (len(data) / manner.rate if manner.rate else 0.0))
+            await self._wait_until_open(sender, receiver)
+            properties = self._properties.get((sender, receiver), PLAIN)
+            await asyncio.sleep(properties.delay + (len(data) / properties.rate if properties.rate else 0.0))
             writer.write(data)
             await writer.drain()
         if writer.can_write_eof():
--- a/pepperusher/rehearsal/loopback_networks.py
+++ b/pepperusher/rehearsal/loopback_networks.py
@@ -1,4 +1,4 @@
-"""Loopback addresses that no other rehearsal on the machine uses now."""
+"""Reserves loopback addresses that no other rehearsal on the machine uses."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class RehearsalError(RuntimeError):
-    """A rehearsal that could not be played to its end; its text is one line."""
+    """A rehearsal failed before its end. The message is one line."""
 
 
 @contextmanager
 def reserve_network() -> Iterator[int]:
-    """A second number for this rehearsal's addresses, 127.N.x.y, that no other one on the machine uses
-    now."""
+    """Reserves a network 127.N.x.y for this rehearsal and yields N. A listening socket on the network locks it against
+    other rehearsals on the machine."""
     first = os.getpid() % len(NETS)
-    for turn in range(len(NETS)):
-        net = NETS[(first + turn) % len(NETS)]
+    for offset in range(len(NETS)):
+        net = NETS[(first + offset) % len(NETS)]
         lock = socket.socket()
         try:
             lock.bind((f"127.{net}.0.1", LOCK_PORT))
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -88,12 +88,12 @@
         self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
         # Duplicate processes run under the name of another proxy; their records are kept apart from the run's.
         self._duplicate_writer = Writer(work / "twins.aside")
-        self._duplicates: list[Runner] = []
+        self._twins: list[Runner] = []
         self._fleet: list[Worker] = []
         self._load: list[Worker] = []
         self._tasks: list[asyncio.Task[None]] = []
         self._failures: list[str] = []
-        self._target_numbers: set[int] = set()
+        self._admitted: set[int] = set()
         self._closed = False
 
     def _runner(self, gate: Gate, twin: bool, writer: Writer) -> Runner:
@@ -185,12 +185,12 @@
                 raise RehearsalError(str(outcome)) from None
             gate = self.plan.gates[number]
             if gate.tier == 0:
-                self._target_numbers.add(gate.number)
-        self._announce_targets()
+                self._admitted.add(gate.number)
+        self._admit()
 
-    def _announce_targets(self) -> None:
+    def _admit(self) -> None:
         for worker in self._load:
-            worker.tell(admit=sorted(self._target_numbers) if self.plan.front else [-1])
+            worker.tell(admit=sorted(self._admitted) if self.plan.front else [-1])
 
     # --- run --------------------------------------------------------------------------------------
 
@@ -235,16 +235,16 @@
         if self._failures:
             raise RehearsalError(self._failures[0])
 
-    async def _sleep_until(self, at: int) -> None:
+    async def _until(self, at: int) -> None:
         while (left := self._start.at + at - clock()) > 0:
             await asyncio.sleep(left / 1e6)
 
     async def _inject(self, strike: Strike) -> None:
-        await self._sleep_until(strike.at)
+        await self._until(strike.at)
         if strike.what == "pause-generator":
             for worker in self._load:
                 worker.signal(signal.SIGSTOP)
-            await self._sleep_until(strike.until)
+            await self._until(strike.until)
             for worker in self._load:
                 worker.signal(signal.SIGCONT)
             return
@@ -252,7 +252,7 @@
             if self.grouping is None:
                 return
             self.grouping.struck(strike, True)
-            await self._sleep_until(strike.until)
+            await self._until(strike.until)
             self.grouping.struck(strike, False)
             return
         if strike.what == "discovery-moved":
@@ -268,11 +268,11 @@
                 await self._suspend(number, strike.until)
             elif strike.what == "disk-full":
                 self._runners[number].full_disk(True)
-                await self._sleep_until(strike.until)
+                await self._until(strike.until)
                 self._runners[number].full_disk(False)
             elif strike.what == "disk-gone":
                 self._runners[number].take_disk(True)
-                await self._sleep_until(strike.until)
+                await self._until(strike.until)
                 self._runners[number].take_disk(False)
             elif strike.what == "disk-old":
                 await self._restore_old_disk(number)
@@ -289,20 +289,20 @@
         if strike.what == "proxy-term":
             ending = asyncio.get_running_loop().create_task(runner.terminate())
             await asyncio.sleep(ENDPOINT_REMOVAL_DELAY / 1e6)
-            self._remove_target(number)
+            self._out(number)
             await ending
         else:
             await runner.kill()
             # The clients detect a dead proxy only after the detection delay of the script.
             await asyncio.sleep(self._script.load.notice / 1e6)
-            self._remove_target(number)
+            self._out(number)
         if strike.until < 0:
             return
-        await self._sleep_until(strike.until)
+        await self._until(strike.until)
         await self._start_again(runner)
         if runner.ready and runner.gate.tier == 0:
-            self._target_numbers.add(number)
-            self._announce_targets()
+            self._admitted.add(number)
+            self._admit()
 
     async def _suspend(self, number: int, until: int) -> None:
         """Suspends a proxy until `until`. The clients stop using it after their detection delay, and use it again
@@ -310,13 +310,13 @@
 
         async def wait_for_resume() -> None:
             await asyncio.sleep(min(self._script.load.notice, max(0, until - self._now())) / 1e6)
-            self._remove_target(number)
-            await self._sleep_until(until)
+            self._out(number)
+            await self._until(until)
 
         await self._runners[number].stopped(wait_for_resume)
         if self._runners[number].gate.tier == 0:
-            self._target_numbers.add(number)
-            self._announce_targets()
+            self._admitted.add(number)
+            self._admit()
 
     async def _restore_old_disk(self, number: int) -> None:
         """Kills a proxy and starts it with a copy of its disk from the start of the run."""
@@ -329,27 +329,27 @@
         """Drains a proxy by its console, as an operator does, and resumes it at `until`."""
         await self._runners[number].call("POST", "/-/drain")
         await asyncio.sleep(self._script.load.notice / 1e6)
-        self._remove_target(number)
-        await self._sleep_until(until)
+        self._out(number)
+        await self._until(until)
         await self._runners[number].call("POST", "/-/resume")
         await asyncio.sleep(self._script.load.notice / 1e6)
         if self._runners[number].gate.tier == 0:
-            self._target_numbers.add(number)
-            self._announce_targets()
+            self._admitted.add(number)
+            self._admit()
 
     async def twin(self, number: int, until: int) -> None:
         """Runs a second process under the name of a proxy, at another address, until `until`."""
         assert self.grouping is not None
         await self.grouping.open_twin(self.plan.gates[number])
         duplicate = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._duplicate_writer)
-        self._duplicates.append(duplicate)
+        self._twins.append(duplicate)
         await self._start_again(duplicate)
-        await self._sleep_until(until)
+        await self._until(until)
         await duplicate.kill()
 
-    def _remove_target(self, number: int) -> None:
-        self._target_numbers.discard(number)
-        self._announce_targets()
+    def _out(self, number: int) -> None:
+        self._admitted.discard(number)
+        self._admit()
 
     async def _start_again(self, runner: Runner) -> None:
         try:
@@ -369,10 +369,10 @@
                 (life.ends for life in self._line.lives if life.place == place and 0 <= life.ends < born),
                 default=0,
             )
-            await self._sleep_until(max(previous_end + 50_000, born - OWN_PROXY_LEAD))
+            await self._until(max(previous_end + 50_000, born - OWN_PROXY_LEAD))
             await self._start_again(runner)
         if ends >= 0 and not follows:
-            await self._sleep_until(ends)
+            await self._until(ends)
             await runner.kill()
 
     async def _sample_loop(self) -> None:
@@ -398,7 +398,7 @@
             await worker.end()
         # A process that a cancelled task was just starting has to be ended too, or its pipes outlive the event loop.
         await asyncio.sleep(0)
-        await asyncio.gather(*(runner.kill() for runner in [*self._runners, *self._duplicates]))
+        await asyncio.gather(*(runner.kill() for runner in [*self._runners, *self._twins]))
         if self.grouping is not None:
             self.grouping.links.close()
         self.listing.close()
--- a/pepperusher/rehearsal/standalone.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -1,4 +1,4 @@
-"""Parts of a rehearsal on their own: the load against servers that stand already, the fleet without load."""
+"""Runs parts of a rehearsal alone: the load against servers that run already, or the fleet without load."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from pepperusher.rehearsal.wire import address_of, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
-TELL_EVERY = 0.5
+PROGRESS_INTERVAL = 0.5
 
 
 def loopback(text: str) -> tuple[str, int]:
-    """An address of this machine's loopback, which is all that a load is ever sent to. Raises ScriptError."""
+    """Parses a loopback address; load is never sent to any other address. Raises ScriptError."""
     try:
         host, port = address_of(text)
         if not ipaddress.ip_address("127.0.0.1" if host == "localhost" else host).is_loopback:
@@ -37,7 +37,9 @@
 ) -> None:
     file = work / "script.json"
     file.write_bytes(scripts.encode(script))
-    told = [{"number": number, "zone": "", "host": host, "port": port} for number, (host, port) in enumerate(targets)]
+    target_list = [
+        {"number": number, "zone": "", "host": host, "port": port} for number, (host, port) in enumerate(targets)
+    ]
     workers = [
         await Worker.start(
             "pepperusher.rehearsal.generator",
@@ -46,22 +48,22 @@
             str(file),
             str(number),
             str(work),
-            json.dumps(told),
+            json.dumps(target_list),
         )
         for number in range(script.load.processes)
     ]
 
-    async def tell(start: int) -> None:
+    async def report_progress(start: int) -> None:
         while progress is not None:
-            await asyncio.sleep(TELL_EVERY)
+            await asyncio.sleep(PROGRESS_INTERVAL)
             progress(max(0, clock() - start))
 
-    telling: asyncio.Task[None] | None = None
+    progress_task: asyncio.Task[None] | None = None
     try:
         for worker in workers:
             await worker.said("planned", START_WITHIN)
         start = clock() + LEAD
-        telling = asyncio.get_running_loop().create_task(tell(start))
+        progress_task = asyncio.get_running_loop().create_task(report_progress(start))
         for worker in workers:
             worker.tell(admit=list(range(len(targets))))
             worker.tell(start=start)
@@ -69,23 +71,25 @@
         for worker in workers:
             await worker.said("over", (script.span + longest) / 1e6 + START_WITHIN)
     finally:
-        if telling is not None:
-            telling.cancel()
+        if progress_task is not None:
+            progress_task.cancel()
         for worker in workers:
             await worker.end()
 
 
 def load(script: Script, targets: list[tuple[str, int]], progress: Callable[[int], None] | None = None) -> Result:
-    """Raises RehearsalError."""
+    """Sends the script's load to the targets and returns the result. Raises RehearsalError."""
     digest = plan_digest(script)
-    with tempfile.TemporaryDirectory(prefix="load-") as spare:
-        work = Path(spare)
+    with tempfile.TemporaryDirectory(prefix="load-") as temporary_folder:
+        work = Path(temporary_folder)
         played_at = datetime.now(timezone.utc).isoformat(timespec="seconds")
         try:
             asyncio.run(_load(script, targets, work, progress))
         except (RuntimeError, OSError) as error:
             raise RehearsalError(str(error)) from None
-        kept = rule_checker.Records(record for path in sorted(work.glob("*.records")) for record in records.read(path))
+        all_records = rule_checker.Records(
+            record for path in sorted(work.glob("*.records")) for record in records.read(path)
+        )
     names = [f"{host}:{port}" for host, port in targets]
     return Result(
         VERSION,
@@ -99,38 +103,38 @@
         "",
         {},
         [],
-        tally.tally(script, names, kept),
+        tally.tally(script, names, all_records),
         [],
         names,
     )
 
 
 async def _emulate(script: Script, net: int, work: Path, say: Callable[[str], None]) -> None:
-    director = RunController(script, net, work)
+    controller = RunController(script, net, work)
     try:
-        await director.stand(load=False)
-        for place in director.plan.places:
+        await controller.stand(load=False)
+        for place in controller.plan.places:
             say(f"backend {place.name:<20} {place.address[0]}:{place.address[1]}  zone {place.zone}, cell {place.cell}")
-        for gate in director.plan.gates:
+        for gate in controller.plan.gates:
             say(
                 f"proxy   {gate.name:<20} {gate.address[0]}:{gate.address[1]}  tier {script.tiers[gate.tier].name},"
                 f" discovery {gate.discovery[0]}:{gate.discovery[1]}"
             )
-        say("standing; Ctrl-C ends it")
-        director.begin()
+        say("all processes are ready; press Ctrl-C to stop")
+        controller.begin()
         await asyncio.Event().wait()
     finally:
-        await director.end()
+        await controller.end()
 
 
 def emulate(script: Script, proxies: bool, say: Callable[[str], None]) -> None:
-    """Until it is interrupted. Raises RehearsalError."""
+    """Runs the fleet, with or without proxies, until it is interrupted. Raises RehearsalError."""
     if not proxies:
         for tier in script.tiers[:1]:
             tier.proxies = 0
-    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="emulate-") as spare:
+    with reserve_network() as net, tempfile.TemporaryDirectory(prefix="emulate-") as temporary_folder:
         try:
-            asyncio.run(_emulate(script, net, Path(spare), say))
+            asyncio.run(_emulate(script, net, Path(temporary_folder), say))
         except KeyboardInterrupt:
             say("ended")
         except (RuntimeError, OSError) as error:
--- a/pepperusher/rehearsal/steady_loop.py
+++ b/pepperusher/rehearsal/steady_loop.py
@@ -1,8 +1,8 @@
-"""An event loop whose clock stands still while the machine is busy elsewhere.
+"""An event loop whose clock excludes the time in which the process or the machine is busy.
 
-Its time is what was waited in the selector, up to what was asked for: neither the work of its own callbacks
-nor a processor that came late counts. For crowds that share one process here and would each have a machine of
-their own. Real time is never less; timers of the kernel go by that.
+Its clock adds up the time spent waiting in the selector, each wait at most as long as requested. Neither the run time of
+callbacks nor scheduling delays count. It is meant for simulations in which many clients share one process, while in
+production each has a machine of its own. Real time advances at least as fast, and kernel timers follow real time.
 """
 
 from __future__ import annotations
@@ -12,23 +12,27 @@
 import time
 
 
-class Counted(selectors.DefaultSelector):
+class WaitCountingSelector(selectors.DefaultSelector):
+    """A selector that adds up its waiting time, in seconds."""
+
     def __init__(self) -> None:
         super().__init__()
         self.waited = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         ready = super().select(timeout)
-        took = time.monotonic() - began
-        self.waited += took if timeout is None else min(took, max(0.0, timeout))
+        elapsed = time.monotonic() - started_at
+        self.waited += elapsed if timeout is None else min(elapsed, max(0.0, timeout))
         return ready
 
 
 class SteadyLoop(asyncio.SelectorEventLoop):
+    """An event loop with the clock described above."""
+
     def __init__(self) -> None:
-        self._counted = Counted()
-        super().__init__(self._counted)
+        self._selector_clock = WaitCountingSelector()
+        super().__init__(self._selector_clock)
 
     def time(self) -> float:
-        return self._counted.waited
+        return self._selector_clock.waited
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,5 +1,5 @@
-"""What a fleet of thirty sends to a cold backend, in virtual time and with processes, by the backends' books:
-each window of the rule against N and what chance may add, N + 2 x root of N + 2."""
+"""Tests how many requests thirty proxies together send to a cold backend, in virtual time and with real processes. Each
+window of the cold overload rule is checked against the limit N + 2 x root of N + 2."""
 
 from __future__ import annotations
 
@@ -17,21 +17,24 @@
 
 
 def reading(deployment: str, case: str, seeds: int = 2) -> cold_backend_sum.Reading:
-    where = next(one for one in cold_backend_sum.DEPLOYMENTS if one.name == deployment)
-    what = next(one for one in cold_backend_sum.CASES if one.name == case)
-    return cold_backend_sum.joined([cold_backend_sum.Model(where, what, PROXIES, seed).play() for seed in range(seeds)])
+    chosen_deployment = next(entry for entry in cold_backend_sum.DEPLOYMENTS if entry.name == deployment)
+    chosen_case = next(entry for entry in cold_backend_sum.CASES if entry.name == case)
+    return cold_backend_sum.combine(
+        [cold_backend_sum.Model(chosen_deployment, chosen_case, PROXIES, seed).play() for seed in range(seeds)]
+    )
 
 
 class Sum(unittest.TestCase):
     def keeps(self, deployment: str, case: str) -> None:
-        read = reading(deployment, case)
-        self.assertGreater(read.windows, 30, "too few windows to tell")
-        self.assertEqual(read.over, 0, f"{case} at {deployment}: {read}")
-        # Chance alone: with other seeds it may be more, and the limit still holds.
-        self.assertLess(read.worst, 0.9, f"{case} at {deployment}: {read}")
+        figures = reading(deployment, case)
+        self.assertGreater(figures.windows, 30, "too few windows for a verdict")
+        self.assertEqual(figures.over, 0, f"{case} at {deployment}: {figures}")
+        # Below the limit by a margin for random variation: other seeds may come closer to the limit.
+        self.assertLess(figures.worst, 0.9, f"{case} at {deployment}: {figures}")
 
     def test_the_last_one_left_is_not_sent_what_all_others_got(self) -> None:
-        """The calls of twelve went over the one that was listed then, from three times as many proxies."""
+        """When eleven of twelve backends end, three times as many proxies could send the load of all twelve to the one
+        that is still listed."""
         for deployment in ("long-window", "low-multiple", "cold-start"):
             self.keeps(deployment, "single, others lost")
 
@@ -40,31 +43,33 @@
         self.keeps("low-multiple", "replaced in 2 s, load 1")
 
     def test_uneven_told_late_stale_and_restarted_proxies_together(self) -> None:
-        """Two see ten times the mean, lists come 2 s apart, four are stale, eight restarted, and a burst."""
-        for cold in ("single", "most", "all"):
-            self.keeps("cold-start", f"{cold}, all troubles")
+        """Two proxies get ten times the mean traffic, lists arrive up to 2 s apart, four proxies are stale, eight
+        restart, and the load has a burst."""
+        for cold_backends in ("single", "most", "all"):
+            self.keeps("cold-start", f"{cold_backends}, all troubles")
 
     def test_every_proxy_started_anew_beside_cold_backends_alone(self) -> None:
         self.keeps("cold-start", "all, every proxy restarted")
 
     def test_without_the_allowance_it_is_far_over(self) -> None:
-        """What the verdicts above are worth."""
+        """Without the balancer's limit for cold backends the same cases exceed the limit, so the tests above detect its
+        absence."""
         with mock.patch.object(Balancer, "_may_warm", return_value=True):
             for case in ("single, others lost", "replaced at once, load 1.3", "all, every proxy restarted"):
-                read = reading("cold-start", case, seeds=1)
-                self.assertGreater(read.over, 10, f"{case}: {read}")
-                self.assertGreater(read.worst, 1.5, f"{case}: {read}")
+                figures = reading("cold-start", case, seeds=1)
+                self.assertGreater(figures.over, 10, f"{case}: {figures}")
+                self.assertGreater(figures.worst, 1.5, f"{case}: {figures}")
 
     def test_the_ramp_is_no_slower_than_it_is_said_to_be(self) -> None:
-        """The limit would be kept by sending nothing too."""
-        read = reading("long-window", "most at once", seeds=4)
-        self.assertGreater(read.first, 0.2, read)
-        self.assertGreater(read.served, 0.75, read)
+        """A proxy that sends nothing to cold backends would keep the limit too, so the sent share is checked as well."""
+        figures = reading("long-window", "most at once", seeds=4)
+        self.assertGreater(figures.first, 0.2, figures)
+        self.assertGreater(figures.served, 0.75, figures)
 
 
 class Processes(unittest.TestCase):
-    """Thirty real proxies, two with ten times the mean, told up to 400 ms apart, two restarted with
-    the list of the beginning: one backend starts cold, the others die, and come back cold together."""
+    """Thirty real proxies: two get ten times the mean traffic, endpoint lists arrive up to 400 ms apart, and two proxies
+    restart with the initial list. One backend starts cold, then the others fail and start cold together."""
 
     SCENARIO = {
         "title": "thirty proxies",
@@ -89,26 +94,27 @@
         "faults": [
             {"what": "kill", "at": "4s", "back": "300ms", "names": ["desk-1"]},
             {"what": "proxy-kill", "at": "4s", "back": "1s", "names": ["proxy-7", "proxy-8"]},
-            {"what": "kill", "at": "4800ms", "back": "2200ms", "names": [f"desk-{one}" for one in range(2, 7)]},
+            {"what": "kill", "at": "4800ms", "back": "2200ms", "names": [f"desk-{number}" for number in range(2, 7)]},
         ],
     }
 
     def run_with(self, build: Path | None) -> tuple[cold_backend_sum.Reading, Records]:
-        """Ends by itself: the director waits for nothing longer than the span and a start's limit."""
-        made = script.build_script(self.SCENARIO)
+        """Runs the scenario. It needs no time limit here: the controller waits no longer than the span of the scenario
+        plus its limit for the start of processes."""
+        scenario = script.build_script(self.SCENARIO)
         with tempfile.TemporaryDirectory() as spare:
-            run_controller.rehearse(made, build, Path(spare))
+            run_controller.rehearse(scenario, build, Path(spare))
             paths = sorted(Path(spare).glob("*.records"))
-            kept = Records(one for path in paths for one in records.read(path))
-        return cold_backend_sum.joined(cold_backend_sum.of_run(made, kept)), kept
+            all_records = Records(record for path in paths for record in records.read(path))
+        return cold_backend_sum.combine(cold_backend_sum.readings_of_run(scenario, all_records)), all_records
 
     def test_the_sum_of_thirty_processes_is_within_the_budget(self) -> None:
-        read, kept = self.run_with(None)
-        sent = [sum(one.proxy == number for one in kept.client_attempts) for number in range(PROXIES)]
-        self.assertGreater(sorted(sent)[-2], 6 * sum(sent) / PROXIES, "the traffic was to be uneven")
-        self.assertGreater(read.windows, 10, "too few windows to tell")
-        self.assertEqual(read.over, 0, read)
-        self.assertLess(read.worst, 0.9, read)
+        figures, all_records = self.run_with(None)
+        sent = [sum(attempt.proxy == number for attempt in all_records.client_attempts) for number in range(PROXIES)]
+        self.assertGreater(sorted(sent)[-2], 6 * sum(sent) / PROXIES, "traffic is not uneven")
+        self.assertGreater(figures.windows, 10, "too few windows for a verdict")
+        self.assertEqual(figures.over, 0, figures)
+        self.assertLess(figures.worst, 0.9, figures)
 
     def test_without_the_allowance_they_push_it_over(self) -> None:
         with tempfile.TemporaryDirectory() as spare:
@@ -120,6 +126,6 @@
             )
             with (build / "pepperusher" / "policy.py").open("a") as module:
                 module.write("\n\nBalancer._may_warm = lambda self, backend, now: True\n")
-            read, _ = self.run_with(build)
-        self.assertGreater(read.over, 3, read)
-        self.assertGreater(read.worst, 1.2, read)
+            figures, _ = self.run_with(build)
+        self.assertGreater(figures.over, 3, figures)
+        self.assertGreater(figures.worst, 1.2, figures)
--- a/tests/test_rehearsal_commands.py
+++ b/tests/test_rehearsal_commands.py
@@ -101,7 +101,7 @@
         assert fleet.stdout is not None
         try:
             lines = []
-            while "standing" not in (line := fleet.stdout.readline()):
+            while "processes are ready" not in (line := fleet.stdout.readline()):
                 self.assertTrue(line, "the fleet ended")
                 lines.append(line)
             proxy = next(line.split()[2] for line in lines if line.startswith("proxy"))
