--- a/tests/rehearsal_scene.py
+++ b/tests/rehearsal_scene.py
@@ -1,4 +1,4 @@
-"""Small scripts that the tests of rehearsals share."""
+"""Small rehearsal scripts and helpers shared by the tests of rehearsals."""
 
 from __future__ import annotations
 
@@ -51,19 +51,20 @@
 
 
 def raw(**changes: Any) -> dict[str, Any]:
-    """SMALL with other top-level values; a table is merged into the one that stands."""
-    made = copy.deepcopy(SMALL)
+    """SMALL with some top-level values replaced; a table is merged into the table in SMALL."""
+    merged = copy.deepcopy(SMALL)
     for key, value in changes.items():
-        made[key] = {**made.get(key, {}), **value} if isinstance(value, dict) else value
-    return made
+        merged[key] = {**merged.get(key, {}), **value} if isinstance(value, dict) else value
+    return merged
 
 
 def small(**changes: Any) -> Script:
+    """The script of `raw`, validated and built."""
     return script.build_script(raw(**changes))
 
 
 def played(wrong: str | None = None, **changes: Any) -> Result:
-    """Played with the real proxy, or with one that is wrong on purpose."""
+    """Runs a rehearsal with the real proxy, or with the test proxy in the mode `wrong` ("": without faults)."""
     if wrong is None:
         return run_controller.rehearse(small(**changes))
     with mock.patch.dict(os.environ, {"WRONG": wrong}):
--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -1,4 +1,5 @@
-"""Rehearsals played on loopback: the hard cases, each caused, and the books, each rule broken on purpose."""
+"""Tests of whole rehearsals on loopback: injected faults, and the rule checker against proxies that break one rule
+each."""
 
 from __future__ import annotations
 
@@ -16,8 +17,8 @@
 
 
 class Stalls(unittest.TestCase):
-    """A stand-in that pauses for exactly 1 s under even load: times from the intended send are known
-    beforehand."""
+    """A simulated backend freezes for exactly 1 s under a constant rate, so that the latencies from the intended send
+    times are known in advance."""
 
     PAUSE = {
         "faults": [{"what": "freeze", "at": "4s", "span": "1s"}],
@@ -33,24 +34,26 @@
     }
 
     def test_a_pause_of_one_second_shows_in_full(self) -> None:
-        """A tenth of all are due in the pause and wait for its rest: the 99th percentile waits for 0.9 s, and for as much longer as
-        the stand-in woke late and worked at what had come, which its own records tell."""
+        """A tenth of the requests are due during the pause and wait for its end, so the 99th percentile is 0.9 s. It may
+        be longer by the time that the backend resumes late and works off the waiting requests; the backend's records
+        have the true times."""
         script = small(**self.PAUSE, load={"phases": [{"span": "10s", "rate": 200, "arrivals": "even"}]})
         with tempfile.TemporaryDirectory() as folder:
             figures = run_controller.rehearse(script, work=Path(folder)).figures
-            kept = rule_checker.Records(
+            all_records = rule_checker.Records(
                 record for path in Path(folder).glob("*.records") for record in records.read(path)
             )
         self.assertEqual(figures.wishes, 2000)
-        worked_at = {sent.name: sent.ended for sent in kept.backend_attempts}
-        waits = sorted(worked_at[one.name] - one.intended for one in kept.client_attempts)
-        for part, least, delta in (("99", 900, 45), ("100", 1000, 50)):
-            true = waits[-1 - round(len(waits) * (1 - int(part) / 100))] / 1000
-            self.assertGreater(true, least - 10)
-            self.assertAlmostEqual(figures.intended.percentiles[part] / 1000, true, delta=delta)
+        ended_at = {attempt.name: attempt.ended for attempt in all_records.backend_attempts}
+        latencies = sorted(ended_at[attempt.name] - attempt.intended for attempt in all_records.client_attempts)
+        for percentile, minimum_ms, delta in (("99", 900, 45), ("100", 1000, 50)):
+            expected_ms = latencies[-1 - round(len(latencies) * (1 - int(percentile) / 100))] / 1000
+            self.assertGreater(expected_ms, minimum_ms - 10)
+            self.assertAlmostEqual(figures.intended.percentiles[percentile] / 1000, expected_ms, delta=delta)
 
     def test_a_closed_loop_hides_it(self) -> None:
-        """Four users ask as fast as they may, and of some thousand times four are long."""
+        """Four users send one request after another: only four of over a thousand requests meet the pause, so the 99th
+        percentile does not show it."""
         figures = played(**self.PAUSE, load={"phases": [], "users": 4}).figures
         self.assertGreater(figures.wishes, 1000)
         self.assertLess(figures.intended.percentiles["99"] / 1000, 450)
@@ -66,14 +69,14 @@
         self.assertTrue({2, 3} <= set(figures.untrusted_seconds))
         self.assertGreaterEqual(figures.marked, 60)
         self.assertEqual(figures.wishes, 300)
-        # What it measured meanwhile says more of itself than of the proxies, and is not in the trusted
-        # figures.
+        # Latencies measured while the load generator stalls are caused by the generator, not by the proxies, so the
+        # trusted figures exclude them.
         self.assertGreater(figures.intended.percentiles["100"], 900_000)
         self.assertLess(figures.trusted.percentiles["99"], 500_000)
 
 
 class Rules(unittest.TestCase):
-    """A plain proxy that keeps the rules, and the same with each of them broken."""
+    """Runs a minimal test proxy that keeps all rules, and variants that each break one of them."""
 
     DRAIN = {"faults": [{"what": "drain", "at": "500ms", "span": "3s", "names": ["desk-1"]}]}
     RETURN = {
@@ -101,6 +104,7 @@
     }
 
     def broken(self, wrong: str, rule: str, **changes: object) -> list[rule_checker.Entry]:
+        """Runs a variant of the test proxy, checks that it breaks this rule alone, and returns the findings."""
         result = played(wrong, **changes)
         self.assertEqual([name for name, count in result.rules.items() if count], [rule], result.entries[:5])
         return result.entries
@@ -112,7 +116,7 @@
 
     def test_a_connection_ended_without_an_answer(self) -> None:
         entries = self.broken("loses", rule_checker.LOST_TICKET)
-        self.assertTrue(all("connection ended without" in one.what for one in entries))
+        self.assertTrue(all("connection ended without" in entry.what for entry in entries))
         self.assertTrue(entries[0].ticket.startswith("w"))
 
     def test_an_answer_that_no_backend_made(self) -> None:
@@ -126,8 +130,8 @@
 
     def test_an_effect_twice(self) -> None:
         entries = self.broken("twice", rule_checker.TWICE)
-        self.assertTrue(any("single-use" in one.what for one in entries))
-        self.assertTrue(any("whose group alone" in one.what for one in entries))
+        self.assertTrue(any("single-use" in entry.what for entry in entries))
+        self.assertTrue(any("whose group alone" in entry.what for entry in entries))
 
     def test_two_attempts_at_once(self) -> None:
         entries = self.broken(
@@ -147,47 +151,48 @@
 
     def test_a_drain_not_kept(self) -> None:
         entries = self.broken("drains", rule_checker.DRAINS, **self.DRAIN)
-        self.assertEqual({one.backend for one in entries}, {"desk-1"})
+        self.assertEqual({entry.backend for entry in entries}, {"desk-1"})
 
     def test_a_drain_not_kept_is_found_however_long_all_takes_to_stand(self) -> None:
-        """The proxy's own start was dated from the making of the play, and so into it: by the books it was
-        a new process then, to whom nobody had said anything of the drain."""
-        stand = run_controller.RunController._start_proxies
+        """Guards against wrong start times: the start of a proxy was dated relative to the creation of the run controller,
+        and so fell into the run. The rule checker then took it for a new process that had not been notified of the
+        drain."""
+        start_proxies = run_controller.RunController._start_proxies
 
-        async def slowly(self: run_controller.RunController) -> None:
+        async def start_late(self: run_controller.RunController) -> None:
             await asyncio.sleep(0.55)
-            await stand(self)
+            await start_proxies(self)
 
         with (
-            mock.patch.object(run_controller.RunController, "_start_proxies", slowly),
+            mock.patch.object(run_controller.RunController, "_start_proxies", start_late),
             mock.patch.dict(os.environ, {"WRONG": "drains"}),
             tempfile.TemporaryDirectory() as work,
         ):
             result = run_controller.rehearse(small(**self.DRAIN), WRONG, Path(work))
-            kept = list(records.read(Path(work) / "director.records"))
-        [ran] = [one for one in kept if isinstance(one, records.ProxyRun)]
+            controller_records = list(records.read(Path(work) / "director.records"))
+        [proxy_run] = [record for record in controller_records if isinstance(record, records.ProxyRun)]
         self.assertEqual([name for name, count in result.rules.items() if count], [rule_checker.DRAINS])
-        self.assertLess(ran.started, ran.ready)
-        self.assertLess(ran.ready, 0)
-        self.assertGreater(ran.ended, 4_000_000)
+        self.assertLess(proxy_run.started, proxy_run.ready)
+        self.assertLess(proxy_run.ready, 0)
+        self.assertGreater(proxy_run.ended, 4_000_000)
 
     def test_a_cold_backend_pushed_over(self) -> None:
         result = played("cold", **self.RETURN)
-        self.assertEqual([one.backend for one in result.entries if one.rule == rule_checker.COLD], ["desk-1.1"])
+        self.assertEqual([entry.backend for entry in result.entries if entry.rule == rule_checker.COLD], ["desk-1.1"])
 
 
 class Traces(unittest.TestCase):
     def test_a_recorded_burst_is_played_whole_by_two_generators(self) -> None:
-        """200 tickets of one instant and one a second later: all go out, each once, the last at its own time."""
+        """A trace with 200 tickets at one time and one a second later: each is sent once, the last at its own time."""
         with tempfile.TemporaryDirectory() as folder:
             lines = [json.dumps({"time": 5, "use_case": "look", "work": 1})] * 200
             (Path(folder) / "trace").write_text("\n".join([*lines, json.dumps({"time": 7, "use_case": "look"})]))
-            of = small(span="2s", load={"phases": [], "processes": 2, "trace": {"file": "trace", "speed": 2.0}})
-            of.folder = folder
-            result = run_controller.rehearse(of)
+            script = small(span="2s", load={"phases": [], "processes": 2, "trace": {"file": "trace", "speed": 2.0}})
+            script.folder = folder
+            result = run_controller.rehearse(script)
         self.assertTrue(result.kept, result.entries)
         self.assertEqual((result.figures.wishes, result.figures.tries), (201, 201))
-        self.assertEqual([one.wishes for one in result.figures.seconds], [200, 1])
+        self.assertEqual([second.wishes for second in result.figures.seconds], [200, 1])
 
 
 class Faults(unittest.TestCase):
@@ -198,15 +203,15 @@
         )
         self.assertTrue(result.kept, result.entries)
         figures = result.figures
-        # Some found nobody, and their tries count under their first.
+        # Some requests reached no proxy at first; their retries are counted with the first attempt.
         self.assertGreater(figures.ends.get("unreached", 0) + figures.ends.get("lost", 0), 0)
         self.assertEqual(figures.wishes, 240)
         self.assertEqual(sum(figures.ends.values()), figures.tries)
         self.assertGreater(figures.tries, 240)
 
     def test_all_that_can_befall_backends_at_once(self) -> None:
-        """The real proxy keeps the rules through every fault of a backend, the second tier's included."""
-        whats = ("freeze", "silent", "slow", "errors", "reset", "garble", "lost", "refuse", "half-answer")
+        """The real proxy keeps the rules under every kind of backend fault, in the second tier too."""
+        fault_kinds = ("freeze", "silent", "slow", "errors", "reset", "garble", "lost", "refuse", "half-answer")
         result = played(
             span="7s",
             tiers=[
@@ -221,8 +226,8 @@
             ],
             faults=[
                 *(
-                    {"what": what, "at": f"{500 + 500 * turn}ms", "span": "600ms", "count": 1}
-                    for turn, what in enumerate(whats)
+                    {"what": kind, "at": f"{500 + 500 * index}ms", "span": "600ms", "count": 1}
+                    for index, kind in enumerate(fault_kinds)
                 ),
                 {"what": "restart", "at": "2s", "span": "500ms", "back": "700ms", "names": ["desk-2"]},
                 {"what": "new-ids", "at": "3s", "tier": "ledger", "count": 1},
