--- a/pepperusher/rehearsal/queued_discovery.py
+++ b/pepperusher/rehearsal/queued_discovery.py
@@ -20,7 +20,7 @@
 
 class QueuedDiscovery:
     """Processes each request in `seconds_per_request`. It answers 503 at once to requests beyond `queue` waiting ones, and to
-    those that have waited `patience` seconds; the latter are still processed in their turn."""
+    those that have waited `max_wait` seconds; the latter are still processed in their turn."""
 
     def __init__(self, backends: int, seconds_per_request: float, queue: int, max_wait: float | None = None) -> None:
         self.seconds_per_request, self.queue, self.max_wait = seconds_per_request, queue, max_wait
