--- a/pepperusher/rehearsal/backend.py
+++ b/pepperusher/rehearsal/backend.py
@@ -60,6 +60,7 @@
         self.waiting_repeats: list[Task] = []  # repeats that wait for this ticket; emptied when it is over
 
     def release_connection(self) -> None:
+        """Lets the connection continue with its next ticket."""
         if self.connection_release is not None and not self.connection_release.done():
             self.connection_release.set_result(None)
 
@@ -107,6 +108,7 @@
     # --- start and end ----------------------------------------------------------------------------
 
     async def listen(self) -> None:
+        """Starts to accept connections; does nothing if it already listens or has ended."""
         async with self._listen_lock:
             if self._server is not None or self._ended:
                 return
@@ -137,16 +139,17 @@
             self._client.close()
         self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
 
-    def renamed(self, id: str, at: int) -> None:
+    def change_id(self, id: str, at: int) -> None:
         """Records that discovery lists the backend under another id from now on; nothing else changes."""
         self._writer.add(BackendLifetimeRecord(self.place.number, self.id, self.born, at, self.fell))
         self.id, self.born = id, at
 
     @property
     def fell(self) -> int:
+        """When the backend failed from load (us after the start), -1 if it has not."""
         return relative_time(self._engine.fell, self._start.at)
 
-    async def weather(self, now: ActiveFaults) -> None:
+    async def apply_faults(self, now: ActiveFaults) -> None:
         """Applies the faults that are active from now on."""
         before, self._active_faults = self._active_faults, now
         self._advance_engine()
--- a/pepperusher/rehearsal/engine.py
+++ b/pepperusher/rehearsal/engine.py
@@ -199,10 +199,10 @@
 
     # --- tickets ----------------------------------------------------------------------------------
 
-    def offer(self, job: Job, came: int) -> str:
+    def offer(self, job: Job, arrived_work: int) -> str:
         """Admits a ticket that has been read completely: it runs (RUNS), is queued (WAITS) or is rejected (FULL).
-        `came` is the offered work that the cold overload rule counts."""
-        self._bins[-1][0] += came
+        `arrived_work` is the offered work that the cold overload rule counts."""
+        self._bins[-1][0] += arrived_work
         if self._slots_in_use < self._kind.slots * self._kind.cores:
             self._start(job)
             outcome = RUNS
--- a/pepperusher/rehearsal/fleet.py
+++ b/pepperusher/rehearsal/fleet.py
@@ -38,6 +38,8 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def _memory(self, place: Place) -> Memory:
+        """The memory of idempotency keys that the backend at this place shares with its cell, zone or tier, depending on
+        the widest scope of any use case in the script."""
         scopes = {use.scope for use in self._script.use_cases if use.repeat == "referenced"}
         key: object = (place.tier, place.cell)
         if "all" in scopes:
@@ -95,11 +97,11 @@
             if life is not None:
                 running_backend = self._running_backends.get(place.number)
                 if running_backend is not None:
-                    running_backend.renamed(life.id, at)
+                    running_backend.change_id(life.id, at)
                 else:
                     await self._start_backend(life, place)
             if (active_backend := self._running_backends.get(place.number)) is not None:
-                await active_backend.weather(active_faults.faults_at(self._line.strikes, place.number, at))
+                await active_backend.apply_faults(active_faults.faults_at(self._line.strikes, place.number, at))
 
     async def flush(self) -> None:
         """Flushes the records to disk every FLUSH_EVERY seconds."""
--- a/pepperusher/rehearsal/group_run.py
+++ b/pepperusher/rehearsal/group_run.py
@@ -66,43 +66,45 @@
         for gate in self._gates:
             await self.links.open(gate.name)
 
-    async def open_twin(self, gate: Gate) -> None:
+    async def open_duplicate(self, gate: Gate) -> None:
         """Opens a front of its own for a duplicate process of a proxy."""
-        if (seat := self.seat(gate, True)) not in self.links.names:
-            await self.links.open(seat)
+        if (instance_name := self.instance_name(gate, True)) not in self.links.names:
+            await self.links.open(instance_name)
 
     # --- a process ------------------------------------------------------------------------------------
 
-    def seat(self, gate: Gate, twin: bool) -> str:
+    def instance_name(self, gate: Gate, twin: bool) -> str:
         """The name of a proxy's front and files, the same for all processes that run one after another at a gate."""
         return f"{gate.name}#2" if twin else gate.name
 
-    def control(self, seat: str) -> Path:
+    def control(self, instance_name: str) -> Path:
         """The path of a proxy's control socket."""
-        return self._work / f"{seat}.ctl"
+        return self._work / f"{instance_name}.ctl"
 
-    def write_own(self, gate: Gate, seat: str, folder: Path) -> Path:
+    def write_own(self, gate: Gate, instance_name: str, folder: Path) -> Path:
         """Writes the configuration file of one group member and returns its path."""
         others = [other.name for other in self._gates if other is not gate][: self._group.seeds]
-        host, port = self.links.address(seat)
+        host, port = self.links.address(instance_name)
         seeds = ", ".join(f'"{address[0]}:{address[1]}"' for address in map(self.links.address, others))
         base = self._base.replace("HERE", str(folder))
         text = (
             f'{base}\n[group]\nlisten = "{gate.address[0]}:0"\nadvertise = "{host}:{port}"\nseeds = [{seeds}]\n'
             f'key = "{KEY}"\nperiod = "{self._group.period}us"\nwithin = "{self._group.within}us"\n'
-            f'[control]\nsocket = "{self.control(seat)}"\n[said]\nform = "json"\n'
+            f'[control]\nsocket = "{self.control(instance_name)}"\n[said]\nform = "json"\n'
         )
-        path = self._work / f"{seat}.toml"
+        path = self._work / f"{instance_name}.toml"
         path.write_text(text)
         return path
 
-    def heard(self, gate: Gate, seat: str, line: dict[str, Any], start: int) -> MembershipBelief | None:
+    def handle_log_entry(
+        self, gate: Gate, instance_name: str, line: dict[str, Any], start: int
+    ) -> MembershipBelief | None:
         """Handles an entry of a proxy's log: registers the address at which it listens, or returns a membership change
         with the time at which it was logged."""
         event = str(line.get("event", ""))
         if event == IN:
             host, _, port = str(line["listen"]).rpartition(":")
-            self.links.stands(seat, (host, int(port)))
+            self.links.stands(instance_name, (host, int(port)))
             return None
         if not event.startswith(EVENT_PREFIX):
             return None
--- a/pepperusher/rehearsal/proxies.py
+++ b/pepperusher/rehearsal/proxies.py
@@ -43,7 +43,9 @@
 # SIGKILL follows SIGTERM after the longest client time limit, but at most LONGEST_GRACE, plus GRACE_MARGIN (us).
 LONGEST_GRACE = 3_000_000
 GRACE_MARGIN = 700_000
+# The proxy's log line for a change of a breaker, in the plain text form of the log.
 BREAKER_LINE = re.compile(r"^[0-9.]+ [^:]+: (\S+) (open|closed): ")
+# Value of a use case's `repeat` in the script -> its `effect` in the proxy's settings.
 EFFECT_OF_REPEAT = {"replayable": "pure", "referenced": "token", "single-use": "side_effect"}
 
 
@@ -129,7 +131,7 @@
     ) -> None:
         self.gate = gate
         self._grouping = grouping
-        self.seat = grouping.seat(gate, twin) if grouping is not None else gate.name
+        self.instance_name = grouping.instance_name(gate, twin) if grouping is not None else gate.name
         self.believed: list[MembershipBelief] = []  # group membership as the proxy logged it, oldest first
         self._script = script
         self._work = work
@@ -149,7 +151,7 @@
 
     def write_configuration(self) -> Path:
         """Writes the configuration file that `serve` reads, with the current discovery address."""
-        gate, path = self.gate, self._work / f"{self.seat}.json"
+        gate, path = self.gate, self._work / f"{self.instance_name}.json"
         host, port = self._discovery_address(gate, self._now())
         configuration = {
             "name": gate.name,
@@ -181,12 +183,12 @@
         options = []
         if own_settings and self.gate.tier == 0:
             text = (Path(self._script.folder) / own_settings).read_text()
-            own_file = self._work / f"{self.seat}.toml"
+            own_file = self._work / f"{self.instance_name}.toml"
             own_file.write_text(text.replace("HERE", str(self.folder())))
             options = ["--own", str(own_file)]
         process_environment = environment(self._build)
         if self._grouping is not None:
-            options = ["--own", str(self._grouping.write_own(self.gate, self.seat, self.folder()))]
+            options = ["--own", str(self._grouping.write_own(self.gate, self.instance_name, self.folder()))]
         if self._script.proxies.console or self._grouping is not None:
             options += ["--console", f"{self.gate.address[0]}:{CONSOLE_PORT}"]
             process_environment["TMPDIR"] = str(self.folder())
@@ -238,7 +240,7 @@
     async def _read(self, process: asyncio.subprocess.Process) -> None:
         """Copies the process's log to a file, and adds breaker changes and its exit to the records."""
         assert process.stderr is not None
-        with open(self._work / f"{self.seat}.log", "ab") as log:
+        with open(self._work / f"{self.instance_name}.log", "ab") as log:
             async for line in process.stderr:
                 log.write(line)
                 log.flush()
@@ -271,7 +273,9 @@
             self._writer.add(
                 BreakerChange(self.gate.number, self._now(), str(entry.get("id")), str(entry.get("state")))
             )
-        elif (belief := self._grouping.heard(self.gate, self.seat, entry, self._start.at)) is not None:
+        elif (
+            belief := self._grouping.handle_log_entry(self.gate, self.instance_name, entry, self._start.at)
+        ) is not None:
             self.believed.append(belief)
             self._writer.add(belief)
 
@@ -284,7 +288,7 @@
     async def ask(self, do: str, **said: Any) -> dict[str, Any]:
         """Sends a command over the proxy's control socket. Raises client.Refused."""
         assert self._grouping is not None
-        return await asyncio.to_thread(client.ask, str(self._grouping.control(self.seat)), do, **said)
+        return await asyncio.to_thread(client.ask, str(self._grouping.control(self.instance_name)), do, **said)
 
     async def call(self, method: str, path: str) -> tuple[int, str]:
         """Sends a request to the proxy's console; returns status and body, with status 0 if it does not answer."""
@@ -320,7 +324,7 @@
 
     def folder(self) -> Path:
         """The folder for the proxy's persistent data, which outlives its processes."""
-        disk = self._work / f"{self.seat}.disk"
+        disk = self._work / f"{self.instance_name}.disk"
         disk.mkdir(exist_ok=True)
         return disk
 
@@ -333,7 +337,7 @@
 
     def take_disk(self, away: bool) -> None:
         """Moves the proxy's folder away, or back. Files that the proxy created at its path meanwhile are deleted."""
-        disk, moved_disk = self.folder(), self._work / f"{self.seat}.aside"
+        disk, moved_disk = self.folder(), self._work / f"{self.instance_name}.aside"
         if away:
             disk.rename(moved_disk)
         else:
@@ -342,18 +346,18 @@
 
     def keep_disk(self) -> None:
         """Copies the proxy's folder, for `old_disk` to restore."""
-        shutil.copytree(self.folder(), self._work / f"{self.seat}.old", dirs_exist_ok=True)
+        shutil.copytree(self.folder(), self._work / f"{self.instance_name}.old", dirs_exist_ok=True)
 
     def old_disk(self) -> None:
         """Restores the copy made by `keep_disk`, like a restore from an old backup. The process has to have ended."""
         shutil.rmtree(self.folder(), ignore_errors=True)
-        shutil.copytree(self._work / f"{self.seat}.old", self.folder(), dirs_exist_ok=True)
+        shutil.copytree(self._work / f"{self.instance_name}.old", self.folder(), dirs_exist_ok=True)
 
     def _last_line(self) -> str:
-        lines = (self._work / f"{self.seat}.log").read_text(errors="replace").strip().splitlines()
+        lines = (self._work / f"{self.instance_name}.log").read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else "its log is empty"
 
-    def hang_up(self) -> None:
+    def reload(self) -> None:
         """Writes a new configuration and sends SIGHUP. Does nothing unless the current process has been ready."""
         if "ready" not in self._event_times:
             return
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -74,7 +74,7 @@
         self._line = fault_schedule.timeline(script, self.plan)
         self._start = Start()
         self._writer = Writer(work / "director.records")
-        self.listing = DiscoveryServer(
+        self.discovery = DiscoveryServer(
             self.plan, self._line, EndpointHistory(script, self.plan, self._line), self._writer, self._start
         )
         self._script_file = work / "script.json"
@@ -104,8 +104,8 @@
             self._build,
             writer,
             self._start,
-            self.listing.known,
-            self.listing.address,
+            self.discovery.known,
+            self.discovery.address,
             self.grouping,
             twin,
         )
@@ -121,7 +121,7 @@
 
     async def stand(self, load: bool = True) -> None:
         """Starts all processes and waits until they are ready; the run itself does not start yet."""
-        await self.listing.listen()
+        await self.discovery.listen()
         if self.grouping is not None:
             await self.grouping.open()
         for number in range(self._script.processes):
@@ -200,7 +200,7 @@
         if any(strike.what == "disk-old" for strike in self._line.strikes):
             for runner in self._runners:
                 runner.keep_disk()
-        self.listing.begin()
+        self.discovery.begin()
         for worker in [*self._fleet, *self._load]:
             worker.tell(start=self._start.at)
         loop = asyncio.get_running_loop()
@@ -257,11 +257,11 @@
             return
         if strike.what == "discovery-moved":
             for runner in self._runners:
-                runner.hang_up()
+                runner.reload()
             return
         for number in strike.targets:
             if strike.what == "proxy-hup":
-                self._runners[number].hang_up()
+                self._runners[number].reload()
             elif strike.what == "proxy-starve":
                 await self._runners[number].starved(strike.by, strike.until)
             elif strike.what == "proxy-stop":
@@ -340,7 +340,7 @@
     async def twin(self, number: int, until: int) -> None:
         """Runs a second process under the name of a proxy, at another address, until `until`."""
         assert self.grouping is not None
-        await self.grouping.open_twin(self.plan.gates[number])
+        await self.grouping.open_duplicate(self.plan.gates[number])
         duplicate = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._duplicate_writer)
         self._twins.append(duplicate)
         await self._start_again(duplicate)
@@ -401,7 +401,7 @@
         await asyncio.gather(*(runner.kill() for runner in [*self._runners, *self._twins]))
         if self.grouping is not None:
             self.grouping.links.close()
-        self.listing.close()
+        self.discovery.close()
         self._duplicate_writer.close()
         self._writer.close()
 
