--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -44,6 +44,7 @@
         self._started = False
 
     async def listen(self) -> None:
+        """Opens the listeners of all proxies, one for each address that discovery has during the run."""
         for gate in self._plan.gates:
             for address_index in range(len(self.moves) + 1):
 
--- a/pepperusher/rehearsal/links.py
+++ b/pepperusher/rehearsal/links.py
@@ -62,9 +62,9 @@
 class Links:
     """All links between the proxies of a rehearsal."""
 
-    def __init__(self, host: str, next_random: Random) -> None:
+    def __init__(self, host: str, rng: Random) -> None:
         self._host = host
-        self._random = next_random
+        self._random = rng
         self._fronts: dict[str, Front] = {}
         self._side_of_host: dict[str, str] = {}  # host of a proxy -> its side
         self._sides: set[str] = set()  # sides of several proxies; links within such a side can be shaped too
--- a/pepperusher/rehearsal/queued_discovery.py
+++ b/pepperusher/rehearsal/queued_discovery.py
@@ -31,11 +31,10 @@
         self._changed = {number: 1 for number in range(backends)}
         self._draining: set[int] = set()
         self._waiting: deque[tuple[asyncio.StreamWriter, int | None]] = deque()
-        self._wait_timeouts: dict[
-            asyncio.StreamWriter, asyncio.Timeout
-        ] = {}  # an entry is removed when its connection ends
+        # An entry of the following dict and set is removed when its connection ends.
+        self._wait_timeouts: dict[asyncio.StreamWriter, asyncio.Timeout] = {}
         self._arrived = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()  # an entry is removed when its connection ends
+        self._open: set[asyncio.StreamWriter] = set()
         self._watches: set[asyncio.StreamWriter] = set()
         self._server: asyncio.Server | None = None
         self._unserved_sockets: list[socket.socket] = []
