--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""What holds for every test: when its time is up it says where it stood, and nothing that it started outlives it.
+"""Pytest hooks for all tests: a test that times out prints the stacks of its asyncio tasks, and every process that a test
+leaves running is killed.
 
-The limits themselves are in pyproject.toml, and beside the tests that need more.
+The time limits are set in pyproject.toml, and by a mark on each test that needs a longer one.
 """
 
 from __future__ import annotations
@@ -17,84 +18,93 @@
 
 import pytest
 
-# A test that goes on after its time was up, as where its loop took the error for a task's, is told again so much later.
-AGAIN = 10.0
-# So much of a stack tells where it stands; what runs has pytest's own below.
-DEEP = 6
+# Interval at which the time-out is raised again. A test can survive the first one: the event loop may attribute the
+# exception to a task and continue to run.
+TIMEOUT_REPEAT_S = 10.0
+# Number of innermost frames printed for a task. The stack of the running task also holds pytest's frames, further out.
+STACK_FRAMES = 6
 PR_SET_CHILD_SUBREAPER = 36
 
 
-def where_tasks_stand() -> str:
-    """The stacks of all tasks of the loop that runs here: the thread's own tells of the loop's select alone."""
+def format_task_stacks() -> str:
+    """Returns the stacks of all tasks of the running event loop, with a count of tasks for each distinct stack.
+
+    They are needed because the stack of the thread shows only that the event loop waits in select.
+    """
     try:
         tasks = asyncio.all_tasks()
     except RuntimeError:
-        return "  none: no loop runs"
-    stand = Counter(
+        return "  none: no event loop is running"
+    stacks = Counter(
         "".join(
             f"\n    {frame.f_code.co_filename}:{frame.f_lineno} {frame.f_code.co_name}"
-            for frame in task.get_stack()[-DEEP:]
+            for frame in task.get_stack()[-STACK_FRAMES:]
         )
         for task in tasks
     )
-    return "\n".join(f"  {count} at{where}" for where, count in stand.most_common())
+    return "\n".join(f"  {count} at{stack}" for stack, count in stacks.most_common())
 
 
 @pytest.hookimpl(wrapper=True, optionalhook=True)
 def pytest_timeout_set_timer(item: pytest.Item, settings: object) -> Iterator[None]:
-    made = yield
-    raises = signal.getsignal(signal.SIGALRM)
-    if callable(raises):
+    """Makes the SIGALRM handler of pytest-timeout print the task stacks first, and run again if the test continues."""
+    result = yield
+    raise_timeout = signal.getsignal(signal.SIGALRM)
+    if callable(raise_timeout):
 
-        def up(number: int, frame: FrameType | None) -> None:
-            print(f"{item.nodeid}: its time is up; its tasks stand at\n{where_tasks_stand()}", file=sys.stderr)
-            signal.setitimer(signal.ITIMER_REAL, AGAIN)
-            raises(number, frame)
+        def on_timeout(signal_number: int, frame: FrameType | None) -> None:
+            print(f"{item.nodeid}: timed out; stacks of its tasks:\n{format_task_stacks()}", file=sys.stderr)
+            signal.setitimer(signal.ITIMER_REAL, TIMEOUT_REPEAT_S)
+            raise_timeout(signal_number, frame)
 
-        signal.signal(signal.SIGALRM, up)
-    return made
+        signal.signal(signal.SIGALRM, on_timeout)
+    return result
 
 
 # --- processes ----------------------------------------------------------------------------------------
 
 
-def descendants(of: int) -> set[int]:
-    """Processes that `of` started or adopted, and what these started, as the kernel has it now."""
+def descendants(pid: int) -> set[int]:
+    """Returns the current children of a process, adopted ones included, and all their descendants, read from /proc."""
     found: set[int] = set()
-    for path in Path(f"/proc/{of}/task").glob("*/children"):
+    for path in Path(f"/proc/{pid}/task").glob("*/children"):
         try:
-            children = {int(one) for one in path.read_text().split()}
+            children = {int(child) for child in path.read_text().split()}
         except OSError:
-            continue  # it has ended meanwhile
+            continue  # the process has ended in the meantime
         found |= children.union(*map(descendants, children))
     return found
 
 
-def end(processes: set[int]) -> None:
-    for one in processes:
+def kill_all(pids: set[int]) -> None:
+    for pid in pids:
         try:
-            os.kill(one, signal.SIGKILL)
+            os.kill(pid, signal.SIGKILL)
         except ProcessLookupError:
             pass
 
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_configure(config: pytest.Config) -> None:
-    """What loses its parent becomes ours, also what a worker leaves that its limit ended: proxies that nobody ends would hold
-    the run's output open, and so whoever reads it."""
+    """Makes this process adopt orphaned descendants, so that it can kill them.
+
+    This includes the processes of a worker that was killed at its time limit. Proxies left running would hold the output
+    pipe of the run open, and a program that reads this output would wait for ever.
+    """
     ctypes.CDLL(None).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 
 
 @pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_protocol(item: pytest.Item) -> Iterator[object]:
+    """Kills the processes that a test started and left running."""
     before = descendants(os.getpid())
     try:
         return (yield)
     finally:
-        end(descendants(os.getpid()) - before)
+        kill_all(descendants(os.getpid()) - before)
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_unconfigure(config: pytest.Config) -> None:
-    """The workers have ended by now."""
-    end(descendants(os.getpid()))
+    """Kills the remaining descendants. The pytest-xdist workers have already ended when this hook runs last."""
+    kill_all(descendants(os.getpid()))
--- a/tests/wrong/pepperusher/__init__.py
+++ b/tests/wrong/pepperusher/__init__.py
@@ -1,1 +1,1 @@
-"""A proxy that is wrong on purpose, to prove that the books of a rehearsal can fail."""
+"""A deliberately faulty proxy. The tests use it to verify that the checks of a rehearsal detect faults."""
--- a/tests/wrong/pepperusher/__main__.py
+++ b/tests/wrong/pepperusher/__main__.py
@@ -1,5 +1,15 @@
-"""`serve --config FILE`, wrong as the environment's WRONG says: "loses", "invents", "doubles", "twice",
-"drains", "cold", "silent"; "" is a plain proxy that keeps the rules on a quiet day."""
+"""`serve --config FILE`: a proxy with the fault that the environment variable WRONG names.
+
+- "loses": forwards every tenth ticket and closes the caller's connection without an answer
+- "invents": answers every tenth ticket with a body that no backend sent
+- "doubles": sends a second response to every tenth ticket
+- "twice": sends each ticket to two backends, one after the other
+- "overlaps": sends each ticket twice to the same backend at the same time
+- "drains": keeps sending tickets to backends that drain or have been removed
+- "cold": sends all tickets to the backend that was started last
+- "silent": delays the answer to every tenth ticket by 60 s
+- "": no fault: a round-robin proxy that passes the checks when no faults are injected
+"""
 
 from __future__ import annotations
 
@@ -12,13 +22,14 @@
 import h11
 
 WRONG = os.environ.get("WRONG", "")
-TOLD = json.loads(Path(sys.argv[sys.argv.index("--config") + 1]).read_text())
-HOST, PORT = TOLD["listen"].rsplit(":", 1)
-SERVERS: dict[str, dict[str, object]] = {one["id"]: one for one in TOLD["known"]["servers"]}
-turns = 0
+CONFIG = json.loads(Path(sys.argv[sys.argv.index("--config") + 1]).read_text())
+HOST, PORT = CONFIG["listen"].rsplit(":", 1)
+BACKENDS: dict[str, dict[str, object]] = {backend["id"]: backend for backend in CONFIG["known"]["servers"]}
+ticket_count = 0
 
 
 async def receive(parser: h11.Connection, reader: asyncio.StreamReader) -> tuple[object, bytes] | None:
+    """Returns the head and the body of the next message, or None when the connection has ended."""
     head, body = None, b""
     while True:
         event = parser.next_event()
@@ -35,8 +46,8 @@
 
 
 async def watch() -> None:
-    """Goes by the list, unless it is wrong about drains."""
-    reader, writer = await asyncio.open_connection(*TOLD["discovery"].rsplit(":", 1))
+    """Updates BACKENDS from the discovery service. With the fault "drains" no backend is removed."""
+    reader, writer = await asyncio.open_connection(*CONFIG["discovery"].rsplit(":", 1))
     writer.write(b"GET /v1/endpoints?watch=1 HTTP/1.1\r\nHost: d\r\n\r\n")
     parser, text = h11.Connection(h11.CLIENT), b""
     while True:
@@ -49,36 +60,37 @@
         elif isinstance(event, h11.Data):
             *lines, text = (text + bytes(event.data)).split(b"\n")
             for line in filter(None, lines):
-                for one in json.loads(line)["servers"]:
-                    if one["state"] == "ready":
-                        SERVERS[one["id"]] = one
+                for backend in json.loads(line)["servers"]:
+                    if backend["state"] == "ready":
+                        BACKENDS[backend["id"]] = backend
                     elif WRONG != "drains":
-                        SERVERS.pop(one["id"], None)
+                        BACKENDS.pop(backend["id"], None)
 
 
 def choose() -> list[dict[str, object]]:
-    global turns
-    turns += 1
-    those = sorted(SERVERS.values(), key=lambda one: str(one["id"]))
+    """Returns the backends to which a ticket is sent: the next in round-robin order, or as the fault requires."""
+    global ticket_count
+    ticket_count += 1
+    backends = sorted(BACKENDS.values(), key=lambda backend: str(backend["id"]))
     if WRONG == "cold":
-        return [max(those, key=lambda one: (one["started_ms"], one["id"]))]
+        return [max(backends, key=lambda backend: (backend["started_ms"], backend["id"]))]
     if WRONG == "twice":
-        return [those[0], those[-1]]
+        return [backends[0], backends[-1]]
     if WRONG == "overlaps":
-        return [those[0], those[0]]
-    return [those[turns % len(those)]]
+        return [backends[0], backends[0]]
+    return [backends[ticket_count % len(backends)]]
 
 
-async def send(server: dict[str, object], head: h11.Request, body: bytes) -> tuple[int, bytes]:
-    reader, writer = await asyncio.open_connection(*str(server["addr"]).rsplit(":", 1))
+async def send(backend: dict[str, object], head: h11.Request, body: bytes) -> tuple[int, bytes]:
+    reader, writer = await asyncio.open_connection(*str(backend["addr"]).rsplit(":", 1))
     parser = h11.Connection(h11.CLIENT)
     try:
-        sent = [parser.send(h11.Request(method=head.method, target=head.target, headers=head.headers))]
+        request = [parser.send(h11.Request(method=head.method, target=head.target, headers=head.headers))]
         if body:
-            sent.append(parser.send(h11.Data(data=body)))
-        writer.write(b"".join([*sent, parser.send(h11.EndOfMessage()) or b""]))  # type: ignore[list-item]
-        got = await receive(parser, reader)
-        return (got[0].status_code, got[1]) if got else (502, b"")  # type: ignore[attr-defined]
+            request.append(parser.send(h11.Data(data=body)))
+        writer.write(b"".join([*request, parser.send(h11.EndOfMessage()) or b""]))  # type: ignore[list-item]
+        response = await receive(parser, reader)
+        return (response[0].status_code, response[1]) if response else (502, b"")  # type: ignore[attr-defined]
     finally:
         writer.close()
 
@@ -86,31 +98,31 @@
 async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     parser = h11.Connection(h11.SERVER)
     try:
-        while (got := await receive(parser, reader)) is not None:
-            head, body = got
+        while (message := await receive(parser, reader)) is not None:
+            head, body = message
             status, text = 200, b"ready"
             if head.target != b"/ready":  # type: ignore[attr-defined]
                 chosen = choose()
-                if WRONG == "loses" and turns % 10 == 0:
+                if WRONG == "loses" and ticket_count % 10 == 0:
                     await send(chosen[0], head, body)  # type: ignore[arg-type]
                     return
-                if WRONG == "silent" and turns % 10 == 0:
+                if WRONG == "silent" and ticket_count % 10 == 0:
                     await asyncio.sleep(60)
                 if WRONG == "overlaps":
-                    status, text = (await asyncio.gather(*(send(one, head, body) for one in chosen)))[-1]  # type: ignore
+                    status, text = (await asyncio.gather(*(send(backend, head, body) for backend in chosen)))[-1]  # type: ignore
                 else:
-                    for one in chosen:
-                        status, text = await send(one, head, body)  # type: ignore[arg-type]
-                if WRONG == "invents" and turns % 10 == 0:
+                    for backend in chosen:
+                        status, text = await send(backend, head, body)  # type: ignore[arg-type]
+                if WRONG == "invents" and ticket_count % 10 == 0:
                     text = b"done as far as I know\n"
-            answer = parser.send(h11.Response(status_code=status, headers=[(b"content-length", b"%d" % len(text))]))
+            response = parser.send(h11.Response(status_code=status, headers=[(b"content-length", b"%d" % len(text))]))
             parts = [
-                answer,
+                response,
                 parser.send(h11.Data(data=text)) if text else b"",
                 parser.send(h11.EndOfMessage()),
             ]
             writer.write(b"".join(part for part in parts if part))
-            if WRONG == "doubles" and turns % 10 == 0 and head.target != b"/ready":  # type: ignore[attr-defined]
+            if WRONG == "doubles" and ticket_count % 10 == 0 and head.target != b"/ready":  # type: ignore[attr-defined]
                 writer.write(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
             parser.start_next_cycle()
     except (OSError, h11.ProtocolError):
@@ -121,10 +133,10 @@
 
 async def main() -> None:
     server = await asyncio.start_server(serve, HOST, int(PORT))
-    watching = asyncio.ensure_future(watch())
+    watch_task = asyncio.ensure_future(watch())
     async with server:
         await server.serve_forever()
-    watching.cancel()
+    watch_task.cancel()
 
 
 asyncio.run(main())
