--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,12 @@
-# On a fresh clone each of these works alone.
+# Each target works on a fresh clone: it builds what it needs.
 PYTHON = .venv/bin/python
 
 .PHONY: all demo group-demo scale lint test clean
 
 all: .venv/rehearsal.txt
 
-# What serve needs comes with deploy/build, which makes .venv anew for other pins; all else on top of it.
+# deploy/build installs the requirements of `serve`, and recreates .venv if requirements.txt has changed. The packages
+# for rehearsals, tests and linting are then installed into the same .venv.
 .venv/rehearsal.txt: requirements.txt requirements-rehearsal.txt deploy/build
 	sh deploy/build
 	$(PYTHON) -m pip -q install -r requirements-rehearsal.txt
@@ -17,16 +18,17 @@
 group-demo: all
 	$(PYTHON) -m pepperusher rehearse examples/rehearsals/group-demo.toml --report group-demo.html
 
-# 5,000 hollow proxies and 9 control machines on this machine, all scenes: minutes, some 5 GB and every core.
+# Runs all scenes with 5,000 hollow proxies and 9 control machines on this machine. This takes minutes, about 5 GB of
+# memory and all cores.
 scale: all
 	$(PYTHON) -m pepperusher capacity scene --size 5000 --controls 9 --seed 1
 
-# The format, and the rules that find names which do not resolve (pyproject.toml).
+# Checks the format, and the rules selected in pyproject.toml, which find unresolved names.
 lint: all
 	.venv/bin/ruff format --check -q .
 	.venv/bin/ruff check -q .
 
-# They mostly wait: half as many again as eight cores.
+# The tests spend most of their time waiting, so 12 workers (1.5 per core) are used on eight cores.
 test: all
 	$(PYTHON) -m pytest -q -n 12 --dist worksteal -p no:cacheprovider tests
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -55,6 +55,8 @@
 
 
 class QuietHandler(BaseHTTPRequestHandler):
+    """An HTTP/1.1 request handler without an access log."""
+
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *_: object) -> None:
@@ -77,14 +79,14 @@
         self.send_response(200)
         self.send_header("Transfer-Encoding", "chunked")
         self.end_headers()
-        seen = 0
+        sent_version = 0
         try:
             while True:
                 with ENDPOINTS.changed:
-                    if ENDPOINTS.version == seen:
+                    if ENDPOINTS.version == sent_version:
                         ENDPOINTS.changed.wait(2.0)
-                    line = ENDPOINTS.snapshot() if ENDPOINTS.version != seen else b"\n"
-                    seen = ENDPOINTS.version
+                    line = ENDPOINTS.snapshot() if ENDPOINTS.version != sent_version else b"\n"
+                    sent_version = ENDPOINTS.version
                 self.wfile.write(b"%x\r\n%b\r\n" % (len(line), line))
         except OSError:
             self.close_connection = True
@@ -95,7 +97,7 @@
 
     name = ""
 
-    def work(self) -> None:
+    def answer_request(self) -> None:
         body = self.rfile.read(int(self.headers.get("Content-Length", 0)))
         if self.path in ("/drain", "/ready"):
             ENDPOINTS.set_state(self.name, "draining" if self.path == "/drain" else "ready")
@@ -105,13 +107,13 @@
         print(f"{self.name}: {self.command} {self.path} id {self.headers.get('Request-Id')}", flush=True)
         self.answer(f"{self.name} handled {self.path} with {len(body)} bytes\n".encode())
 
-    do_GET = do_POST = work
+    do_GET = do_POST = answer_request
 
 
 def main() -> None:
     for name, port in PORTS.items():
-        kind = type(name, (Backend,), {"name": name})
-        threading.Thread(target=ThreadingHTTPServer((HOST, port), kind).serve_forever, daemon=True).start()
+        handler_class = type(name, (Backend,), {"name": name})
+        threading.Thread(target=ThreadingHTTPServer((HOST, port), handler_class).serve_forever, daemon=True).start()
     print(
         f"backends at {HOST}:{', '.join(map(str, PORTS.values()))}, discovery at {HOST}:{DISCOVERY_PORT}; stop with Ctrl-C",
         flush=True,
