--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -59,7 +59,7 @@
         self.messages = (sum(one.sent for one in ones) - messages) / size / seconds
         self.bytes = (sum(one.sent_bytes for one in ones) - sent) / size / seconds
         messages, sent = sum(one.sent for one in ones), sum(one.sent_bytes for one in ones)
-        next(iter(ones)).swim.say(SENT_AWAY, model.now)
+        next(iter(ones)).swim.set_phase(SENT_AWAY, model.now)
         model.run(CHANGE)
         rest = CHANGE / SECOND
         self.change_messages = (sum(one.sent for one in ones) - messages) / size - self.messages * rest
@@ -85,7 +85,7 @@
     def makes() -> object:
         roll = Membership(PERIOD)
         for number in range(size):
-            roll.take(said(number), START)
+            roll.merge(said(number), START)
         return roll
 
     return allocated_bytes(makes)
@@ -97,8 +97,8 @@
         said(0), SwimSettings(PERIOD, WITHIN, (), size, 60 * SECOND), Wire("measured, not a key"), Random(seed), START
     )
     for number in range(1, size):
-        swim.roll.take(said(number), START)
-    return float(sum(map(len, swim.whole())))
+        swim.members.merge(said(number), START)
+    return float(sum(map(len, swim.full_state())))
 
 
 def most_members() -> int:
@@ -106,9 +106,9 @@
     roll = Membership(PERIOD)
     number = 0
     while not roll.refused:
-        roll.take(said(number), START)
+        roll.merge(said(number), START)
         number += 1
-        assert number <= 2 * group_membership.MOST
+        assert number <= 2 * group_membership.MAX_MEMBERS
     return len(roll)
 
 
@@ -117,7 +117,7 @@
     notices = Broadcasts(60 * SECOND)
     number = 0
     while not notices.refused:
-        notices.take(Broadcast("ban", f"service-{number:05d}", True, START), START)
+        notices.merge(Broadcast("ban", f"service-{number:05d}", True, START), START)
         number += 1
-        assert number <= 2 * group_broadcasts.MOST
+        assert number <= 2 * group_broadcasts.MAX_BROADCASTS
     return len(notices)
--- a/pepperusher/group/broadcasts.py
+++ b/pepperusher/group/broadcasts.py
@@ -8,7 +8,7 @@
 from pepperusher.group.messages import Broadcast
 
 # The most broadcasts held at a time. Further ones are refused and counted.
-MOST = 500
+MAX_BROADCASTS = 500
 # A broadcast whose time is further ahead of this member's clock comes from a wrong clock. It would override
 # all later broadcasts of its key, so it is refused.
 MAX_CLOCK_SKEW_US = 3_600_000_000
@@ -34,16 +34,16 @@
     def get(self, kind: str, key: str) -> Broadcast | None:
         return self._broadcasts.get((kind, key))
 
-    def take(self, broadcast: Broadcast, now: int) -> bool:
+    def merge(self, broadcast: Broadcast, now: int) -> bool:
         """Merges a broadcast. False if it is not newer than the known one, or is refused."""
         known = self._broadcasts.get((broadcast.kind, broadcast.key))
-        if known is not None and broadcast.rank <= known.rank:
+        if known is not None and broadcast.precedence <= known.precedence:
             return False
         if not broadcast.on and now - broadcast.at >= self._retention:
             # It has been off for longer than the retention. If it were taken again, members would pass it
             # among each other for ever.
             return False
-        if broadcast.at > now + MAX_CLOCK_SKEW_US or known is None and len(self._broadcasts) >= MOST:
+        if broadcast.at > now + MAX_CLOCK_SKEW_US or known is None and len(self._broadcasts) >= MAX_BROADCASTS:
             self.refused += 1
             return False
         self._broadcasts[broadcast.kind, broadcast.key] = broadcast
--- a/pepperusher/group/endpoint_borrowing.py
+++ b/pepperusher/group/endpoint_borrowing.py
@@ -11,7 +11,7 @@
 MAX_LIST_AGE_US = 600_000_000
 
 
-def joined(lists: list[dict[str, Any]]) -> tuple[int, dict[str, Any]] | None:
+def intersect_lists(lists: list[dict[str, Any]]) -> tuple[int, dict[str, Any]] | None:
     """The endpoints that every recent list has as ready, and how long ago discovery confirmed the oldest of
     these lists. None if no list is recent enough or no endpoint is in all of them. The age of each list comes
     from its own proxy's clock, since the clocks of two proxies may differ.
--- a/pepperusher/group/membership.py
+++ b/pepperusher/group/membership.py
@@ -20,7 +20,7 @@
 
 # The most members on the list. A further one replaces the member that left longest ago, or is refused if
 # nobody has left.
-MOST = 2_000
+MAX_MEMBERS = 2_000
 # Lifeguard's suspicion timeout. The minimum is this many periods times log10 of the group size. It starts at
 # SUSPICION_MAX_FACTOR times the minimum and falls to it as MAX_CONFIRMATIONS further members suspect too.
 MIN_SUSPICION_PERIODS = 5
@@ -47,7 +47,7 @@
     """The last record of another member, and what this proxy has observed of it."""
 
     __slots__ = (
-        "said",
+        "record",
         "health",
         "changed_at",
         "accusers",
@@ -65,7 +65,7 @@
     )
 
     def __init__(self, record: MemberRecord, now: int) -> None:
-        self.said = record
+        self.record = record
         self.health = ALIVE
         self.changed_at = now  # time of the last change of phase or health
         self.accusers: set[str] = set()  # members that suspect its current record
@@ -86,7 +86,9 @@
     @property
     def is_silent(self) -> bool:
         """Whether others find it suspected or lost, or its name is doubled, and it has not said that it is gone."""
-        return not self.said.gone and self.said.phase != LEFT and (self.health != ALIVE or self.said.doubled)
+        return (
+            not self.record.is_gone and self.record.phase != LEFT and (self.health != ALIVE or self.record.is_duplicate)
+        )
 
     def record_packet(self, packet_number: int) -> bool:
         """Marks a packet number as received. False if it was received before or is too old to tell."""
@@ -104,7 +106,7 @@
         self.received_bits |= bit
         return True
 
-    def prove(self, token: int) -> None:
+    def mark_verified(self, token: int) -> None:
         """Marks the process with this token as verified and restarts its replay window."""
         if self.verified_token != token:
             self.verified_token, self.newest_packet, self.received_bits = token, 0, 0
@@ -141,7 +143,7 @@
 
     # --- records ----------------------------------------------------------------------------------
 
-    def take(self, record: MemberRecord, now: int) -> list[Change]:
+    def merge(self, record: MemberRecord, now: int) -> list[Change]:
         """Merges a member's record, received from it or by gossip. Returns no changes if it is not newer."""
         member = self._members.get(record.name)
         if member is None:
@@ -154,7 +156,7 @@
             self._name_cache = None
             self.version += 1
             return [Change("met", record.name, _log_fields(record))]
-        previous = member.said
+        previous = member.record
         if record.precedence <= previous.precedence:
             return []
         changes = []
@@ -162,12 +164,12 @@
             if (accusing := self._members.get(accuser)) is not None and record.token == previous.token:
                 accusing.refuted_count = min(2 * MAX_REFUTED, self._decayed_refuted_count(accusing, now) + 1)
         previous_health = member.health
-        member.said = record
+        member.record = record
         self.version += 1
         member.accusers.clear()
         member.health = ALIVE
         self._suspected.pop(record.name, None)
-        if record.doubled and not previous.doubled:
+        if record.is_duplicate and not previous.is_duplicate:
             changes.append(
                 Change(
                     "doubled: two processes live under one name, neither is believed of the other",
@@ -175,9 +177,9 @@
                     {**_log_fields(record), "other": previous.token},
                 )
             )
-        elif previous.doubled and not record.doubled:
+        elif previous.is_duplicate and not record.is_duplicate:
             changes.append(Change("no longer doubled", record.name, _log_fields(record)))
-        if record.token != previous.token and not record.doubled and not previous.doubled:
+        if record.token != previous.token and not record.is_duplicate and not previous.is_duplicate:
             changes.append(Change("a new life", record.name, _log_fields(record)))
             member.changed_at = now
         elif record.phase != previous.phase:
@@ -192,12 +194,12 @@
 
     def _make_room(self) -> bool:
         """Deletes the member that left longest ago if the list is full. False if no member has left."""
-        if len(self._members) < MOST:
+        if len(self._members) < MAX_MEMBERS:
             return True
-        left = [member for member in self if member.said.phase == LEFT]
+        left = [member for member in self if member.record.phase == LEFT]
         if not left:
             return False
-        self._delete(min(left, key=lambda member: member.changed_at).said.name)
+        self._delete(min(left, key=lambda member: member.changed_at).record.name)
         return True
 
     def _delete(self, name: str) -> None:
@@ -226,13 +228,13 @@
         record than the known one is ignored.
         """
         member = self._members.get(suspicion.suspect)
-        if member is None or member.said.phase == LEFT or member.health == LOST:
+        if member is None or member.record.phase == LEFT or member.health == LOST:
             return []
         if (
             suspicion.number,
             suspicion.token,
             suspicion.incarnation,
-        ) != member.said.precedence or suspicion.accuser in member.accusers:
+        ) != member.record.precedence or suspicion.accuser in member.accusers:
             return []
         if not self.is_credible(suspicion.accuser, now):
             return []
@@ -248,7 +250,7 @@
             Change(
                 "suspected" if len(member.accusers) == 1 else "suspected by one more",
                 suspicion.suspect,
-                {**_log_fields(member.said), "by": suspicion.accuser},
+                {**_log_fields(member.record), "by": suspicion.accuser},
             )
         ]
 
@@ -273,9 +275,9 @@
                 changes.append(
                     Change(
                         "lost",
-                        member.said.name,
+                        member.record.name,
                         {
-                            **_log_fields(member.said),
+                            **_log_fields(member.record),
                             "after_us": now - member.suspected_at,
                             "by": " ".join(sorted(member.accusers)),
                         },
@@ -296,14 +298,14 @@
 
     # --- removal by operators -----------------------------------------------------------------------
 
-    def forget(self, name: str) -> bool:
+    def remove(self, name: str) -> bool:
         """Removes a silent or gone member that, by an operator's word, will not come back under this name. False
         if it is neither.
         """
         member = self._members.get(name)
-        if member is None or not (member.is_silent or member.said.phase == LEFT):
+        if member is None or not (member.is_silent or member.record.phase == LEFT):
             return False
-        self._removed[name] = member.said.precedence
+        self._removed[name] = member.record.precedence
         if len(self._removed) > MAX_REMOVED:
             del self._removed[next(iter(self._removed))]
         self._delete(name)
--- a/pepperusher/group/messages.py
+++ b/pepperusher/group/messages.py
@@ -39,7 +39,7 @@
     token: Token
     incarnation: Count
     phase: Annotated[int, Meta(ge=0, le=LEFT)]
-    doubled: bool  # another live process uses the same name
+    is_duplicate: bool  # another live process uses the same name
     tier: Count
     place: Count
 
@@ -57,9 +57,9 @@
         return self.host, self.port
 
     @property
-    def gone(self) -> bool:
+    def is_gone(self) -> bool:
         """Whether it has given up its share of the limits. A doubled name frees nothing."""
-        return self.phase in (SENT_AWAY, LEFT) and not self.doubled
+        return self.phase in (SENT_AWAY, LEFT) and not self.is_duplicate
 
 
 class Suspicion(msgspec.Struct, frozen=True, array_like=True, gc=False):
@@ -85,13 +85,13 @@
     at: TimestampUs
 
     @property
-    def rank(self) -> tuple[int, bool]:
+    def precedence(self) -> tuple[int, bool]:
         return self.at, self.on
 
 
 PING, ACK, PING_REQ, NACK, GOSSIP = range(5)
 # The purpose of a stream, sent in the `seq` of its first packet: a full state sync, or the endpoint list.
-WANTS_ROLL, WANTS_LIST = range(2)
+WANTS_STATE, WANTS_LIST = range(2)
 PACKET_KINDS = ("ping", "ack", "ask", "nack", "tell")
 
 
--- a/pepperusher/group/shares.py
+++ b/pepperusher/group/shares.py
@@ -50,10 +50,10 @@
     here, silent, gone = 1, 0, 0
     met = 1
     for member in membership:
-        met += member.said.tier == me.tier
-        if member.said.phase == LEFT:
+        met += member.record.tier == me.tier
+        if member.record.phase == LEFT:
             gone += 1
-        elif member.health == ALIVE and not member.said.doubled:
+        elif member.health == ALIVE and not member.record.is_duplicate:
             here += 1
         else:
             silent += 1
@@ -79,6 +79,6 @@
     free_places: set[int] = set()
     for record in records:
         if record.tier == me.tier:
-            (free_places if record.gone else held_places).add(record.place)
+            (free_places if record.is_gone else held_places).add(record.place)
     places = held_places | free_places
     return max(configured_size, len(places)) - len(free_places - held_places)
--- a/pepperusher/group/swim.py
+++ b/pepperusher/group/swim.py
@@ -1,7 +1,7 @@
 """The membership protocol of one group member: probes, acks, suspicion and gossip. It does no I/O.
 
 The caller passes in the time and the received datagrams, and calls `wake` when it is due. Packets to send are
-collected in `out`, membership changes in `changes`, and broadcasts that are new to this proxy in `news`.
+collected in `outgoing`, membership changes in `changes`, and broadcasts that are new to this proxy in `new_broadcasts`.
 
 From SWIM (Das, Gupta, Motivala 2002): probes in shuffled rounds, indirect probes, piggybacked gossip,
 incarnation numbers and suspicion. From Lifeguard (Dadgar, Phillips, Currey 2018): the local health score,
@@ -28,7 +28,7 @@
 from pepperusher.group.shares import Reachability
 from pepperusher.group.membership import Change, Member, Membership
 from pepperusher.group.gossip_queue import SUSPICION, BROADCAST, RECORD, GossipQueue
-from pepperusher.group.wire import DATAGRAM, HEADER_BYTES, InvalidPacketError, Wire
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES, HEADER_BYTES, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ACK,
     ALIVE,
@@ -123,24 +123,24 @@
 class Swim:
     """One member's view of the group and its side of the protocol."""
 
-    def __init__(self, me: MemberRecord, settings: SwimSettings, wire: Wire, rng: Random, now: int) -> None:
-        self.me = me
+    def __init__(self, own_record: MemberRecord, settings: SwimSettings, wire: Wire, rng: Random, now: int) -> None:
+        self.own_record = own_record
         self.settings = settings
-        self.roll = Membership(settings.period)
-        self.notices = Broadcasts(settings.retention)
+        self.members = Membership(settings.period)
+        self.broadcasts = Broadcasts(settings.retention)
         self.health = Health()
-        self.out: list[tuple[tuple[str, int], bytes]] = []
+        self.outgoing: list[tuple[tuple[str, int], bytes]] = []
         self.changes: list[Change] = []
-        self.news: list[Broadcast] = []
+        self.new_broadcasts: list[Broadcast] = []
         # Keyed by texts of this module and of wire.py, so its size is bounded.
         self.counts: dict[str, int] = {}
-        self.list = 0  # the version of discovery's endpoint list that this proxy has
-        self.wants_roll: tuple[str, int] | None = None  # the member to request a full state sync from
+        self.list_version = 0  # the version of discovery's endpoint list that this proxy has
+        self.sync_from: tuple[str, int] | None = None  # the member to request a full state sync from
         self._wire = wire
         self._rng = rng
-        self._rumours = GossipQueue()
-        self._own_encoded = wire.encode_part(me)
-        self._parts: dict[str, tuple[MemberRecord, bytes]] = {}  # cache of encoded records, one per member name
+        self._gossip_queue = GossipQueue()
+        self._own_encoded = wire.encode_part(own_record)
+        self._record_cache: dict[str, tuple[MemberRecord, bytes]] = {}  # cache of encoded records, one per member name
         self._packet_number = 0
         self._seq = rng.getrandbits(48)
         self._probe_round: list[str] = []  # members still to be probed in this round
@@ -153,18 +153,18 @@
         self._seeds_at = now
         self._awaited: dict[int, Awaited] = {}  # by sequence number; removed by the ack or at the deadline
         self._relays: dict[int, Relay] = {}  # by sequence number; removed by the ack or at the deadline
-        self._owing: list[str] = []  # members still to be pinged with urgent news
+        self._urgent_pings: list[str] = []  # members still to be pinged with urgent news
         # Other processes under this name: the highest start number by token, at most MAX_RIVALS.
         self._rivals: dict[int, int] = {}
         self._rival_seen_at = 0
         self._raise_at: int | None = None
         self._raised_at = -RAISE_INTERVAL_US
         self._last_answer_at = now - MAX_UNANSWERED_PERIODS * settings.period
-        self._reached = ""
+        self._reported_reach = ""
         self._reach_inputs: tuple[int, bool, bool, int, int] | None = None
         self._wake_at = now
         self._acked_phase: set[str] = set()
-        self._rumours.put(RECORD, me.name, self._own_encoded)
+        self._gossip_queue.put(RECORD, own_record.name, self._own_encoded)
 
     # --- interface of the proxy --------------------------------------------------------------------
 
@@ -180,20 +180,26 @@
         answered = sum(count for _, count in self._recent_probes)
         return len(self._recent_probes) == REACH_SAMPLE_PROBES and shares.FEW_ANSWERS_DIVISOR * answered <= contacted
 
-    def reach(self, now: int) -> Reachability:
+    def reachability(self, now: int) -> Reachability:
         return shares.assess_reachability(
-            self.settings.configured_size, self.me, self.roll, self._answered_recently(now), self._few_answer()
+            self.settings.configured_size,
+            self.own_record,
+            self.members,
+            self._answered_recently(now),
+            self._few_answer(),
         )
 
-    def size(self) -> int:
+    def sharer_count(self) -> int:
         """The number of proxies, this one included, that share the limits."""
-        return shares.sharer_count(self.settings.configured_size, self.me, (member.said for member in self.roll))
+        return shares.sharer_count(
+            self.settings.configured_size, self.own_record, (member.record for member in self.members)
+        )
 
-    def say(self, phase: int, now: int) -> None:
+    def set_phase(self, phase: int, now: int) -> None:
         """Publishes a new phase of this proxy. If it frees its share of the limits or takes it back, all reachable
         members are pinged at once.
         """
-        before = self.me.phase
+        before = self.own_record.phase
         if phase == before:
             return
         self._update_own_record(phase=phase)
@@ -206,39 +212,39 @@
     def reconfigure(self, configured_size: int, tier: int, place: int) -> None:
         """Applies new settings: the size of the tier, and the tier and place of this proxy."""
         self.settings = self.settings._replace(configured_size=configured_size)
-        if (tier, place) != (self.me.tier, self.me.place):
+        if (tier, place) != (self.own_record.tier, self.own_record.place):
             self._update_own_record(tier=tier, place=place)
 
     @property
-    def farewells(self) -> tuple[int, int]:
+    def phase_acks(self) -> tuple[int, int]:
         """How many members have acked since the last change of phase, and how many members are alive."""
         return len(self._acked_phase), len(self._live_members())
 
-    def tell(self, broadcast: Broadcast, now: int) -> bool:
+    def broadcast(self, broadcast: Broadcast, now: int) -> bool:
         """Broadcasts news of this proxy to all members. False if it is not newer than what this proxy holds."""
-        if not self.notices.take(broadcast, now):
+        if not self.broadcasts.merge(broadcast, now):
             return False
-        self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
+        self._gossip_queue.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
         self._schedule_pings()
         self._gossip_at = now
         return True
 
-    def holders(self) -> tuple[int, int]:
+    def holder_counts(self) -> tuple[int, int]:
         """How many members, this one included, hold the same broadcasts, and how many members have not left."""
-        present = [member for member in self.roll if member.said.phase != LEFT]
-        return 1 + sum(member.broadcasts_digest == self.notices.digest for member in present), 1 + len(present)
+        present = [member for member in self.members if member.record.phase != LEFT]
+        return 1 + sum(member.broadcasts_digest == self.broadcasts.digest for member in present), 1 + len(present)
 
-    def hello(self, purpose: int) -> bytes:
-        """The first packet of a stream that this member opens; `purpose` is WANTS_ROLL or WANTS_LIST."""
+    def stream_opening(self, purpose: int) -> bytes:
+        """The first packet of a stream that this member opens; `purpose` is WANTS_STATE or WANTS_LIST."""
         return self._packet(GOSSIP, purpose, "", None, ())
 
-    def whole(self) -> list[bytes]:
+    def full_state(self) -> list[bytes]:
         """The full state of this member, as packets for a full state sync over a stream."""
-        parts = [(RECORD, self._encoded_record(item)) for item in self.roll]
-        parts += [(BROADCAST, self._wire.encode_part(item)) for item in self.notices]
+        parts = [(RECORD, self._encoded_record(item)) for item in self.members]
+        parts += [(BROADCAST, self._wire.encode_part(item)) for item in self.broadcasts]
         packets = []
         while parts or not packets:
-            free_bytes = DATAGRAM - PACKET_OVERHEAD_BYTES - len(self._own_encoded)
+            free_bytes = MAX_DATAGRAM_BYTES - PACKET_OVERHEAD_BYTES - len(self._own_encoded)
             packet_parts: list[tuple[int, bytes]] = []
             while parts and len(parts[-1][1]) <= free_bytes:
                 packet_parts.append(parts.pop())
@@ -254,15 +260,15 @@
         self._wake_at = now
         if self._raise_at is not None and now >= self._raise_at:
             self._raise_number()
-        if self.me.doubled and now - self._rival_seen_at >= DUPLICATE_NAME_HOLD_US:
-            self._update_own_record(doubled=False)
-            self.changes.append(Change("no longer doubled", self.me.name, {}))
+        if self.own_record.is_duplicate and now - self._rival_seen_at >= DUPLICATE_NAME_HOLD_US:
+            self._update_own_record(is_duplicate=False)
+            self.changes.append(Change("no longer doubled", self.own_record.name, {}))
         self._check_probe(now)
         self._check_relays(now)
         if now >= self._probe_at:
             self._end_probe(now)
             self._begin_probe(now)
-        for change in self.roll.expire_suspicions(now):
+        for change in self.members.expire_suspicions(now):
             self.changes.append(change)
         if now >= self._seeds_at:
             self._ping_seeds(now)
@@ -270,13 +276,13 @@
             self._gossip(now)
         for seq in [seq for seq, pending in self._awaited.items() if pending.deadline <= now]:
             del self._awaited[seq]
-        self.notices.expire(now)
+        self.broadcasts.expire(now)
         self._report_reach(now)
         due = [self._probe_at, self._seeds_at, self._gossip_at]
         if self._probe is not None and not self._probe.answered and not self._probe.helper_count:
             due.append(self._probe.indirect_at)
         due += [pending.nack_at if pending.nack_at > now else pending.deadline for pending in self._relays.values()]
-        due += [time for time in (self._raise_at, self.roll.next_expiry()) if time is not None]
+        due += [time for time in (self._raise_at, self.members.next_expiry()) if time is not None]
         self._wake_at = max(now + 1_000, min(due))
         return self._wake_at
 
@@ -288,7 +294,7 @@
         if delay <= self.settings.ack_timeout // STALL_THRESHOLD_DIVISOR:
             return
         self.health.degrade(1 if delay < self.settings.period else 2)
-        self.roll.postpone_suspicions(delay)
+        self.members.postpone_suspicions(delay)
         if self._probe is not None:
             self._probe.indirect_at += delay
             self._probe.end += delay
@@ -299,7 +305,7 @@
         self._count("stood still")
         if delay >= MAX_UNANSWERED_PERIODS * self.settings.period:
             self.changes.append(
-                Change("stood still, so its own suspicions count for less", self.me.name, {"us": delay})
+                Change("stood still, so its own suspicions count for less", self.own_record.name, {"us": delay})
             )
 
     def _report_reach(self, now: int) -> None:
@@ -308,25 +314,25 @@
         """
         few_answer = self._few_answer()
         inputs = (
-            self.roll.version,
+            self.members.version,
             self._answered_recently(now),
             few_answer,
             self.settings.configured_size,
-            self.me.tier,
+            self.own_record.tier,
         )
         if inputs == self._reach_inputs:
             return
         self._reach_inputs = inputs
-        reachability = self.reach(now)
-        if reachability.word != self._reached:
-            self._reached = reachability.word
-            self.changes.append(Change(f"reaches {reachability.word}", self.me.name, reachability._asdict()))
+        reachability = self.reachability(now)
+        if reachability.word != self._reported_reach:
+            self._reported_reach = reachability.word
+            self.changes.append(Change(f"reaches {reachability.word}", self.own_record.name, reachability._asdict()))
 
     # --- probes ---------------------------------------------------------------------------------------
 
     def _live_members(self) -> list[Member]:
         """The members that are neither lost nor have left."""
-        return [member for member in self.roll if member.health != LOST and member.said.phase != LEFT]
+        return [member for member in self.members if member.health != LOST and member.record.phase != LEFT]
 
     def _begin_probe(self, now: int) -> None:
         """Starts the probe of the next member of the round, and sometimes pings a lost one."""
@@ -340,7 +346,7 @@
             self._probe = None
             return
         probe = Probe(
-            target.said.name, self._next_seq(), now + self.health.scale(self.settings.ack_timeout), now + period
+            target.record.name, self._next_seq(), now + self.health.scale(self.settings.ack_timeout), now + period
         )
         self._probe = probe
         self._ping(target, now, probe.seq, probe.end)
@@ -349,16 +355,16 @@
         """Each member is probed once per round, in random order. A member that joins is probed in the next round."""
         for _ in range(2):
             while self._probe_round:
-                member = self.roll.get(self._probe_round.pop())
-                if member is not None and member.health != LOST and member.said.phase != LEFT:
+                member = self.members.get(self._probe_round.pop())
+                if member is not None and member.health != LOST and member.record.phase != LEFT:
                     return member
-            self._probe_round = list(self.roll.member_names())
+            self._probe_round = list(self.members.member_names())
             self._rng.shuffle(self._probe_round)
         return None
 
     def _ping_lost(self, now: int) -> None:
         """Pings a random lost member. This never stops, because a network partition may end at any time."""
-        lost = [member for member in self.roll if member.health == LOST and member.said.phase != LEFT]
+        lost = [member for member in self.members if member.health == LOST and member.record.phase != LEFT]
         if lost:
             self._ping(self._rng.choice(lost), now)
 
@@ -368,26 +374,26 @@
             seq = self._next_seq()
         if len(self._awaited) < MAX_AWAITED:
             self._awaited[seq] = Awaited(
-                member.said.name, deadline or now + 2 * self.health.scale(self.settings.ack_timeout)
+                member.record.name, deadline or now + 2 * self.health.scale(self.settings.ack_timeout)
             )
-        self._send(PING, member.said.address, seq, member.said.name)
+        self._send(PING, member.record.address, seq, member.record.name)
 
     def _check_probe(self, now: int) -> None:
         """Asks helpers for indirect probes if the direct probe got no ack in time."""
         probe = self._probe
         if probe is None or probe.answered or probe.helper_count or now < probe.indirect_at:
             return
-        target = self.roll.get(probe.name)
+        target = self.members.get(probe.name)
         helpers = [
             helper
             for helper in self._live_members()
-            if helper.health == ALIVE and helper.verified_token is not None and helper.said.name != probe.name
+            if helper.health == ALIVE and helper.verified_token is not None and helper.record.name != probe.name
         ]
         if target is None or not helpers:
             return
         for helper in self._rng.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
             probe.helper_count += 1
-            self._send(PING_REQ, helper.said.address, probe.seq, helper.said.name, target.said)
+            self._send(PING_REQ, helper.record.address, probe.seq, helper.record.name, target.record)
 
     def _end_probe(self, now: int) -> None:
         """Ends the running probe, and suspects its target if neither it nor a helper has acked."""
@@ -400,25 +406,29 @@
         self._count("probes without an answer")
         # A helper that sends neither an ack nor a nack is a hint that this member itself cannot receive.
         self.health.record_missing_nacks(probe.helper_count - probe.nack_count if probe.helper_count else 1)
-        target = self.roll.get(probe.name)
+        target = self.members.get(probe.name)
         if target is not None:
-            record = target.said
-            self._suspect(Suspicion(record.name, record.number, record.token, record.incarnation, self.me.name), now)
+            record = target.record
+            self._suspect(
+                Suspicion(record.name, record.number, record.token, record.incarnation, self.own_record.name), now
+            )
 
     def _suspect(self, suspicion: Suspicion, now: int) -> None:
         """Records a suspicion, and gossips it if it is new."""
-        if changed := self.roll.record_suspicion(suspicion, now):
+        if changed := self.members.record_suspicion(suspicion, now):
             self.changes += changed
             # Suspicions are queued per accuser, not per sender: an accuser counts once, however many relay it.
-            self._rumours.put(SUSPICION, f"{suspicion.suspect} {suspicion.accuser}", self._wire.encode_part(suspicion))
+            self._gossip_queue.put(
+                SUSPICION, f"{suspicion.suspect} {suspicion.accuser}", self._wire.encode_part(suspicion)
+            )
 
     def _check_relays(self, now: int) -> None:
         """Sends nacks for relayed pings that got no ack in time, and drops the expired ones."""
         for seq, relay in list(self._relays.items()):
             if relay.nack_at and now >= relay.nack_at:
                 relay.nack_at = 0
-                if (requester := self.roll.get(relay.requester)) is not None:
-                    self._send(NACK, requester.said.address, relay.seq, relay.requester)
+                if (requester := self.members.get(relay.requester)) is not None:
+                    self._send(NACK, requester.record.address, relay.seq, relay.requester)
             if now >= relay.deadline:
                 del self._relays[seq]
 
@@ -426,51 +436,55 @@
 
     def _schedule_pings(self) -> None:
         """Schedules a ping of every live member, in random order, to spread urgent news."""
-        self._owing = [member.said.name for member in self._live_members()]
-        self._rng.shuffle(self._owing)
+        self._urgent_pings = [member.record.name for member in self._live_members()]
+        self._rng.shuffle(self._urgent_pings)
 
     def _gossip(self, now: int) -> None:
         """Runs a gossip round: urgent pings if any are scheduled, else queued gossip to random members."""
         self._gossip_at = now + self.settings.period // GOSSIP_ROUNDS_PER_PERIOD
-        if self._owing:
-            batch, self._owing = self._owing[:PINGS_PER_ROUND], self._owing[PINGS_PER_ROUND:]
+        if self._urgent_pings:
+            batch, self._urgent_pings = self._urgent_pings[:PINGS_PER_ROUND], self._urgent_pings[PINGS_PER_ROUND:]
             for name in batch:
-                if (member := self.roll.get(name)) is not None:
+                if (member := self.members.get(name)) is not None:
                     self._ping(member, now)
             return
-        if not self._rumours:
+        if not self._gossip_queue:
             return
         live = self._live_members()
         for member in self._rng.sample(live, min(GOSSIP_FANOUT, len(live))):
-            self._send(GOSSIP, member.said.address, 0, member.said.name)
+            self._send(GOSSIP, member.record.address, 0, member.record.name)
 
     def _ping_seeds(self, now: int) -> None:
         """Pings the seeds often while no member is alive, and rarely afterwards: two halves of a group that have
         lost each other find each other again through the seeds.
         """
-        alive_addresses = {member.said.address for member in self.roll if member.health == ALIVE}
+        alive_addresses = {member.record.address for member in self.members if member.health == ALIVE}
         alone = not alive_addresses
         self._seeds_at = now + (JOIN_INTERVAL_US if alone else SEEDS_INTERVAL_US) * self._rng.randrange(75, 126) // 100
         for seed in self.settings.seeds:
-            if seed not in alive_addresses and seed != self.me.address and len(self._awaited) < MAX_AWAITED:
+            if seed not in alive_addresses and seed != self.own_record.address and len(self._awaited) < MAX_AWAITED:
                 seq = self._next_seq()
                 self._awaited[seq] = Awaited("", now + 2 * SECOND)
                 self._send(PING, seed, seq, "")
 
     def _update_own_record(self, **changes: object) -> None:
         """Publishes the next incarnation of this member's own record."""
-        self.me = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + 1, **changes)
-        self._own_encoded = self._wire.encode_part(self.me)
-        self._rumours.put(RECORD, self.me.name, self._own_encoded)
+        self.own_record = msgspec.structs.replace(
+            self.own_record, incarnation=self.own_record.incarnation + 1, **changes
+        )
+        self._own_encoded = self._wire.encode_part(self.own_record)
+        self._gossip_queue.put(RECORD, self.own_record.name, self._own_encoded)
 
     def _encoded_record(self, member: Member) -> bytes:
         """The encoded record of a member, cached until the record changes."""
-        record = member.said
-        cached = self._parts.get(record.name)
+        record = member.record
+        cached = self._record_cache.get(record.name)
         if cached is None or cached[0] is not record:
-            if len(self._parts) > 2 * len(self.roll) + 16:
-                self._parts = {name: entry for name, entry in self._parts.items() if self.roll.get(name) is not None}
-            cached = self._parts[record.name] = record, self._wire.encode_part(record)
+            if len(self._record_cache) > 2 * len(self.members) + 16:
+                self._record_cache = {
+                    name: entry for name, entry in self._record_cache.items() if self.members.get(name) is not None
+                }
+            cached = self._record_cache[record.name] = record, self._wire.encode_part(record)
         return cached[1]
 
     def _next_seq(self) -> int:
@@ -492,17 +506,17 @@
         """
         encoded_target = None if target is None else self._wire.encode_part(target)
         free_bytes = (
-            DATAGRAM
+            MAX_DATAGRAM_BYTES
             - PACKET_OVERHEAD_BYTES
             - len(self._own_encoded)
             - len(recipient.encode())
             - len(encoded_target or b"")
         )
         parts: list[tuple[int, bytes]] = []
-        member = self.roll.get(recipient) if recipient else None
+        member = self.members.get(recipient) if recipient else None
         if member is not None and member.health != ALIVE:
             # A suspected or lost member is told first, so that it can refute the suspicion.
-            record = member.said
+            record = member.record
             for accuser in sorted(member.accusers)[:2]:
                 parts.append(
                     (
@@ -514,28 +528,28 @@
                 )
         parts += reply_parts
         free_bytes -= sum(len(item) for _, item in parts)
-        for item in self._rumours.pick(free_bytes, 24, len(self.roll)):
+        for item in self._gossip_queue.pick(free_bytes, 24, len(self.members)):
             parts.append((item.kind, item.encoded))
             free_bytes -= len(item.encoded)
-        if len(self.roll) and max_extra:
-            names = self.roll.member_names()
+        if len(self.members) and max_extra:
+            names = self.members.member_names()
             for _ in range(min(max_extra, len(names))):
-                random_member = self.roll.get(self._rng.choice(names))
+                random_member = self.members.get(self._rng.choice(names))
                 assert random_member is not None
                 part = self._encoded_record(random_member)
                 if len(part) > free_bytes:
                     break
                 parts.append((RECORD, part))
                 free_bytes -= len(part)
-        if len(self.notices) and max_extra:
-            broadcasts = list(self.notices)
+        if len(self.broadcasts) and max_extra:
+            broadcasts = list(self.broadcasts)
             for broadcast in self._rng.sample(broadcasts, min(max_extra, len(broadcasts))):
                 part = self._wire.encode_part(broadcast)
                 if len(part) > free_bytes:
                     break
                 parts.append((BROADCAST, part))
                 free_bytes -= len(part)
-        self.out.append((address, self._packet(kind, seq, recipient, encoded_target, parts)))
+        self.outgoing.append((address, self._packet(kind, seq, recipient, encoded_target, parts)))
 
     def _packet(
         self, kind: int, seq: int, recipient: str, encoded_target: bytes | None, parts: Sequence[tuple[int, bytes]]
@@ -550,12 +564,12 @@
             seq,
             self._own_encoded,
             recipient,
-            self.notices.digest,
+            self.broadcasts.digest,
             encoded_target,
             *by_kind,
-            self.list,
+            self.list_version,
         )
-        check_invariant(len(packet) <= DATAGRAM, "a packet fits one datagram")
+        check_invariant(len(packet) <= MAX_DATAGRAM_BYTES, "a packet fits one datagram")
         return packet
 
     # --- received packets ------------------------------------------------------------------------------
@@ -569,11 +583,11 @@
             self._count(f"packets {error}")
             return
         sender = packet.sender
-        if sender.name == self.me.name:
-            if sender.token != self.me.token:
+        if sender.name == self.own_record.name:
+            if sender.token != self.own_record.token:
                 self._handle_rival(sender, now)
             return
-        if packet.recipient and packet.recipient != self.me.name:
+        if packet.recipient and packet.recipient != self.own_record.name:
             self._count("packets for another")
             return
         member = self._verified_sender(packet, now)
@@ -599,11 +613,11 @@
         pinged to verify it, and the packet is not read.
         """
         sender = packet.sender
-        member = self.roll.get(sender.name)
+        member = self.members.get(sender.name)
         if member is not None and member.verified_token == sender.token:
             self._merge_record(sender, now)
             return member
-        if member is not None and sender.life < member.said.life:
+        if member is not None and sender.life < member.record.life:
             # The sender is a process that has ended, or one whose clock is behind. A live one raises its start
             # number once it learns of the later record. That goes in an ack, since it reads only verified senders.
             if packet.kind == PING:
@@ -613,13 +627,13 @@
             return None
         awaited = self._awaited.get(packet.seq) if packet.kind == ACK else None
         if awaited is not None and awaited.name in ("", sender.name) and packet.target is None:
-            alone = not any(other.verified_token is not None for other in self.roll)
+            alone = not any(other.verified_token is not None for other in self.members)
             self._merge_record(sender, now)
-            member = self.roll.get(sender.name)
+            member = self.members.get(sender.name)
             if member is not None:
-                member.prove(sender.token)
+                member.mark_verified(sender.token)
                 if alone:
-                    self.wants_roll = sender.address
+                    self.sync_from = sender.address
             return member
         if packet.kind == PING:
             # A new member gets an ack with as many member records as fit, and is pinged below.
@@ -635,25 +649,27 @@
 
     def _merge_record(self, record: MemberRecord, now: int) -> bool:
         """Merges a member record, received directly or by gossip. True if it is newer than the known one."""
-        if record.name == self.me.name:
-            if record.token != self.me.token:
+        if record.name == self.own_record.name:
+            if record.token != self.own_record.token:
                 self._handle_rival(record, now)
-            elif record.precedence > self.me.precedence:
+            elif record.precedence > self.own_record.precedence:
                 # A holder of the key forged a record of this member, which could free its share of the limits. This
                 # member overrides it with a record of a higher start number.
                 self._count("words never said, taken back")
                 self._update_own_record(number=record.number + 1)
             return False
-        changes = self.roll.take(record, now)
-        member = self.roll.get(record.name)
-        if member is None or member.said is not record:
+        changes = self.members.merge(record, now)
+        member = self.members.get(record.name)
+        if member is None or member.record is not record:
             return False
         self.changes += changes
-        self._rumours.put(RECORD, record.name, self._encoded_record(member))
+        self._gossip_queue.put(RECORD, record.name, self._encoded_record(member))
         if any(change.what == "heard of again" for change in changes):
             # The member was unreachable and may have missed broadcasts, so all of them are gossiped again.
-            for broadcast in self.notices:
-                self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
+            for broadcast in self.broadcasts:
+                self._gossip_queue.put(
+                    BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast)
+                )
         return True
 
     def _merge_packet(self, packet: Packet, now: int) -> list[tuple[int, bytes]]:
@@ -663,33 +679,35 @@
         newer_parts: list[tuple[int, bytes]] = []
         for record in packet.records:
             if not self._merge_record(record, now):
-                member = self.roll.get(record.name)
+                member = self.members.get(record.name)
                 if (
                     member is not None
-                    and record.precedence < member.said.precedence
+                    and record.precedence < member.record.precedence
                     and len(newer_parts) < MAX_EXTRA_PARTS
                 ):
                     newer_parts.append((RECORD, self._encoded_record(member)))
         for suspicion in packet.suspicions:
-            if suspicion.suspect == self.me.name:
+            if suspicion.suspect == self.own_record.name:
                 self._refute(suspicion)
                 continue
-            member = self.roll.get(suspicion.suspect)
+            member = self.members.get(suspicion.suspect)
             if (
                 member is not None
-                and (suspicion.number, suspicion.token, suspicion.incarnation) < member.said.precedence
+                and (suspicion.number, suspicion.token, suspicion.incarnation) < member.record.precedence
                 and len(newer_parts) < MAX_EXTRA_PARTS
             ):
                 newer_parts.append((RECORD, self._encoded_record(member)))
             self._suspect(suspicion, now)
         for broadcast in packet.broadcasts:
-            known_broadcast = self.notices.get(broadcast.kind, broadcast.key)
-            if self.notices.take(broadcast, now):
-                self.news.append(broadcast)
-                self._rumours.put(BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast))
+            known_broadcast = self.broadcasts.get(broadcast.kind, broadcast.key)
+            if self.broadcasts.merge(broadcast, now):
+                self.new_broadcasts.append(broadcast)
+                self._gossip_queue.put(
+                    BROADCAST, f"{broadcast.kind} {broadcast.key}", self._wire.encode_part(broadcast)
+                )
             elif (
                 known_broadcast is not None
-                and broadcast.rank < known_broadcast.rank
+                and broadcast.precedence < known_broadcast.precedence
                 and len(newer_parts) < MAX_EXTRA_PARTS
             ):
                 newer_parts.append((BROADCAST, self._wire.encode_part(known_broadcast)))
@@ -697,9 +715,12 @@
 
     def _refute(self, suspicion: Suspicion) -> None:
         """Refutes a suspicion of this member by a new incarnation, and degrades its own health score."""
-        if (suspicion.number, suspicion.token) != self.me.life or suspicion.incarnation < self.me.incarnation:
+        if (
+            suspicion.number,
+            suspicion.token,
+        ) != self.own_record.life or suspicion.incarnation < self.own_record.incarnation:
             return
-        if suspicion.incarnation > self.me.incarnation:
+        if suspicion.incarnation > self.own_record.incarnation:
             self._count("charges of a word never said")
             return
         self.health.degrade()
@@ -711,14 +732,14 @@
         awaited = self._awaited.pop(packet.seq, None)
         sender = packet.sender
         if packet.target is None and awaited is not None and awaited.name in ("", sender.name):
-            member = self.roll.get(sender.name)
+            member = self.members.get(sender.name)
             assert member is not None
             member.last_ack_at = self._last_answer_at = now
             self._acked_phase.add(sender.name)
             if (relay := self._relays.pop(packet.seq, None)) is not None:
-                requester = self.roll.get(relay.requester)
+                requester = self.members.get(relay.requester)
                 if requester is not None:
-                    self._send(ACK, requester.said.address, relay.seq, relay.requester, sender)
+                    self._send(ACK, requester.record.address, relay.seq, relay.requester, sender)
         probe = self._probe
         if probe is None or probe.answered or packet.seq != probe.seq:
             return
@@ -733,10 +754,10 @@
 
     def _handle_ping_req(self, packet: Packet, target: MemberRecord, now: int) -> None:
         """Pings the target on behalf of the sender."""
-        if target.name == self.me.name or len(self._relays) >= MAX_RELAYS:
+        if target.name == self.own_record.name or len(self._relays) >= MAX_RELAYS:
             return
         self._merge_record(target, now)
-        member = self.roll.get(target.name)
+        member = self.members.get(target.name)
         if member is None:
             return
         seq = self._next_seq()
@@ -759,19 +780,19 @@
         known_number = self._rivals.get(record.token)
         if known_number is not None and record.number > known_number and record.phase != LEFT:
             self._rival_seen_at = now
-            if not self.me.doubled:
+            if not self.own_record.is_duplicate:
                 self.changes.append(
                     Change(
                         "doubled: another process lives under this one's name",
-                        self.me.name,
+                        self.own_record.name,
                         {"at": f"{record.host}:{record.port}", "token": f"{record.token:016x}"},
                     )
                 )
-                self._update_own_record(doubled=True)
+                self._update_own_record(is_duplicate=True)
         self._rivals[record.token] = max(record.number, known_number or 0)
         if len(self._rivals) > MAX_RIVALS:
             del self._rivals[min(self._rivals, key=lambda token: self._rivals[token])]
-        if record.life > self.me.life and self._raise_at is None:
+        if record.life > self.own_record.life and self._raise_at is None:
             self._raise_at = max(now, self._raised_at + RAISE_INTERVAL_US)
             if self._raise_at == now:
                 self._raise_number()
@@ -783,7 +804,7 @@
         assert self._raise_at is not None
         self._raised_at, self._raise_at = self._raise_at, None
         highest = max(self._rivals.values(), default=0)
-        if highest >= self.me.number:
+        if highest >= self.own_record.number:
             self._update_own_record(number=highest + 1)
             self._count("lives raised")
 
@@ -792,34 +813,34 @@
 
     # --- status for operators --------------------------------------------------------------------------
 
-    def rows(self, now: int) -> list[dict[str, object]]:
+    def status_rows(self, now: int) -> list[dict[str, object]]:
         """One status row per member, this one first."""
         own_row: dict[str, object] = {
-            "name": self.me.name,
-            "is": PHASES[self.me.phase] + (", doubled" if self.me.doubled else ""),
+            "name": self.own_record.name,
+            "is": PHASES[self.own_record.phase] + (", doubled" if self.own_record.is_duplicate else ""),
             "found": "itself",
             "since_s": 0.0,
             "answered_s": 0.0,
             "orders": "-",
-            "list": self.list,
-            "tier": self.me.tier,
-            "place": self.me.place,
-            "at": f"{self.me.host}:{self.me.port}",
-            "life": self.me.number,
-            "turn": self.me.incarnation,
+            "list": self.list_version,
+            "tier": self.own_record.tier,
+            "place": self.own_record.place,
+            "at": f"{self.own_record.host}:{self.own_record.port}",
+            "life": self.own_record.number,
+            "turn": self.own_record.incarnation,
         }
         rows = [own_row]
-        for member in sorted(self.roll, key=lambda member: member.said.name):
-            record = member.said
+        for member in sorted(self.members, key=lambda member: member.record.name):
+            record = member.record
             finding = "gone" if record.phase == LEFT else HEALTH[member.health]
             rows.append(
                 {
                     "name": record.name,
-                    "is": PHASES[record.phase] + (", doubled" if record.doubled else ""),
+                    "is": PHASES[record.phase] + (", doubled" if record.is_duplicate else ""),
                     "found": finding,
                     "since_s": round((now - member.changed_at) / SECOND, 1),
                     "answered_s": round((now - member.last_ack_at) / SECOND, 1) if member.last_ack_at else None,
-                    "orders": "same" if member.broadcasts_digest == self.notices.digest else "other",
+                    "orders": "same" if member.broadcasts_digest == self.broadcasts.digest else "other",
                     "list": member.list_version,
                     "tier": record.tier,
                     "place": record.place,
--- a/pepperusher/group/wire.py
+++ b/pepperusher/group/wire.py
@@ -21,8 +21,16 @@
 HEADER_BYTES = len(MAGIC) + 1 + CHECKSUM_BYTES
 # The most bytes of a datagram. With its IPv6 and UDP headers it fits the minimum MTU of IPv6, so that no
 # network fragments it.
-DATAGRAM = 1200
-__all__ = ["DATAGRAM", "FORMAT_VERSION", "HEADER_BYTES", "MAGIC", "CHECKSUM_BYTES", "InvalidPacketError", "Wire"]
+MAX_DATAGRAM_BYTES = 1200
+__all__ = [
+    "MAX_DATAGRAM_BYTES",
+    "FORMAT_VERSION",
+    "HEADER_BYTES",
+    "MAGIC",
+    "CHECKSUM_BYTES",
+    "InvalidPacketError",
+    "Wire",
+]
 
 
 class _EncodedPacket(msgspec.Struct, frozen=True, array_like=True):
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -19,7 +19,7 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.group import endpoint_borrowing
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, InvalidPacketError, Wire
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
@@ -28,7 +28,7 @@
     SERVING,
     STARTING,
     WANTS_LIST,
-    WANTS_ROLL,
+    WANTS_STATE,
     Broadcast,
     MemberRecord,
 )
@@ -197,16 +197,16 @@
         if self._host.has_successor:
             self._close()
         elif self.swim is not None:
-            self.swim.say(LEAVING, clock.now())
+            self.swim.set_phase(LEAVING, clock.now())
             self._wake()
 
     async def stop(self) -> None:
         if self.swim is not None and self._socket is not None:
-            self.swim.say(LEFT, clock.now())
+            self.swim.set_phase(LEFT, clock.now())
             self._wake()
             until = asyncio.get_running_loop().time() + FAREWELL
             while asyncio.get_running_loop().time() < until:
-                heard, of = self.swim.farewells
+                heard, of = self.swim.phase_acks
                 if heard >= min(of, ENOUGH):
                     break
                 await asyncio.sleep(FAREWELL_LOOK)
@@ -234,7 +234,7 @@
         for _ in range(BATCH):
             try:
                 # One byte more than is read: what is cut to fit is no packet.
-                data = self._socket.recv(DATAGRAM + 1)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
@@ -265,7 +265,7 @@
         """What came of the last turn goes out, is said, and put in force."""
         swim = self.swim
         assert swim is not None
-        out, swim.out = swim.out, []
+        out, swim.outgoing = swim.outgoing, []
         for address, data in out:
             try:
                 if self._socket is not None:
@@ -277,21 +277,21 @@
             if change.what == "suspected by one more":
                 continue  # the line on loss names them all
             self._say(f"group: {change.what}", of=change.name, **change.figures)
-        if swim.news:
-            news, swim.news = swim.news, []
+        if swim.new_broadcasts:
+            news, swim.new_broadcasts = swim.new_broadcasts, []
             self._in_force({one.key: AdminCommand(one.on, one.at) for one in news if one.kind == BAN})
             for one in news:
                 self._say("group: an order", kind=one.kind, key=one.key, on=one.on, at=one.at)
-        if swim.roll.version != self._version:
-            self._version = swim.roll.version
+        if swim.members.version != self._version:
+            self._version = swim.members.version
             self._share()
-        if swim.wants_roll is not None and self._fetching is None:
-            address, swim.wants_roll = swim.wants_roll, None
+        if swim.sync_from is not None and self._fetching is None:
+            address, swim.sync_from = swim.sync_from, None
             self._fetching = asyncio.get_running_loop().create_task(self._fetch(address))
 
     def _share(self) -> None:
         assert self.swim is not None
-        size = self.swim.size()
+        size = self.swim.sharer_count()
         if size != self.sharers:
             self.sharers = size
             self._host.facade.set_proxy_count(size)
@@ -306,10 +306,10 @@
             async with asyncio.timeout(STREAM_WITHIN):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
-                hello = self.swim.hello(WANTS_ROLL)
+                hello = self.swim.stream_opening(WANTS_STATE)
                 writer.write(LENGTH.pack(len(hello)) + hello)
                 for _ in range(PARTS):
-                    data = await _part(reader, DATAGRAM)
+                    data = await _part(reader, MAX_DATAGRAM_BYTES)
                     self.swim.receive(data, clock.now())
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             pass
@@ -328,8 +328,8 @@
             self._streams += 1
             try:
                 async with asyncio.timeout(STREAM_WITHIN):
-                    hello = self._wire.unpack(await _part(reader, DATAGRAM))
-                    for data in self._list_parts() if hello.seq == WANTS_LIST else self.swim.whole():
+                    hello = self._wire.unpack(await _part(reader, MAX_DATAGRAM_BYTES))
+                    for data in self._list_parts() if hello.seq == WANTS_LIST else self.swim.full_state():
                         writer.write(LENGTH.pack(len(data)) + data)
                         await writer.drain()
                     await writer.drain()
@@ -360,16 +360,16 @@
         try:
             while self._host.needs_list and self._socket is not None:
                 there = [
-                    one.said.address
-                    for one in self.swim.roll
+                    one.record.address
+                    for one in self.swim.members
                     if one.health == ALIVE
-                    and one.said.phase in (SERVING, SENT_AWAY)
-                    and one.said.tier == self._policy_settings.tier_index
+                    and one.record.phase in (SERVING, SENT_AWAY)
+                    and one.record.tier == self._policy_settings.tier_index
                 ]
                 asked = self._chance.sample(there, min(LENDERS, len(there)))
                 made = await asyncio.gather(*map(self._list_of, asked))
                 try:
-                    joined = endpoint_borrowing.joined([one for one in made if one is not None])
+                    joined = endpoint_borrowing.intersect_lists([one for one in made if one is not None])
                     if joined is not None and self._host.needs_list:
                         age, listed = joined
                         self._host.borrow_list(listed, clock.now() - age)
@@ -392,10 +392,10 @@
             async with asyncio.timeout(STREAM_WITHIN):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
-                hello = self.swim.hello(WANTS_LIST)
+                hello = self.swim.stream_opening(WANTS_LIST)
                 writer.write(LENGTH.pack(len(hello)) + hello)
                 while len(text) < LONGEST_LIST:
-                    text += self._wire.open(await _part(reader, PART + DATAGRAM))
+                    text += self._wire.open(await _part(reader, PART + MAX_DATAGRAM_BYTES))
         except asyncio.IncompleteReadError:
             pass  # its end
         except (OSError, TimeoutError, ValueError):
@@ -415,10 +415,10 @@
         if self.swim is None or self._socket is None:
             return
         now = clock.now()
-        self.swim.list = self._host.list_version
+        self.swim.list_version = self._host.list_version
         if not self._host.stopping:
-            self.swim.say(self._phase(), now)
-        if self._listing is None and self._host.needs_list and now - self.swim.me.number >= LIST_AFTER:
+            self.swim.set_phase(self._phase(), now)
+        if self._listing is None and self._host.needs_list and now - self.swim.own_record.number >= LIST_AFTER:
             self._listing = asyncio.get_running_loop().create_task(self._lists())
         if self._own_orders:
             self._orders.forget(now)
@@ -449,9 +449,9 @@
         """Orders that this proxy has, from its console or from another process at its seat."""
         assert self.swim is not None
         for backend, order in self._orders.bans.items():
-            known = self.swim.notices.get(BAN, backend)
-            if known is None or (order.at, order.on) > known.rank:
-                self.swim.tell(Broadcast(BAN, backend, order.on, order.at), now)
+            known = self.swim.broadcasts.get(BAN, backend)
+            if known is None or (order.at, order.on) > known.precedence:
+                self.swim.broadcast(Broadcast(BAN, backend, order.on, order.at), now)
 
     async def held(self) -> tuple[int, int] | None:
         """How many proxies hold the orders that this one holds, of how many, as far as it is known within a
@@ -463,7 +463,7 @@
         self._wake()
         until = asyncio.get_running_loop().time() + HELD_WITHIN
         while True:
-            held, of = self.swim.holders()
+            held, of = self.swim.holder_counts()
             if held >= of or asyncio.get_running_loop().time() >= until:
                 return held, of
             await asyncio.sleep(FAREWELL_LOOK)
@@ -474,18 +474,18 @@
             return None
         now = clock.now()
         return {
-            "reach": self.swim.reach(now)._asdict(),
+            "reach": self.swim.reachability(now)._asdict(),
             "sharers": self.sharers,
             "told": self._policy_settings.group_size,
             "doubt": self.swim.health.score,
             "counts": dict(self.swim.counts),
             "unsent": self._unsent,
-            "orders": [[one.kind, one.key, one.on, one.at] for one in self.swim.notices],
-            "members": self.swim.rows(now),
+            "orders": [[one.kind, one.key, one.on, one.at] for one in self.swim.broadcasts],
+            "members": self.swim.status_rows(now),
         }
 
     def forget(self, name: str) -> bool:
-        return self.swim is not None and self.swim.roll.forget(name)
+        return self.swim is not None and self.swim.members.remove(name)
 
 
 async def _part(reader: asyncio.StreamReader, most: int) -> bytes:
--- a/pepperusher/rehearsal/group_figures.py
+++ b/pepperusher/rehearsal/group_figures.py
@@ -41,10 +41,10 @@
     for one in model.ones.values():
         for other in model.ones.values():
             if other is not one:
-                one.swim.roll.take(other.swim.me, model.now)
-                known = one.swim.roll.get(other.swim.me.name)
+                one.swim.members.merge(other.swim.own_record, model.now)
+                known = one.swim.members.get(other.swim.own_record.name)
                 assert known is not None
-                known.prove(other.swim.me.token)
+                known.mark_verified(other.swim.own_record.token)
 
 
 def play(
@@ -59,7 +59,7 @@
         introduced(model)
     else:
         met = model.run(
-            120 * SECOND, lambda: all(len(one.swim.roll) == size - 1 for one in model.ones.values()), every=100_000
+            120 * SECOND, lambda: all(len(one.swim.members) == size - 1 for one in model.ones.values()), every=100_000
         )
         assert met, f"{what}: a group of {size} did not meet"
     model.run(10 * SECOND)
@@ -72,10 +72,10 @@
     rate = (sum(one.sent_bytes for one in model.ones.values()) - sent) / size / (span / SECOND)
     wrong = [line for line in model.book if line.at >= began]
     at = model.now
-    model.ones["m1"].swim.tell(Broadcast("ban", "x", True, at), at)
+    model.ones["m1"].swim.broadcast(Broadcast("ban", "x", True, at), at)
 
     def heard() -> int:
-        return sum(one.swim.notices.get("ban", "x") is not None for one in model.ones.values())
+        return sum(one.swim.broadcasts.get("ban", "x") is not None for one in model.ones.values())
 
     model.run(60 * SECOND, lambda: heard() >= 0.99 * size, every=2_000)
     news_99 = model.now - at
@@ -89,7 +89,7 @@
 
     def found() -> int:
         return sum(
-            (known := one.swim.roll.get("m0")) is not None and known.health == LOST
+            (known := one.swim.members.get("m0")) is not None and known.health == LOST
             for name, one in model.ones.items()
             if name != "m0"
         )
--- a/pepperusher/rehearsal/group_model.py
+++ b/pepperusher/rehearsal/group_model.py
@@ -77,7 +77,7 @@
         self._ports = count(1)
 
     def address(self, name: str) -> tuple[str, int]:
-        return self.ones[name].swim.me.address
+        return self.ones[name].swim.own_record.address
 
     def add(
         self,
@@ -96,8 +96,8 @@
         if address is None and old is not None:
             old.up = False  # its process ends: two of one name stand at two addresses
         if address is None:
-            address = old.swim.me.address if old is not None else ("m", next(self._ports))
-        others = [one.swim.me.address for one in self.ones.values() if one is not old]
+            address = old.swim.own_record.address if old is not None else ("m", next(self._ports))
+        others = [one.swim.own_record.address for one in self.ones.values() if one is not old]
         me = MemberRecord(
             name,
             address[0],
@@ -187,7 +187,7 @@
 
     def _send(self, name: str, one: ModelMember) -> None:
         swim = one.swim
-        out, swim.out = swim.out, []
+        out, swim.outgoing = swim.outgoing, []
         for address, data in out:
             one.sent += 1
             one.sent_bytes += len(data)
@@ -195,9 +195,9 @@
         for change in swim.changes:
             self.book.append(ObservedChange(self.now, name, change))
         swim.changes.clear()
-        if swim.wants_roll is not None:
-            self._stream(name, one, swim.wants_roll)
-            swim.wants_roll = None
+        if swim.sync_from is not None:
+            self._stream(name, one, swim.sync_from)
+            swim.sync_from = None
 
     def datagram(self, name: str, address: tuple[str, int], data: bytes) -> None:
         to = self._at.get(address)
@@ -216,14 +216,14 @@
         to = self._at.get(address)
         if to is None or self.cut(name, to) or self.cut(to, name) or not self.ones[to].up:
             return
-        for part in self.ones[to].swim.whole():
+        for part in self.ones[to].swim.full_state():
             self._push(self.now + 2 * self.manner.delay, "come", (name, one, part))
 
     # --- what a test asks -----------------------------------------------------------------------------
 
     def finds(self, by: str) -> dict[str, tuple[int, int]]:
         """What a member finds of all others: health and phase."""
-        return {one.said.name: (one.health, one.said.phase) for one in self.ones[by].swim.roll}
+        return {one.record.name: (one.health, one.record.phase) for one in self.ones[by].swim.members}
 
     def all_know(self, names: list[str], true: Callable[[Swim, str], bool]) -> bool:
         up = [name for name, one in self.ones.items() if one.up]
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -99,7 +99,7 @@
         if what in NOTED:
             self._book(f"{what} {of}", 1)
         (self._silent.add if what in SILENT else self._silent.discard)(of)
-        there = not self._silent and self.swim is not None and len(self.swim.roll) + 1 >= self._size
+        there = not self._silent and self.swim is not None and len(self.swim.members) + 1 >= self._size
         if there != self._all_there:
             self._all_there = there
             self._book(ALL_THERE if there else NOT_ALL, 1)
@@ -126,15 +126,15 @@
             return Counter()
         return Counter(
             {
-                "members": len(swim.roll),
-                "orders": len(swim.notices),
-                "rumours": len(swim._rumours),
+                "members": len(swim.members),
+                "orders": len(swim.broadcasts),
+                "rumours": len(swim._gossip_queue),
                 "awaited": len(swim._awaited),
                 "relays": len(swim._relays),
-                "owing": len(swim._owing),
+                "owing": len(swim._urgent_pings),
                 "rivals": len(swim._rivals),
-                "packed words": len(swim._parts),
-                "doubted": sum(one.health == SUSPECTED for one in swim.roll),
+                "packed words": len(swim._record_cache),
+                "doubted": sum(one.health == SUSPECTED for one in swim.members),
             }
         )
 
@@ -217,10 +217,10 @@
         for number, (_, _, node) in enumerate(self._here(order.get("by"))):
             of += 1
             finds += node.swim is not None and all(
-                (known := node.swim.roll.get(name)) is not None
-                and (GONE if known.said.phase == LEFT else HEALTH[known.health]) == how
+                (known := node.swim.members.get(name)) is not None
+                and (GONE if known.record.phase == LEFT else HEALTH[known.health]) == how
                 for name in names
-                if name != node.swim.me.name
+                if name != node.swim.own_record.name
             )
             if number % 8 == 7:
                 await asyncio.sleep(0)
@@ -236,12 +236,12 @@
             swim = node.swim
             if swim is None:
                 continue
-            made["finds all"] += len(swim.roll) + 1 >= order["size"] and not any(
-                one.health != ALIVE or one.said.phase == LEFT or one.said.doubled for one in swim.roll
+            made["finds all"] += len(swim.members) + 1 >= order["size"] and not any(
+                one.health != ALIVE or one.record.phase == LEFT or one.record.is_duplicate for one in swim.members
             )
-            made["lost"] += sum(one.health == LOST and one.said.phase != LEFT for one in swim.roll)
+            made["lost"] += sum(one.health == LOST and one.record.phase != LEFT for one in swim.members)
             # As it has said, and not as it would say at its next turn: that is in its books.
-            made[f"reaches {swim._reached}"] += 1
+            made[f"reaches {swim._reported_reach}"] += 1
             made[f"share of {node.sharers}"] += 1
             if number % 8 == 7:
                 await asyncio.sleep(0)
@@ -252,8 +252,8 @@
         rows = self._here(order.get("by"))
         held = sum(
             node.swim is not None
-            and (known := node.swim.notices.get(BAN, order["backend"])) is not None
-            and known.rank >= (order["at"], order["on"])
+            and (known := node.swim.broadcasts.get(BAN, order["backend"])) is not None
+            and known.precedence >= (order["at"], order["on"])
             for _, _, node in rows
         )
         return {"holds": held, "of": len(rows)}
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from pepperusher.group.membership import MOST
-from pepperusher.group.wire import DATAGRAM
+from pepperusher.group.membership import MAX_MEMBERS
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES
 from pepperusher.net.proxy import ACCEPT_AFTER_SIGTERM_S
 from pepperusher.rehearsal import hollow_group_statistics
 from pepperusher.rehearsal.hollow_statistics import Propagation, Row
@@ -23,7 +23,7 @@
 from pepperusher.rehearsal.wire import clock
 
 # The roll takes so many names beside a member's own (group/membership.py).
-LARGEST = MOST + 1
+LARGEST = MAX_MEMBERS + 1
 # A small stand has fewer zones: up to so many members, so many.
 ZONES_AT = ((60, 3), (300, 5))
 # What a step waits for comes within this, or its check does not hold.
@@ -150,7 +150,7 @@
     ground.lost_only("join", ())
     costs = await ground.costs()
     longest = costs["longest_datagram"]
-    ground.check("join: no datagram over its size", longest <= DATAGRAM, longest)
+    ground.check("join: no datagram over its size", longest <= MAX_DATAGRAM_BYTES, longest)
     return {"started_s": begun, "each_knows_all": made.row(), **costs}
 
 
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -124,6 +124,8 @@
         report = rule_checker.check(self.script, records)
         self.assertEqual([], report.entries)
         for gate in self.director.plan.gates:
-            done_count = sum(attempt.how == "done" for attempt in records.client_attempts if attempt.proxy == gate.number)
+            done_count = sum(
+                attempt.how == "done" for attempt in records.client_attempts if attempt.proxy == gate.number
+            )
             self.assertGreater(done_count, 5, f"through {gate.name}")
         return records
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -17,7 +17,7 @@
 from pepperusher.group.broadcasts import Broadcasts
 from pepperusher.group.membership import Membership
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, InvalidPacketError, Wire
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
@@ -43,10 +43,10 @@
     token: int = 1,
     turn: int = 0,
     phase: int = SERVING,
-    doubled: bool = False,
+    is_duplicate: bool = False,
     place: int = 0,
 ) -> MemberRecord:
-    return MemberRecord(name, "h", 1, number, token, turn, phase, doubled, 0, place)
+    return MemberRecord(name, "h", 1, number, token, turn, phase, is_duplicate, 0, place)
 
 
 class Words(unittest.TestCase):
@@ -64,15 +64,15 @@
         final_states = set()
         for order in permutations([*records[1:5], suspicion]):
             membership = Membership(200_000)
-            membership.take(records[0], NOW)
+            membership.merge(records[0], NOW)
             for message in order:
-                membership.record_suspicion(message, NOW) if isinstance(message, Suspicion) else membership.take(
+                membership.record_suspicion(message, NOW) if isinstance(message, Suspicion) else membership.merge(
                     message, NOW
                 )
-                membership.take(records[0], NOW)
+                membership.merge(records[0], NOW)
             member = membership.get("a")
             assert member is not None
-            final_states.add((member.said, member.health))
+            final_states.add((member.record, member.health))
         self.assertEqual({(records[4], ALIVE)}, final_states)
 
     def test_notices_come_together_and_on_wins_a_tie(self) -> None:
@@ -83,32 +83,32 @@
         for order in permutations(broadcasts):
             held = Broadcasts(60 * SECOND)
             for broadcast in order:
-                held.take(broadcast, NOW)
-                held.take(broadcast, NOW)
+                held.merge(broadcast, NOW)
+                held.merge(broadcast, NOW)
             final_states.add((held.get("ban", "x"), held.digest))
         self.assertEqual(1, len(final_states))
         self.assertEqual(broadcasts[2], final_states.pop()[0])
 
     def test_what_is_off_is_forgotten_and_a_clock_gone_wrong_binds_nobody(self) -> None:
         held = Broadcasts(60 * SECOND)
-        self.assertFalse(held.take(Broadcast("ban", "x", True, NOW + 7200 * SECOND), NOW))
-        self.assertTrue(held.take(Broadcast("ban", "x", False, NOW), NOW))
+        self.assertFalse(held.merge(Broadcast("ban", "x", True, NOW + 7200 * SECOND), NOW))
+        self.assertTrue(held.merge(Broadcast("ban", "x", False, NOW), NOW))
         held.expire(NOW + 59 * SECOND)
         self.assertEqual(1, len(held))
         held.expire(NOW + 60 * SECOND)
-        self.assertFalse(held.take(Broadcast("ban", "x", False, NOW), NOW + 60 * SECOND))
+        self.assertFalse(held.merge(Broadcast("ban", "x", False, NOW), NOW + 60 * SECOND))
         for number in range(600):
-            held.take(Broadcast("ban", f"{number}", True, NOW), NOW)
+            held.merge(Broadcast("ban", f"{number}", True, NOW), NOW)
         self.assertEqual((500, 101), (len(held), held.refused))
 
     def test_the_roll_is_bounded_and_who_left_longest_makes_room(self) -> None:
         membership = Membership(200_000)
         for number in range(2_000):
-            membership.take(make_record(f"m{number}", phase=LEFT if number in (7, 9) else SERVING), NOW + number)
-        membership.take(make_record("one"), NOW)
+            membership.merge(make_record(f"m{number}", phase=LEFT if number in (7, 9) else SERVING), NOW + number)
+        membership.merge(make_record("one"), NOW)
         self.assertIsNone(membership.get("m7"))
-        membership.take(make_record("two"), NOW)
-        membership.take(make_record("three"), NOW)
+        membership.merge(make_record("two"), NOW)
+        membership.merge(make_record("three"), NOW)
         self.assertEqual((2_000, 1, None), (len(membership), membership.refused, membership.get("three")))
 
 
@@ -124,7 +124,7 @@
             }
 
         def joined_ids(*lists: object) -> object:
-            joined = endpoint_borrowing.joined(lists)  # type: ignore[arg-type]
+            joined = endpoint_borrowing.intersect_lists(lists)  # type: ignore[arg-type]
             return joined and (joined[0], [endpoint["id"] for endpoint in joined[1]["servers"]])
 
         recent, old = (
@@ -173,7 +173,7 @@
         for data in invalid:
             self.assertRaises(InvalidPacketError, wire.unpack, data)
             swim.receive(data, NOW)
-        self.assertEqual(([], 0), (swim.out, len(swim.roll)))
+        self.assertEqual(([], 0), (swim.outgoing, len(swim.members)))
         self.assertEqual(len(invalid), sum(swim.counts.values()))
         self.assertLessEqual(len(swim.counts), 4)
 
@@ -209,14 +209,14 @@
         model.datagram = lambda *args: (recorded.append(args), send(*args))  # type: ignore[method-assign]
         model.run(2 * SECOND)
         member = model.ones["m1"].swim
-        member.tell(Broadcast("ban", "x", True, model.now), model.now)
+        member.broadcast(Broadcast("ban", "x", True, model.now), model.now)
         model.run(SECOND)
-        member.tell(Broadcast("ban", "x", False, model.now), model.now)
-        model.ones["m2"].swim.say(LEFT, model.now)
+        member.broadcast(Broadcast("ban", "x", False, model.now), model.now)
+        model.ones["m2"].swim.set_phase(LEFT, model.now)
         model.run(2 * SECOND)
         model.add("m2", told=4)
         model.run(70 * SECOND)  # the lifted ban is forgotten by all
-        self.assertEqual([0] * 4, [len(member.swim.notices) for member in model.ones.values()])
+        self.assertEqual([0] * 4, [len(member.swim.broadcasts) for member in model.ones.values()])
         model.add("m3", told=4)
         model.datagram = send  # type: ignore[method-assign]
         model.chance.shuffle(recorded)
@@ -225,19 +225,23 @@
         model.run(2 * SECOND)
         for name, member in model.ones.items():
             self.assertEqual({(ALIVE, SERVING)}, set(model.finds(name).values()), name)
-            self.assertEqual(0, len(member.swim.notices))
+            self.assertEqual(0, len(member.swim.broadcasts))
 
 
 class Found(unittest.TestCase):
     """Failure detection among members m0, m1, ..., which start at about the same time."""
 
-    def group(self, size: int, seed: int = 1, manner: LinkProperties = LinkProperties(), wait_until_met: bool = True) -> Model:
+    def group(
+        self, size: int, seed: int = 1, manner: LinkProperties = LinkProperties(), wait_until_met: bool = True
+    ) -> Model:
         model = Model(seed, manner=manner)
         for number in range(size):
             model.add(f"m{number}", told=size)
         if wait_until_met:
             self.assertTrue(
-                model.run(20 * SECOND, lambda: all(len(member.swim.roll) == size - 1 for member in model.ones.values()))
+                model.run(
+                    20 * SECOND, lambda: all(len(member.swim.members) == size - 1 for member in model.ones.values())
+                )
             )
             model.run(2 * SECOND)
         return model
@@ -266,16 +270,16 @@
         for behind in (0, 3600 * SECOND):
             with self.subTest(behind=behind):
                 model = self.group(8)
-                old = model.ones["m3"].swim.me
+                old = model.ones["m3"].swim.own_record
                 model.kill("m3")
                 self.wait_until_found(model, "m3", LOST, within=15)
                 new = model.add("m3", told=8, behind=behind, place=3)
                 self.wait_until_found(model, "m3", ALIVE, within=15)
                 model.run(2 * SECOND)
-                records = {model.ones[name].swim.roll.get("m3").said for name in model.ones if name != "m3"}
-                self.assertEqual({new.swim.me}, records)
-                self.assertGreater(new.swim.me.life, old.life)
-                self.assertFalse(new.swim.me.doubled)
+                records = {model.ones[name].swim.members.get("m3").record for name in model.ones if name != "m3"}
+                self.assertEqual({new.swim.own_record}, records)
+                self.assertGreater(new.swim.own_record.life, old.life)
+                self.assertFalse(new.swim.own_record.is_duplicate)
 
     def test_started_without_seeds_each_is_alone_and_takes_no_more_than_its_part(self) -> None:
         """Once a new member is given seeds, all find each other through it."""
@@ -285,33 +289,34 @@
         model.run(20 * SECOND)
         swims = [member.swim for member in model.ones.values()]
         self.assertEqual(
-            {(0, 4, shares.ISOLATED)}, {(len(swim.roll), swim.size(), swim.reach(model.now).word) for swim in swims}
+            {(0, 4, shares.ISOLATED)},
+            {(len(swim.members), swim.sharer_count(), swim.reachability(model.now).word) for swim in swims},
         )
         model.add("m4", seeds=4, told=4, place=0)
         self.assertTrue(
-            model.run(30 * SECOND, lambda: all(len(member.swim.roll) == 4 for member in model.ones.values()))
+            model.run(30 * SECOND, lambda: all(len(member.swim.members) == 4 for member in model.ones.values()))
         )
 
     def test_left_is_not_lost(self) -> None:
         model = self.group(8)
-        model.ones["m3"].swim.say(LEAVING, model.now)
+        model.ones["m3"].swim.set_phase(LEAVING, model.now)
         model.run(SECOND)
-        model.ones["m3"].swim.say(LEFT, model.now)
+        model.ones["m3"].swim.set_phase(LEFT, model.now)
         model.run(100_000)
         model.kill("m3")
         model.run(30 * SECOND)
         self.assertEqual([], self.losses(model))
-        self.assertEqual({7}, {member.swim.size() for name, member in model.ones.items() if name != "m3"})
+        self.assertEqual({7}, {member.swim.sharer_count() for name, member in model.ones.items() if name != "m3"})
 
     def test_whom_staff_take_off_stays_off_and_a_new_life_is_met(self) -> None:
         """Members that still list it do not bring it back."""
         model = self.group(5)
         model.kill("m3")
         self.wait_until_found(model, "m3", LOST, within=15)
-        self.assertFalse(model.ones["m0"].swim.roll.forget("m1"))
-        self.assertTrue(model.ones["m0"].swim.roll.forget("m3"))
+        self.assertFalse(model.ones["m0"].swim.members.remove("m1"))
+        self.assertTrue(model.ones["m0"].swim.members.remove("m3"))
         model.run(20 * SECOND)
-        self.assertIsNone(model.ones["m0"].swim.roll.get("m3"))
+        self.assertIsNone(model.ones["m0"].swim.members.get("m3"))
         model.add("m3", told=5, place=3)
         self.wait_until_found(model, "m3", ALIVE, within=15)
 
@@ -336,9 +341,9 @@
                     self.assertEqual(
                         {other for other in model.ones if other != name and model.cut(name, other)}, silent
                     )
-                    self.assertEqual(8, member.swim.size())
+                    self.assertEqual(8, member.swim.sharer_count())
                 self.assertEqual(
-                    expected_words[case], {member.swim.reach(model.now).word for member in model.ones.values()}
+                    expected_words[case], {member.swim.reachability(model.now).word for member in model.ones.values()}
                 )
                 model.cut = lambda _, __: False
                 self.assertTrue(
@@ -346,13 +351,13 @@
                         30 * SECOND,
                         lambda: model.all_know(
                             list(model.ones),
-                            lambda swim, name: swim.roll.get(name).health == ALIVE,
+                            lambda swim, name: swim.members.get(name).health == ALIVE,
                         ),
                     )
                 )
                 model.run(5 * SECOND)
                 self.assertEqual(
-                    {shares.MAJORITY}, {member.swim.reach(model.now).word for member in model.ones.values()}
+                    {shares.MAJORITY}, {member.swim.reachability(model.now).word for member in model.ones.values()}
                 )
 
     def test_a_chain_and_one_way_links_lose_nobody(self) -> None:
@@ -381,7 +386,7 @@
                     self.assertEqual([], lasting)
                 # In a chain, two members that are three apart share no helper. Each finds the other lost
                 # until the other's refutation arrives along the chain, and so on. No share changes by it.
-                self.assertEqual({5}, {member.swim.size() for member in model.ones.values()})
+                self.assertEqual({5}, {member.swim.sharer_count() for member in model.ones.values()})
 
     def test_a_third_of_all_lost_doubled_and_out_of_order_loses_nobody(self) -> None:
         model = self.group(8, manner=LinkProperties(lost=0.3, twice=0.1, jitter=40_000))
@@ -403,7 +408,7 @@
                 resumed_at = model.now
                 self.assertLessEqual({name for _, name in self.losses(model, start)}, {"m2"})
                 if duration > 2:
-                    self.assertEqual(shares.ISOLATED, model.ones["m2"].swim.reach(model.now).word)
+                    self.assertEqual(shares.ISOLATED, model.ones["m2"].swim.reachability(model.now).word)
                 self.wait_until_found(model, "m2", ALIVE, within=20)
                 model.run(20 * SECOND)
                 own_suspicions = [
@@ -440,9 +445,9 @@
         start = model.now
         swim = model.ones["m2"].swim
         for _ in range(600):
-            for member in swim.roll:
-                suspicion = Suspicion(member.said.name, *member.said.precedence, "m2")
-                swim._rumours.put(1, f"{suspicion.suspect} m2", model.wire.encode_part(suspicion))
+            for member in swim.members:
+                suspicion = Suspicion(member.record.name, *member.record.precedence, "m2")
+                swim._gossip_queue.put(1, f"{suspicion.suspect} m2", model.wire.encode_part(suspicion))
             model.run(100_000)
         self.assertEqual([], [pair for pair in self.losses(model, start) if pair[0] != "m2"])
         late = [
@@ -464,11 +469,13 @@
         """
         model = self.group(5)
         swim = model.ones["m1"].swim
-        forged = msgspec.structs.replace(model.ones["m3"].swim.me, incarnation=2**53 - 1, phase=LEFT)
+        forged = msgspec.structs.replace(model.ones["m3"].swim.own_record, incarnation=2**53 - 1, phase=LEFT)
         swim._merge_record(forged, model.now)
-        self.assertEqual(4, swim.size())
-        self.assertTrue(model.run(5 * SECOND, lambda: model.ones["m3"].swim.me.life > forged.life))
-        self.assertTrue(model.run(5 * SECOND, lambda: {member.swim.size() for member in model.ones.values()} == {5}))
+        self.assertEqual(4, swim.sharer_count())
+        self.assertTrue(model.run(5 * SECOND, lambda: model.ones["m3"].swim.own_record.life > forged.life))
+        self.assertTrue(
+            model.run(5 * SECOND, lambda: {member.swim.sharer_count() for member in model.ones.values()} == {5})
+        )
         self.wait_until_found(model, "m3", ALIVE)
 
     def test_two_under_one_name_are_told_by_both_and_neither_is_believed(self) -> None:
@@ -478,43 +485,47 @@
         other = Model.add(model, "m2", told=6, place=2, address=("m", 99))
         model.ones["m2 again"] = other
         model.ones["m2"] = twin
-        model._at[twin.swim.me.address] = "m2"
+        model._at[twin.swim.own_record.address] = "m2"
         model._at["m", 99] = "m2 again"
-        self.assertTrue(model.run(10 * SECOND, lambda: twin.swim.me.doubled and other.swim.me.doubled))
+        self.assertTrue(
+            model.run(10 * SECOND, lambda: twin.swim.own_record.is_duplicate and other.swim.own_record.is_duplicate)
+        )
         self.assertTrue(
             model.run(
                 5 * SECOND,
                 lambda: all(
-                    member.swim.roll.get("m2").said.doubled
+                    member.swim.members.get("m2").record.is_duplicate
                     for name, member in model.ones.items()
                     if not name.startswith("m2")
                 ),
             )
         )
-        other.swim.say(SENT_AWAY, model.now)
+        other.swim.set_phase(SENT_AWAY, model.now)
         model.run(5 * SECOND)
         for name in ("m0", "m5"):
-            self.assertEqual(6, model.ones[name].swim.size())
-            self.assertEqual(1, model.ones[name].swim.reach(model.now).silent)
+            self.assertEqual(6, model.ones[name].swim.sharer_count())
+            self.assertEqual(1, model.ones[name].swim.reachability(model.now).silent)
         other.up = False
-        self.assertTrue(model.run(30 * SECOND, lambda: not twin.swim.me.doubled))
+        self.assertTrue(model.run(30 * SECOND, lambda: not twin.swim.own_record.is_duplicate))
         self.wait_until_found(model, "m2", ALIVE, ("m0", "m5"))
 
     def test_a_ban_is_held_by_who_was_cut_off_once_it_is_reached_again(self) -> None:
         model = self.group(8)
         model.cut = lambda a, b: (a == "m7") != (b == "m7")
         model.run(20 * SECOND)
-        model.ones["m1"].swim.tell(Broadcast("ban", "x", True, model.now), model.now)
+        model.ones["m1"].swim.broadcast(Broadcast("ban", "x", True, model.now), model.now)
         self.assertTrue(
             model.run(
                 SECOND,
-                lambda: all(member.swim.notices.get("ban", "x") for name, member in model.ones.items() if name != "m7"),
+                lambda: all(
+                    member.swim.broadcasts.get("ban", "x") for name, member in model.ones.items() if name != "m7"
+                ),
             )
         )
         model.run(30 * SECOND)
         model.cut = lambda _, __: False
         healed = model.now
-        self.assertTrue(model.run(10 * SECOND, lambda: model.ones["m7"].swim.notices.get("ban", "x") is not None))
+        self.assertTrue(model.run(10 * SECOND, lambda: model.ones["m7"].swim.broadcasts.get("ban", "x") is not None))
         self.assertLess(model.now - healed, 3 * SECOND)
 
 
@@ -533,7 +544,9 @@
         introduced(model)
         model.run(periods * self.PERIOD)
         self.assertEqual(
-            {shares.MAJORITY}, {member.swim.reach(model.now).word for member in model.ones.values()}, f"seed {seed}"
+            {shares.MAJORITY},
+            {member.swim.reachability(model.now).word for member in model.ones.values()},
+            f"seed {seed}",
         )
         return model
 
@@ -557,7 +570,7 @@
 
             def all_know() -> bool:
                 for name in inside.keys() - detected_after.keys():
-                    if model.ones[name].swim.reach(model.now).word != shares.MAJORITY:
+                    if model.ones[name].swim.reachability(model.now).word != shares.MAJORITY:
                         detected_after[name] = (model.now - cut_at) / self.PERIOD
                         detected_count[inside[name]] += 1
                         if detected_count[inside[name]] == inside[name]:
@@ -618,14 +631,17 @@
                     if line.change.what == "lost" and (line.by in inside) == (line.change.name in inside)
                 ]
                 self.assertEqual([], false_losses)
-                self.assertEqual({20}, {member.swim.size() for member in model.ones.values()})
-                self.assertEqual({shares.MINORITY}, {model.ones[name].swim.reach(model.now).word for name in inside})
+                self.assertEqual({20}, {member.swim.sharer_count() for member in model.ones.values()})
+                self.assertEqual(
+                    {shares.MINORITY}, {model.ones[name].swim.reachability(model.now).word for name in inside}
+                )
                 model.cut = lambda _, __: False
                 self.assertTrue(
                     model.run(
                         limit,
                         lambda: all(
-                            member.swim.reach(model.now).word == shares.MAJORITY for member in model.ones.values()
+                            member.swim.reachability(model.now).word == shares.MAJORITY
+                            for member in model.ones.values()
                         ),
                     )
                 )
@@ -668,8 +684,8 @@
             elif fault == 1:
                 model.cut = lambda _, __: False
             elif fault == 2 and member.up:
-                member.swim.say(
-                    chance.choice((SENT_AWAY, LEAVING, LEFT)) if member.swim.me.phase != LEFT else LEFT,
+                member.swim.set_phase(
+                    chance.choice((SENT_AWAY, LEAVING, LEFT)) if member.swim.own_record.phase != LEFT else LEFT,
                     model.now,
                 )
             elif fault == 3 and member.up:
@@ -682,9 +698,9 @@
                 model.run(100_000)
                 total = sum(
                     (
-                        Fraction(1, member.swim.size())
+                        Fraction(1, member.swim.sharer_count())
                         for member in model.ones.values()
-                        if member.up and member.swim.me.phase not in (SENT_AWAY, LEFT)
+                        if member.up and member.swim.own_record.phase not in (SENT_AWAY, LEFT)
                     ),
                     Fraction(0),
                 )
@@ -703,16 +719,16 @@
         """Shows that the check can fail: if silent members counted as gone, the sum would exceed the whole."""
 
         def alive_count(configured_size: int, me: MemberRecord, records: Iterable[MemberRecord]) -> int:
-            return 1 + sum(member.health == ALIVE for member in swim_of[me.token].roll)
+            return 1 + sum(member.health == ALIVE for member in swim_of[me.token].members)
 
         swim_of: dict[int, Swim] = {}
-        original_size = Swim.size
+        original_size = Swim.sharer_count
 
         def size(self: Swim) -> int:
-            swim_of[self.me.token] = self
+            swim_of[self.own_record.token] = self
             return original_size(self)
 
-        with mock.patch.object(Swim, "size", size), mock.patch.object(shares, "sharer_count", alive_count):
+        with mock.patch.object(Swim, "sharer_count", size), mock.patch.object(shares, "sharer_count", alive_count):
             self.assertGreater(max(self.play(seed, False)[0] for seed in range(3)), 1)
 
     def test_places_and_not_names_are_counted(self) -> None:
@@ -728,7 +744,7 @@
         self.assertEqual(4, shares.sharer_count(4, me, [make_record(f"x{number}", phase=LEFT) for number in range(3)]))
         # More places are held than the settings count.
         self.assertEqual(6, shares.sharer_count(4, me, [make_record(f"x{place}", place=place) for place in range(6)]))
-        self.assertEqual(4, shares.sharer_count(4, me, [make_record("x", phase=LEFT, doubled=True, place=1)]))
+        self.assertEqual(4, shares.sharer_count(4, me, [make_record("x", phase=LEFT, is_duplicate=True, place=1)]))
 
 
 class Sizes(unittest.TestCase):
@@ -746,7 +762,7 @@
 
         model.datagram = record_size  # type: ignore[method-assign]
         model.run(5 * SECOND)
-        self.assertLessEqual(longest, DATAGRAM)
+        self.assertLessEqual(longest, MAX_DATAGRAM_BYTES)
         before = [member.sent_bytes for member in model.ones.values()]
         model.run(10 * SECOND)
         rates = [(member.sent_bytes - previous) / 10 for member, previous in zip(model.ones.values(), before)]
--- a/tests/test_group_processes.py
+++ b/tests/test_group_processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, Wire
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES, Wire
 from pepperusher.group.messages import PING, SERVING, Suspicion, MemberRecord
 from pepperusher.net import clock
 from pepperusher.rehearsal.group_run import KEY
@@ -47,7 +47,11 @@
         held_at = self.director._now()
         records = await self.finish()
         # A proxy that holds the ban sends no ticket there, although discovery lists the backend as ready throughout.
-        late = [attempt for attempt in records.backend_attempts if attempt.id == backend and attempt.first > held_at + 500_000]
+        late = [
+            attempt
+            for attempt in records.backend_attempts
+            if attempt.id == backend and attempt.first > held_at + 500_000
+        ]
         self.assertEqual([], late)
         self.assertTrue([attempt for attempt in records.backend_attempts if attempt.id == backend])
 
@@ -263,7 +267,9 @@
         self.director._admitted.add(0)
         self.director._admit()
         records = await self.finish()
-        through = {attempt.name for attempt in records.client_attempts if attempt.proxy == 0 and attempt.sent > restarted_at}
+        through = {
+            attempt.name for attempt in records.client_attempts if attempt.proxy == 0 and attempt.sent > restarted_at
+        }
         sent = [attempt for attempt in records.backend_attempts if attempt.name in through]
         self.assertGreater(len(sent), 10)
         self.assertEqual([], [attempt for attempt in sent if attempt.id == backend])
@@ -377,7 +383,7 @@
             valid[:40] + b"\0" + valid[41:],
             chance.randbytes(700),
             b"",
-            chance.randbytes(DATAGRAM + 300),
+            chance.randbytes(MAX_DATAGRAM_BYTES + 300),
         ]
         before = resident_kib(p1.pid)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -497,12 +503,12 @@
                 self.swim.receive(self.sock.recv(2_000), now)
             except BlockingIOError:
                 break
-        for member in self.swim.roll:
-            suspicion = Suspicion(member.said.name, *member.said.precedence, "p9")
-            self.swim._rumours.put(1, f"{suspicion.suspect} p9", self.wire.encode_part(suspicion))
+        for member in self.swim.members:
+            suspicion = Suspicion(member.record.name, *member.record.precedence, "p9")
+            self.swim._gossip_queue.put(1, f"{suspicion.suspect} p9", self.wire.encode_part(suspicion))
         if now >= self.due:
             self.due = self.swim.wake(now)
-        out, self.swim.out = self.swim.out, []
+        out, self.swim.outgoing = self.swim.outgoing, []
         for address, data in out:
             self.sock.sendto(data, address)
 
