--- a/pepperusher/consensus/messages.py
+++ b/pepperusher/consensus/messages.py
@@ -25,7 +25,7 @@
     command: Any = None
 
 
-class Base(NamedTuple):
+class LogSnapshot(NamedTuple):
     """The snapshot that replaces all entries up to `index`: the term and voters there, and the state."""
 
     index: int
@@ -48,7 +48,7 @@
 
     number: int
     kept: PersistentState | None = None
-    base: Base | None = None
+    base: LogSnapshot | None = None
     start: int = 0
     entries: tuple[Entry, ...] = ()
 
@@ -91,7 +91,7 @@
 
     term: int
     leader: str
-    base: Base
+    base: LogSnapshot
     round: int
 
 
--- a/pepperusher/consensus/raft.py
+++ b/pepperusher/consensus/raft.py
@@ -25,7 +25,7 @@
     Append,
     AppendReply,
     VoteRequest,
-    Base,
+    LogSnapshot,
     Entry,
     Hello,
     Install,
@@ -37,14 +37,14 @@
     name_of,
 )
 
-FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADS = "follows", "asks whether to ask", "asks for votes", "leads"
+FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follows", "asks whether to ask", "asks for votes", "leads"
 MAX_ENTRIES_PER_MESSAGE = 64
 # How much faster one voter's clock may run than another's. Beyond this, two leases may overlap; terms and log
 # indexes stay correct.
 MAX_CLOCK_DRIFT_PERMILLE = 50
 
 
-class Bounds(NamedTuple):
+class ElectionTimings(NamedTuple):
     """Times in microseconds: the interval of the leader's heartbeats, and the range from which a voter draws its
     random election timeout.
     """
@@ -76,12 +76,12 @@
         self,
         me: str,
         configured_names: tuple[str, ...],
-        bounds: Bounds,
+        bounds: ElectionTimings,
         rng: Random,
         now: int,
         started_at: int,
         kept: PersistentState | None = None,
-        base: Base | None = None,
+        base: LogSnapshot | None = None,
         entries: tuple[Entry, ...] = (),
     ) -> None:
         self.me = me
@@ -89,19 +89,19 @@
         self.bounds = bounds
         self.role = FOLLOWER
         self.leader = ""
-        self.kept = kept or PersistentState(0, "")
+        self.persistent_state = kept or PersistentState(0, "")
         self.base = base
         self.entries = list(entries)
         self.commit = base.index if base is not None else 0
-        self.out: list[OutgoingMessage] = []
+        self.outgoing: list[OutgoingMessage] = []
         self.writes: list[Write] = []
         self.lease_until = 0  # by this voter's clock; only valid while it leads
-        self._chance = rng
+        self._random = rng
         self._started_at = started_at
         self._number = 0  # of the last write that was queued
         self._flushed = 0  # number of the last write on disk
         self._write_ends: list[tuple[int, int]] = []  # of each pending write: its number, and the last index after it
-        self._on_disk = self.last  # the last log index on disk
+        self._durable_index = self.last_index  # the last log index on disk
         # A leader may hold a lease because of a reply that this voter sent before its restart, so it grants no
         # vote until that lease is over.
         self._leader_heard_at = now
@@ -112,7 +112,7 @@
         self._vote_write = 0  # number of the write with its vote for itself
         self._round = 0
         self._round_sent_at: dict[int, int] = {}  # of rounds since the last that a majority has replied to
-        self._heard_round = 0  # the last heartbeat round that a majority has replied to
+        self._acked_round = 0  # the last heartbeat round that a majority has replied to
         self._progress: dict[str, Progress] = {}  # of voters and ids to be added; cleared when it stops leading
         # Voters that announced an empty disk: when each started, and when it last announced so.
         self._blank_voters: dict[str, tuple[int, int]] = {}
@@ -121,7 +121,7 @@
     # --- the log --------------------------------------------------------------------------------------
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The index of the last log entry."""
         return (self.base.index if self.base is not None else 0) + len(self.entries)
 
@@ -161,65 +161,65 @@
     def _queue_write(
         self,
         kept: PersistentState | None = None,
-        base: Base | None = None,
+        base: LogSnapshot | None = None,
         start: int = 0,
         entries: tuple[Entry, ...] = (),
     ) -> int:
         """Queues a write to disk and returns its number."""
         self._number += 1
         self.writes.append(Write(self._number, kept, base, start, entries))
-        self._write_ends.append((self._number, self.last))
+        self._write_ends.append((self._number, self.last_index))
         return self._number
 
     def _truncate_durable(self, last: int) -> None:
         """Notes that the entries after index `last` were replaced: pending writes no longer prove that what is
         there is on disk.
         """
-        self._on_disk = min(self._on_disk, last)
+        self._durable_index = min(self._durable_index, last)
         self._write_ends = [(number, min(end, last)) for number, end in self._write_ends]
 
     def _persist_state(self, term: int, vote: str) -> int:
-        self.kept = PersistentState(term, vote)
-        return self._queue_write(self.kept)
+        self.persistent_state = PersistentState(term, vote)
+        return self._queue_write(self.persistent_state)
 
     def _send(self, to: str, message: Message) -> None:
         """Queues a message until all earlier writes are on disk, so that a crash cannot undo what it tells."""
-        self.out.append(OutgoingMessage(to, message, self._number))
+        self.outgoing.append(OutgoingMessage(to, message, self._number))
 
     def on_disk(self, number: int, now: int) -> None:
         """Acknowledges that all writes up to this number are on disk."""
         self._flushed = max(self._flushed, number)
         while self._write_ends and self._write_ends[0][0] <= number:
-            self._on_disk = self._write_ends.pop(0)[1]
+            self._durable_index = self._write_ends.pop(0)[1]
         if self.role == CANDIDATE and number >= self._vote_write:
             self._votes.add(self.me)
             self._count_votes(now)
-        if self.role == LEADS:
+        if self.role == LEADER:
             self._advance_commit()
 
     # --- time -------------------------------------------------------------------------------------------
 
     def _reset_election_timer(self, now: int) -> None:
         span = self.bounds.max_election_timeout - self.bounds.min_election_timeout
-        self._election_at = now + self.bounds.min_election_timeout + (self._chance.randrange(span) if span else 0)
+        self._election_at = now + self.bounds.min_election_timeout + (self._random.randrange(span) if span else 0)
 
     def wake(self, now: int) -> int:
         """Does what is due and returns the time of the next wake-up."""
         if self.base is None:
             return self._bootstrap(now)
-        if self.role == LEADS:
-            if now - self._round_sent_at.get(self._heard_round, now) > self.bounds.min_election_timeout:
+        if self.role == LEADER:
+            if now - self._round_sent_at.get(self._acked_round, now) > self.bounds.min_election_timeout:
                 # A leader that no majority replies to cannot commit anything, and a new leader may exist that it
                 # has not heard of, so it steps down.
                 self._become_follower(now, "")
             elif now >= self._heartbeat_at:
-                self._speak(now)
+                self._send_heartbeats(now)
         elif self.me in self.voters and now >= self._election_at:
-            self._ask_first(now)
-        if self.role == LEADS:
+            self._start_pre_vote(now)
+        if self.role == LEADER:
             return min(
                 self._heartbeat_at,
-                self._round_sent_at.get(self._heard_round, now) + self.bounds.min_election_timeout + 1,
+                self._round_sent_at.get(self._acked_round, now) + self.bounds.min_election_timeout + 1,
             )
         return max(now + 1, self._election_at)
 
@@ -245,9 +245,9 @@
             and len(blank) == len(other_names)
             and set(voter_by_name) == set(other_names)
         ):
-            self.base = Base(max([self._started_at, *blank.values()]), 0, tuple(sorted([self.me, *blank])))
-            self.commit = self._on_disk = self.base.index
-            self._queue_write(self.kept, self.base)
+            self.base = LogSnapshot(max([self._started_at, *blank.values()]), 0, tuple(sorted([self.me, *blank])))
+            self.commit = self._durable_index = self.base.index
+            self._queue_write(self.persistent_state, self.base)
             for voter in blank:
                 self._send(voter, Install(0, self.me, self.base, 0))
             self._reset_election_timer(now)
@@ -255,50 +255,50 @@
 
     # --- elections --------------------------------------------------------------------------------------
 
-    def _ask_first(self, now: int) -> None:
+    def _start_pre_vote(self, now: int) -> None:
         """Starts a pre-vote. Without it, a voter that was partitioned would return with a higher term and depose a
         working leader.
         """
         self.role, self.leader = PRE_CANDIDATE, ""
         self._votes = {self.me}
         self._reset_election_timer(now)
-        self._request_votes(self.kept.term + 1, True)
+        self._request_votes(self.persistent_state.term + 1, True)
         self._count_votes(now)
 
-    def _ask(self, now: int) -> None:
+    def _start_election(self, now: int) -> None:
         """Starts an election in a new term, with a vote for itself once that is on disk."""
         self.role = CANDIDATE
         self._votes = set()
         self._reset_election_timer(now)
-        self._vote_write = self._persist_state(self.kept.term + 1, self.me)
-        self._request_votes(self.kept.term, False)
+        self._vote_write = self._persist_state(self.persistent_state.term + 1, self.me)
+        self._request_votes(self.persistent_state.term, False)
 
     def _request_votes(self, term: int, pre: bool) -> None:
-        last_term = self.term_at(self.last)
+        last_term = self.term_at(self.last_index)
         assert last_term is not None
         for voter in self.voters:
             if voter != self.me:
-                self._send(voter, VoteRequest(term, self.me, pre, self.last, last_term))
+                self._send(voter, VoteRequest(term, self.me, pre, self.last_index, last_term))
 
     def _count_votes(self, now: int) -> None:
         if not self._is_majority(self._votes):
             return
         if self.role == PRE_CANDIDATE:
-            self._ask(now)
+            self._start_election(now)
         elif self.role == CANDIDATE:
             self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
         """Takes over leadership and starts the first heartbeat round."""
-        self.role, self.leader = LEADS, self.me
+        self.role, self.leader = LEADER, self.me
         self.lease_until = 0
         self._progress = {}
         self._round_sent_at = {}
-        self._heard_round = self._round
+        self._acked_round = self._round
         self._round_sent_at[self._round] = now
         # A leader learns what is committed only by committing an entry of its own term.
-        self._append_entry(Entry(self.kept.term))
-        self._speak(now)
+        self._append_entry(Entry(self.persistent_state.term))
+        self._send_heartbeats(now)
 
     def _become_follower(self, now: int, leader: str) -> None:
         self.role, self.leader = FOLLOWER, leader
@@ -309,7 +309,7 @@
 
     def _adopt_later_term(self, term: int, now: int) -> None:
         """Becomes a follower without a leader if the term is later than its own."""
-        if term > self.kept.term:
+        if term > self.persistent_state.term:
             self._persist_state(term, "")
             self._become_follower(now, "")
 
@@ -317,19 +317,19 @@
 
     def _append_entry(self, entry: Entry) -> int:
         self.entries.append(entry)
-        self._queue_write(start=self.last, entries=(entry,))
-        return self.last
+        self._queue_write(start=self.last_index, entries=(entry,))
+        return self.last_index
 
     def propose(self, command: Any) -> int | None:
         """Appends a command and returns its log index; it is not committed yet. None if this voter does not lead."""
-        return self._append_entry(Entry(self.kept.term, None, command)) if self.role == LEADS else None
+        return self._append_entry(Entry(self.persistent_state.term, None, command)) if self.role == LEADER else None
 
     @property
     def has_committed_in_term(self) -> bool:
         """Whether it leads and has committed an entry of its own term. Before that, it may not know of all
         committed entries.
         """
-        return self.role == LEADS and self.term_at(self.commit) == self.kept.term
+        return self.role == LEADER and self.term_at(self.commit) == self.persistent_state.term
 
     def holds_lease(self, now: int) -> bool:
         """Whether no other voter can lead now, provided that clocks drift by at most MAX_CLOCK_DRIFT_PERMILLE."""
@@ -342,7 +342,7 @@
         current, index = self._latest_voters()
         if not self.has_committed_in_term or index > self.commit or len(set(current) ^ set(voters)) != 1:
             return False
-        self._append_entry(Entry(self.kept.term, tuple(sorted(voters))))
+        self._append_entry(Entry(self.persistent_state.term, tuple(sorted(voters))))
         return True
 
     def _replace_blank_voters(self, now: int) -> None:
@@ -361,13 +361,13 @@
                 continue
             progress = self._progress.get(blank_voter)
             if progress is None:
-                self._progress[blank_voter] = Progress(self.last + 1)
+                self._progress[blank_voter] = Progress(self.last_index + 1)
             elif progress.match >= self.commit:
                 self.change_voters((*self.voters, blank_voter))
         for obsolete in [name for name in self._progress if name not in self.voters and name not in self._blank_voters]:
             del self._progress[obsolete]
 
-    def _speak(self, now: int) -> None:
+    def _send_heartbeats(self, now: int) -> None:
         """Starts a new heartbeat round: sends every other voter the entries that it does not have yet."""
         self._heartbeat_at = now + self.bounds.heartbeat
         self._round += 1
@@ -380,28 +380,36 @@
     def _replicate_to(self, peer: str) -> None:
         """Sends a voter the entries that it lacks, or the snapshot if these are no longer in the log."""
         assert self.base is not None
-        progress = self._progress.setdefault(peer, Progress(self.last + 1))
+        progress = self._progress.setdefault(peer, Progress(self.last_index + 1))
         prev_index = progress.next - 1
         prev_term = self.term_at(prev_index)
         if prev_index < self.base.index or prev_term is None:
-            self._send(peer, Install(self.kept.term, self.me, self.base, self._round))
+            self._send(peer, Install(self.persistent_state.term, self.me, self.base, self._round))
             progress.next = self.base.index + 1
             return
-        entries = tuple(self.between(progress.next, min(self.last, prev_index + MAX_ENTRIES_PER_MESSAGE)))
-        self._send(peer, Append(self.kept.term, self.me, prev_index, prev_term, entries, self.commit, self._round))
+        entries = tuple(self.between(progress.next, min(self.last_index, prev_index + MAX_ENTRIES_PER_MESSAGE)))
+        self._send(
+            peer, Append(self.persistent_state.term, self.me, prev_index, prev_term, entries, self.commit, self._round)
+        )
 
     def _advance_commit(self) -> None:
         """Commits the highest index that a majority has on disk, provided that its entry is of this term."""
         voters = self.voters
         match_indexes = sorted(
             (
-                (self._on_disk if voter == self.me else self._progress[voter].match if voter in self._progress else 0)
+                (
+                    self._durable_index
+                    if voter == self.me
+                    else self._progress[voter].match
+                    if voter in self._progress
+                    else 0
+                )
                 for voter in voters
             ),
             reverse=True,
         )
         index = match_indexes[len(voters) // 2]
-        if index > self.commit and self.term_at(index) == self.kept.term:
+        if index > self.commit and self.term_at(index) == self.persistent_state.term:
             self.commit = index
             if self.me not in voters and self._latest_voters()[1] <= self.commit:
                 self._become_follower(self._heartbeat_at, "")
@@ -417,8 +425,8 @@
             reverse=True,
         )
         majority_round = acked_rounds[len(voters) // 2]
-        if majority_round > self._heard_round and majority_round in self._round_sent_at:
-            self._heard_round = majority_round
+        if majority_round > self._acked_round and majority_round in self._round_sent_at:
+            self._acked_round = majority_round
             # The lease counts from when the round was sent, not from the replies: the voters' own waits began
             # at that time or later.
             self.lease_until = (
@@ -436,8 +444,8 @@
         voters = self.base.voters
         for entry in self.between(self.base.index + 1, index):
             voters = entry.voters or voters
-        remaining = self.between(index + 1, self.last)
-        self.base, self.entries = Base(index, term, voters, state), remaining
+        remaining = self.between(index + 1, self.last_index)
+        self.base, self.entries = LogSnapshot(index, term, voters, state), remaining
         self._queue_write(base=self.base, start=index + 1, entries=tuple(remaining))
 
     # --- received messages ----------------------------------------------------------------------------------
@@ -472,57 +480,60 @@
         """Grants or refuses a vote or pre-vote by Raft's rules and the leader's lease."""
         if request.candidate not in self.voters and self._latest_voters()[1] <= self.commit:
             return  # the candidate was removed from the voters
-        hears_leader = self.role == LEADS or now - self._leader_heard_at < self.bounds.min_election_timeout
-        last_term = self.term_at(self.last)
+        hears_leader = self.role == LEADER or now - self._leader_heard_at < self.bounds.min_election_timeout
+        last_term = self.term_at(self.last_index)
         assert last_term is not None
-        up_to_date = (request.last_term, request.last_index) >= (last_term, self.last)
+        up_to_date = (request.last_term, request.last_index) >= (last_term, self.last_index)
         if request.pre_vote:
-            granted = not hears_leader and up_to_date and request.term > self.kept.term
+            granted = not hears_leader and up_to_date and request.term > self.persistent_state.term
             self._send(
-                request.candidate, VoteReply(request.term if granted else self.kept.term, self.me, True, granted)
+                request.candidate,
+                VoteReply(request.term if granted else self.persistent_state.term, self.me, True, granted),
             )
             return
-        if hears_leader and request.term > self.kept.term:
+        if hears_leader and request.term > self.persistent_state.term:
             # The leader's lease relies on this: while a leader is heard, no term rises and no vote is granted.
             return
         self._adopt_later_term(request.term, now)
         granted = (
-            request.term == self.kept.term
+            request.term == self.persistent_state.term
             and up_to_date
-            and self.kept.vote in ("", request.candidate)
+            and self.persistent_state.vote in ("", request.candidate)
             and self.me in self.voters
         )
-        if granted and not self.kept.vote:
+        if granted and not self.persistent_state.vote:
             self._persist_state(request.term, request.candidate)
             self._reset_election_timer(now)
-        self._send(request.candidate, VoteReply(self.kept.term, self.me, False, granted))
+        self._send(request.candidate, VoteReply(self.persistent_state.term, self.me, False, granted))
 
     def _handle_vote_reply(self, reply: VoteReply, now: int) -> None:
         if reply.pre_vote and reply.granted:
-            if self.role == PRE_CANDIDATE and reply.term == self.kept.term + 1:
+            if self.role == PRE_CANDIDATE and reply.term == self.persistent_state.term + 1:
                 self._votes.add(reply.voter)
                 self._count_votes(now)
             return
         self._adopt_later_term(reply.term, now)
-        if self.role == CANDIDATE and reply.granted and not reply.pre_vote and reply.term == self.kept.term:
+        if self.role == CANDIDATE and reply.granted and not reply.pre_vote and reply.term == self.persistent_state.term:
             self._votes.add(reply.voter)
             self._count_votes(now)
 
     def _accept_leader(self, term: int, leader: str, now: int) -> None:
         """Follows a leader of this term or a later one that has sent a message."""
-        if term > self.kept.term:
+        if term > self.persistent_state.term:
             self._persist_state(term, "")
         self._become_follower(now, leader)
         self._leader_heard_at = now
 
     def _handle_append(self, append: Append, now: int) -> None:
         """Appends the leader's entries, replacing conflicting ones, and replies."""
-        if append.term < self.kept.term:
-            self._send(append.leader, AppendReply(self.kept.term, self.me, False, self.last, append.round))
+        if append.term < self.persistent_state.term:
+            self._send(
+                append.leader, AppendReply(self.persistent_state.term, self.me, False, self.last_index, append.round)
+            )
             return
         self._accept_leader(append.term, append.leader, now)
         if self.base is None:
-            self._send(append.leader, AppendReply(self.kept.term, self.me, False, 0, append.round))
+            self._send(append.leader, AppendReply(self.persistent_state.term, self.me, False, 0, append.round))
             return
         prev_index, entries = append.prev_index, append.entries
         if prev_index < self.base.index:
@@ -531,7 +542,10 @@
             prev_index, entries = self.base.index, entries[skipped:]
         elif self.term_at(prev_index) != append.prev_term:
             self._send(
-                append.leader, AppendReply(self.kept.term, self.me, False, min(self.last, prev_index - 1), append.round)
+                append.leader,
+                AppendReply(
+                    self.persistent_state.term, self.me, False, min(self.last_index, prev_index - 1), append.round
+                ),
             )
             return
         for offset, entry in enumerate(entries):
@@ -545,7 +559,7 @@
                 break
         match = max(prev_index + len(entries), self.base.index)
         self.commit = max(self.commit, min(append.commit, match))
-        self._send(append.leader, AppendReply(self.kept.term, self.me, True, match, append.round))
+        self._send(append.leader, AppendReply(self.persistent_state.term, self.me, True, match, append.round))
 
     def _handle_install(self, install: Install, now: int) -> None:
         if install.term == 0:
@@ -553,23 +567,27 @@
                 self._install_base(install.base)
                 self._reset_election_timer(now)
             return
-        if install.term < self.kept.term:
-            self._send(install.leader, AppendReply(self.kept.term, self.me, False, self.last, install.round))
+        if install.term < self.persistent_state.term:
+            self._send(
+                install.leader, AppendReply(self.persistent_state.term, self.me, False, self.last_index, install.round)
+            )
             return
         self._accept_leader(install.term, install.leader, now)
         if self.base is None or install.base.index > self.commit:
             self._install_base(install.base)
-        self._send(install.leader, AppendReply(self.kept.term, self.me, True, install.base.index, install.round))
+        self._send(
+            install.leader, AppendReply(self.persistent_state.term, self.me, True, install.base.index, install.round)
+        )
 
-    def _install_base(self, base: Base) -> None:
+    def _install_base(self, base: LogSnapshot) -> None:
         """Replaces the whole log by a snapshot."""
         self.base, self.entries, self.commit = base, [], base.index
         self._truncate_durable(base.index)
-        self._queue_write(self.kept, base, base.index + 1)
+        self._queue_write(self.persistent_state, base, base.index + 1)
 
     def _handle_append_reply(self, reply: AppendReply, now: int) -> None:
         self._adopt_later_term(reply.term, now)
-        if self.role != LEADS or reply.term != self.kept.term:
+        if self.role != LEADER or reply.term != self.persistent_state.term:
             return
         progress = self._progress.get(reply.follower)
         if progress is None:
@@ -581,9 +599,9 @@
             self._advance_commit()
         else:
             progress.next = max(1, min(progress.next - 1, reply.match + 1), progress.match + 1)
-            if self.role == LEADS:
+            if self.role == LEADER:
                 self._replicate_to(reply.follower)
-        if self.role == LEADS:
+        if self.role == LEADER:
             self._advance_lease()
-            if reply.success and progress.next <= self.last:
+            if reply.success and progress.next <= self.last_index:
                 self._replicate_to(reply.follower)
--- a/pepperusher/rehearsal/raft_model.py
+++ b/pepperusher/rehearsal/raft_model.py
@@ -14,8 +14,8 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from pepperusher.consensus.raft import LEADS, RaftVoter, Bounds, Progress
-from pepperusher.consensus.messages import Base, Entry, PersistentState, Message
+from pepperusher.consensus.raft import LEADER, RaftVoter, ElectionTimings, Progress
+from pepperusher.consensus.messages import LogSnapshot, Entry, PersistentState, Message
 
 NAMES = ("a", "b", "c")
 
@@ -50,7 +50,7 @@
 
 class Disk(NamedTuple):
     kept: PersistentState
-    base: Base
+    base: LogSnapshot
     entries: tuple[Entry, ...]
 
 
@@ -60,7 +60,7 @@
     __slots__ = ("voters", "disks", "sent", "led", "counted", "proposed", "rounds", "crashes")
 
     def __init__(self, make: type[RaftVoter]) -> None:
-        base = Base(10, 0, NAMES)
+        base = LogSnapshot(10, 0, NAMES)
         self.disks = {name: Disk(PersistentState(0, ""), base, ()) for name in NAMES}
         self.voters = {name: started(make, name, self.disks[name]) for name in NAMES}
         # In the order of sending: a set's hangs on the run, and a seed would not play the same walk twice.
@@ -91,8 +91,8 @@
 
 
 def started(make: type[RaftVoter], name: str, disk: Disk) -> RaftVoter:
-    made = make(name, NAMES, Bounds(1, 0, 0), Random(1), 0, 0, disk.kept, disk.base, disk.entries)
-    made._chance = None  # type: ignore[assignment]
+    made = make(name, NAMES, ElectionTimings(1, 0, 0), Random(1), 0, 0, disk.kept, disk.base, disk.entries)
+    made._random = None  # type: ignore[assignment]
     return made
 
 
@@ -115,15 +115,15 @@
     return (
         voter.role,
         voter.leader,
-        voter.kept,
+        voter.persistent_state,
         voter.base,
         tuple(voter.entries),
         voter.commit,
-        voter._on_disk,
+        voter._durable_index,
         tuple(sorted(voter._votes)),
         progress,
         voter._round,
-        voter._heard_round,
+        voter._acked_round,
         voter._vote_write - voter._number,
     )
 
@@ -144,17 +144,17 @@
 def steps(world: World, limits: Limits) -> Iterator[tuple[str, str, Callable[[RaftVoter], Any], dict[str, int]]]:
     """What may happen now: in words, to whom, what it does, and which counts it raises."""
     for name, voter in world.voters.items():
-        if voter.role != LEADS and voter.kept.term < limits.terms:
+        if voter.role != LEADER and voter.persistent_state.term < limits.terms:
             # At once for votes too, though it would ask first: that only keeps elections away.
-            yield f"{name} asks for votes", name, lambda one: one._ask(0), {}
+            yield f"{name} asks for votes", name, lambda one: one._start_election(0), {}
             if limits.asks_first:
-                yield f"{name} asks first", name, lambda one: one._ask_first(0), {}
-        if voter.role == LEADS:
+                yield f"{name} asks first", name, lambda one: one._start_pre_vote(0), {}
+        if voter.role == LEADER:
             if world.proposed < limits.entries:
                 what = f"x{world.proposed}"
                 yield f"{name} proposes {what}", name, lambda one, what=what: one.propose(what), {"proposed": 1}
             if world.rounds < limits.rounds:
-                yield f"{name} speaks", name, lambda one: one._speak(0), {"rounds": 1}
+                yield f"{name} speaks", name, lambda one: one._send_heartbeats(0), {"rounds": 1}
     for to, message in world.sent:
         yield f"{to} hears {message}", to, lambda one, message=message: one.receive(message, 0), {}
 
@@ -178,16 +178,16 @@
         if crash:
             # What was to be said only once it is on disk goes with it; what does not wait for the disk is out
             # already.
-            made.sent |= {(one.to, one.message): None for one in voter.out if one.after <= voter._flushed}
+            made.sent |= {(one.to, one.message): None for one in voter.outgoing if one.after <= voter._flushed}
             made.crashes += 1
             made.voters[name] = started(make, name, made.disks[name])
             return made
         if lag:
-            made.sent |= {(one.to, one.message): None for one in voter.out if one.after <= voter._flushed}
-            voter.out = [one for one in voter.out if one.after > voter._flushed]
+            made.sent |= {(one.to, one.message): None for one in voter.outgoing if one.after <= voter._flushed}
+            voter.outgoing = [one for one in voter.outgoing if one.after > voter._flushed]
             return made
         made.disks[name] = flushed(made.disks[name], voter)
-        out, voter.out, voter.writes = voter.out, [], []
+        out, voter.outgoing, voter.writes = voter.outgoing, [], []
         made.sent |= {(one.to, one.message): None for one in out}
         if voter._number == voter._flushed:
             break
@@ -200,12 +200,12 @@
     it counts.
     """
     for name, voter in world.voters.items():
-        if voter.role == LEADS:
-            other = world.led.setdefault(voter.kept.term, name)
+        if voter.role == LEADER:
+            other = world.led.setdefault(voter.persistent_state.term, name)
             if other != name:
-                return f"{other} and {name} lead in term {voter.kept.term}"
+                return f"{other} and {name} lead in term {voter.persistent_state.term}"
         assert voter.base is not None
-        if voter.commit > voter.last:
+        if voter.commit > voter.last_index:
             return f"{name} counts what it has not"
         for at, entry in enumerate(voter.between(voter.base.index + 1, voter.commit), voter.base.index + 1):
             before = world.counted.setdefault(at, entry)
--- a/tests/test_agree.py
+++ b/tests/test_agree.py
@@ -8,12 +8,12 @@
 from random import Random
 from typing import Any
 
-from pepperusher.consensus.raft import CANDIDATE, FOLLOWER, LEADS, RaftVoter, Bounds
+from pepperusher.consensus.raft import CANDIDATE, FOLLOWER, LEADER, RaftVoter, ElectionTimings
 from pepperusher.consensus.messages import (
     Append,
     AppendReply,
     VoteRequest,
-    Base,
+    LogSnapshot,
     Entry,
     PersistentState,
     Message,
@@ -31,15 +31,15 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.kept = PersistentState(self.kept.term, "")
+        self.persistent_state = PersistentState(self.persistent_state.term, "")
 
 
 class VotesTwice(RaftVoter):
     """Grants a second vote in a term."""
 
     def _handle_vote_request(self, request: VoteRequest, now: int) -> None:
-        if not request.pre_vote and request.term == self.kept.term and self.role == FOLLOWER:
-            self.kept = PersistentState(self.kept.term, "")
+        if not request.pre_vote and request.term == self.persistent_state.term and self.role == FOLLOWER:
+            self.persistent_state = PersistentState(self.persistent_state.term, "")
         super()._handle_vote_request(request, now)
 
 
@@ -53,12 +53,12 @@
 class CountsItsVoteBeforeTheDisk(RaftVoter):
     """Counts its vote for itself before the vote is on disk."""
 
-    def _ask(self, now: int) -> None:
-        super()._ask(now)
+    def _start_election(self, now: int) -> None:
+        super()._start_election(now)
         self._votes.add(self.me)
 
     def _send(self, to: str, message: Message) -> None:
-        self.out.append(
+        self.outgoing.append(
             OutgoingMessage(
                 to, message, self._flushed if isinstance(message, VoteRequest | VoteReply) else self._number
             )
@@ -69,14 +69,14 @@
     """Sends messages before the writes that they depend on are on disk."""
 
     def _send(self, to: str, message: Message) -> None:
-        self.out.append(OutgoingMessage(to, message, 0))
+        self.outgoing.append(OutgoingMessage(to, message, 0))
 
 
 class AppendsWithoutALook(RaftVoter):
     """Appends entries without a check of the term of the previous one."""
 
     def _handle_append(self, append: Append, now: int) -> None:
-        if append.term >= self.kept.term and append.prev_index <= self.last:
+        if append.term >= self.persistent_state.term and append.prev_index <= self.last_index:
             append = append._replace(prev_term=self.term_at(append.prev_index) or 0)
         super()._handle_append(append, now)
 
@@ -86,14 +86,20 @@
 
     def _handle_append(self, append: Append, now: int) -> None:
         new_entries = tuple(
-            entry for offset, entry in enumerate(append.entries) if append.prev_index + 1 + offset > self.last
+            entry for offset, entry in enumerate(append.entries) if append.prev_index + 1 + offset > self.last_index
         )
         known_count = len(append.entries) - len(new_entries)
         super()._handle_append(append._replace(entries=()), now)
-        if append.term >= self.kept.term and new_entries and append.prev_index + known_count == self.last:
+        if (
+            append.term >= self.persistent_state.term
+            and new_entries
+            and append.prev_index + known_count == self.last_index
+        ):
             self.entries += new_entries
-            self._queue_write(start=self.last - len(new_entries) + 1, entries=new_entries)
-            self._send(append.leader, AppendReply(self.kept.term, self.me, True, self.last, append.round))
+            self._queue_write(start=self.last_index - len(new_entries) + 1, entries=new_entries)
+            self._send(
+                append.leader, AppendReply(self.persistent_state.term, self.me, True, self.last_index, append.round)
+            )
 
 
 class CountsBeyondWhatIsTheLeaders(RaftVoter):
@@ -101,8 +107,8 @@
 
     def _handle_append(self, append: Append, now: int) -> None:
         super()._handle_append(append, now)
-        if append.term == self.kept.term:
-            self.commit = max(self.commit, min(append.commit, self.last))
+        if append.term == self.persistent_state.term:
+            self.commit = max(self.commit, min(append.commit, self.last_index))
 
 
 class TakesAnswersToAskingFirstForVotes(RaftVoter):
@@ -127,7 +133,7 @@
 
     def _handle_vote_reply(self, reply: VoteReply, now: int) -> None:
         super()._handle_vote_reply(
-            reply._replace(term=self.kept.term) if reply.granted and not reply.pre_vote else reply, now
+            reply._replace(term=self.persistent_state.term) if reply.granted and not reply.pre_vote else reply, now
         )
 
 
@@ -135,7 +141,7 @@
     """Accepts entries from the leader of an older term."""
 
     def _handle_append(self, append: Append, now: int) -> None:
-        super()._handle_append(append._replace(term=max(append.term, self.kept.term)), now)
+        super()._handle_append(append._replace(term=max(append.term, self.persistent_state.term)), now)
 
 
 class LogLostOverARestart(RaftVoter):
@@ -144,7 +150,7 @@
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
         self.entries = []
-        self._on_disk = self.last
+        self._durable_index = self.last_index
 
 
 class TermForgotten(RaftVoter):
@@ -152,7 +158,7 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.kept = PersistentState(0, "")
+        self.persistent_state = PersistentState(0, "")
 
 
 SHORT = Limits(terms=2, entries=0, rounds=1, crashes=3)
@@ -181,15 +187,22 @@
         new entries to be on disk.
         """
         voter = RaftVoter(
-            "b", ("a", "b", "c"), Bounds(1, 0, 0), Random(1), 0, 0, PersistentState(1, ""), Base(10, 0, ("a", "b", "c"))
+            "b",
+            ("a", "b", "c"),
+            ElectionTimings(1, 0, 0),
+            Random(1),
+            0,
+            0,
+            PersistentState(1, ""),
+            LogSnapshot(10, 0, ("a", "b", "c")),
         )
         voter.receive(Append(1, "a", 10, 0, (Entry(1), Entry(1)), 10, 1), 0)
         late_write = voter.writes[-1].number
         voter.receive(Append(2, "c", 10, 0, (Entry(2), Entry(2)), 10, 1), 0)
         voter.on_disk(late_write, 0)
-        self.assertEqual(10, voter._on_disk)
+        self.assertEqual(10, voter._durable_index)
         voter.on_disk(voter.writes[-1].number, 0)
-        self.assertEqual(12, voter._on_disk)
+        self.assertEqual(12, voter._durable_index)
 
 
 class Histories(unittest.TestCase):
@@ -234,7 +247,7 @@
             cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().has_committed_in_term)
         )
         second = cluster.leader()
-        self.assertGreater(second.kept.term, first.kept.term)
+        self.assertGreater(second.persistent_state.term, first.persistent_state.term)
         self.assertEqual(["one"], [entry.command for entry in second.between(0, second.commit) if entry.command])
         self.assertGreater(second.propose("two"), index)
 
@@ -243,11 +256,11 @@
         self.assertTrue(
             cluster.run(20 * SECOND, lambda: cluster.leader() is not None and cluster.leader().has_committed_in_term)
         )
-        name = next(name for name, voter in cluster.running.items() if voter.role != LEADS)
+        name = next(name for name, voter in cluster.running.items() if voter.role != LEADER)
         old = cluster.running[name].me
         new = cluster.start(name)
         self.assertNotIn(new.me, cluster.leader().voters)
-        self.assertEqual((None, ""), (new.base, new.kept.vote))
+        self.assertEqual((None, ""), (new.base, new.persistent_state.vote))
         self.assertTrue(
             cluster.run(
                 20 * SECOND,
@@ -278,10 +291,10 @@
 
         class FromTheAnswer(RaftVoter):
             def _advance_lease(self) -> None:
-                heard = self._heard_round
+                heard = self._acked_round
                 super()._advance_lease()
-                if self._heard_round > heard and self.role == LEADS:
-                    self._round_sent_at[self._heard_round] = self.now
+                if self._acked_round > heard and self.role == LEADER:
+                    self._round_sent_at[self._acked_round] = self.now
                     self.lease_until = self.now + self.bounds.min_election_timeout
 
             def receive(self, message: Message, now: int) -> None:
@@ -334,7 +347,7 @@
         voter = self.voter_type(
             self.voter_ids[name],
             self.NAMES,
-            Bounds(50_000, 300_000, 600_000),
+            ElectionTimings(50_000, 300_000, 600_000),
             Random(self.chance.getrandbits(32)),
             self.clock(name),
             self.clock(name),
@@ -345,7 +358,7 @@
 
     def leader(self) -> Any:
         return next(
-            (voter for voter in self.running.values() if voter.role == LEADS and voter.has_committed_in_term), None
+            (voter for voter in self.running.values() if voter.role == LEADER and voter.has_committed_in_term), None
         )
 
     def run(self, duration: int, condition: Any) -> bool:
@@ -374,12 +387,12 @@
         voter.wake(self.clock(name))
         # The disk writes before messages are sent.
         if voter.writes:
-            previous = self.disks[name] or raft_model.Disk(PersistentState(0, ""), Base(0, 0, ()), ())
+            previous = self.disks[name] or raft_model.Disk(PersistentState(0, ""), LogSnapshot(0, 0, ()), ())
             self.disks[name] = raft_model.flushed(previous, voter)
             number = voter.writes[-1].number
             voter.writes = []
             voter.on_disk(number, self.clock(name))
-        out, voter.out = voter.out, []
+        out, voter.outgoing = voter.outgoing, []
         for sent in out:
             recipient_name = sent.to.partition("#")[0]
             if self.chance.random() >= self.loss and not {name, recipient_name} & self.partitioned:
