--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -31,7 +31,7 @@
 from pepperusher.distribution.subscriber import Send
 from pepperusher.distribution.wire import HANDSHAKE_BYTES, Session
 from pepperusher.distribution.messages import (
-    CONFIG, OPERATOR, FiguresRequest, Heartbeat, Figures, Hello, Key, Message, Resource, Version,
+    CONFIG, OPERATOR, CountersRequest, Heartbeat, Counters, Hello, Key, Message, Resource, Version,
 )  # fmt: skip
 from pepperusher.rehearsal.worker import environment, with_parent
 
@@ -284,10 +284,10 @@
         told = await operator_client.fetch_counters(machine.address, KEY.encode())
         hello = Hello(OPERATOR, f"operator {getpass.getuser()}"[:100], 2**62, "", "", False, [], [], [])
         # The answer is made before this question is counted as sent, and behind what it was asked with.
-        machine.asked["bytes in"] += HANDSHAKE_BYTES + framed(hello) + framed(FiguresRequest())
+        machine.asked["bytes in"] += HANDSHAKE_BYTES + framed(hello) + framed(CountersRequest())
         machine.asked["messages in"] += 2
         made = {what: int(told.get(what, 0)) - machine.asked[what] for what in machine.asked_of}
-        machine.asked["bytes out"] += framed(Figures(told))
+        machine.asked["bytes out"] += framed(Counters(told))
         machine.asked["messages out"] += 1
         return {**told, **made}
 
--- a/pepperusher/capacity/control_state.py
+++ b/pepperusher/capacity/control_state.py
@@ -76,7 +76,7 @@
         publisher.add_subscriber(id, greeting, NOW)
         while publisher.next_message(id) is not None:
             pass
-        for key in greeting.names:
+        for key in greeting.subscribed:
             proxy = publisher.proxies[greeting.name]
             proxy.in_force[key] = publisher.resources[key].newest.version
     return publisher, connections
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -169,7 +169,7 @@
     balancer.update_endpoints(
         [Listing(Backend(one.id), one.zone, one.cell, one.weight, 0, True) for one in told.entries], True, NOW
     )
-    return [one.address for one in balancer._backends if one.near]
+    return [one.address for one in balancer._backends if one.in_subset]
 
 
 def callers_at(backends: int, zones: list[str] | None = None, sampled: int = 400) -> Callable[[int, int], float]:
--- a/pepperusher/capacity/page.py
+++ b/pepperusher/capacity/page.py
@@ -413,7 +413,7 @@
         "",
         "Warmed at 1 ms a service, which then take longer, none of them failing: the part of calls done,"
         " after the first 20 (simulated). Each level leaves the next half of what is left, until that is"
-        " little more than what was usual (`policy.py` _patience); from there on each level has what was"
+        " little more than what was usual (`policy.py` _attempt_timeout); from there on each level has what was"
         " usual once, and what is cut at its end is sent again. Five lost answers in a row with nothing heard"
         " tell a longer usual time (`policy.py` _count); before that no call came through again from eight"
         " levels on. With one attempt a level leaves all.",
--- a/pepperusher/capacity/projection.py
+++ b/pepperusher/capacity/projection.py
@@ -589,7 +589,7 @@
             None if levels is None else 1.0,
             levels,
             Budget(1.0, "the target's 30 levels"),
-            "`policy.py` _patience: half of what is left for each level while nothing is known of the times below",
+            "`policy.py` _attempt_timeout: half of what is left for each level while nothing is known of the times below",
             ("cold.12.done", "cold.16.done", "cold.30.done"),
             "clients that wait 2 s, services that take 1 ms; mild: the chain is warm",
         )
@@ -606,7 +606,7 @@
                 None if there is None else 1.0,
                 least,
                 Budget(1.0, "the target's 30 levels"),
-                "`policy.py` _patience: half of what is left for each level, until little more is left than"
+                "`policy.py` _attempt_timeout: half of what is left for each level, until little more is left than"
                 " what was usual; lost answers in a row with nothing heard are learnt from (_count)"
                 if most > 1
                 else "one attempt has all that is left",
--- a/pepperusher/changes/active_configuration.py
+++ b/pepperusher/changes/active_configuration.py
@@ -23,7 +23,7 @@
 from pepperusher.changes.error_watch import ErrorWatch
 from pepperusher.facade import Endpoint
 from pepperusher.invariants import check_invariant
-from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, Waiting
+from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, AdmissionRequest
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Buckets, RetryBudget
 from pepperusher.configuration.loader import Read
@@ -67,7 +67,7 @@
         self.came = came
         self.entered = came
         self.until = until
-        self.waiting: Waiting | None = None
+        self.waiting: AdmissionRequest | None = None
         self.over = False
         self.inside = False
         self.out = False
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -56,7 +56,7 @@
         line = StreamConnection()
         if len(self._open) >= PLACES:
             # Not one whose call is in the kernel.
-            oldest = next((one for one in self._asking if one.quiet()), None)
+            oldest = next((one for one in self._asking if one.nothing_pending()), None)
             if oldest is not None:
                 del self._asking[oldest]
                 oldest.abort()
@@ -90,7 +90,7 @@
             self._asking.pop(line, None)
             if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 line.send(encode_answer(parser, answer, True))
-                line.send_end()
+                line.send_eof()
                 async with asyncio.timeout(LINGER):
                     while await line.read():
                         pass
--- a/pepperusher/distribution/client.py
+++ b/pepperusher/distribution/client.py
@@ -154,13 +154,13 @@
             task.cancel()
         self._outgoing.links.clear()
 
-    def age(self, now_us: int) -> int | None:
+    def age_us(self, now_us: int) -> int | None:
         """us since the origin's last confirmation reached this proxy through a control machine whose versions it has;
         it survives a restart. None without one.
         """
         if self._subscriber is None:
             return None if self._cached_confirmed_at is None else max(0, now_us - self._cached_confirmed_at)
-        return self._subscriber.age(now_us)
+        return self._subscriber.age_us(now_us)
 
     @property
     def upstreams(self) -> list[str]:
--- a/pepperusher/distribution/endpoint_source.py
+++ b/pepperusher/distribution/endpoint_source.py
@@ -99,7 +99,7 @@
         self._discovery_version = self._own_version = discovery_version
         self._own_version_at = now
 
-    def age(self, now: int) -> int | None:
+    def age_us(self, now: int) -> int | None:
         """us since discovery confirmed the relayed list; None without a confirmation."""
         confirmed_at = self._confirmed_at()
         return None if confirmed_at is None else now - confirmed_at
--- a/pepperusher/distribution/link.py
+++ b/pepperusher/distribution/link.py
@@ -67,7 +67,7 @@
     def data_received(self, data: bytes) -> None:
         self._counts["bytes in"] += len(data)
         try:
-            was_open = self._session.open
+            was_open = self._session.handshake_complete
             for message in self._session.feed(data):
                 if not was_open:
                     was_open = True
@@ -76,7 +76,7 @@
                 if self._finished:
                     return
                 self._on_message(self, message)
-            if not was_open and self._session.open and not self._finished:
+            if not was_open and self._session.handshake_complete and not self._finished:
                 self._on_open(self)
         except InvalidPacketError as error:
             self.abort(str(error))
@@ -117,7 +117,12 @@
 
     def write_pending(self) -> None:
         """Writes while there is room."""
-        while not self._write_paused and not self._finished and self._transport is not None and self._session.open:
+        while (
+            not self._write_paused
+            and not self._finished
+            and self._transport is not None
+            and self._session.handshake_complete
+        ):
             if self._message is None:
                 if self._queue:
                     self._message = self._queue.popleft()
@@ -138,7 +143,7 @@
     def close(self) -> None:
         """Closes the connection when all queued messages are written."""
         self._closing = True
-        if not self._session.open and self._transport is not None:
+        if not self._session.handshake_complete and self._transport is not None:
             self._transport.close()
         self.write_pending()
 
--- a/pepperusher/distribution/messages.py
+++ b/pepperusher/distribution/messages.py
@@ -148,7 +148,7 @@
     region: Annotated[str, Meta(max_length=100)]
     zone: Annotated[str, Meta(max_length=100)]
     send_bodies: bool
-    names: Annotated[list[tuple[Name, Name]], Meta(max_length=MAX_SUBSCRIPTIONS)]
+    subscribed: Annotated[list[tuple[Name, Name]], Meta(max_length=MAX_SUBSCRIPTIONS)]
     have: Annotated[list[HaveVersion], Meta(max_length=MAX_RESOURCES)]
     refused: Annotated[list[Ack], Meta(max_length=MAX_SUBSCRIPTIONS)]
 
@@ -302,13 +302,13 @@
     reason: Reason
 
 
-class FiguresRequest(_Message, tag=14):
+class CountersRequest(_Message, tag=14):
     """Asks a control machine for its counters."""
 
     pass
 
 
-class Figures(_Message, tag=16):
+class Counters(_Message, tag=16):
     """The counters of a control machine by name."""
 
     counts: dict[str, int | str]
@@ -328,6 +328,6 @@
     | RolloutRequest
     | Rows
     | Refused
-    | FiguresRequest
-    | Figures
+    | CountersRequest
+    | Counters
 )
--- a/pepperusher/distribution/operator_client.py
+++ b/pepperusher/distribution/operator_client.py
@@ -12,7 +12,7 @@
 from pepperusher.distribution.publisher import Rollout, merge_rollout
 from pepperusher.distribution.wire import Session
 from pepperusher.distribution.messages import (
-    MAX_REPLY_BYTES, NO_VERSION, OPERATOR, FiguresRequest, RolloutRequest, Figures, Hello, Message, Publish, Published,
+    MAX_REPLY_BYTES, NO_VERSION, OPERATOR, CountersRequest, RolloutRequest, Counters, Hello, Message, Publish, Published,
     Refused, Rows, Version,
 )  # fmt: skip
 
@@ -87,7 +87,7 @@
 
 async def fetch_counters(address: tuple[str, int], key: bytes) -> dict[str, int | str]:
     """Sends one request and returns its answer. Raises NoAnswerError."""
-    answer = await send_request(address, key, FiguresRequest())
-    if not isinstance(answer, Figures):
+    answer = await send_request(address, key, CountersRequest())
+    if not isinstance(answer, Counters):
         raise NoAnswerError(f"{address[0]}:{address[1]}: an answer to another request")
     return answer.counts
--- a/pepperusher/distribution/publisher.py
+++ b/pepperusher/distribution/publisher.py
@@ -144,7 +144,7 @@
 
     def __init__(self, hello: Hello) -> None:
         self.hello = hello
-        self.names: frozenset[Key] | None = None if hello.role == RELAY else frozenset(map(tuple, hello.names))  # type: ignore[arg-type]
+        self.names: frozenset[Key] | None = None if hello.role == RELAY else frozenset(map(tuple, hello.subscribed))  # type: ignore[arg-type]
         self.known_versions: dict[Key, Mark] = {have.key: have.mark for have in hello.have}
         self.receives_bodies = hello.send_bodies
         self.dirty: dict[Key, None] = {}  # ordered set, bounded by its subscriptions
--- a/pepperusher/distribution/server.py
+++ b/pepperusher/distribution/server.py
@@ -33,11 +33,11 @@
     PROXY,
     RELAY,
     Ack,
-    FiguresRequest,
+    CountersRequest,
     RolloutRequest,
     Heartbeat,
     BodiesSwitch,
-    Figures,
+    Counters,
     Hello,
     Message,
     Offer,
@@ -556,7 +556,7 @@
         """The facts whose freshness this connection is told."""
         if hello.role == RELAY:
             return tuple(self.freshness.names)
-        return tuple(name for kind, name in hello.names if kind == ENDPOINTS and self.freshness.get(name))
+        return tuple(name for kind, name in hello.subscribed if kind == ENDPOINTS and self.freshness.get(name))
 
     def _heartbeat(self, connection: _SubscriberConnection, now: int) -> Heartbeat:
         heartbeat = self.publisher.heartbeat(now)
@@ -686,8 +686,8 @@
             self._spawn(self._publish(connection, message))
         elif isinstance(message, RolloutRequest):
             self._spawn(self._rollout(connection, message))
-        elif isinstance(message, FiguresRequest):
-            self._send(connection, Figures(self._counters()))
+        elif isinstance(message, CountersRequest):
+            self._send(connection, Counters(self._counters()))
         else:
             raise InvalidPacketError("authentic, but not allowed for this role")
 
@@ -755,7 +755,7 @@
             pending: dict[str, asyncio.Future[Rows]] = {}
             for upstream in self._addresses:
                 link = self._outgoing.links.get(upstream)
-                if link is None or not link.session.open:
+                if link is None or not link.session.handshake_complete:
                     silent.append(upstream)
                     continue
                 request_id = next(self._request_ids)
--- a/pepperusher/distribution/subscriber.py
+++ b/pepperusher/distribution/subscriber.py
@@ -741,7 +741,7 @@
         ack = Ack(*key, *resource.version, self.refused[key][1])
         self.effects += [Send(upstream, ack) for upstream in self.connected_upstreams]
 
-    def age(self, now: int) -> int | None:
+    def age_us(self, now: int) -> int | None:
         """us since the origin's last confirmation, counted only if it came from a control machine whose versions are
         all in force here; None without one.
         """
--- a/pepperusher/distribution/wire.py
+++ b/pepperusher/distribution/wire.py
@@ -73,7 +73,7 @@
         )
 
     @property
-    def open(self) -> bool:
+    def handshake_complete(self) -> bool:
         """Whether the handshake is complete, so that messages can be sent."""
         return self._send_authenticator is not None
 
--- a/pepperusher/durations.py
+++ b/pepperusher/durations.py
@@ -33,7 +33,7 @@
     return f"{us // UNITS[unit]}{unit}"
 
 
-def said(us: float) -> str:
+def format_duration(us: float) -> str:
     """A span as people read it, three figures."""
     for unit, size in (("us", 1), ("ms", 1_000), ("s", 1_000_000)):
         if abs(us) < 1000 * size or unit == "s":
--- a/pepperusher/extensions.py
+++ b/pepperusher/extensions.py
@@ -50,9 +50,9 @@
         distributed = DistributedConfiguration(house.own.distribution, house, bootstrap.name, str(own), log.write_event)
         made.append(distributed)
     if house.own.control.socket is not None:
-        from pepperusher.net.answers import Answers
+        from pepperusher.net.answers import ControlAnswers
 
-        made.append(Answers(house, node, log.write_event, distributed))
+        made.append(ControlAnswers(house, node, log.write_event, distributed))
     if desk is not None:
         made.append(desk)
     return made
--- a/pepperusher/facade.py
+++ b/pepperusher/facade.py
@@ -405,7 +405,7 @@
                 "in_flight": backend.in_flight,
                 "failed": backend.failures,
                 "of": len(backend.results),
-                "run_failed": backend.run_failed,
+                "run_failed": backend.consecutive_failures,
                 "open_until": backend.open_until,
             }
             for name, backend in self._backends.items()
--- a/pepperusher/invariants.py
+++ b/pepperusher/invariants.py
@@ -3,11 +3,11 @@
 
 from __future__ import annotations
 
-broken: dict[str, int] = {}  # violations by the text of the check, so bounded by the number of checks
+violations: dict[str, int] = {}  # violations by the text of the check, so bounded by the number of checks
 
 
 def check_invariant(holds: bool, description: str) -> None:
     """Asserts or counts an invariant; `description` says what has to be true."""
     if not holds:
         assert False, description
-        broken[description] = broken.get(description, 0) + 1
+        violations[description] = violations.get(description, 0) + 1
--- a/pepperusher/limits/gate.py
+++ b/pepperusher/limits/gate.py
@@ -22,7 +22,7 @@
 ADMITTED, QUEUED, FULL, TOO_LATE = "in", "waits", "full", "late"
 
 
-class Waiting:
+class AdmissionRequest:
     """A ticket that requests admission. If it was queued, `on_decision` is called once with ADMITTED, FULL or
     TOO_LATE."""
 
@@ -45,7 +45,7 @@
     def __init__(self, weight: float) -> None:
         self.weight = weight
         self.admitted_count = 0
-        self.queue: list[Waiting] = []  # by priority, then arrival
+        self.queue: list[AdmissionRequest] = []  # by priority, then arrival
 
 
 class Gate:
@@ -106,11 +106,11 @@
         if found is not None and not found.admitted_count and not found.queue:
             del self._customers[customer]
 
-    def enter(self, customer: str, priority: int, now: int, deadline: int) -> tuple[str, Waiting]:
+    def enter(self, customer: str, priority: int, now: int, deadline: int) -> tuple[str, AdmissionRequest]:
         """Returns ADMITTED, QUEUED (`on_decision` is called later), FULL, or TOO_LATE if the ticket could not finish
         in time."""
         self._order += 1
-        ticket = Waiting(customer, priority, now, deadline, self._order)
+        ticket = AdmissionRequest(customer, priority, now, deadline, self._order)
         if self.admitted_count < self.limit and not self.waiting:
             self._admit(ticket)
             return ADMITTED, ticket
@@ -138,7 +138,7 @@
         fraction = max(1e-6, (found.weight if found else self._weight(customer)) / weights)
         return self._mean_service_time * (ahead + 0.5) / max(1.0, self.limit * fraction)
 
-    def _admit(self, ticket: Waiting) -> None:
+    def _admit(self, ticket: AdmissionRequest) -> None:
         self._customer_queue(ticket.customer).admitted_count += 1
         self.admitted_count += 1
 
@@ -156,7 +156,7 @@
         self._remove_if_idle(customer)
         self._admit_queued(now)
 
-    def withdraw(self, ticket: Waiting) -> None:
+    def withdraw(self, ticket: AdmissionRequest) -> None:
         """Removes a queued ticket whose client disconnected or whose deadline passed."""
         found = self._customers.get(ticket.customer)
         if found is not None and ticket in found.queue:
@@ -180,7 +180,7 @@
             self._admit(ticket)
             self._notify(ticket, ADMITTED)
 
-    def _drop_last(self, decision: str) -> Waiting:
+    def _drop_last(self, decision: str) -> AdmissionRequest:
         """Drops the last queued ticket of the customer with the most queued tickets for its weight."""
         name, customer = max(
             ((name, customer) for name, customer in self._customers.items() if customer.queue),
@@ -193,7 +193,7 @@
         return ticket
 
     @staticmethod
-    def _notify(ticket: Waiting, decision: str) -> None:
+    def _notify(ticket: AdmissionRequest, decision: str) -> None:
         if ticket.on_decision is not None:
             ticket.on_decision(decision)
 
--- a/pepperusher/net/answers.py
+++ b/pepperusher/net/answers.py
@@ -52,7 +52,7 @@
     def status(self) -> dict[str, Any]: ...
 
 
-class Answers(Extension):
+class ControlAnswers(Extension):
     """The control socket that the configuration file names, open for as long as the proxy serves."""
 
     def __init__(
--- a/pepperusher/net/backends.py
+++ b/pepperusher/net/backends.py
@@ -66,8 +66,10 @@
         # A device on the network may drop an idle connection long before that, and reveals it only by resetting the
         # next request.
         self._max_idle_us = self._idle_timeout
-        self._settles = SETTLE_TIME_US
-        self._doors: dict[str, BackendConnections] = {}  # removed with the list, once no attempt is under way
+        self._settle_time = SETTLE_TIME_US
+        self._connections_by_backend: dict[
+            str, BackendConnections
+        ] = {}  # removed with the list, once no attempt is under way
         budget.register_idle_closer(self._close_oldest)
 
     def reconfigure(self, connect_timeout: int, idle_timeout: int) -> None:
@@ -78,7 +80,7 @@
     @property
     def known(self) -> bool:
         """Whether the list holds any backend."""
-        return any(connections.listed for connections in self._doors.values())
+        return any(connections.listed for connections in self._connections_by_backend.values())
 
     # --- the list ---------------------------------------------------------------------------------
 
@@ -86,11 +88,11 @@
         """Sets where a backend is reached, or removes it from the list (`is_listed` false). Connections to an earlier
         address are closed.
         """
-        connections = self._doors.get(backend)
+        connections = self._connections_by_backend.get(backend)
         if connections is None:
             if not is_listed:
                 return
-            connections = self._doors[backend] = BackendConnections(address)
+            connections = self._connections_by_backend[backend] = BackendConnections(address)
         if connections.address != address or not is_listed:
             connections.address = address
             self._close_idle(connections)
@@ -99,7 +101,7 @@
 
     def retain_only(self, backends: set[str]) -> None:
         """Applies a complete list: backends that are not in it are gone."""
-        for name, connections in list(self._doors.items()):
+        for name, connections in list(self._connections_by_backend.items()):
             if name not in backends:
                 connections.listed = False
                 self._close_idle(connections)
@@ -108,11 +110,11 @@
     def _forget_if_unused(self, backend: str, connections: BackendConnections) -> None:
         """Drops a backend that is off the list and has no attempts under way."""
         if not connections.listed and not connections.attempts:
-            self._doors.pop(backend, None)
+            self._connections_by_backend.pop(backend, None)
 
     def give_up_all(self, outcome: str) -> None:
         """Gives up all attempts under way, with this outcome."""
-        for connections in self._doors.values():
+        for connections in self._connections_by_backend.values():
             for attempt in list(connections.attempts):
                 attempt.give_up(outcome)
 
@@ -133,7 +135,7 @@
     def _close_oldest(self, needed: bool = False) -> bool:
         """Closes the connection that has been idle for longest, if there is one."""
         connections = min(
-            (connections for connections in self._doors.values() if connections.idle),
+            (connections for connections in self._connections_by_backend.values() if connections.idle),
             default=None,
             key=lambda one: one.idle[0].idle_since,
         )
@@ -144,7 +146,7 @@
 
     def sweep(self, now: int) -> None:
         """Closes connections that have been idle for too long."""
-        for connections in self._doors.values():
+        for connections in self._connections_by_backend.values():
             while connections.idle and now - connections.idle[0].idle_since >= self._max_idle_us:
                 self._drop(connections, connections.idle[0])
 
@@ -157,7 +159,7 @@
         def handle_unexpected_data() -> None:
             idle_time = clock.now() - connection.idle_since
             if 2 * idle_time < MAX_SETTLE_TIME_US:
-                self._settles = max(self._settles, 2 * idle_time)
+                self._settle_time = max(self._settle_time, 2 * idle_time)
             self._drop(connections, connection)
 
         # Whatever arrives now, an end or an unexpected second answer, the connection is not reused.
@@ -182,14 +184,14 @@
         now = clock.now()
         for index in range(len(connections.idle) - 1, -1, -1):
             connection = connections.idle[index]
-            if connection.has_answered and now - connection.idle_since < self._settles:
+            if connection.has_answered and now - connection.idle_since < self._settle_time:
                 continue
             del connections.idle[index]
             connection.stream.on_data = None
             connection.stream.on_peer_end = None
             # The peer's end may be in the kernel and not yet read: if a request were written now, it would count as one
             # that may have run.
-            if now - connection.idle_since < self._max_idle_us and connection.stream.quiet():
+            if now - connection.idle_since < self._max_idle_us and connection.stream.nothing_pending():
                 return connection
             connection.stream.abort()
         return None
@@ -258,7 +260,7 @@
         """Makes one attempt, never a second one. Returns the outcome, and the answer if a complete one arrived and was
         not streamed to the client. The backend is told what is left of `timeout_us` when the request is written.
         """
-        connections = self._doors.get(backend)
+        connections = self._connections_by_backend.get(backend)
         if connections is None:
             return "unreached", None
         connections.attempts.add(attempt)
@@ -298,7 +300,7 @@
             if attempt.outcome is not None or not context.may_still_send():
                 self._keep_for_reuse(connections, connection)
                 return "moot" if attempt.outcome == "called off" or context.client_left() else "unreached", None
-            if connections.address != connection.address or not connection.stream.quiet():
+            if connections.address != connection.address or not connection.stream.nothing_pending():
                 # The old address may belong to another process by now, or the peer has already closed or sent
                 # unexpected data that is still in the kernel. If a single-use ticket were written here, it would count
                 # as one that may have run.
--- a/pepperusher/net/callers.py
+++ b/pepperusher/net/callers.py
@@ -98,14 +98,14 @@
 
 
 class Call:
-    """One request from a caller. `on_leave` is called if its client leaves before the answer.
+    """One request from a caller. `on_disconnect` is called if its client leaves before the answer.
 
     `ticket` is set once the request is a valid ticket: it is then neither `bad` nor a question about the proxy itself.
     `has_left` checks, also in the kernel, whether the client has left: docs/crossings.md defines what counts as
     leaving.
     """
 
-    __slots__ = ("request", "received_at", "forwarder", "on_leave", "left", "bad", "ticket", "_has_left")
+    __slots__ = ("request", "received_at", "forwarder", "on_disconnect", "left", "bad", "ticket", "_has_left")
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         self.request = request
         self.received_at = received_at
         self.forwarder = forwarder
-        self.on_leave: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
         self.left = False
         self.bad = False
         self.ticket = False
@@ -129,11 +129,11 @@
         return self.forwarder is not None and self.forwarder.started
 
     def set_left(self) -> None:
-        """Records that the client has left, and calls `on_leave` once."""
+        """Records that the client has left, and calls `on_disconnect` once."""
         if not self.left:
             self.left = True
-            if self.on_leave is not None:
-                self.on_leave()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
     def check_disconnected(self) -> bool:
         """Checks whether the client has left by now. It is called before a byte is sent to a backend, because the event
@@ -426,11 +426,11 @@
             call.left
             or parser.their_state is not h11.DONE
             or call.bad
-            and bool(parser.trailing_data[0] or not connection.quiet())
+            and bool(parser.trailing_data[0] or not connection.nothing_pending())
         )
         if self._closing or self._budget.is_above(CLOSE_AFTER_ANSWER_SHARE):
             # Pipelined requests are served as well: they are answered before the connection closes.
-            close = close or connection.quiet() and not parser.trailing_data[0]
+            close = close or connection.nothing_pending() and not parser.trailing_data[0]
         # Guards against hundreds of clients that only probe readiness or send bad requests and keep a connection each.
         return close or not call.ticket and not caller.sent_ticket and self._budget.is_above(CLOSE_WITHOUT_TICKET_SHARE)
 
@@ -448,7 +448,7 @@
         try:
             async with asyncio.timeout(timeout_s):
                 if await connection.flush():
-                    connection.send_end()
+                    connection.send_eof()
                 while bytes_left > 0 and (data := await connection.read()):
                     bytes_left -= len(data)
         except (TimeoutError, OSError):
@@ -522,7 +522,7 @@
                 and now - connection.last_received_at >= STALLED_REQUEST_US
                 and connection.on_peer_end is None
                 and caller.parser.our_state in (h11.IDLE, h11.SEND_RESPONSE)
-                and connection.quiet()
+                and connection.nothing_pending()
             ):
                 if connection.send(encode_answer(caller.parser, REQUEST_TIMEOUT_ANSWER, True)):
                     connection.close()
@@ -533,7 +533,7 @@
 
     def _close_unless_pending(self, caller: Caller) -> bool:
         """Closes the connection unless the kernel holds unread data from it; returns whether it was closed."""
-        if not caller.connection.quiet():
+        if not caller.connection.nothing_pending():
             return False
         self._set_idle(caller, False)
         caller.connection.abort()
@@ -564,7 +564,7 @@
                 continue
             if idle or reading_answer:
                 self._close_unless_pending(caller)
-            elif caller.connection.quiet():
+            elif caller.connection.nothing_pending():
                 # The client may still be sending, and a reset would lose the answer; where descriptors are needed, this
                 # connection is closed first.
                 caller.waiting_since = None
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -260,7 +260,7 @@
                 tell(TOO_LATE)
 
         made.waiting.on_decision = tell
-        call.on_leave = leave
+        call.on_disconnect = leave
         # Of its own, and not with the next look at all: that is up to LOOK_EVERY later, and its client has
         # left by then.
         left = made.until - clock.now() - max(LEAST_LEFT, self.active_configuration.mean_service_time(made))
@@ -269,7 +269,7 @@
             return await told == ADMITTED and not call.left
         finally:
             timer.cancel()
-            call.on_leave = None
+            call.on_disconnect = None
 
     def refusal(self, made: AdmittedTicket) -> Answer | None:
         """What one that may not go in is told; None where its client left."""
--- a/pepperusher/net/connection.py
+++ b/pepperusher/net/connection.py
@@ -224,7 +224,7 @@
             clock.now() - 1000 * max(0, TCP_INFO_LAST_DATA.unpack(info)[0] - TCP_INFO_GRANULARITY_MS),
         )
 
-    def quiet(self) -> bool:
+    def nothing_pending(self) -> bool:
         """Whether the kernel holds nothing from the peer: neither its end nor unexpected data."""
         if self.peer_ended or self.unread_bytes or self.transport.is_closing():
             return False
@@ -235,7 +235,7 @@
     @property
     def has_unread_data(self) -> bool:
         """Whether data from the peer waits to be read, here or in the kernel; in the kernel an end counts as data."""
-        return bool(self.unread_bytes) or not self.peer_ended and not self.quiet()
+        return bool(self.unread_bytes) or not self.peer_ended and not self.nothing_pending()
 
     def peer_has_left(self) -> bool:
         """Whether the peer has ended its sending direction or the connection, even if only the kernel knows: the event
@@ -267,7 +267,7 @@
         # The end of the wait does not tell: aborting the connection ends it just like writing everything does.
         return not self._write_pending
 
-    def send_end(self) -> None:
+    def send_eof(self) -> None:
         """Closes the sending direction."""
         if not self.transport.is_closing() and self.transport.can_write_eof():
             self.transport.write_eof()
@@ -287,7 +287,7 @@
         if self.closing:
             return
         self.send(data)
-        self.send_end()
+        self.send_eof()
         self._discard_limit = max_discarded
         self._discard_done = asyncio.get_running_loop().create_future()
         self.reader.feed_eof()
--- a/pepperusher/net/distributed_configuration.py
+++ b/pepperusher/net/distributed_configuration.py
@@ -181,7 +181,7 @@
         version = refused = None
         if self._key is not None:
             version, refused = self._client.in_force.get(self._key), self._client.refused.get(self._key)
-        age = self._client.age(clock.now())
+        age = self._client.age_us(clock.now())
         return {
             "resource": None if self._key is None else "/".join(self._key),
             "version": None if version is None else str(version),
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -108,8 +108,8 @@
         if step.apply_relayed_list and self._list is not None:
             update = self._list[0]
             self._number = update.version
-            discovery.take_relayed_list(update, now - (source.age(now) or 0))
-        elif source.active == CONTROL and (age := source.age(now)) is not None:
+            discovery.take_relayed_list(update, now - (source.age_us(now) or 0))
+        elif source.active == CONTROL and (age := source.age_us(now)) is not None:
             # As an empty line of a watch of its own does.
             discovery.confirmed_at = max(now - age, discovery.confirmed_at or 0)
         if step.watch_discovery != self._asks:
@@ -123,7 +123,7 @@
             if source.active in (CONTROL, DISCOVERY):
                 self._say(
                     "the list is told by " + SOURCE_NAMES[source.active],
-                    word_us_ago=source.age(now),
+                    word_us_ago=source.age_us(now),
                     version=self._number,
                 )
         self._due = step.wake_at
@@ -148,7 +148,7 @@
             "resource": "/".join(self.key),
             "by": SOURCE_NAMES[self._source.active],
             "since_us_ago": now - self._source.since,
-            "word_us_ago": self._source.age(now),
+            "word_us_ago": self._source.age_us(now),
             "version": self._number,
             "watched": self._host.discovery.watched,
             "discovery_calls": self._host.discovery.metrics.calls,
--- a/pepperusher/net/log.py
+++ b/pepperusher/net/log.py
@@ -33,7 +33,7 @@
         """Logs a line with named fields."""
         self.say(event, figures)
 
-    def say(self, line: str, figures: dict[str, Any] | None = None) -> None:
+    def say(self, line: str, fields: dict[str, Any] | None = None) -> None:
         """Logs a line, with named fields if there are any."""
         now = clock.now()
         self._allowance = min(BURST_LINES, self._allowance + LINES_PER_SECOND * (now - self._refilled_at) / 1e6)
@@ -44,13 +44,13 @@
         self._allowance -= 1.0
         dropped_lines, self._dropped_lines = self._dropped_lines, 0
         if self._formatter is not None:
-            record = {"time": now // 1000 / 1000, "proxy": self._name, "event": line, **(figures or {})}
+            record = {"time": now // 1000 / 1000, "proxy": self._name, "event": line, **(fields or {})}
             if dropped_lines:
                 record["kept_back"] = dropped_lines
             self._print(self._formatter(record), MAX_STRUCTURED_CHARACTERS)
             return
-        if figures:
-            line = f"{line}: " + ", ".join(f"{name} {value}" for name, value in figures.items())
+        if fields:
+            line = f"{line}: " + ", ".join(f"{name} {value}" for name, value in fields.items())
         if dropped_lines:
             line = f"{line} ({dropped_lines} lines suppressed by the rate limit before this)"
         self._print(f"{now // 1000 / 1000:.3f} {self._name}: {line[:MAX_LINE_CHARACTERS]}", MAX_LINE_CHARACTERS + 200)
--- a/pepperusher/net/proxy.py
+++ b/pepperusher/net/proxy.py
@@ -123,13 +123,13 @@
         self.port = 0
         self._process_pause = ProcessPause(
             lambda: self._discovery.has_unread_data,
-            lambda: self._tell("process resumed", lambda extension: extension.process_resumed()),
+            lambda: self._notify_extensions("process resumed", lambda extension: extension.process_resumed()),
         )
         self._counts: dict[str, int] = {}  # keyed by outcomes and texts in the code, so its size is bounded by the code
 
     # --- one ticket -------------------------------------------------------------------------------
 
-    def _tell(self, event: str, notify: Callable[[Extension], None]) -> None:
+    def _notify_extensions(self, event: str, notify: Callable[[Extension], None]) -> None:
         """Calls every extension in order. An exception in one neither keeps the others from their call nor a ticket
         from its answer.
         """
@@ -241,7 +241,7 @@
             if attempt is not None and (may_cancel or not attempt.written):
                 attempt.give_up("called off")
 
-        call.on_leave = cancel_attempt
+        call.on_disconnect = cancel_attempt
 
         def strip_load_report(head: Answer) -> Answer:
             """Passes the load report in an answer's headers to the balancing decisions and removes it from the answer."""
@@ -363,7 +363,7 @@
                 else self._gate.add_version_header(admission, final_answer)
             )
         finally:
-            call.on_leave = None
+            call.on_disconnect = None
             self._facade.close_ticket(ticket, clock.now())
             if admission is not None and self._gate is not None:
                 self._gate.finish(admission, final_outcome, outcome in OUTCOMES_THAT_MEASURE_WORK)
@@ -597,7 +597,7 @@
         self._backends.reconfigure(new.connect_timeout, new.idle_timeout)
         self._callers.reconfigure(new.policy_settings.max_outer_limit)
         self._discovery.configuration_changed(new.discovery, self._process_pause.seconds_since_check)
-        self._tell("settings changed", lambda extension: extension.settings_changed(new.policy_settings))
+        self._notify_extensions("settings changed", lambda extension: extension.settings_changed(new.policy_settings))
 
     async def _drain(self) -> None:
         """Serves until the last ticket is answered or the process has to exit. Connections are accepted to the end,
@@ -615,7 +615,9 @@
         )
         give_up_after = kill_after - GIVE_UP_MARGIN_S
         self._facade.limit_deadlines(clock.now() + round(give_up_after * 1e6))
-        self._tell("drain started", lambda extension: extension.drain_started(clock.now() + round(give_up_after * 1e6)))
+        self._notify_extensions(
+            "drain started", lambda extension: extension.drain_started(clock.now() + round(give_up_after * 1e6))
+        )
         loop.call_later(give_up_after, self._backends.give_up_all, "timed out")
         if self._has_successor:
             # New connections go to the next process, and those here close with their answers.
@@ -645,7 +647,7 @@
                 if self._sent_away_at is not None and clock.now() - self._sent_away_at >= REDIRECT_CLOSE_DELAY_US:
                     self._callers.close_idle(NEW_CONNECTION_GRACE_US)
                 self._budget.trim()
-                self._tell("sweep", lambda extension: extension.sweep())
+                self._notify_extensions("sweep", lambda extension: extension.sweep())
             except Exception as error:  # nothing else closes these connections, so the loop has to go on
                 self._log.say(f"a sweep failed with {type(error).__name__}: {error}")
             if round_number % SWEEPS_PER_COUNTS_LINE == 0:
@@ -661,7 +663,7 @@
             + (f", paused {self._process_pause.count} times" if self._process_pause.count else "")
         )
         self._log.say(self._discovery.metrics.line())
-        for invariant, times in invariants.broken.items():
+        for invariant, times in invariants.violations.items():
             self._log.say(f"invariant violated {times} times: {invariant}")
 
 
--- a/pepperusher/policy.py
+++ b/pepperusher/policy.py
@@ -96,10 +96,10 @@
     def __init__(self, policy_settings: PolicySettings, now: int, log: Callable[[str], None]) -> None:
         self._random, self._log = Random(policy_settings.seed).random, log
         self._apply_settings(policy_settings)
-        self._mean_latency, self._consecutive_lost, self._list_lost = 0, 0, False
+        self._mean_latency, self._consecutive_lost, self._list_unavailable = 0, 0, False
         self._polls_list, self._list_requested = policy_settings.polls_list, not policy_settings.polls_list
         # Current backoff and time of the next request for the endpoint list.
-        self._ask_step, self._ask_at = 0, now
+        self._list_backoff, self._list_request_at = 0, now
         self._backends: list[Backend] = []  # the ready backends; replaced by endpoint updates
         # By zone, with this proxy's own zone first. Endpoint updates remove all other zones that have no backends.
         self._localities = {self._own_zone: Locality(now, RATE_SPAN_US, RATE_SPAN_US // MIN_RATE_SAMPLES)}
@@ -116,7 +116,7 @@
         )
         self._first_tier, self._forwards_deadline = policy_settings.tier_index == 0, policy_settings.forwards_deadline
         self._importance_by_work, self._last_tier = policy_settings.importance_by_work, policy_settings.last_tier
-        self._most, self._cancel_allowed = policy_settings.most_attempts, policy_settings.cancel_allowed
+        self._max_attempts, self._cancel_allowed = policy_settings.most_attempts, policy_settings.cancel_allowed
         self._max_retry_after = policy_settings.max_retry_after if policy_settings.retry_after_allowed else 0
         self._zone_count, self._own_zone = (
             len(policy_settings.zones),
@@ -150,7 +150,11 @@
 
     def choose_backend(self, ticket: Ticket, now: int) -> Backend | int:
         """Returns the backend for the ticket's next attempt and counts the attempt, or returns BOUNCE or SCRAP."""
-        if ticket.finished or ticket.deadline <= now or len(ticket.attempts) >= min(self._most, ticket.max_attempts):
+        if (
+            ticket.finished
+            or ticket.deadline <= now
+            or len(ticket.attempts) >= min(self._max_attempts, ticket.max_attempts)
+        ):
             return self._refuse(ticket, now)
         is_first, use_case = not ticket.attempts, ticket.use_case
         use_case.mean_work += (
@@ -237,7 +241,7 @@
         for backend in locality.ring:
             # Looks past the end of the subset while less than half of its weight is available, and for use cases that
             # may run at some backends only.
-            outside_subset = not backend.near and 2 * available_weight >= locality.subset_weight
+            outside_subset = not backend.in_subset and 2 * available_weight >= locality.subset_weight
             if outside_subset and not is_restricted:
                 break
             if backend.state != CLOSED and not self._breaker_admits(backend, now):
@@ -271,7 +275,7 @@
         Some sidecar proxies carry far more traffic than most, and one of them could overload a subset of the usual
         size on its own.
         """
-        grow = locality.mean_load > 1.0 and not locality.ring[-1].near
+        grow = locality.mean_load > 1.0 and not locality.ring[-1].in_subset
         if self._is_sidecar and (grow or locality.mean_load < 0.25 and locality.subset_scale > 1.0):
             locality.subset_scale *= 2.0 if grow else 0.5
             self._update_localities(now)
@@ -279,7 +283,7 @@
     def _has_capacity(self, backend: Backend, now: int) -> bool:
         """Returns whether the backend may receive one more call, by its last FULL outcome and its slow-start budget."""
         below_limit = now >= backend.full_until or backend.in_flight < backend.full_in_flight
-        return below_limit and (not backend.is_cold or backend.near and self._may_warm(backend, now))
+        return below_limit and (not backend.is_cold or backend.in_subset and self._within_cold_budget(backend, now))
 
     @staticmethod
     def _pick_by_weight(candidates: list[Backend], now: int) -> Backend | None:
@@ -290,10 +294,10 @@
         underloaded = [b for b in candidates if b.mean_in_flight <= 1.1 * mean * b.load_scale + 0.01]
         # Reported loads include the calls of all proxies. Their relative deviation from the reported mean is added to
         # the relative load that this proxy causes itself.
-        if reporting := [b for b in candidates if now < b.told_at + LOAD_REPORT_MAX_AGE_US]:
-            mean_reported = sum(b.told for b in reporting) / sum(b.weight for b in reporting)
+        if reporting := [b for b in candidates if now < b.reported_at + LOAD_REPORT_MAX_AGE_US]:
+            mean_reported = sum(b.reported_load for b in reporting) / sum(b.weight for b in reporting)
             excess = {
-                b: (b.told - mean_reported * b.weight) / (mean_reported * b.weight + MIN_REPORTED_LOAD)
+                b: (b.reported_load - mean_reported * b.weight) / (mean_reported * b.weight + MIN_REPORTED_LOAD)
                 for b in reporting
             }
             underloaded = [
@@ -327,7 +331,7 @@
 
     def _start_attempt(self, ticket: Ticket, backend: Backend, now: int) -> None:
         """Adds an attempt to the ticket and counts it at the backend."""
-        attempt = Attempt(ticket, backend, now, self._patience(ticket, now), backend.state == HALF_OPEN)
+        attempt = Attempt(ticket, backend, now, self._attempt_timeout(ticket, now), backend.state == HALF_OPEN)
         ticket.attempts.append(attempt)
         backend.in_flight += 1
         if ticket.use_case in backend.avoided_until:
@@ -359,7 +363,9 @@
         # If at least half of the backends report their load, the median is used: one slow backend is not an overload,
         # and one false report has no effect.
         reported_loads = sorted(
-            b.told for b in takewhile(attrgetter("near"), locality.ring) if now < b.told_at + LOAD_REPORT_MAX_AGE_US
+            b.reported_load
+            for b in takewhile(attrgetter("in_subset"), locality.ring)
+            if now < b.reported_at + LOAD_REPORT_MAX_AGE_US
         )
         if 2 * len(reported_loads) >= backend_count > 0:
             if 1.5 * reported_loads[len(reported_loads) // 2] <= always_admitted:
@@ -457,7 +463,7 @@
         if (
             remaining < use_case.mean_latency // 2
             or remaining <= 0
-            or len(ticket.attempts) >= min(self._most, ticket.max_attempts)
+            or len(ticket.attempts) >= min(self._max_attempts, ticket.max_attempts)
         ):
             return False
         return use_case.retry_class != SINGLE_USE or self._binding_attempt(ticket) is None
@@ -509,7 +515,7 @@
             locality.last_completion_at = now
             locality.rate_span = max(RATE_SPAN_US, MIN_RATE_SAMPLES * locality.completion_gap)
             locality.completion_rate += SECOND / locality.rate_span
-            if backend.near:  # Excludes backends that have left the list and only finish the calls they hold.
+            if backend.in_subset:  # Excludes backends that have left the list and only finish the calls they hold.
                 locality.mean_slow_start_weight += (
                     (locality.slow_start_weight / locality.sharing_proxies - locality.mean_slow_start_weight)
                     * locality.completion_gap
@@ -533,7 +539,11 @@
             # Detects a use case that fails at some backends while other use cases keep their breakers closed.
             failures = backend.use_case_failures[use_case] = backend.use_case_failures.get(use_case, 0) + 1
             others_succeed = 2 * sum(use_case in b.use_case_failures for b in self._backends) <= len(self._backends)
-            if others_succeed and failures >= USE_CASE_CONSECUTIVE_FAILURES and failures > backend.run_failed + 1:
+            if (
+                others_succeed
+                and failures >= USE_CASE_CONSECUTIVE_FAILURES
+                and failures > backend.consecutive_failures + 1
+            ):
                 backend.avoided_until[use_case] = now + OPEN_DURATION_US
         if outcome == FULL:
             # Limits the backend to the calls it holds now, until a call of usual length has had time to finish.
@@ -547,16 +557,19 @@
         if ticket is None:
             if self._list_requested:
                 return -1
-            self._list_requested = now >= self._ask_at
-            return max(0, self._ask_at - now)
+            self._list_requested = now >= self._list_request_at
+            return max(0, self._list_request_at - now)
         if not ticket.finished and ticket.attempts and ticket.attempts[-1].outcome is None:
             return ticket.attempts[-1].timeout
         return ticket.retry_after
 
-    def _patience(self, ticket: Ticket, now: int) -> int:
+    def _attempt_timeout(self, ticket: Ticket, now: int) -> int:
         """Returns the timeout of the ticket's next attempt."""
         use_case, remaining = ticket.use_case, max(1, self._useful_deadline(ticket) - now)
-        if len(ticket.attempts) + 1 >= min(self._most, ticket.max_attempts) or use_case.retry_class == SINGLE_USE:
+        if (
+            len(ticket.attempts) + 1 >= min(self._max_attempts, ticket.max_attempts)
+            or use_case.retry_class == SINGLE_USE
+        ):
             return remaining
         # At least half of the remaining time. The timeout is sent along as the call's deadline, so a short one causes
         # time-outs and errors at every tier below, and the work is done twice where nothing cancels it.
@@ -601,11 +614,11 @@
             backend.weight, backend.started_at = listing.weight, listing.started_at
             remaining[id(backend)] = backend
         for backend in self._backends:
-            backend.near = False
+            backend.in_subset = False
         self._backends = list(remaining.values())
         self._update_localities(now)
-        if self._list_lost:
-            self._list_lost, self._ask_step = False, 0
+        if self._list_unavailable:
+            self._list_unavailable, self._list_backoff = False, 0
             self._log(f"endpoint list available again, {len(self._backends)} backends ready")
 
     def _update_localities(self, now: int) -> None:
@@ -651,7 +664,7 @@
         is partly covered counts for the covered part.
         """
         for backend in ring:
-            backend.subset_weight, backend.near = backend.weight, True
+            backend.subset_weight, backend.in_subset = backend.weight, True
         total = sum(b.subset_weight for b in ring)
         # Assumes the proxies to be spread evenly over the zones, since a proxy does not know their distribution.
         locality.ring, locality.subset_weight, locality.sharing_proxies = (
@@ -680,29 +693,29 @@
         ring[0].subset_weight -= offset
         locality.subset_weight = remaining = total * fraction
         for backend in ring:
-            backend.near = remaining > 0.0
-            if backend.near:
+            backend.in_subset = remaining > 0.0
+            if backend.in_subset:
                 backend.subset_weight = min(backend.subset_weight, remaining)
                 remaining -= backend.subset_weight
-        locality.sharing_proxies *= sum(b.near for b in ring) / len(ring) / locality.subset_scale
+        locality.sharing_proxies *= sum(b.in_subset for b in ring) / len(ring) / locality.subset_scale
 
     def endpoint_request_failed(self, now: int) -> None:
         """Schedules the next request for the endpoint list after one has failed or a watch has ended."""
         if not self._polls_list:
             return
-        if not self._list_lost:
-            self._list_lost = True
+        if not self._list_unavailable:
+            self._list_unavailable = True
             self._log("endpoint list unavailable, requesting it again")
         # Exponential backoff with jitter, because simultaneous requests of all proxies would overload discovery.
-        self._ask_step = min(self._max_ask_step, 2 * self._ask_step or SECOND // 2)
-        self._ask_at = now + int(self._ask_step * (0.5 + 0.5 * self._random()))
+        self._list_backoff = min(self._max_ask_step, 2 * self._list_backoff or SECOND // 2)
+        self._list_request_at = now + int(self._list_backoff * (0.5 + 0.5 * self._random()))
         self._list_requested = False
 
     def record_load_report(self, backend: Backend, load: dict[int, float], now: int) -> None:
         """Records a backend's load report: its waiting calls, or its active calls if it reports no queue."""
         reported = load.get(LOAD_WAITING, load.get(LOAD_ACTIVE))
         if reported is not None:
-            backend.told, backend.told_at = reported, now
+            backend.reported_load, backend.reported_at = reported, now
 
     def response_started(self, attempt: Attempt) -> None:
         """Finishes the ticket, because the response of this attempt is being forwarded to the client."""
@@ -754,16 +767,16 @@
         if len(results) > BREAKER_WINDOW:
             backend.failures -= not results.popleft()
         if success:
-            backend.run_failed = 0
-            backend.run_done += 1
-            if backend.state == HALF_OPEN and backend.run_done >= SUCCESSES_TO_CLOSE:
+            backend.consecutive_failures = 0
+            backend.consecutive_successes += 1
+            if backend.state == HALF_OPEN and backend.consecutive_successes >= SUCCESSES_TO_CLOSE:
                 self._set_state(backend, CLOSED, now)
             return
-        backend.run_done = 0
-        backend.run_failed += 1
+        backend.consecutive_successes = 0
+        backend.consecutive_failures += 1
         if backend.state == HALF_OPEN:
             self._set_state(backend, OPEN, now)
-        elif backend.run_failed >= CONSECUTIVE_FAILURES or (
+        elif backend.consecutive_failures >= CONSECUTIVE_FAILURES or (
             len(results) >= BREAKER_WINDOW and 2 * backend.failures >= BREAKER_WINDOW
         ):
             if not self._failure_is_shared(backend):
@@ -777,7 +790,7 @@
         if results < CONSECUTIVE_FAILURES:
             return False
         own_failure_rate = (
-            1.0 if backend.run_failed >= CONSECUTIVE_FAILURES else backend.failures / len(backend.results)
+            1.0 if backend.consecutive_failures >= CONSECUTIVE_FAILURES else backend.failures / len(backend.results)
         )
         return 2.0 * failures / results >= own_failure_rate
 
@@ -787,12 +800,12 @@
             state_name = "open" if state == OPEN else "closed"
             self._log(
                 f"{backend.address} breaker {state_name}: {backend.failures} of {len(backend.results)} attempts failed,"
-                f" {backend.run_failed} in a row"
+                f" {backend.consecutive_failures} in a row"
             )
         backend.state = state
         backend.generation += 1
         backend.results.clear()
-        backend.failures = backend.run_failed = backend.run_done = backend.trials_in_flight = 0
+        backend.failures = backend.consecutive_failures = backend.consecutive_successes = backend.trials_in_flight = 0
         if state == OPEN:
             backend.open_until = now + OPEN_DURATION_US
 
@@ -815,11 +828,11 @@
         # ring.
         for locality in self._localities.values():
             locality.slow_start_weight = (
-                sum(b.effective_weight for b in takewhile(attrgetter("near"), locality.ring)) or 1.0
+                sum(b.effective_weight for b in takewhile(attrgetter("in_subset"), locality.ring)) or 1.0
             )
         return [b for b in backends if b.is_cold]
 
-    def _may_warm(self, backend: Backend, now: int) -> bool:
+    def _within_cold_budget(self, backend: Backend, now: int) -> bool:
         """Returns whether the slow-start budget of a cold backend allows one more call.
 
         The budget follows the rate of calls that warm backends of the same size take from this proxy, and is spent
--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -108,7 +108,7 @@
             "rules": {**SETTINGS["rules"], "ask-within": 1000 * ask_within},
         }
         log = Log(f"asker{number}")
-        log.say = lambda line, figures=None: None  # type: ignore[method-assign]
+        log.say = lambda line, fields=None: None  # type: ignore[method-assign]
         self.heard_at: dict[int, float] = {}  # by version, by the loop's clock; one measurement long
         told = read_settings(settings, seed * 1000 + number)
         self.facade = Facade(told, clock.now(), log.say)
--- a/pepperusher/rehearsal/fault_schedule.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate, Place
-from pepperusher.rehearsal.script import OF_BACKENDS, OF_LINKS, OF_PROXIES, Chance, Fault, Script
+from pepperusher.rehearsal.script import BACKEND_FAULTS, LINK_FAULTS, PROXY_FAULTS, Chance, Fault, Script
 from pepperusher.durations import Span
 
 # A restart: so long after the drain the process goes, and so long after that the next one is up, unless the
@@ -61,7 +61,7 @@
 def _of(script: Script, plan: FleetPlan, fault: Fault, chance: Random) -> tuple[int, ...]:
     """Whom it strikes, in the order of the script."""
     tiers = [tier.name for tier in script.tiers]
-    if fault.what in OF_PROXIES:
+    if fault.what in PROXY_FAULTS:
         level = tiers.index(fault.tier) if fault.tier else 0
         left: list[Place] | list[Gate] = [
             gate
@@ -70,7 +70,7 @@
             and fault.zone in (None, gate.zone)
             and (not fault.names or gate.name in fault.names)
         ]
-    elif fault.what in OF_BACKENDS:
+    elif fault.what in BACKEND_FAULTS:
         left = [
             place
             for place in plan.places
@@ -131,7 +131,7 @@
     for number, fault in enumerate(script.faults):
         # Drawn once for all turns of a flap or repeat: a server that flaps is one server.
         targets = _of(script, plan, fault, Random(f"{script.seed}:fault:{number}"))
-        if fault.what in OF_LINKS:
+        if fault.what in LINK_FAULTS:
             targets = (number,)
         for one in _repeated(fault):
             strikes.extend(_struck(one, targets))
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -114,7 +114,7 @@
                     continue
                 wakes = due - self._margin.now
                 await asyncio.sleep((wakes - clock()) / 1e6)
-                self._margin.woke(clock() - wakes)
+                self._margin.record_wakeup(clock() - wakes)
             wish = loop.create_task(self._wish(arrival, due))
             self._open.add(wish)
             wish.add_done_callback(self._open.discard)
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -218,7 +218,7 @@
     async def leave(self) -> None:
         """As a whole one that is told to stop, and has no client left."""
         self._stopping.set()
-        self._tell("leaving", lambda one: one.drain_started(clock.now()))
+        self._notify_extensions("leaving", lambda one: one.drain_started(clock.now()))
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await self.end()
 
@@ -288,7 +288,7 @@
                 "backends": len(backends),
                 "ready": sum(1 for one in backends if one["ready"]),
                 "not closed": sum(1 for one in backends if one["state"] != "closed"),
-                "doors": len(self._backends._doors),
+                "doors": len(self._backends._connections_by_backend),
                 "requests": self._facade.open_tickets,
                 "subscribed": 0 if self.client is None else len(self.client.in_force),
             }
@@ -428,7 +428,7 @@
             "worst_one": worst,
             "oldest_us": max(
                 (
-                    hollow.client.age(clock.now()) or 0
+                    hollow.client.age_us(clock.now()) or 0
                     for hollow in self._hollows.values()
                     if hollow.on and hollow.client is not None
                 ),
--- a/pepperusher/rehearsal/page.py
+++ b/pepperusher/rehearsal/page.py
@@ -9,7 +9,7 @@
 from pepperusher.rehearsal import plots, text_report
 from pepperusher.rehearsal.experiments import ArmComparison
 from pepperusher.rehearsal.results import Result
-from pepperusher.durations import said
+from pepperusher.durations import format_duration
 from pepperusher.rehearsal.tally import GroupStatistics
 
 STYLE = """body{font:14px/1.45 system-ui,sans-serif;max-width:62em;margin:2em auto;padding:0 1em;color:#222}
@@ -35,8 +35,8 @@
             group.late,
             group.wishes - group.in_time - group.late,
             f"{group.goodput:.4f}",
-            said(group.p50),
-            said(group.p99),
+            format_duration(group.p50),
+            format_duration(group.p99),
         )
         for group in groups
     )
@@ -54,7 +54,9 @@
     for rule, count in result.rules.items():
         verdict = f'<span class="broken">broken {count} times</span>' if count else '<span class="kept">kept</span>'
         lines.append(f"<li>{escape(rule)}: {verdict}</li>")
-    rows = [(entry.rule, entry.ticket, said(entry.at), entry.backend, entry.what) for entry in result.entries]
+    rows = [
+        (entry.rule, entry.ticket, format_duration(entry.at), entry.backend, entry.what) for entry in result.entries
+    ]
     entries = table(("rule", "ticket", "at", "backend", "what"), rows) if rows else ""
     return f"<ul>{''.join(lines)}</ul>{entries}"
 
@@ -68,7 +70,7 @@
     ]
     parts = [
         f"<h2>{escape(result.title)}</h2>",
-        f"<p>Seed {result.seed}, {said(result.span)}, build {escape(result.build)}, played {escape(result.played_at)} by"
+        f"<p>Seed {result.seed}, {format_duration(result.span)}, build {escape(result.build)}, played {escape(result.played_at)} by"
         f" version {escape(result.program)}; plan {escape(result.plan)}, faults {escape(result.troubles)}.</p>",
         f"<pre>{escape(text_report.summary(result))}</pre>",
         "<h3>Rules</h3>",
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -22,13 +22,13 @@
 from pepperusher.rehearsal.records import Writer
 from pepperusher.rehearsal.results import VERSION, Result
 from pepperusher.rehearsal.endpoint_history import EndpointHistory
-from pepperusher.rehearsal.script import OF_LINKS, Script
+from pepperusher.rehearsal.script import LINK_FAULTS, Script
 from pepperusher.rehearsal.fault_schedule import Strike
 from pepperusher.rehearsal.wire import Start, clock
 from pepperusher.rehearsal.worker import START_WITHIN, Worker
 
 # Struck here, and not by the fleet itself.
-BY_DIRECTOR = OF_LINKS | {
+BY_DIRECTOR = LINK_FAULTS | {
     "proxy-kill",
     "proxy-term",
     "proxy-hup",
@@ -240,7 +240,7 @@
             for worker in self._load:
                 worker.signal(signal.SIGCONT)
             return
-        if strike.what in OF_LINKS:
+        if strike.what in LINK_FAULTS:
             if self.grouping is None:
                 return
             self.grouping.struck(strike, True)
--- a/pepperusher/rehearsal/script.py
+++ b/pepperusher/rehearsal/script.py
@@ -279,7 +279,7 @@
     "pause-generator",
 ]
 # The faults by target: backends, proxies and links between proxies.
-OF_BACKENDS = frozenset(
+BACKEND_FAULTS = frozenset(
     (
         "freeze",
         "silent",
@@ -297,7 +297,7 @@
         "new-ids",
     )
 )
-OF_PROXIES = frozenset(
+PROXY_FAULTS = frozenset(
     (
         "proxy-term",
         "proxy-kill",
@@ -311,7 +311,7 @@
         "disk-old",
     )
 )
-OF_LINKS = frozenset(("link-part", "link-cut", "link-bad"))
+LINK_FAULTS = frozenset(("link-part", "link-cut", "link-bad"))
 
 
 class Link(Table, kw_only=True):
@@ -600,7 +600,7 @@
 
 
 def _check_group_fault(script: Script, fault: Fault, key: str) -> None:
-    is_link_fault = fault.what in OF_LINKS
+    is_link_fault = fault.what in LINK_FAULTS
     _require(
         script.proxies.group is not None or fault.what != "proxy-twin",
         f"{key}.what",
@@ -658,7 +658,7 @@
             "is not over 0 and up to 1",
         )
         _require(fault.what != "slow" or (fault.by or 2) >= 1, f"{key}.by", "is under 1, which would be a speed-up")
-        lasting_faults = OF_BACKENDS - {"kill", "restart", "drain", "new-ids"} | {
+        lasting_faults = BACKEND_FAULTS - {"kill", "restart", "drain", "new-ids"} | {
             "discovery-down",
             "discovery-late",
             "discovery-full",
@@ -671,7 +671,7 @@
             "proxy-hand",
             "disk-full",
             "disk-gone",
-        } | OF_LINKS
+        } | LINK_FAULTS
         _check_group_fault(script, fault, key)
         _require(
             fault.what not in lasting_faults or fault.span > 0, f"{key}.span", "missing: this fault needs a duration"
@@ -679,7 +679,7 @@
         _require(not fault.flap or fault.what in lasting_faults, f"{key}.flap", f"{fault.what} cannot flap")
     for number, chance in enumerate(script.chances):
         key = f"chances[{number}]"
-        _require(not OF_LINKS & set(chance.of), f"{key}.of", "link faults cannot be random: they need sides")
+        _require(not LINK_FAULTS & set(chance.of), f"{key}.of", "link faults cannot be random: they need sides")
         _require_known(chance.tier, tiers, f"{key}.tier")
         _require(chance.every > 0, f"{key}.every", "is 0")
         _require(bool(chance.of), f"{key}.of", "is empty")
--- a/pepperusher/rehearsal/stalls.py
+++ b/pepperusher/rehearsal/stalls.py
@@ -37,7 +37,7 @@
         self._maximum = maximum
         self.now = minimum
 
-    def woke(self, lateness: int) -> None:
+    def record_wakeup(self, lateness: int) -> None:
         """Adapts the margin to a sleep that ended `lateness` us late."""
         self.now = min(self._maximum, max(self._minimum, self.now - self.now // 200, lateness + lateness // 4))
 
--- a/pepperusher/routes/match.py
+++ b/pepperusher/routes/match.py
@@ -71,7 +71,7 @@
     headers: tuple[tuple[str, str], ...]
 
     @property
-    def points(self) -> int:
+    def specificity(self) -> int:
         """The specificity. If a pattern matches everything that another one matches, the other one has more points."""
         path = sum(2 if segment else 1 for segment in self.path.segments) + (0 if self.path.matches_rest else 1)
         host = 0 if not self.host else 1 if self.host.startswith("*.") else 2
@@ -131,7 +131,7 @@
     return _host_matches(a, b) or _host_matches(b, a) or not a or not b
 
 
-def meet(a: Pattern, b: Pattern) -> bool:
+def overlap(a: Pattern, b: Pattern) -> bool:
     """Returns whether one ticket could match both patterns."""
     if a.method and b.method and a.method != b.method or not _hosts_overlap(a.host, b.host):
         return False
@@ -141,7 +141,7 @@
     return _paths_overlap(a.path, b.path)
 
 
-def within(a: Pattern, b: Pattern) -> bool:
+def is_contained(a: Pattern, b: Pattern) -> bool:
     """Returns whether `b` matches every ticket that `a` matches."""
     return (
         (not b.method or a.method == b.method)
@@ -171,7 +171,7 @@
                 if other == number or first == ANY and other > number or other > number and other in members:
                     continue
                 a, b = patterns[number], patterns[other]
-                if meet(a, b) and within(a, b) == within(b, a):
+                if overlap(a, b) and is_contained(a, b) == is_contained(b, a):
                     pairs.append((max(number, other), min(number, other)))
     return sorted(set(pairs))
 
@@ -206,7 +206,7 @@
                     node.wildcard = node.wildcard or _Node()
                     node = node.wildcard
             (node.prefix_patterns if route_pattern.path.matches_rest else node.exact_patterns).append(
-                (route_pattern.points, number, route_pattern)
+                (route_pattern.specificity, number, route_pattern)
             )
 
     def find(self, method: str, target: str, host: str, headers: Mapping[str, str]) -> int:
--- a/pepperusher/terms.py
+++ b/pepperusher/terms.py
@@ -145,15 +145,15 @@
         "current_weight",
         "effective_weight",
         "subset_weight",
-        "near",
+        "in_subset",
         "load_scale",
         "is_cold",
         "state",
         "generation",
         "results",
         "failures",
-        "run_failed",
-        "run_done",
+        "consecutive_failures",
+        "consecutive_successes",
         "open_until",
         "trials_in_flight",
         "trial_deadline",
@@ -163,8 +163,8 @@
         "tokens_updated_at",
         "use_case_failures",
         "avoided_until",
-        "told",
-        "told_at",
+        "reported_load",
+        "reported_at",
         "time_per_work",
     )
 
@@ -180,15 +180,15 @@
         self.current_weight = 0.0  # state of the smooth weighted round robin
         self.effective_weight = 1.0  # `subset_weight`, reduced during slow start
         self.subset_weight = 1.0  # the part of `weight` that belongs to this proxy's subset
-        self.near = True  # whether it belongs to this proxy's subset
+        self.in_subset = True  # whether it belongs to this proxy's subset
         self.load_scale = 1.0  # expected load relative to the other backends
         self.is_cold = False
         self.state = CLOSED
         self.generation = 0  # counts changes of the breaker's state; results of older attempts are ignored
         self.results: deque[bool] = deque()
         self.failures = 0
-        self.run_failed = 0  # consecutive failures
-        self.run_done = 0  # consecutive successes
+        self.consecutive_failures = 0  # consecutive failures
+        self.consecutive_successes = 0  # consecutive successes
         self.open_until = 0
         self.trials_in_flight = 0
         self.trial_deadline = 0
@@ -202,8 +202,8 @@
         self.avoided_until: dict[UseCase, int] = {}
         # The calls of all proxies in the backend's latest load report, and when that arrived. A report soon becomes
         # stale.
-        self.told = 0.0
-        self.told_at = LONG_AGO
+        self.reported_load = 0.0
+        self.reported_at = LONG_AGO
         # Mean duration of its attempts per unit of hinted work; 0 if unknown.
         self.time_per_work = 0.0
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -137,7 +137,7 @@
         """Creates a ticket that arrives now."""
         return Ticket(self.use_cases[use_case], customer, self.now, self.now + round(timeout_s * SECOND))
 
-    def where(self, ticket: Ticket, quiet: bool = False) -> Backend | int:
+    def choose_backend(self, ticket: Ticket, quiet: bool = False) -> Backend | int:
         """Requests a decision and prints it unless `quiet`."""
         answer = self.balancer.choose_backend(ticket, self.now)
         if isinstance(answer, Backend):
@@ -148,7 +148,7 @@
             self.note(f"{ticket.use_case.name} -> {text}")
         return answer
 
-    def after(
+    def end_attempt(
         self, ticket: Ticket, outcome: int, duration_s: float = 0.0, final: bool = False, quiet: bool = False
     ) -> int:
         """Ends the ticket's last attempt after `duration_s` and prints what follows unless `quiet`."""
@@ -167,8 +167,8 @@
         """Sends tickets one after another, each with a single attempt of this outcome."""
         for _ in range(times):
             ticket = self.ticket(use_case)
-            if isinstance(self.where(ticket, quiet), Backend):
-                self.after(ticket, outcome, duration_s, final=True, quiet=quiet)
+            if isinstance(self.choose_backend(ticket, quiet), Backend):
+                self.end_attempt(ticket, outcome, duration_s, final=True, quiet=quiet)
 
 
 SETTINGS = {
@@ -252,15 +252,15 @@
 
 
 class FakeBackend:
-    """A backend with scripted answers: for each request the next text of `does`, either a raw response or a keyword
+    """A backend with scripted answers: for each request the next text of `behaviors`, either a raw response or a keyword
     below."""
 
     def __init__(self, name: str, output: list[str]) -> None:
         self.name, self.output = name, output
-        self.does: list[str] = []
+        self.behaviors: list[str] = []
         self.connections = 0
         self.deadlines: list[int] = []  # the timeout of each request, in us
-        self.may = asyncio.Event()  # set by the test to release answers with the keyword "held"
+        self.release = asyncio.Event()  # set by the test to release answers with the keyword "held"
         self.writers: list[asyncio.StreamWriter] = []
 
     async def open(self) -> None:
@@ -289,7 +289,7 @@
         self.output.append(
             f"    {self.name} gets {first} id {fields.get('request-id')}{key} {len(body)} bytes, {timeout_note} a wait"
         )
-        behavior = self.does.pop(0) if self.does else "ok"
+        behavior = self.behaviors.pop(0) if self.behaviors else "ok"
         if behavior == "break":
             return False
         if behavior == "garble":
@@ -306,7 +306,7 @@
         if behavior in ("slow", "soon"):
             await asyncio.sleep(0.4)
         if behavior == "held":
-            await self.may.wait()
+            await self.release.wait()
         if behavior in ("ok", "slow", "soon", "held", "stray"):
             text = f"{self.name} {fields.get('request-id')}"
             behavior = f"HTTP/1.1 200 OK\r\nContent-Length: {len(text)}\r\n\r\n{text}" + "stray" * (behavior == "stray")
@@ -319,7 +319,7 @@
 
     beats = True  # False if a watch is to stay silent, or if the test writes partial lines to it
     start_spread = 0.0  # seconds over which the proxy spreads its first request for the list
-    left = 1500  # client timeout (ms) unless a test sets another
+    timeout_ms = 1500  # client timeout (ms) unless a test sets another
 
     async def open(self, *names: str, own: str | None = None, passed: str | None = None, **changes: object) -> None:
         """Starts the proxy. `own` is the text of its configuration file `own_file`, `passed` the folder for handover
@@ -341,13 +341,13 @@
         for backend in self.fake_backends.values():
             await backend.open()
         self.watches: list[asyncio.StreamWriter] = []
-        self.heard: list[asyncio.StreamReader] = []
-        self.server = await asyncio.start_server(self.watched, "127.0.0.1", 0)
+        self.watch_readers: list[asyncio.StreamReader] = []
+        self.server = await asyncio.start_server(self.serve_watch, "127.0.0.1", 0)
         listed = {"version": 1, "full": True, "servers": [self.line(name) for name in names]}
         content = configuration(known=listed, **changes)
         content["discovery"] = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         self.given = json.dumps(content)
-        read = self.read_again()
+        read = self.reload_configuration()
         read.listen = ("127.0.0.1", 0)
         if read.console is not None:
             read.console = ("127.0.0.1", 0)
@@ -360,14 +360,16 @@
             self.own_file = Path(folder.name) / "own.toml"
             self.own_file.write_text(own.replace("HERE", folder.name))
             make_extensions = functools.partial(extensions_of, self.own_file, ())
-        self.proxy = Proxy(read, self.read_again, make_extensions)
+        self.proxy = Proxy(read, self.reload_configuration, make_extensions)
         # Tests send tickets in quick succession; the settling time of connections has tests of its own.
-        self.proxy._backends._settles = 0
-        self.proxy._log.say = lambda line, figures=None: self.logged.append(f"{line} {figures}" if figures else line)
+        self.proxy._backends._settle_time = 0
+        self.proxy._log.say = lambda line, fields=None: self.logged.append(f"{line} {fields}" if fields else line)
         self.serving = asyncio.create_task(self.proxy.serve())
-        await self.until(lambda: self.proxy.port and (self.watches or not names))
+        await self.wait_until(lambda: self.proxy.port and (self.watches or not names))
 
-    def read_again(self, before: bootstrap.BootstrapConfiguration | None = None) -> bootstrap.BootstrapConfiguration:
+    def reload_configuration(
+        self, before: bootstrap.BootstrapConfiguration | None = None
+    ) -> bootstrap.BootstrapConfiguration:
         """Reads the configuration file that a test has set in `given`."""
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             file.write(self.given)
@@ -377,7 +379,7 @@
             )
 
     @property
-    def desk(self) -> AdminHandlers:
+    def admin_handlers(self) -> AdminHandlers:
         """The extension that serves the admin console."""
         return next(extension for extension in self.proxy._extensions if isinstance(extension, AdminHandlers))
 
@@ -393,13 +395,13 @@
             "started_ms": 0,
         }
 
-    async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves one watch of the fake discovery service."""
         request_line = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")[0]
         self.lines.append(f"discovery gets {request_line}")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
         self.watches.append(writer)
-        self.heard.append(reader)
+        self.watch_readers.append(reader)
         if self.beats:
             heartbeats = asyncio.create_task(self.beat(writer))
             self.addCleanup(heartbeats.cancel)  # keeps a reference to the task
@@ -416,7 +418,7 @@
         text = json.dumps({"version": version, "full": full, "servers": servers}) + "\n"
         self.watches[watch].write(f"{len(text):x}\r\n{text}\r\n".encode())
 
-    async def until(self, condition: object) -> None:
+    async def wait_until(self, condition: object) -> None:
         """Waits up to 10 s until the condition is true."""
         async with asyncio.timeout(10):
             while not condition():
@@ -427,7 +429,7 @@
 
     def request(self, use: str, number: int, body: str = "", left: int | None = None, more: str = "") -> bytes:
         """Builds a request of a use case; `left` is its timeout in ms, `more` are further header lines."""
-        left = self.left if left is None else left
+        left = self.timeout_ms if left is None else left
         verb = "POST" if body or use != "look" else "GET"
         more += f"Idempotency-Key: k{number}\r\n" if use == "book" else ""
         return (
@@ -435,7 +437,7 @@
             f"Request-Timeout: {left}m\r\n{more}Content-Length: {len(body)}\r\n\r\n{body}"
         ).encode()
 
-    async def to_the_end(self, at: socket.socket) -> tuple[bytes, ConnectionError | None]:
+    async def receive_until_closed(self, at: socket.socket) -> tuple[bytes, ConnectionError | None]:
         """Reads until the connection ends; returns the bytes and the error that ended it, if any."""
         at.setblocking(False)
         received = b""
@@ -447,7 +449,7 @@
             return received, error
         return received, None
 
-    async def hear(self, reader: asyncio.StreamReader) -> str:
+    async def read_response(self, reader: asyncio.StreamReader) -> str:
         """Reads one response and describes its status and body, and whether the connection closes after it."""
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
@@ -458,14 +460,14 @@
         closing = ", closing" if fields.get("connection") == "close" else ""
         return f"{head.split()[1]} {body.decode().strip()[:50]!r}{closing}"
 
-    async def ask(
+    async def send_request(
         self, what: str, sent: bytes, at: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
     ) -> None:
         """Sends a request and prints the response; `what` names the step in the trace."""
         reader, writer = at or await self.connect()
         writer.write(sent)
         self.lines.append(f"{what} ...")
-        self.lines.append(f"{what} -> {await self.hear(reader)}")
+        self.lines.append(f"{what} -> {await self.read_response(reader)}")
         if at is None:
             writer.close()
 
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -25,9 +25,9 @@
     def test_counts_reset_and_a_late_result_is_discarded(self) -> None:
         self.open("a1")
         late = self.ticket()
-        self.where(late)
+        self.choose_backend(late)
         self.call(ERROR, times=5, quiet=True)
-        self.after(late, DONE, 0.1)
+        self.end_attempt(late, DONE, 0.1)
         self.pass_time(5)
         self.call(DONE, times=3)
         self.call(ERROR, times=4)
@@ -40,16 +40,16 @@
             self.call(ERROR, quiet=True)
         self.pass_time(5)
         first, second = self.ticket(), self.ticket()
-        self.where(first)
-        self.where(second)
-        self.after(second, DONE, 0.1)
-        self.after(first, ERROR, 0.1, final=True)
+        self.choose_backend(first)
+        self.choose_backend(second)
+        self.end_attempt(second, DONE, 0.1)
+        self.end_attempt(first, ERROR, 0.1, final=True)
         self.pass_time(5)
         overdue = self.ticket()
-        self.where(overdue)
+        self.choose_backend(overdue)
         self.pass_time(2.5)
         self.call(DONE, times=1)
-        self.after(overdue, TIMED_OUT)
+        self.end_attempt(overdue, TIMED_OUT)
         self.pass_time(5)
         self.call(DONE, times=5)
         self.compare_trace("trials")
@@ -61,8 +61,8 @@
             self.call(ERROR, quiet=True)
         first, second, third = self.ticket(), self.ticket(), self.ticket()
         for ticket in (first, second, third):
-            self.where(ticket)
-        self.after(second, TIMED_OUT, 1.0, final=True)
+            self.choose_backend(ticket)
+        self.end_attempt(second, TIMED_OUT, 1.0, final=True)
         self.call(DONE, times=4)
         self.compare_trace("none_admits")
 
@@ -87,12 +87,12 @@
             for number in range(150):
                 use_case = "look" if number % 2 else "book"
                 ticket = self.ticket(use_case)
-                chosen = self.where(ticket, quiet=True)
+                chosen = self.choose_backend(ticket, quiet=True)
                 if use_case == "look" and chosen.address == "a1":
                     timed_out_at.append(f"{(self.now - 100 * SECOND) / SECOND:.1f}")
-                    self.after(ticket, TIMED_OUT, 0.5, final=True, quiet=True)
+                    self.end_attempt(ticket, TIMED_OUT, 0.5, final=True, quiet=True)
                 else:
-                    self.after(ticket, DONE, 0.05, quiet=True)
+                    self.end_attempt(ticket, DONE, 0.05, quiet=True)
             self.note(f"last tier {last_tier}: look timed out at {', '.join(timed_out_at)}")
             self.note(
                 f"state {self.backends['a1'].state - 40}, avoided by {len(self.backends['a1'].avoided_until)} use cases"
@@ -153,11 +153,11 @@
         mean_latency = self.use_cases["look"].mean_latency
         in_flight = [self.ticket() for _ in range(10)]
         for ticket in in_flight:
-            self.where(ticket, quiet=True)
+            self.choose_backend(ticket, quiet=True)
         self.call(DONE, 0.05, quiet=True)
         self.pass_time(1.0)
         for ticket in in_flight:
-            self.after(ticket, TIMED_OUT, final=True, quiet=True)
+            self.end_attempt(ticket, TIMED_OUT, final=True, quiet=True)
         self.assertEqual(mean_latency, self.use_cases["look"].mean_latency)
 
     def test_a_caller_with_little_time_says_nothing_about_the_server(self) -> None:
@@ -165,8 +165,8 @@
         self.call(DONE, 0.2, times=30, quiet=True)
         for _ in range(12):
             ticket = self.ticket(timeout_s=0.05)
-            self.where(ticket, quiet=True)
-            self.after(ticket, TIMED_OUT, 0.05, final=True, quiet=True)
+            self.choose_backend(ticket, quiet=True)
+            self.end_attempt(ticket, TIMED_OUT, 0.05, final=True, quiet=True)
         self.note(f"state {self.backends['a1'].state - 40}")
         self.compare_trace("little_time")
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -49,7 +49,7 @@
 
     def test_without_the_allowance_it_is_far_over(self) -> None:
         """What the verdicts above are worth."""
-        with mock.patch.object(Balancer, "_may_warm", return_value=True):
+        with mock.patch.object(Balancer, "_within_cold_budget", return_value=True):
             for case in ("single, others lost", "replaced at once, load 1.3", "all, every proxy restarted"):
                 read = reading("cold-start", case, seeds=1)
                 self.assertGreater(read.over, 10, f"{case}: {read}")
@@ -119,7 +119,7 @@
                 ignore=shutil.ignore_patterns("__pycache__"),
             )
             with (build / "pepperusher" / "policy.py").open("a") as module:
-                module.write("\n\nBalancer._may_warm = lambda self, backend, now: True\n")
+                module.write("\n\nBalancer._within_cold_budget = lambda self, backend, now: True\n")
             read, _ = self.run_with(build)
         self.assertGreater(read.over, 3, read)
         self.assertGreater(read.worst, 1.2, read)
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -63,9 +63,9 @@
 
 class Console(ProxyTestCase):
     async def call(self, what: str, path: str, method: str = "POST", more: str = "") -> str:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.desk.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_handlers.port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: c\r\n{more}\r\n".encode())
-        said = await self.hear(reader)
+        said = await self.read_response(reader)
         writer.close()
         if what:
             self.lines.append(f"{what} -> {said}")
@@ -92,7 +92,7 @@
         await self.call("framed in two ways", "/-/drain", more="Content-Length: 3\r\nTransfer-Encoding: chunked\r\n")
         await self.call("not even a head", "/-/drain", more="what is this\r\n")
         await self.call("a head without end", "/-/drain", more=f"X: {'x' * 60_000}\r\n")
-        await self.ask("ready for clients", READY)
+        await self.send_request("ready for clients", READY)
         self.compare_trace("console_calls")
 
     async def test_nothing_goes_to_a_banned_backend(self) -> None:
@@ -100,25 +100,25 @@
         await self.open("a1", "b1", console="127.0.0.1:1")
         at = await self.connect()
         for number in range(4):
-            await self.ask(f"look {number}", self.request("look", number), at)
-        self.fake_backends["a1"].does = self.fake_backends["b1"].does = ["slow"]
-        under_way = asyncio.create_task(self.ask("look 4", self.request("look", 4)))
-        await self.until(lambda: self.lines[-1].startswith("    "))
+            await self.send_request(f"look {number}", self.request("look", number), at)
+        self.fake_backends["a1"].behaviors = self.fake_backends["b1"].behaviors = ["slow"]
+        under_way = asyncio.create_task(self.send_request("look 4", self.request("look", 4)))
+        await self.wait_until(lambda: self.lines[-1].startswith("    "))
         del self.lines[:]
-        out_at = "a1" if not self.fake_backends["a1"].does else "b1"
+        out_at = "a1" if not self.fake_backends["a1"].behaviors else "b1"
         other = "b1" if out_at == "a1" else "a1"
         await self.call("out, while it has a ticket", f"/-/backends/{out_at}/disable")
         await under_way
-        self.fake_backends[other].does = []
+        self.fake_backends[other].behaviors = []
         self.endpoint_update(2, self.line("a1"), self.line("b1"), full=True)
         self.endpoint_update(3, dict(self.line(out_at), started_ms=1))
         await asyncio.sleep(0.05)
         for number in range(5, 11):
-            await self.ask("look", self.request("look", number), at)
+            await self.send_request("look", self.request("look", number), at)
         self.lines = [line for line in self.lines if "..." not in line]
         self.assertFalse([line for line in self.lines if f"    {out_at} gets" in line])
         await self.call("the other out as well", f"/-/backends/{other}/disable")
-        await self.ask("look nowhere", self.request("look", 11))
+        await self.send_request("look nowhere", self.request("look", 11))
         self.assertIn("503", self.lines[-1])
         await self.call("back", f"/-/backends/{out_at}/enable")
         # Cold, it is used again within its budget: not for each ticket, and not never.
@@ -126,36 +126,36 @@
         async with asyncio.timeout(5):
             while f"200 '{out_at} {number}'" not in self.lines[-1]:
                 number += 1
-                await self.ask("look", self.request("look", number), at)
+                await self.send_request("look", self.request("look", number), at)
                 await asyncio.sleep(0.02)
 
     async def test_clients_are_sent_away_and_may_come_again(self) -> None:
         await self.open("a1", console="127.0.0.1:1")
         used, idle, silent = [await self.connect() for _ in range(3)]
         for number, at in enumerate((used, idle)):
-            await self.ask(f"look {number}", self.request("look", number), at)
+            await self.send_request(f"look {number}", self.request("look", number), at)
         await self.call("drain", "/-/drain")
-        await self.ask("ready", READY)
-        await self.ask("asked once more", self.request("look", 2), used)
-        self.lines.append(f"then: {await self.hear(used[0])}")
+        await self.send_request("ready", READY)
+        await self.send_request("asked once more", self.request("look", 2), used)
+        self.lines.append(f"then: {await self.read_response(used[0])}")
         async with asyncio.timeout(2):
             for what, at in (("idle", idle), ("silent", silent)):
-                self.lines.append(f"{what}: {await self.hear(at[0])}")
-        await self.ask("come all the same", self.request("look", 3))
+                self.lines.append(f"{what}: {await self.read_response(at[0])}")
+        await self.send_request("come all the same", self.request("look", 3))
         await self.call("resume", "/-/resume")
-        await self.ask("ready", READY)
+        await self.send_request("ready", READY)
         again = await self.connect()
-        await self.ask("kept again", self.request("look", 4), again)
-        await self.ask("kept again", self.request("look", 5), again)
+        await self.send_request("kept again", self.request("look", 4), again)
+        await self.send_request("kept again", self.request("look", 5), again)
         self.compare_trace("console_drain")
 
     async def test_callers_that_say_nothing_keep_nobody_out(self) -> None:
         """Each place taken by silence or half a call: whoever asks has an answer all the same, at once."""
         await self.open("a1", console="127.0.0.1:1")
-        held = [await asyncio.open_connection("127.0.0.1", self.desk.port) for _ in range(3 * PLACES)]
+        held = [await asyncio.open_connection("127.0.0.1", self.admin_handlers.port) for _ in range(3 * PLACES)]
         for _, writer in held[::2]:
             writer.write(b"GET /-/rea")
         async with asyncio.timeout(1):
             for _ in range(2 * PLACES):
                 self.assertIn("200", await self.call("", "/-/ready", "GET"))
-        self.assertLessEqual(len(self.desk._door._open), 2 * PLACES)
+        self.assertLessEqual(len(self.admin_handlers._door._open), 2 * PLACES)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -46,7 +46,7 @@
 
     async def read_to_end(self, client: socket.socket) -> str:
         """Everything that a client receives until its connection ends, and how it ended."""
-        received, error = await self.to_the_end(client)
+        received, error = await self.receive_until_closed(client)
         if isinstance(error, ConnectionResetError):
             return f"{received[9:12].decode()} reset"
         if error is not None:
@@ -58,8 +58,10 @@
         backend is chosen.
         """
         for number in range(len(self.fake_backends)):
-            await self.ask("look", self.request("look", 90 + number))
-        await self.until(lambda: all(connections.idle for connections in self.proxy._backends._doors.values()))
+            await self.send_request("look", self.request("look", 90 + number))
+        await self.wait_until(
+            lambda: all(connections.idle for connections in self.proxy._backends._connections_by_backend.values())
+        )
         self.proxy._counts.clear()
 
     def backends_reached_by(self, number: int | str = "") -> list[str]:
@@ -68,7 +70,7 @@
 
     async def wait_for_backend_close(self) -> None:
         """Waits until a backend sees its connection closed."""
-        await self.until(lambda: any("connection is closed" in line for line in self.lines))
+        await self.wait_until(lambda: any("connection is closed" in line for line in self.lines))
 
 
 class ClientsThatLeave(Crossing):
@@ -90,7 +92,7 @@
         await self.open("a1")
         await self.open_idle_connections()
         clients = [self.connect_socket() for _ in USE_CASES]
-        await self.until(lambda: self.proxy._callers.open == len(clients))
+        await self.wait_until(lambda: self.proxy._callers.open == len(clients))
         for number, (client, use_case) in enumerate(zip(clients, USE_CASES), 1):
             client.sendall(self.request(use_case, number))
             client.shutdown(socket.SHUT_WR)
@@ -122,7 +124,7 @@
         for use_case, status in (("look", "503"), ("book", "502"), ("pay", "502")):
             client = self.connect_socket()
             for fake_backend in self.fake_backends.values():
-                fake_backend.does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
+                fake_backend.behaviors = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
             del self.lines[:]
             pending_leavers.append(client)
             client.sendall(self.request(use_case, 7))
@@ -141,7 +143,7 @@
         slow_backend.bind(("127.0.0.1", 0))
         slow_backend.listen()
         slow_backend.setblocking(False)
-        self.proxy._backends._doors["a1"].address = slow_backend.getsockname()
+        self.proxy._backends._connections_by_backend["a1"].address = slow_backend.getsockname()
 
         async def connect_with_small_buffer(address: tuple[str, int]) -> StreamConnection:
             connection = await connect(address)
@@ -172,10 +174,10 @@
         for way in ("resets", "ends"):
             with self.subTest(way):
                 await self.open("a1")
-                self.fake_backends["a1"].does = ["silent"]
+                self.fake_backends["a1"].behaviors = ["silent"]
                 client = self.connect_socket()
                 client.sendall(self.request("look", 1, left=30_000))
-                await self.until(lambda: self.backends_reached_by(1))
+                await self.wait_until(lambda: self.backends_reached_by(1))
                 caller = next(iter(self.proxy._callers._callers))
                 client.setblocking(False)
                 while caller.connection.transport.is_reading():
@@ -186,7 +188,7 @@
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 client.close()
                 await self.wait_for_backend_close()
-                await self.until(lambda: not self.proxy._facade.open_tickets and not self.proxy._callers.open)
+                await self.wait_until(lambda: not self.proxy._facade.open_tickets and not self.proxy._callers.open)
                 self.assertEqual({}, self.proxy._callers._disconnect_watcher._watched)
                 self.assertEqual({"called off": 1, "left": 1}, self.proxy._counts)
                 await self.asyncTearDown()
@@ -195,17 +197,17 @@
     async def test_reading_that_goes_on_is_no_longer_watched(self) -> None:
         """This applies where no data may be read ahead any more; before that there is nothing to watch for."""
         await self.open("a1")
-        self.fake_backends["a1"].does = ["slow"]
+        self.fake_backends["a1"].behaviors = ["slow"]
         client = self.connect_socket()
         client.sendall(self.request("pay", 1))
-        await self.until(lambda: self.backends_reached_by(1))
+        await self.wait_until(lambda: self.backends_reached_by(1))
         caller = next(iter(self.proxy._callers._callers))
         pipelined = b"".join(self.request("pay", number, "x" * 4000) for number in range(2, 22))
         sending = asyncio.get_running_loop().run_in_executor(None, client.sendall, pipelined)
-        await self.until(lambda: not caller.connection.transport.is_reading())
+        await self.wait_until(lambda: not caller.connection.transport.is_reading())
         self.assertEqual([caller.connection], list(self.proxy._callers._disconnect_watcher._watched.values()))
         await sending
-        await self.until(lambda: self.proxy._counts.get("done") == 21)
+        await self.wait_until(lambda: self.proxy._counts.get("done") == 21)
         self.assertEqual({}, self.proxy._callers._disconnect_watcher._watched)
 
     async def test_whoever_ends_its_sending_alone_is_told_what_became_of_it(self) -> None:
@@ -217,11 +219,11 @@
             (NO_CANCEL_SETTINGS, "slow", ("200 end",) * 3),
         ):
             await self.open("a1", settings=settings)
-            self.fake_backends["a1"].does = [behaviour] * 3
+            self.fake_backends["a1"].behaviors = [behaviour] * 3
             for number, (use_case, status) in enumerate(zip(USE_CASES, expected_answers), 1):
                 client = self.connect_socket()
                 client.sendall(self.request(use_case, number))
-                await self.until(lambda: self.backends_reached_by(number))
+                await self.wait_until(lambda: self.backends_reached_by(number))
                 client.shutdown(socket.SHUT_WR)
                 self.assertEqual(status, await self.read_to_end(client), f"{use_case} at one that is {behaviour}")
             await self.asyncTearDown()
@@ -238,7 +240,7 @@
             async def read_head_and_end(parser: object, connection: StreamConnection, *args: object) -> object:
                 head = await read_head(parser, connection, *args)
                 client.shutdown(socket.SHUT_WR)
-                await self.until(lambda: connection.peer_ended)
+                await self.wait_until(lambda: connection.peer_ended)
                 return head
 
             with mock.patch("pepperusher.net.callers.read_head", read_head_and_end):
@@ -277,10 +279,10 @@
         for number, use_case in enumerate(USE_CASES, 1):
             for fake_backend in self.fake_backends.values():
                 fake_backend.connections = 0
-            for connections in self.proxy._backends._doors.values():
+            for connections in self.proxy._backends._connections_by_backend.values():
                 self.proxy._backends._close_idle(connections)
             await self.run_before_first_byte(close_backend_side)
-            await self.ask(use_case, self.request(use_case, number))
+            await self.send_request(use_case, self.request(use_case, number))
             self.assertIn("-> 200", self.lines[-1])
             self.assertEqual(1, len(self.backends_reached_by(number)), use_case)
 
@@ -290,15 +292,15 @@
         """
         await self.open("a1")
         for number, use_case in enumerate(USE_CASES, 1):
-            for connections in self.proxy._backends._doors.values():
+            for connections in self.proxy._backends._connections_by_backend.values():
                 self.proxy._backends._close_idle(connections)
             await self.run_before_first_byte(
                 lambda: (
                     self.proxy._backends.give_up_all("timed out"),
-                    setattr(self.proxy._facade._balancer, "_most", 1),
+                    setattr(self.proxy._facade._balancer, "_max_attempts", 1),
                 )
             )
-            await self.ask(use_case, self.request(use_case, number))
+            await self.send_request(use_case, self.request(use_case, number))
             self.assertIn("-> 503 'bounced'", self.lines[-1])
         self.assertEqual([], self.backends_reached_by())
 
@@ -312,7 +314,7 @@
             await self.run_before_first_byte(lambda: client.shutdown(socket.SHUT_WR))
             client.sendall(self.request("look", number))
             self.assertEqual("503 end", await self.read_to_end(client))
-            for connections in self.proxy._backends._doors.values():
+            for connections in self.proxy._backends._connections_by_backend.values():
                 self.proxy._backends._close_idle(connections)
         self.assertEqual([], self.backends_reached_by())
         self.assertEqual(["closed"], [one["state"] for one in self.proxy._facade.backends()])
@@ -323,27 +325,27 @@
         """
         await self.open("a1", "z1")
         self.endpoint_update(2, {**self.line("z1"), "state": "draining"})
-        await self.until(lambda: "z1" not in self.proxy._backends._doors)
+        await self.wait_until(lambda: "z1" not in self.proxy._backends._connections_by_backend)
         moved = {**self.line("a1"), "addr": self.line("z1")["addr"]}
-        self.fake_backends["a1"].does = ["slow"]
+        self.fake_backends["a1"].behaviors = ["slow"]
         client = await self.connect()
         client[1].write(self.request("look", 1))
-        await self.until(lambda: self.backends_reached_by(1))
+        await self.wait_until(lambda: self.backends_reached_by(1))
         self.endpoint_update(3, moved)
-        await self.until(lambda: self.proxy._discovery.version == 3)
-        self.assertIn("200", await self.hear(client[0]))
-        await self.ask("look 2", self.request("look", 2))
+        await self.wait_until(lambda: self.proxy._discovery.version == 3)
+        self.assertIn("200", await self.read_response(client[0]))
+        await self.send_request("look 2", self.request("look", 2))
         self.assertEqual(["z1"], self.backends_reached_by(2))
         # Moves it back while a connection is being set up.
-        for connections in self.proxy._backends._doors.values():
+        for connections in self.proxy._backends._connections_by_backend.values():
             self.proxy._backends._close_idle(connections)
 
         async def move_back() -> None:
             self.endpoint_update(4, self.line("a1"))
-            await self.until(lambda: self.proxy._discovery.version == 4)
+            await self.wait_until(lambda: self.proxy._discovery.version == 4)
 
         await self.run_before_first_byte(move_back)
-        await self.ask("pay 3", self.request("pay", 3))
+        await self.send_request("pay 3", self.request("pay", 3))
         self.assertEqual(["a1"], self.backends_reached_by(3))
 
     async def test_a_head_that_comes_with_its_time_out_has_its_answer(self) -> None:
@@ -367,9 +369,9 @@
 
         self.fake_backends["a1"].answer = answer_slowly
         for number, use_case in enumerate(USE_CASES, 1):
-            self.proxy._facade._balancer._most = 1
-            with mock.patch.object(self.proxy._facade._balancer, "_patience", lambda ticket, now: 300_000):
-                await self.ask(use_case, self.request(use_case, number))
+            self.proxy._facade._balancer._max_attempts = 1
+            with mock.patch.object(self.proxy._facade._balancer, "_attempt_timeout", lambda ticket, now: 300_000):
+                await self.send_request(use_case, self.request(use_case, number))
             self.assertIn("-> 200 'abcd'", self.lines[-1], use_case)
 
     async def receive_long_answer(self, action: Callable[[Exchange], None]) -> bytes:
@@ -401,7 +403,7 @@
             return True
 
         self.fake_backends["a1"].answer = send_long_answer
-        self.proxy._facade._balancer._most = 1
+        self.proxy._facade._balancer._max_attempts = 1
         client = self.connect_socket()
         with (
             mock.patch.object(Exchange, "run", run_recorded),
@@ -449,7 +451,7 @@
         delivered to another client.
         """
         await self.open("a1")
-        self.proxy._backends._settles = 60_000_000
+        self.proxy._backends._settle_time = 60_000_000
         fake_backend, previous_answer = self.fake_backends["a1"], b""
 
         async def answer_twice(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
@@ -465,25 +467,25 @@
         answer_twice.reader = None
         fake_backend.answer = answer_twice
         for number in (11, 12, 13):
-            await self.ask(f"pay {number}", self.request("pay", number))
+            await self.send_request(f"pay {number}", self.request("pay", number))
             self.assertIn(f"-> 200 '{number}'", self.lines[-1])
         self.assertEqual(3, fake_backend.connections)
         # A connection is reused once its settle time is over.
-        self.proxy._backends._settles = 0
+        self.proxy._backends._settle_time = 0
         fake_backend.__dict__.pop("answer")
-        await self.ask("pay 14", self.request("pay", 14))
+        await self.send_request("pay 14", self.request("pay", 14))
         self.assertEqual(3, fake_backend.connections)
 
     @mock.patch("pepperusher.net.backends.MAX_SETTLE_TIME_US", 60_000_000)
     async def test_how_late_a_second_answer_comes_is_learned(self) -> None:
         await self.open("a1")
-        await self.ask("look 1", self.request("look", 1))
-        connections = self.proxy._backends._doors["a1"]
-        await self.until(lambda: connections.idle)
+        await self.send_request("look 1", self.request("look", 1))
+        connections = self.proxy._backends._connections_by_backend["a1"]
+        await self.wait_until(lambda: connections.idle)
         connections.idle[0].idle_since -= 80_000
         self.fake_backends["a1"].writers[-1].write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-        await self.until(lambda: not connections.idle)
-        self.assertGreaterEqual(self.proxy._backends._settles, 160_000)
+        await self.wait_until(lambda: not connections.idle)
+        self.assertGreaterEqual(self.proxy._backends._settle_time, 160_000)
 
 
 class Stops(Crossing):
@@ -504,7 +506,7 @@
 
         with mock.patch.object(Callers, "open", property(count_open)):
             self.proxy.stop()
-            await self.until(lambda: client is not None)
+            await self.wait_until(lambda: client is not None)
             client.setblocking(False)
             received = await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 65536), 10)
             self.assertEqual(b"200", received[9:12])
@@ -553,13 +555,13 @@
         """A connection was accepted and closed at once, so its request met a closed connection and got no answer."""
         await self.open("a1")
         client = self.connect_socket()
-        await self.until(lambda: self.proxy._callers._idle)
+        await self.wait_until(lambda: self.proxy._callers._idle)
         self.proxy._callers.close_after_answers()
         self.proxy._callers.close_idle()
         client.sendall(self.request("look", 1))
         self.assertEqual("200 end", await self.read_to_end(client))
         silent = self.connect_socket()
-        await self.until(lambda: self.proxy._callers._idle)
+        await self.wait_until(lambda: self.proxy._callers._idle)
         next(iter(self.proxy._callers._idle)).waiting_since -= 250_000
         self.proxy._callers.close_idle()
         self.assertEqual(" end", await self.read_to_end(silent))
@@ -579,12 +581,12 @@
             self.connect_socket(),
         )
         hanging = self.connect_socket()
-        self.fake_backends["a1"].does = ["silent"]
+        self.fake_backends["a1"].behaviors = ["silent"]
         hanging.sendall(self.request("file", 1, left=9000))
-        await self.until(lambda: self.backends_reached_by(1))
+        await self.wait_until(lambda: self.backends_reached_by(1))
         request = self.request("book", 2, "x" * 300)
         half_sent.sendall(request[:-100])
-        await self.until(
+        await self.wait_until(
             lambda: sum(bool(caller.connection.bytes_received) for caller in self.proxy._callers._callers) == 2
         )
         in_kernel.sendall(self.request("look", 3) + self.request("pay", 4))
@@ -636,7 +638,7 @@
 
             fake_backend.answer = answer_and_leave
             for number, use_case in enumerate(USE_CASES):
-                fake_backend.does = [behaviour]
+                fake_backend.behaviors = [behaviour]
                 client = self.connect_socket()
                 pending_leavers.append(client)
                 client.sendall(self.request(use_case, number))
@@ -779,9 +781,9 @@
         await self.open("a1")
         for asked in range(2, 5):
             self.watches[-1].close()
-            await self.until(lambda: len(self.watches) == asked)
-            await self.until(lambda: not self.proxy._discovery._lost)
-            self.assertEqual(0, self.proxy._facade._balancer._ask_step)
+            await self.wait_until(lambda: len(self.watches) == asked)
+            await self.wait_until(lambda: not self.proxy._discovery._lost)
+            self.assertEqual(0, self.proxy._facade._balancer._list_backoff)
 
     async def test_versions_that_begin_anew_want_the_whole_list(self) -> None:
         """A discovery that restarted without state numbers its changes anew: drains before the restart were never
@@ -791,20 +793,20 @@
         self.send_on_watch(
             json.dumps({"version": 40, "full": False, "servers": [self.line("b1", "draining")]}).encode() + b"\n"
         )
-        await self.until(lambda: self.ready_backends() == ["a1"])
+        await self.wait_until(lambda: self.ready_backends() == ["a1"])
         self.watches[-1].close()
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.send_on_watch(json.dumps({"version": 3, "full": False, "servers": [self.line("b1")]}).encode() + b"\n")
-        await self.until(lambda: len(self.watches) == 3)
+        await self.wait_until(lambda: len(self.watches) == 3)
         asked = [line.split()[3] for line in self.lines if line.startswith("discovery gets")]
         self.assertEqual(
             ["/v1/endpoints?watch=1&after=1", "/v1/endpoints?watch=1&after=40", "/v1/endpoints?watch=1"], asked
         )
         self.assertEqual(["a1"], self.ready_backends())
         self.send_on_watch(json.dumps({"version": 4, "full": True, "servers": [self.line("b1")]}).encode() + b"\n")
-        await self.until(lambda: self.ready_backends() == ["b1"])
+        await self.wait_until(lambda: self.ready_backends() == ["b1"])
         self.watches[-1].close()
-        await self.until(lambda: len(self.watches) == 4)
+        await self.wait_until(lambda: len(self.watches) == 4)
         self.assertIn("after=4 ", [line for line in self.lines if line.startswith("discovery gets")][-1])
 
     async def test_a_list_may_stand_in_several_lines(self) -> None:
@@ -815,10 +817,10 @@
             await asyncio.sleep(0)
         self.assertEqual(["a1", "b1"], self.ready_backends())
         self.send_on_watch(b"\n\n")
-        await self.until(lambda: self.ready_backends() == ["a1"])
+        await self.wait_until(lambda: self.ready_backends() == ["a1"])
         # A truncated line followed by an empty line: it can never be completed.
         self.send_on_watch(text[:40] + b"\n\n")
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.assertEqual(1, sum("watch ended: BadList a line" in line for line in self.logged))
 
     async def test_where_lists_are_pushed_a_lost_watch_is_asked_for_within_the_grace(self) -> None:
@@ -829,14 +831,14 @@
         balancer = self.proxy._facade._balancer
         for _ in range(4):
             self.proxy._facade.endpoint_request_failed(0)
-            self.assertLessEqual(balancer._ask_at, 125_000)
+            self.assertLessEqual(balancer._list_request_at, 125_000)
 
     async def test_where_lists_are_pushed_clients_come_after_the_first_word(self) -> None:
         """The list in a new process's start configuration may be out of date, and a change known nearby counts from the
         first moment.
         """
         may_speak, call_received = asyncio.Event(), asyncio.Event()
-        watched = self.watched
+        watched = self.serve_watch
 
         async def watched_late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             call_received.set()
@@ -846,16 +848,16 @@
                 json.dumps({"version": 2, "full": False, "servers": [self.line("a1", "draining")]}).encode() + b"\n"
             )
 
-        self.watched = watched_late
+        self.serve_watch = watched_late
         with mock.patch.dict(PUSHED_LIST_SETTINGS["rules"], {"stop-sending-within": 9000.0}):
             opening = asyncio.create_task(self.open("a1", "b1", settings=PUSHED_LIST_SETTINGS))
             await asyncio.wait_for(call_received.wait(), 10)
             self.assertEqual(0, self.proxy.port)
             may_speak.set()
             await opening
-        await self.until(lambda: self.ready_backends() == ["b1"])
+        await self.wait_until(lambda: self.ready_backends() == ["b1"])
         for number in range(2):
-            await self.ask("pay", self.request("pay", number))
+            await self.send_request("pay", self.request("pay", number))
             self.assertEqual(["b1"], self.backends_reached_by(number))
 
     async def test_after_a_silence_the_next_call_goes_out_at_once(self) -> None:
@@ -865,9 +867,9 @@
         with mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.05):
             await self.open("a1")
             balancer = self.proxy._facade._balancer
-            balancer._ask_step = 4_000_000
-            await self.until(lambda: len(self.watches) == 3)
-        self.assertLessEqual(balancer._ask_step, 4_000_000)
+            balancer._list_backoff = 4_000_000
+            await self.wait_until(lambda: len(self.watches) == 3)
+        self.assertLessEqual(balancer._list_backoff, 4_000_000)
         self.assertEqual(0, sum("endpoint list unavailable" in line for line in self.logged))
 
     async def test_a_call_without_a_word_keeps_its_place_and_others_go_out_beside_it(self) -> None:
@@ -895,10 +897,10 @@
             self.server.close()
             server = await asyncio.start_server(never_answer, "127.0.0.1", self.discovery_port)
             self.watches[-1].close()
-            await self.until(lambda: len(ended_calls) >= 3)
+            await self.wait_until(lambda: len(ended_calls) >= 3)
         # No further calls are sent from here on, however long the rest takes.
         with mock.patch("pepperusher.net.call_schedule.FIRST_ANSWER_TIMEOUT_S", 1000.0):
-            await self.until(lambda: len(calls) - len(ended_calls) == 4)
+            await self.wait_until(lambda: len(calls) - len(ended_calls) == 4)
             # Each call that ended was the oldest, none ended before there were five, and no two were sent close
             # together.
             self.assertEqual(list(range(len(calls) - 4)), ended_calls)
@@ -910,11 +912,11 @@
             self.watches.append(calls[oldest])
             servers = [self.line("b1", "draining")]
             self.send_on_watch(json.dumps({"version": 2, "full": False, "servers": servers}).encode() + b"\n")
-            await self.until(lambda: self.ready_backends() == ["a1"])
+            await self.wait_until(lambda: self.ready_backends() == ["a1"])
             self.assertIs(self.proxy._discovery._source.watch, self.proxy._discovery._source.calls[0])
             self.assertEqual(1, len(self.proxy._discovery._source.calls))
             # The other calls are closed, and this one stays.
-            await self.until(lambda: set(range(call_count)) - set(ended_calls) == {oldest})
+            await self.wait_until(lambda: set(range(call_count)) - set(ended_calls) == {oldest})
             self.assertEqual(call_count, len(calls))
         server.close()
 
@@ -941,14 +943,14 @@
             self.server.close()
             server = await asyncio.start_server(never_answer, "127.0.0.1", self.discovery_port)
             self.send_on_watch(b"\n")  # the last data, with silence from here on
-            await self.until(lambda: len(call_times) == 4)
+            await self.wait_until(lambda: len(call_times) == 4)
             self.assertTrue(any("silent" in line for line in self.logged))
             self.assertLess(call_times[3] - call_times[0], 4.0)
             # The fourth call was refused, and the three before it keep their places.
-            await self.until(lambda: len(call_times) == 5)
+            await self.wait_until(lambda: len(call_times) == 5)
             self.assertGreater(call_times[4] - call_times[3], 3.9)
             self.assertEqual(4, len(self.proxy._discovery._source.calls))
-            self.assertEqual(0, self.proxy._facade._balancer._ask_step)
+            self.assertEqual(0, self.proxy._facade._balancer._list_backoff)
         server.close()
 
     async def test_after_a_call_that_was_kept_and_refused_the_wait_is_as_long_as_ever(self) -> None:
@@ -964,7 +966,7 @@
             call_times.append(time.monotonic())
             await reader.readuntil(b"\r\n\r\n")
             await asyncio.sleep(0.4)  # its turn has not come
-            balancer._ask_step = 4_000_000  # as in a long outage
+            balancer._list_backoff = 4_000_000  # as in a long outage
             refused_at.append(time.monotonic())
             writer.write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
             writer.close()
@@ -976,8 +978,8 @@
             self.server.close()
             server = await asyncio.start_server(refuse_slowly, "127.0.0.1", self.discovery_port)
             self.watches[-1].close()
-            await self.until(lambda: len(refused_at) == 1)
-            await self.until(lambda: len(call_times) == 2)
+            await self.wait_until(lambda: len(refused_at) == 1)
+            await self.wait_until(lambda: len(call_times) == 2)
         # The longest delay is 2.5 s, and half of it is random.
         self.assertGreaterEqual(call_times[1] - refused_at[0], 1.24)
         server.close()
@@ -1012,13 +1014,15 @@
                 with self.subTest(order):
                     open_watch.close()
                     calls.clear()
-                    await self.until(lambda: len(calls) == 2)
+                    await self.wait_until(lambda: len(calls) == 2)
                     answers = [(calls[0], older, "ready"), (calls[1], older + 1, "draining")]
                     for call_writer, version, state in reversed(answers) if order == "the newer" else answers:
                         call_writer.write(line(version, state))
                         if order != "both":
-                            await self.until(lambda: source.version >= older)
-                    await self.until(lambda: sum(call in ended_calls for call in calls) == 1)  # the other one is closed
+                            await self.wait_until(lambda: source.version >= older)
+                    await self.wait_until(
+                        lambda: sum(call in ended_calls for call in calls) == 1
+                    )  # the other one is closed
                     self.assertEqual((older + 1, 1), (source.version, len(source.calls)))
                     self.assertIs(source.calls[0], source.watch)
                     self.assertEqual(["a1"], self.ready_backends())
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -43,12 +43,12 @@
         for use_case in ("look", "book"):
             self.call(DONE, 0.1, use_case=use_case, times=40, quiet=True)
         ticket = self.ticket("book", timeout_s=4.0)
-        self.where(ticket)
+        self.choose_backend(ticket)
         self.list("c2", started_at=self.now)
         for name in ("a1", "b1"):
             self.backends[name].in_flight += 40
-        self.after(ticket, ERROR, 0.9)
+        self.end_attempt(ticket, ERROR, 0.9)
         self.backends["c2"].tokens = 1.0
-        self.where(ticket)
-        self.where(self.ticket())
+        self.choose_backend(ticket)
+        self.choose_backend(self.ticket())
         self.compare_trace("fresh_no_way_past")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -242,18 +242,18 @@
                 writer.write(self.request("look", 100 * round_number + number))
                 if number % 10 == 9:
                     for stream, _ in regular[number - 9 : number + 1]:
-                        await self.hear(stream)
-        for connections in self.proxy._backends._doors.values():
+                        await self.read_response(stream)
+        for connections in self.proxy._backends._connections_by_backend.values():
             self.proxy._backends._close_idle(connections)
         # One fewer than may be accepted: a descriptor is reserved for the next connection.
         silent_clients = [await self.connect() for _ in range(21)]
-        await self.until(lambda: self.proxy._callers.open == 71)
-        await self.until(lambda: budget.open == 72)
+        await self.wait_until(lambda: self.proxy._callers.open == 71)
+        await self.wait_until(lambda: budget.open == 72)
         self.assertGreater(50 + self.proxy._callers.open - budget.limit * 0.95, budget._reserve // 2)
         # All requests are in the kernel before the event loop runs again.
         for number, (_, writer) in enumerate(regular):
             writer.write(self.request("look", number))
-        answers = [(await self.hear(reader))[:3] for reader, _ in regular]
+        answers = [(await self.read_response(reader))[:3] for reader, _ in regular]
         # On a busy machine some requests time out, but none is refused for want of a descriptor.
         self.assertEqual(set(), set(answers) - {"200", "503", "504"})
         self.assertNotIn("moot", self.proxy._counts)
@@ -279,13 +279,13 @@
         sending[1].write(b"X-Long: ")
         sending_task = asyncio.create_task(keep_sending())
         began = time.monotonic()
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertLess(time.monotonic() - began, 2.0)
-        self.assertIn("408", await self.hear(stalled[0][0]))
+        self.assertIn("408", await self.read_response(stalled[0][0]))
         sending_task.cancel()
         sending[1].write(b"\r\nRequest-Id: 2\r\n\r\n")
-        self.assertIn("200", await self.hear(sending[0]))
+        self.assertIn("200", await self.read_response(sending[0]))
         for _, writer in stalled:
             writer.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -79,11 +79,11 @@
     beats = False
     keeps_silent = False  # discovery takes calls and says nothing, not even that it lives
 
-    async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.keeps_silent:
             await reader.read()
         else:
-            await super().watched(reader, writer)
+            await super().serve_watch(reader, writer)
 
     def listed(self) -> str:
         return ", ".join(sorted(one["id"] for one in self.proxy._facade.backends() if one["ready"])) or "nobody"
@@ -118,7 +118,7 @@
             ):
                 watches, logged = len(self.watches), len(self.logged)
                 self.tell(text)
-                await self.until(
+                await self.wait_until(
                     lambda: len(self.watches) > watches and not self.proxy._discovery._source.following.done()
                 )
                 await self.settle()
@@ -126,7 +126,7 @@
                     line.split(" line ")[0].partition(";")[0][:60] for line in self.logged[logged:] if "watch" in line
                 ]
                 said.append(f"{what}: {self.listed()}, log {told}")
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         said.append(self.lines[-1])
         self.lines = said
         self.compare_trace("discovery_bad")
@@ -147,7 +147,7 @@
             await self.settle()
             said.append(f"{what}: {self.listed()}, version {self.proxy._discovery._source.version}")
         self.watches[-1].close()  # and one that has started again counts from the start
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.tell(self.line_of(1, self.line("a1"), full=True))
         await self.settle()
         said.append(
@@ -163,8 +163,8 @@
             self.proxy._facade, "endpoint_request_delay", side_effect=RuntimeError("a fault")
         ) as tick:
             self.watches[-1].close()
-            await self.until(lambda: tick.called)
-        await self.until(lambda: len(self.watches) == 2)
+            await self.wait_until(lambda: tick.called)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.tell(self.line_of(2, self.line("b1", "draining")))
         await self.settle()
         self.assertEqual("a1", self.listed())
@@ -173,7 +173,7 @@
     async def moved(self, stopped_for: float = 0.0) -> None:
         """Discovery is at another address from here on, and asked there; the process hears of that after so many seconds in
         which it was stopped."""
-        server = await asyncio.start_server(self.watched, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve_watch, "127.0.0.1", 0)
         self.addCleanup(server.close)
         self.given = json.dumps(
             {**json.loads(self.given), "discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}
@@ -181,14 +181,14 @@
         watches = len(self.watches)
         time.sleep(stopped_for)
         self.proxy.reload_configuration()
-        await self.until(lambda: len(self.watches) > watches)
+        await self.wait_until(lambda: len(self.watches) > watches)
 
     async def lost(self) -> None:
         """Discovery takes no call from here on, and its watch ends."""
-        await self.until(lambda: self.proxy._discovery.watched)
+        await self.wait_until(lambda: self.proxy._discovery.watched)
         self.server.close()
         self.watches[-1].close()
-        await self.until(lambda: not self.proxy._discovery.watched)
+        await self.wait_until(lambda: not self.proxy._discovery.watched)
 
     async def test_a_list_past_the_term_of_a_loss_is_said_and_counted_with_what_goes_out_by_it(self) -> None:
         """That term runs only while discovery can be reached, which nobody here knows: the list is used on."""
@@ -196,18 +196,18 @@
         metrics = self.proxy._discovery.metrics
         with mock.patch("pepperusher.net.discovery.LOST_TERM", TERM):
             await self.lost()
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertEqual((0, 0), (metrics.overdue, metrics.sent_overdue))
         await asyncio.sleep(TERM + 0.05)
         for number in range(2, 6):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
         said = sorted(line.rpartition("goes to ")[2] for line in self.logged if "goes to" in line)
         self.assertEqual(["a1 by a list past its term", "b1 by a list past its term"], said)
         await self.moved()
         self.tell(self.line_of(2, self.line("a1"), full=True))
         await self.settle()
-        await self.ask("look 6", self.request("look", 6))
+        await self.send_request("look 6", self.request("look", 6))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
         self.assertGreater(metrics.longest_unconfirmed, 0.15)
         self.assertTrue(
@@ -222,18 +222,18 @@
         metrics = self.proxy._discovery.metrics
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM):
             await self.moved()
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertEqual((0, 0), (metrics.expired, metrics.refused_expired))
         await asyncio.sleep(TERM + 0.05)
         self.lines = []
         for number in range(2, 6):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.assertEqual(4, sum("503" in line for line in self.lines), self.lines)
         self.assertEqual((1, 4, 0), (metrics.expired, metrics.refused_expired, metrics.sent_overdue))
         self.assertEqual(1, sum("is refused: the list has expired" in line for line in self.logged))
         self.tell(self.line_of(2, self.line("a1"), full=True))
         await self.settle()
-        await self.ask("look 6", self.request("look", 6))
+        await self.send_request("look 6", self.request("look", 6))
         self.assertIn("200", self.lines[-1])
         self.assertEqual((1, 4), (metrics.expired, metrics.refused_expired))
         self.assertTrue(any("past its term, 4 requests refused" in line for line in self.logged))
@@ -246,7 +246,7 @@
 
         async def expires_meanwhile(*given: object) -> object:
             made = await connect(*given)
-            await self.until(lambda: self.proxy._discovery.confirmation.expired)
+            await self.wait_until(lambda: self.proxy._discovery.confirmation.expired)
             return made
 
         with (
@@ -255,7 +255,7 @@
         ):
             await self.moved()
             self.lines = []
-            await self.ask("look 1", self.request("look", 1))
+            await self.send_request("look 1", self.request("look", 1))
         self.assertEqual(["look 1 ...", "look 1 -> 503 'bounced'"], self.lines)
         self.assertEqual(0, self.proxy._facade.backends()[0]["failed"])
 
@@ -275,10 +275,10 @@
 
         for use in ("book", "pay"):
             for toy in self.fake_backends.values():
-                toy.does = ["break"]
+                toy.behaviors = ["break"]
             self.lines.clear()  # the backends write to it as well
             with mock.patch.object(type(confirmation), "expired", Expires()):
-                await self.ask(f"{use} 1", self.request(use, 1, "a body"))
+                await self.send_request(f"{use} 1", self.request(use, 1, "a body"))
             self.assertEqual(1, sum(" gets POST" in line for line in self.lines), self.lines)
             self.assertIn("502", self.lines[-1])
 
@@ -289,8 +289,8 @@
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", TERM):
             self.proxy.reload_configuration()
         metrics = self.proxy._discovery.metrics
-        await self.until(lambda: metrics.unconnected and self.proxy._discovery.confirmation.overdue)
-        await self.ask("look 1", self.request("look", 1))
+        await self.wait_until(lambda: metrics.unconnected and self.proxy._discovery.confirmation.overdue)
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertEqual((1, 1, 0), (metrics.overdue, metrics.sent_overdue, metrics.expired))
 
@@ -303,8 +303,8 @@
         ):
             self.given = json.dumps({**json.loads(self.given), "discovery": "127.0.0.1:1"})
             self.proxy.reload_configuration()
-            await self.until(lambda: self.proxy._discovery.confirmation.expired)
-            await self.ask("look 1", self.request("look", 1))
+            await self.wait_until(lambda: self.proxy._discovery.confirmation.expired)
+            await self.send_request("look 1", self.request("look", 1))
         self.assertIn("503", self.lines[-1])
 
     async def test_a_configuration_that_can_not_be_read_begins_a_term_too(self) -> None:
@@ -314,14 +314,14 @@
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4):
             self.proxy.reload_configuration()
         await asyncio.sleep(0.45)
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1], "its watch stood all the while")
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_TERM", 0.4):
             self.proxy.reload_configuration()
         self.keeps_silent = True
         self.watches[-1].close()
         await asyncio.sleep(0.45)
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.assertIn("503", self.lines[-1])
 
     async def test_a_signal_may_have_come_as_long_ago_as_the_process_last_looked(self) -> None:
@@ -335,7 +335,7 @@
     async def test_who_takes_anothers_place_sends_nothing_once_the_term_of_that_is_over(self) -> None:
         await self.open("a1")
         discovery = self.proxy._discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery.stop()
         discovery.take_over(None)
         discovery.resume_from_handover(
@@ -344,11 +344,11 @@
         self.keeps_silent = True
         with mock.patch("pepperusher.net.discovery.TAKEN_OVER_TERM", TERM):
             discovery.start(at_once=False)
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertIsNotNone(self.proxy.list_for_peers())
         await asyncio.sleep(TERM + 0.05)
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.assertIn("503", self.lines[-1])
         self.assertIsNone(self.proxy.list_for_peers(), "another process would send by a list that has expired here")
 
@@ -369,7 +369,7 @@
     async def test_the_term_of_a_silent_watch_counts_from_its_last_word(self) -> None:
         await self.open("a1")
         discovery = self.proxy._discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery._spread = 0.0
         with (
             mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.4),
@@ -378,7 +378,7 @@
             self.tell(b"\n")
             spoke_at = time.monotonic()
             self.keeps_silent = True
-            await self.until(lambda: not discovery.watched)
+            await self.wait_until(lambda: not discovery.watched)
             self.assertFalse(discovery.confirmation.overdue)
             await asyncio.sleep(spoke_at + 0.5 + TERM - time.monotonic())
         self.assertTrue(discovery.confirmation.overdue)
@@ -396,7 +396,7 @@
             self.assertEqual("a1", self.listed())
         # It was no late list: nobody has told of b1 since. Of c1 somebody has.
         self.tell(self.line_of(10, {**c, "state": "draining"}))
-        await self.until(lambda: self.listed() == "a1, b1")
+        await self.wait_until(lambda: self.listed() == "a1, b1")
 
     async def test_an_older_list_lifts_a_stop_where_the_endpoint_has_started_since_or_is_the_last(self) -> None:
         await self.open("a1", "b1")
@@ -427,7 +427,7 @@
             self.line_of(number, self.line("b1", "draining" if number % 2 else "ready")) for number in range(2, 502)
         )
         self.tell(text)
-        await self.until(lambda: self.proxy._discovery._source.version == 501)
+        await self.wait_until(lambda: self.proxy._discovery._source.version == 501)
         self.assertEqual(500, sum(asked))
         self.assertLess(len(asked), 12)  # as many as the reads that they came in
         self.assertEqual("a1", self.listed())
@@ -479,13 +479,13 @@
                 before = len(asked)
                 for writer in self.watches:
                     writer.close()
-                self.proxy._discovery._facade._balancer._ask_step = 0
+                self.proxy._discovery._facade._balancer._list_backoff = 0
                 async with asyncio.timeout(8):
                     while len(asked) < before + 3:
                         await asyncio.sleep(0.01)
                 first, second, third = asked[before : before + 3]
                 self.assertLess(second - first, 2.5, what)
                 self.assertGreater(third - first, 0.5, what)
-                await self.ask("look", self.request("look", len(self.lines)))
+                await self.send_request("look", self.request("look", len(self.lines)))
                 self.assertIn("200", self.lines[-1], what)
         server.close()
--- a/tests/test_distribution.py
+++ b/tests/test_distribution.py
@@ -762,10 +762,10 @@
 
     def test_not_confirmed_while_behind(self) -> None:
         self.subscriber.received(self.first, Heartbeat(1, 100, 5), self.now)
-        self.assertEqual(5 + SECOND_US, self.subscriber.age(self.now + SECOND_US))
+        self.assertEqual(5 + SECOND_US, self.subscriber.age_us(self.now + SECOND_US))
         self.subscriber.received(self.second, Offer(*KEY, mark_of(version_of(1))), self.now)
         self.subscriber.received(self.second, Heartbeat(1, 200, 0), self.now + SECOND_US)
-        self.assertEqual(5 + SECOND_US, self.subscriber.age(self.now + SECOND_US))
+        self.assertEqual(5 + SECOND_US, self.subscriber.age_us(self.now + SECOND_US))
 
     def test_where_only_the_last_of_the_order_can_be_reached_it_is_found_in_time(self) -> None:
         """In a region that is cut off, connections succeed and nothing follows."""
@@ -1589,7 +1589,7 @@
                 )
                 self.assertNotIn(last, {cluster.proxies[name].resources[KEY].version for name in cut_off_proxies})
                 for name in cut_off_proxies:
-                    age = cluster.proxies[name].age(cluster.now)
+                    age = cluster.proxies[name].age_us(cluster.now)
                     self.assertGreater(
                         age or 0, 170 * SECOND_US, "the confirmation grows old in a region that is cut off"
                     )
--- a/tests/test_distribution_processes.py
+++ b/tests/test_distribution_processes.py
@@ -249,7 +249,7 @@
         for name in ("p0", "p1"):
             restarted = self.client(name)
             await wait_until(lambda: restarted.in_force.get(KEY) == third, description="the cached version")
-            age = restarted.age(clock.now())
+            age = restarted.age_us(clock.now())
             assert age is not None
             self.assertLess(0, age)
             self.assertEqual(b"one\n" * 200 + b"three\n", self.bodies[name])
@@ -404,7 +404,8 @@
             self.all_have(first := await self.publish(b"one\n")), description="the version from before the cut"
         )
         await wait_until(
-            lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="confirmed in the other region"
+            lambda: (west_client.age_us(clock.now()) or 1 << 60) < 5_000_000,
+            description="confirmed in the other region",
         )
         for link in links:
             link.cut = True
@@ -416,14 +417,15 @@
         with self.assertRaises(NoAnswerError):
             await publish((HOST, ports[1]), SECRET, *KEY, b"a decision of the region's own")
         await wait_until(
-            lambda: (west_client.age(clock.now()) or 0) > 6_000_000, description="the confirmation grows old"
+            lambda: (west_client.age_us(clock.now()) or 0) > 6_000_000, description="the confirmation grows old"
         )
         self.assertEqual(first, west_client.in_force[KEY])
         for link in links:
             link.cut = False
         await wait_until(self.all_have(second), description="the version after the cut")
         await wait_until(
-            lambda: (west_client.age(clock.now()) or 1 << 60) < 5_000_000, description="the confirmation after the cut"
+            lambda: (west_client.age_us(clock.now()) or 1 << 60) < 5_000_000,
+            description="the confirmation after the cut",
         )
         for link in links:
             await link.stop()
@@ -804,7 +806,7 @@
             self.assertEqual(["own", "shared"], self.route_names())
             await wait_until(lambda: self.distributed.status()["version"] == first, description="the cached version")
             self.assertGreater(self.distributed.status()["confirmed_us_ago"], 0)
-            await self.ask("served", self.request("look", 1))
+            await self.send_request("served", self.request("look", 1))
             self.assertIn("served -> 200 'a1 1'", self.lines)
             # The control machine returns, and the next change is applied.
             await self.machine.start()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -225,7 +225,7 @@
                     at = await asyncio.open_connection(*self.at)
                 at[1].write(self.request("look", number))
                 async with asyncio.timeout(3):
-                    said = await self.hear(at[0])
+                    said = await self.read_response(at[0])
             except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
                 said, at = type(error).__name__, None
             word = said.split()[0] if said[0].isdigit() else said
@@ -272,7 +272,9 @@
         self.assertIn("200", await first.call("POST", "/-/backends/a1/enable"))
         async with asyncio.timeout(8):
             while not any("    a1 gets" in line for line in self.lines):
-                await self.ask("look", self.request("look", self.number), await asyncio.open_connection(*self.at))
+                await self.send_request(
+                    "look", self.request("look", self.number), await asyncio.open_connection(*self.at)
+                )
                 self.number += 1
 
     async def test_a_next_process_that_dies_leaves_the_first_whole_and_a_killed_one_is_followed(self) -> None:
@@ -289,11 +291,11 @@
         await first.end(signal.SIGKILL)
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("503", await self.hear(at[0]))  # the drain that it was told of stays in force
+        self.assertIn("503", await self.read_response(at[0]))  # the drain that it was told of stays in force
         self.assertIn("200", await third.call("POST", "/-/resume"))
         for number in range(4):
             at = await asyncio.open_connection(*self.at)
-            await self.ask("look", self.request("look", number), at)
+            await self.send_request("look", self.request("look", number), at)
         self.assertEqual(4, sum("    a1 gets" in line for line in self.lines))
         # Alone after all of them, over what the day before left: the ban stands, a drain does not.
         self.assertIn("200", await third.call("POST", "/-/drain"))
@@ -301,7 +303,7 @@
         fourth = await self.process()
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("200", await self.hear(at[0]))
+        self.assertIn("200", await self.read_response(at[0]))
         self.assertIn("200", await fourth.call("POST", "/-/backends/b1/enable"))
 
     async def asked(self, tickets: int) -> list[str]:
@@ -313,7 +315,7 @@
             at[1].write(self.request("look", self.number))
             try:
                 async with asyncio.timeout(3):
-                    made.append((await self.hear(at[0])).split()[0])
+                    made.append((await self.read_response(at[0])).split()[0])
             except TimeoutError:
                 made.append("nothing")
             at[1].close()
@@ -331,7 +333,7 @@
             for _ in range(12):  # about half of them at each
                 self.number += 1
                 kept.append(await asyncio.open_connection(*self.at))
-                await self.ask("look", self.request("look", self.number), kept[-1])
+                await self.send_request("look", self.request("look", self.number), kept[-1])
             still.process.send_signal(signal.SIGSTOP)
             seen[lives] = await lives.logs("new connections come here", seen[lives])
             self.assertEqual({"200"}, set(await self.asked(30)))
@@ -414,11 +416,11 @@
             first, _ = process_slots(folder, "p1")
             first.take()  # another one reigns, and says nothing
             await self.open("a1", console="127.0.0.1:1", passed=folder)
-            await self.ask("look", self.request("look", 1))
+            await self.send_request("look", self.request("look", 1))
             self.assertIn("200", self.lines[-1])
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.desk.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_handlers.port)
             writer.write(b"POST /-/backends/a1/disable HTTP/1.1\r\nHost: c\r\n\r\n")
-            self.assertIn("500 'in force, but not kept", await self.hear(reader))
+            self.assertIn("500 'in force, but not kept", await self.read_response(reader))
             writer.close()
             first.close()
         self.assertTrue(any("the state is not kept: No space left" in line for line in self.logged), self.logged)
@@ -427,5 +429,5 @@
         await self.open("a1", console="127.0.0.1:1", passed="/nowhere")
         self.assertTrue(any("/nowhere: No such file or directory" in line for line in self.logged), self.logged)
         self.processes = []
-        await self.ask("look", self.request("look", 1))
+        await self.send_request("look", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -70,9 +70,9 @@
         for one in self.backends.values():
             await one.open()
         self.fake_backends = self.backends  # type: ignore[assignment]
-        await self.until(lambda: self.watches)
+        await self.wait_until(lambda: self.watches)
         self.endpoint_update(2, *(self.line(name) for name in self.backends), full=True)
-        await self.until(lambda: len(self.proxy._facade.backends()) == len(self.backends))
+        await self.wait_until(lambda: len(self.proxy._facade.backends()) == len(self.backends))
         assert self.proxy._gate is not None
         self.house = self.proxy._gate
         self.number = 0
@@ -175,7 +175,7 @@
         self.assertLessEqual(max(waits["2"]), 70_000)
         self.assertGreater(max(waits["2"]), 60_000)
         self.assertGreater(min(waits["1"] | waits["3"]), 70_000)
-        await self.until(lambda: self.proxy._facade.open_tickets == 0)
+        await self.wait_until(lambda: self.proxy._facade.open_tickets == 0)
         self.assertEqual(list(self.house.active_configuration.versions), [3])
 
     async def test_a_drain_told_just_before_an_apply_holds_through_it_and_its_undo(self) -> None:
@@ -191,7 +191,7 @@
         await self.house.undo(change.number, "ops", "no")
         await asyncio.sleep(0.5)
         # How many have come by then hangs on the machine.
-        await self.until(lambda: sum(at > told + 0.5 for at, status in ends if status == "200") > 20)
+        await self.wait_until(lambda: sum(at > told + 0.5 for at, status in ends if status == "200") > 20)
         going.cancel()
         await asyncio.gather(going, return_exceptions=True)
         latest = max(at for times in self.backends["a1"].came.values() for at, _ in times)
@@ -227,12 +227,12 @@
         # One that waits and whose client leaves is no longer there.
         inside = [asyncio.create_task(self.one()) for _ in range(2)]
         gates = self.house.active_configuration.gates
-        await self.until(lambda: gates()[0]["inside"] == 2)
+        await self.wait_until(lambda: gates()[0]["inside"] == 2)
         reader, writer = await self.connect()
         writer.write(self.request("look", 999))
-        await self.until(lambda: gates()[0]["waiting"] == 1)
+        await self.wait_until(lambda: gates()[0]["waiting"] == 1)
         writer.close()
-        await self.until(lambda: gates()[0]["waiting"] == 0)
+        await self.wait_until(lambda: gates()[0]["waiting"] == 0)
         await asyncio.gather(*inside)
         self.assertNotIn("999", self.backends["a1"].came | self.backends["b1"].came)
         self.assertEqual((gates()[0]["inside"], self.proxy._facade.open_tickets), (0, 0))
@@ -245,7 +245,7 @@
         for backend in self.backends.values():
             backend.after = 0.4
         holds = asyncio.create_task(self.one("pay", left=2000))
-        await self.until(lambda: self.house.active_configuration.gates()[0]["inside"] == 1)
+        await self.wait_until(lambda: self.house.active_configuration.gates()[0]["inside"] == 1)
         stood = 0.0
 
         async def looks() -> None:
@@ -274,7 +274,7 @@
     async def test_a_stop_answers_those_that_wait(self) -> None:
         await self.stand(WATCH + '[[routes]]\nname = "all"\nconcurrency = { most = 1, queue = 50 }\n', 1.0)
         tasks = [asyncio.create_task(self.one(left=9000)) for _ in range(10)]
-        await self.until(lambda: self.house.active_configuration.gates()[0]["waiting"] == 9)
+        await self.wait_until(lambda: self.house.active_configuration.gates()[0]["waiting"] == 9)
         self.proxy.stop()
         ends = await asyncio.gather(*tasks)
         self.assertEqual({status for _, status, _ in ends} - {"200", "503"}, set())
@@ -283,10 +283,10 @@
         await self.stand(WATCH)
         self.own_file.write_text(WATCH + "[[routes]]\nname = 'r'\nattempts = 5\nsecond_copy = true\n")
         self.proxy.reload_configuration()
-        await self.until(lambda: sum("not taken" in line for line in self.logged) >= 2)
+        await self.wait_until(lambda: sum("not taken" in line for line in self.logged) >= 2)
         self.own_file.write_text(SLOW)
         self.proxy.reload_configuration()
-        await self.until(lambda: self.house.active_configuration.version.number == 2)
+        await self.wait_until(lambda: self.house.active_configuration.version.number == 2)
         self.assertEqual(self.house.active_configuration.ledger.open.steps[0].who, "SIGHUP")
         with self.assertRaises(ConfigurationError):
             await self.house.propose_text("a = ", "ops", "")
--- a/tests/test_leavers.py
+++ b/tests/test_leavers.py
@@ -116,10 +116,10 @@
     ) -> tuple[socket.socket, "asyncio.Future[None]"]:
         """Returns a client with one request at a slow backend and more pipelined data than the reader accepts."""
         asyncio.get_running_loop().set_debug(False)  # debug mode is several times slower
-        self.fake_backends["a1"].does = ["slow"]
+        self.fake_backends["a1"].behaviors = ["slow"]
         client = self.connect_socket()
         client.sendall(self.request("pay", first))
-        await self.until(lambda: self.backends_reached_by(first))
+        await self.wait_until(lambda: self.backends_reached_by(first))
         pipelined = b"".join(self.request("pay", first + 1 + number, "x" * size, 9000) for number in range(requests))
         return client, asyncio.get_running_loop().run_in_executor(None, client.sendall, pipelined)
 
@@ -131,9 +131,9 @@
                 client, sending = await self.send_pipelined(1, 40, 10_000)
                 connection = next(iter(self.proxy._callers._callers)).connection
                 if limit:
-                    await self.until(lambda: self.proxy._callers._disconnect_watcher.read_ahead_bytes)
+                    await self.wait_until(lambda: self.proxy._callers._disconnect_watcher.read_ahead_bytes)
                 await sending
-                await self.until(lambda: self.proxy._counts.get("done") == 41)
+                await self.wait_until(lambda: self.proxy._counts.get("done") == 41)
                 self.assertEqual(
                     [f"{number}" for number in range(1, 42)],
                     [line.split(" id ")[1].split()[0] for line in self.lines if " id " in line],
@@ -153,11 +153,11 @@
                 watcher = self.proxy._callers._disconnect_watcher
                 watcher._max_bytes = 500_000
                 for fake_backend in self.fake_backends.values():
-                    fake_backend.does = ["silent"] * 3
+                    fake_backend.behaviors = ["silent"] * 3
                 clients = [self.connect_socket() for _ in range(3)]
                 for number, client in enumerate(clients):
                     client.sendall(self.request("look", number, left=30_000))
-                await self.until(lambda: len(self.backends_reached_by()) == 3)
+                await self.wait_until(lambda: len(self.backends_reached_by()) == 3)
                 most_held = 0
                 connections = [caller.connection for caller in self.proxy._callers._callers]
                 async with asyncio.timeout(20):
@@ -181,7 +181,7 @@
                     if way == "resets":
                         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                     client.close()
-                await self.until(lambda: not self.proxy._callers.open)
+                await self.wait_until(lambda: not self.proxy._callers.open)
                 self.assertEqual(0, watcher.read_ahead_bytes)
                 self.assertEqual({}, watcher._watched)
                 await self.asyncTearDown()
@@ -189,15 +189,15 @@
     async def test_an_end_behind_what_is_read_ahead_calls_off_what_is_out(self) -> None:
         """The end never arrived: the attempt continued, and the client's descriptor stayed open."""
         await self.open("a1")
-        self.fake_backends["a1"].does = ["silent"]
+        self.fake_backends["a1"].behaviors = ["silent"]
         client = self.connect_socket()
         client.sendall(self.request("look", 1, left=30_000))
-        await self.until(lambda: self.backends_reached_by(1))
+        await self.wait_until(lambda: self.backends_reached_by(1))
         client.setblocking(False)
         await asyncio.get_running_loop().sock_sendall(client, b"GET /look/ahead HTTP/1.1\r\n" + b"x" * 1_000_000)
         client.close()
         await self.wait_for_backend_close()
-        await self.until(lambda: not self.proxy._callers.open)
+        await self.wait_until(lambda: not self.proxy._callers.open)
         self.assertEqual({"called off": 1, "left": 1}, self.proxy._counts)
 
     async def test_a_body_that_flows_is_not_read_ahead_of_its_backend(self) -> None:
@@ -214,16 +214,16 @@
         server = await asyncio.start_server(stall, "127.0.0.1", 0, limit=READ_BYTES)
         self.fake_backends["a1"].port = server.sockets[0].getsockname()[1]
         self.endpoint_update(2, self.line("a1"))
-        await self.until(lambda: self.proxy._discovery.version == 2)
+        await self.wait_until(lambda: self.proxy._discovery.version == 2)
         client = self.connect_socket()
         client.setblocking(False)
         client.send(self.request("pay", 1, "x" * 20_000_000, left=8000)[:400])
         sending = asyncio.create_task(asyncio.get_running_loop().sock_sendall(client, b"x" * 20_000_000))
-        await self.until(lambda: "POS" in self.lines)
+        await self.wait_until(lambda: "POS" in self.lines)
         connection = next(iter(self.proxy._callers._callers)).connection
         # Data may have been read ahead before the body's first byte was sent; that is used up, and no more is read
         # ahead.
-        await self.until(lambda: not connection.transport.is_reading() and not connection.may_read_ahead)
+        await self.wait_until(lambda: not connection.transport.is_reading() and not connection.may_read_ahead)
         self.assertLess(connection.unread_bytes, disconnect_watcher.MAX_READ_AHEAD_BYTES)
         self.assertLess(connection.bytes_received, 12_000_000)
         sending.cancel()
@@ -247,7 +247,7 @@
 
         with mock.patch.object(RequestStore, "record_attempt", record_and_leave):
             client.sendall(self.request("book", 1))
-            await self.until(lambda: self.proxy._counts.get("left"))
+            await self.wait_until(lambda: self.proxy._counts.get("left"))
         self.assertEqual([], self.backends_reached_by(1))
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, Waiting
+from pepperusher.limits.gate import FULL, ADMITTED, TOO_LATE, QUEUED, Gate, AdmissionRequest
 from pepperusher.limits.gradient import Fixed, Gradient
 from pepperusher.limits.rate import Bucket, Buckets, RetryBudget
 
@@ -109,7 +109,9 @@
 
 
 class Gates(TraceTestCase):
-    def enter(self, gate: Gate, customer: str, now: int = 0, deadline: int = 10 * SECOND, priority: int = 5) -> Waiting:
+    def enter(
+        self, gate: Gate, customer: str, now: int = 0, deadline: int = 10 * SECOND, priority: int = 5
+    ) -> AdmissionRequest:
         """Requests admission and prints the decision."""
         decision, ticket = gate.enter(customer, priority, now, deadline)
         name = f"{customer}{ticket.order}"
@@ -183,10 +185,10 @@
             rng = Random(seed)
             gate = Gate(Fixed(rng.randint(1, 5)), rng.randint(0, 6), {"a": rng.random() + 0.1})
             decisions: dict[int, list[str]] = {}
-            waiting: dict[int, Waiting] = {}
-            admitted: list[Waiting] = []
+            waiting: dict[int, AdmissionRequest] = {}
+            admitted: list[AdmissionRequest] = []
 
-            def record(ticket: Waiting, decision: str) -> None:
+            def record(ticket: AdmissionRequest, decision: str) -> None:
                 decisions.setdefault(ticket.order, []).append(decision)
                 waiting.pop(ticket.order, None)
                 if decision == ADMITTED:
--- a/tests/test_mixed.py
+++ b/tests/test_mixed.py
@@ -177,18 +177,18 @@
             },
         )
         old_configuration, self.given = self.given, json.dumps(sidecar_configuration)
-        sidecar_bootstrap = self.read_again()
+        sidecar_bootstrap = self.reload_configuration()
         sidecar_bootstrap.listen = ("127.0.0.1", 0)
         self.given = old_configuration
         sidecar = Proxy(sidecar_bootstrap, lambda before: before)
-        sidecar._log.say = lambda line, figures=None: None
+        sidecar._log.say = lambda line, fields=None: None
         serving = asyncio.create_task(sidecar.serve())
-        await self.until(lambda: sidecar.port and len(self.watches) == 2)
+        await self.wait_until(lambda: sidecar.port and len(self.watches) == 2)
         for backend in self.fake_backends.values():
-            backend.does = [
+            backend.behaviors = [
                 "HTTP/1.1 200 OK\r\nEndpoint-Load-Metrics: TEXT active=1\r\nContent-Length: 2\r\n\r\nok"
             ] * 300
-        self.fake_backends["b1"].does[5:8] = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"] * 3
+        self.fake_backends["b1"].behaviors[5:8] = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"] * 3
         answers: Counter[tuple[int, str]] = Counter()
         at_drain: list[int] = []
 
@@ -197,7 +197,7 @@
             for number in range(60):
                 use = ("look", "book", "pay")[number % 3]
                 writer.write(self.request(use, 1000 * number_ + number, "x" * (use != "look")))
-                answers[number_, (await self.hear(reader)).split()[0]] += 1
+                answers[number_, (await self.read_response(reader)).split()[0]] += 1
                 if number == 30 and number_ == 1:
                     for watch in (0, 1):
                         self.endpoint_update(2, self.line("c1", "draining"), watch=watch)
