--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -47,17 +47,17 @@
     async def test_tickets_go_on_unchanged_over_kept_connections(self) -> None:
         await self.open("a1")
         streams = await self.connect()
-        await self.ask("look 1", self.request("look", 1), streams)
-        await self.ask("book 2", self.request("book", 2, "x" * 64 * 1024), streams)
-        await self.ask("book 3", self.request("book", 3, "y" * 200), streams)
-        await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", streams)
+        await self.send_request("look 1", self.request("look", 1), streams)
+        await self.send_request("book 2", self.request("book", 2, "x" * 64 * 1024), streams)
+        await self.send_request("book 3", self.request("book", 3, "y" * 200), streams)
+        await self.send_request("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", streams)
         self.lines.append(f"connections at a1: {self.fake_backends['a1'].connections}")
         self.compare_trace("net_through")
 
     async def test_what_may_have_run_is_told_from_what_never_ran(self) -> None:
         """Single-use tickets show the difference: bounced if the ticket never ran, scrapped if it may have run."""
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         for number, behaviour in enumerate(
             (
@@ -76,13 +76,13 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + "x" * 70000,
             )
         ):
-            self.fake_backends["a1"].does = [behaviour] * 3
-            await self.ask(f"pay after {behaviour[:40]!r}", self.request("pay", number))
-            self.fake_backends["a1"].does = []
+            self.fake_backends["a1"].behaviors = [behaviour] * 3
+            await self.send_request(f"pay after {behaviour[:40]!r}", self.request("pay", number))
+            self.fake_backends["a1"].behaviors = []
             # A backend that reported itself full gets no ticket until a call of the usual length is over, which takes
             # long on a busy machine.
             backends_known = self.proxy._facade._balancer._backends
-            await self.until(
+            await self.wait_until(
                 lambda backends_known=backends_known: all(
                     clock.now() >= backend.full_until for backend in backends_known
                 )
@@ -98,32 +98,32 @@
         reader, writer = await self.connect()
         lines_before = len(self.lines)
         writer.write(self.request(use_case, number))
-        self.assertIn("200", await self.hear(reader))
+        self.assertIn("200", await self.read_response(reader))
         del self.lines[lines_before:]
         writer.close()
 
     async def test_a_broken_answer_is_tried_again_elsewhere(self) -> None:
         await self.open("a1", "b1")
         half = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf"
-        self.fake_backends["a1"].does, self.fake_backends["b1"].does = [half], [half, "ok"]
-        await self.ask("look 1", self.request("look", 1))
+        self.fake_backends["a1"].behaviors, self.fake_backends["b1"].behaviors = [half], [half, "ok"]
+        await self.send_request("look 1", self.request("look", 1))
         self.fake_backends["a1"].server.close()
         for writer in self.fake_backends["a1"].writers:
             writer.close()
         for number in range(2, 6):
-            await self.ask(f"pay {number}", self.request("pay", number))
+            await self.send_request(f"pay {number}", self.request("pay", number))
         self.compare_trace("net_again")
 
     async def test_a_garbled_attempt_is_closed_before_the_next(self) -> None:
         """If the garbled attempt's connection stayed open, a second copy of the request would be out at the same time."""
         await self.open("a1", "b1")
         for number in (1, 2):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         for fake_backend in self.fake_backends.values():
-            fake_backend.does = ["garble"]
+            fake_backend.behaviors = ["garble"]
         reader, writer = await self.connect()
         writer.write(self.request("look", 3))
-        await self.hear(reader)
+        await self.read_response(reader)
         self.compare_trace("net_garbled")
 
     async def test_what_is_remembered_is_looked_at_before_the_first_byte(self) -> None:
@@ -173,7 +173,7 @@
         frozen_now = frozen_clock.start()
         self.addCleanup(frozen_clock.stop)
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         backends, self.lines = self.proxy._backends, []
         for idle_ms, behaviour in (
             (0, "ok"),
@@ -184,12 +184,12 @@
             (60, "slow"),
             (90, "ok"),
         ):
-            self.fake_backends["a1"].does = [behaviour, "ok"]
+            self.fake_backends["a1"].behaviors = [behaviour, "ok"]
             frozen_now.return_value += 1
-            for connection in backends._doors["a1"].idle:
+            for connection in backends._connections_by_backend["a1"].idle:
                 connection.idle_since -= idle_ms * 1000
             connections_before = self.fake_backends["a1"].connections
-            await self.ask("look 1", self.request("look", 1))
+            await self.send_request("look 1", self.request("look", 1))
             self.lines[-2:] = []
             self.lines.append(
                 f"stood {idle_ms} ms, {behaviour}: new {self.fake_backends['a1'].connections - connections_before}, then for at most"
@@ -203,11 +203,15 @@
         the answer.
         """
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         self.proxy._backends._connect_timeout = 0.1
-        self.fake_backends["a1"].does = ["HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nbegun", "HTTP/1.1 200 O", "soon"]
+        self.fake_backends["a1"].behaviors = [
+            "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nbegun",
+            "HTTP/1.1 200 O",
+            "soon",
+        ]
         for number in range(3):
-            await self.ask(f"pay {number}", self.request("pay", number))
+            await self.send_request(f"pay {number}", self.request("pay", number))
         self.compare_trace("net_begun")
 
     async def test_what_a_backend_turns_away_is_not_sent_again(self) -> None:
@@ -216,11 +220,11 @@
         """
         await self.open("a1", "b1")
         for fake_backend in self.fake_backends.values():
-            fake_backend.does = [
+            fake_backend.behaviors = [
                 f"HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\nno" for status in ("404 None", "429 Many")
             ]
         for number in range(3):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.lines.append(
             f"calls failed at a1 and b1: {[one.failures for one in self.proxy._facade._backends.values()]}"
         )
@@ -229,10 +233,10 @@
     async def test_silent_connections_make_room_for_those_that_ask(self) -> None:
         """Silent connections were closed only after 2 s, and kept all other clients out until then."""
         await self.open("a1", limits={"sockets": 64})
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         silent = [await self.connect() for _ in range(80)]
         began = time.monotonic()
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.lines.append(
             f"after {len(silent)} silent ones with 46 descriptors, in under 1.5 s: {time.monotonic() - began < 1.5}"
         )
@@ -244,16 +248,16 @@
         were bounced for want of a descriptor to a backend.
         """
         await self.open("a1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         regular = [await self.connect() for _ in range(5)]
         for number, streams in enumerate(regular):
-            await self.ask(f"look {number}", self.request("look", number), streams)
+            await self.send_request(f"look {number}", self.request("look", number), streams)
         silent = [await self.connect() for _ in range(60)]
-        await self.until(lambda: self.proxy._callers.open >= 30)
-        self.fake_backends["a1"].does = ["slow"] * 5
+        await self.wait_until(lambda: self.proxy._callers.open >= 30)
+        self.fake_backends["a1"].behaviors = ["slow"] * 5
         for number, (_, writer) in enumerate(regular, 10):
             writer.write(self.request("look", number))
-        answers = [await self.hear(reader) for reader, _ in regular]
+        answers = [await self.read_response(reader) for reader, _ in regular]
         self.lines = [
             f"of 5 at once among {len(silent)} silent ones done: {sum(answer[:3] == '200' for answer in answers)},"
             f" callers {self.proxy._callers.open} of 46"
@@ -274,27 +278,27 @@
         await self.open("a1", limits={"sockets": 64})
         regular = [await self.connect() for _ in range(3)]
         for number, streams in enumerate(regular):
-            await self.ask(f"look {number}", self.request("look", number), streams)
+            await self.send_request(f"look {number}", self.request("look", number), streams)
         crowd = [await self.connect() for _ in range(60)]
         for streams in crowd:
-            await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", streams)
+            await self.send_request("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n", streams)
         # While other connections wait to be accepted, each connection of the crowd closes with its answer.
         answers = [line for line in self.lines if line.startswith("ready ->")]
         self.assertEqual(["ready -> 200 'ready', closing"] * 30, answers[:30])
         self.lines = []
         for number, streams in enumerate(regular, 10):
-            await self.ask(f"look {number}", self.request("look", number), streams)
+            await self.send_request(f"look {number}", self.request("look", number), streams)
         self.compare_trace("net_useful")
 
     async def test_a_silent_backend_is_given_up_by_closing(self) -> None:
         await self.open("a1")
-        await self.ask("look 1", self.request("look", 1))
-        self.fake_backends["a1"].does = ["silent"]
+        await self.send_request("look 1", self.request("look", 1))
+        self.fake_backends["a1"].behaviors = ["silent"]
         reader, writer = await self.connect()
         writer.write(self.request("pay", 2, left=400))
-        await self.until(lambda: "closed" in self.lines[-1])
-        self.lines.append(f"pay 2 -> {await self.hear(reader)}")
-        await self.ask("look 3", self.request("look", 3))
+        await self.wait_until(lambda: "closed" in self.lines[-1])
+        self.lines.append(f"pay 2 -> {await self.read_response(reader)}")
+        await self.send_request("look 3", self.request("look", 3))
         self.lines.append(
             f"connections at a1: {self.fake_backends['a1'].connections}, tickets in hand: {self.proxy._facade.open_tickets}"
         )
@@ -302,20 +306,20 @@
 
     async def test_a_client_that_leaves_calls_its_ticket_off(self) -> None:
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
-        self.fake_backends["a1"].does = ["silent"]
+        self.timeout_ms = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].behaviors = ["silent"]
         _, writer = await self.connect()
         writer.write(self.request("look", 1))
-        await self.until(lambda: "a1 gets" in self.lines[-1])
+        await self.wait_until(lambda: "a1 gets" in self.lines[-1])
         writer.close()
-        await self.until(lambda: "closed" in self.lines[-1])
+        await self.wait_until(lambda: "closed" in self.lines[-1])
         _, writer = await self.connect()
         # the connection is set up, but too late
         with mock.patch("pepperusher.net.backends.connect", lambda _: asyncio.sleep(60)):
             writer.write(self.request("look", 2))
-            await self.until(lambda: self.proxy._facade.open_tickets)
+            await self.wait_until(lambda: self.proxy._facade.open_tickets)
             writer.close()
-            await self.until(lambda: not self.proxy._facade.open_tickets)
+            await self.wait_until(lambda: not self.proxy._facade.open_tickets)
         self.lines.append(f"by words: {self.proxy._counts}")
         self.compare_trace("net_left")
 
@@ -330,29 +334,29 @@
             return keeps_open
 
         fake_backend.answer = answer_and_block
-        await self.ask("pay 1", self.request("pay", 1, left=300))
+        await self.send_request("pay 1", self.request("pay", 1, left=300))
         self.compare_trace("net_late_timer")
 
     async def test_a_ticket_that_waited_unread_has_less_time_left(self) -> None:
         """Otherwise a busy proxy sends requests on after their deadline, and answers clients that have given up."""
         await self.open("a1")
         reader, writer = streams = await self.connect()
-        await self.ask("look 1", self.request("look", 1), streams)
+        await self.send_request("look 1", self.request("look", 1), streams)
         writer.write(self.request("look", 2, left=200))
         time.sleep(0.3)  # blocks the proxy's event loop
-        self.lines.append(f"look 2 -> {await self.hear(reader)}")
+        self.lines.append(f"look 2 -> {await self.read_response(reader)}")
         self.compare_trace("net_unread")
 
     async def test_a_loop_that_runs_late_answers_earlier(self) -> None:
         """With a quarter of a CPU core timers ran 75 ms late, and tickets ended after their clients' deadlines."""
         await self.open("a1")
         time.sleep(0.3)
-        await self.until(lambda: self.proxy._process_pause.lateness_us > 100_000)
-        self.fake_backends["a1"].does = ["silent"]
+        await self.wait_until(lambda: self.proxy._process_pause.lateness_us > 100_000)
+        self.fake_backends["a1"].behaviors = ["silent"]
         reader, writer = await self.connect()
         began = time.monotonic()
         writer.write(self.request("pay", 1, left=1500))
-        answer = await self.hear(reader)
+        answer = await self.read_response(reader)
         self.lines = [f"pay 1 -> {answer}, in time: {time.monotonic() - began < 1.5}"]
         self.compare_trace("net_late_loop")
 
@@ -386,14 +390,16 @@
             ("long head", valid.replace("Host", f"X: {'x' * 40000}\r\nHost")),
             ("a body over what is held", self.request("book", 1, "x" * 65537).decode()),
         ):
-            await self.ask(case, text.encode())
+            await self.send_request(case, text.encode())
         reader, writer = await self.connect()
         for byte in self.request("look", 2):
             writer.write(bytes([byte]))
             await asyncio.sleep(0)
-        self.lines.append(f"look 2 byte by byte -> {await self.hear(reader)}")
+        self.lines.append(f"look 2 byte by byte -> {await self.read_response(reader)}")
         writer.write(self.request("look", 3) + self.request("look", 4))
-        self.lines.append(f"look 3 and 4 at once -> {await self.hear(reader)}, {await self.hear(reader)}")
+        self.lines.append(
+            f"look 3 and 4 at once -> {await self.read_response(reader)}, {await self.read_response(reader)}"
+        )
         self.assertEqual([line for line in self.logged if "serving" not in line], [])
         self.compare_trace("net_bad_input")
 
@@ -402,14 +408,16 @@
         again.
         """
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
-        self.fake_backends["a1"].does = ["held"]
+        self.timeout_ms = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].behaviors = ["held"]
         streams = await self.connect()
         streams[1].write(self.request("look", 1))
-        await self.until(lambda: "a1 gets" in self.lines[-1])
-        await self.ask("look 1 of another", self.request("look", 1))
-        self.fake_backends["a1"].may.set()
-        self.lines.append(f"look 1 -> {await self.hear(streams[0])}, names kept: {len(self.proxy._open_request_ids)}")
+        await self.wait_until(lambda: "a1 gets" in self.lines[-1])
+        await self.send_request("look 1 of another", self.request("look", 1))
+        self.fake_backends["a1"].release.set()
+        self.lines.append(
+            f"look 1 -> {await self.read_response(streams[0])}, names kept: {len(self.proxy._open_request_ids)}"
+        )
         self.compare_trace("net_names")
 
     async def test_the_deadline_told_is_what_is_left_when_the_request_is_written(self) -> None:
@@ -425,7 +433,7 @@
             return connected
 
         with mock.patch.object(self.proxy._backends, "_connect", connect_late):
-            await self.ask("pay 1", self.request("pay", 1, left=1000))
+            await self.send_request("pay 1", self.request("pay", 1, left=1000))
         self.assertIn("200", self.lines[-1])
         self.assertLessEqual(self.fake_backends["a1"].deadlines[0], 600_000)
         self.assertGreater(self.fake_backends["a1"].deadlines[0], 300_000)
@@ -457,11 +465,11 @@
 
     async def test_an_exception_ends_its_ticket_alone(self) -> None:
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         original, self.proxy._backends.attempt = self.proxy._backends.attempt, None
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.proxy._backends.attempt = original
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.lines.append(f"calls in flight: {self.proxy._facade._backends['a1'].in_flight}")
         self.compare_trace("net_exception")
 
@@ -482,13 +490,15 @@
             streams = {kind: await self.connect() for kind in ("silent", "dripping", "asked once")}
             sent = self.request("look", 1)
             streams["dripping"][1].write(sent[:1])
-            await self.ask("look 2", self.request("look", 2), streams["asked once"])
-            await self.until(lambda: 1 in [caller.connection.bytes_received for caller in callers._callers])
-            await self.until(lambda: len(callers._idle) == 2)
+            await self.send_request("look 2", self.request("look", 2), streams["asked once"])
+            await self.wait_until(lambda: 1 in [caller.connection.bytes_received for caller in callers._callers])
+            await self.wait_until(lambda: len(callers._idle) == 2)
             for step in range(1, 6):  # single bytes, the last one just before the limit
                 now.return_value = began + step * 59_800
                 streams["dripping"][1].write(sent[step : step + 1])
-                await self.until(lambda: step + 1 in [caller.connection.bytes_received for caller in callers._callers])
+                await self.wait_until(
+                    lambda: step + 1 in [caller.connection.bytes_received for caller in callers._callers]
+                )
             for after_ms, expected in ((300, ("silent", "dripping")), (600, ("asked once",))):
                 now.return_value = began + after_ms * 1000 - 1000
                 callers.sweep(now.return_value)
@@ -496,7 +506,7 @@
                 self.lines.append(f"open 1 ms before {after_ms} ms: {open_count}")
                 now.return_value = began + after_ms * 1000 + 1000
                 for kind in expected:
-                    self.lines.append(f"{kind} -> {await asyncio.wait_for(self.hear(streams[kind][0]), 10)}")
+                    self.lines.append(f"{kind} -> {await asyncio.wait_for(self.read_response(streams[kind][0]), 10)}")
         self.compare_trace("net_limits")
 
     async def connect_with_partial_request(self, first_bytes: bytes) -> tuple[socket.socket, StreamConnection]:
@@ -507,7 +517,7 @@
         self.addCleanup(client.close)
         client.sendall(first_bytes)
         callers = self.proxy._callers._callers
-        await self.until(
+        await self.wait_until(
             lambda: [
                 caller
                 for caller in callers
@@ -520,7 +530,7 @@
 
     async def read_all_received(self, client: socket.socket) -> str:
         """What a client receives that reads only at the end, and how its connection ended."""
-        received, error = await self.to_the_end(client)
+        received, error = await self.receive_until_closed(client)
         return f"{received[9:12].decode()}, {'the end' if error is None else type(error).__name__}"
 
     async def test_a_message_too_late_is_told_so_though_its_client_writes_on(self) -> None:
@@ -540,12 +550,12 @@
             self.proxy._callers.sweep(clock.now() + 60_000_000)
             client.sendall(sent[first_size : first_size + 10])  # in the kernel before the event loop runs again
             for more in (sent[first_size + 10 :] + short, short):
-                await self.until(lambda: connection.fileno() < 0 or not unread_bytes_in_kernel(connection))
+                await self.wait_until(lambda: connection.fileno() < 0 or not unread_bytes_in_kernel(connection))
                 client.sendall(more)
             self.lines.append(f"{case} -> {await self.read_all_received(client)}")
             self.assertEqual((1, True), (self.proxy._callers.open, connection.closing))
             client.close()
-            await self.until(lambda: not self.proxy._callers.open)
+            await self.wait_until(lambda: not self.proxy._callers.open)
         self.assertEqual([], [line for line in self.logged if "serving" not in line])
         self.compare_trace("net_late")
 
@@ -560,9 +570,9 @@
                 if limit == "bytes":
                     client.sendall(b"x" * LINGER_BYTES)
                 elif limit == "need":
-                    await self.until(lambda: connection.reader.at_eof())
+                    await self.wait_until(lambda: connection.reader.at_eof())
                     self.assertTrue(self.proxy._callers._close_one())
-                await self.until(lambda: not self.proxy._callers.open)
+                await self.wait_until(lambda: not self.proxy._callers.open)
                 self.assertTrue(connection.transport.is_closing())
                 self.assertEqual({}, self.proxy._callers._closing_connections)
 
@@ -574,9 +584,9 @@
         try:
             for number in range(5):
                 streams = await self.connect()
-                await self.ask(f"look {number}", self.request("look", number), streams)
+                await self.send_request(f"look {number}", self.request("look", number), streams)
                 streams[1].close()
-            await self.until(lambda: not self.proxy._callers.open)
+            await self.wait_until(lambda: not self.proxy._callers.open)
             del streams
             live_objects = collections.Counter(type(item).__name__ for item in gc.get_objects())
         finally:
@@ -600,10 +610,10 @@
         flood, other = await self.connect(), await self.connect()
         flood[1].write(b"".join(self.request("look", 1) for _ in range(50)))
         other[1].write(self.request("look", 2))
-        await self.hear(other[0])
+        await self.read_response(other[0])
         self.lines.append(f"look 2 came among the first five of 51: {b'2' in order[:5]}")
         self.proxy._callers._handle = original
-        await self.ask("no ticket, and more behind it", self.request("buy", 3) + self.request("look", 4))
+        await self.send_request("no ticket, and more behind it", self.request("buy", 3) + self.request("look", 4))
         self.compare_trace("net_flood")
 
     async def test_a_sweep_that_fails_is_not_the_last(self) -> None:
@@ -616,7 +626,7 @@
 
         self.proxy._callers.sweep = fail_once
         streams = await self.connect()
-        await self.until(lambda: len(swept) == 3)
+        await self.wait_until(lambda: len(swept) == 3)
         self.lines = [line.partition(":")[0] for line in self.logged if "sweep" in line]
         streams[1].close()
         self.compare_trace("net_sweep")
@@ -626,15 +636,15 @@
         for.
         """
         await self.open("a1")
-        self.fake_backends["a1"].does = ["stray"]
-        await self.ask("look 1", self.request("look", 1))
-        await self.ask("pay 2", self.request("pay", 2))
-        idle_connection = self.proxy._backends._doors["a1"].idle[0]
+        self.fake_backends["a1"].behaviors = ["stray"]
+        await self.send_request("look 1", self.request("look", 1))
+        await self.send_request("pay 2", self.request("pay", 2))
+        idle_connection = self.proxy._backends._connections_by_backend["a1"].idle[0]
         self.fake_backends["a1"].writers[-1].get_extra_info("socket").shutdown(socket.SHUT_RDWR)
         self.lines.append(
-            f"its end is in the kernel, the loop has not come round: quiet {idle_connection.stream.quiet()}"
+            f"its end is in the kernel, the loop has not come round: quiet {idle_connection.stream.nothing_pending()}"
         )
-        await self.ask("pay 3", self.request("pay", 3))
+        await self.send_request("pay 3", self.request("pay", 3))
         self.lines.append(f"connections at a1: {self.fake_backends['a1'].connections}")
         self.compare_trace("net_stray")
 
@@ -649,37 +659,39 @@
         again.
         """
         await self.open("a1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         budget = self.proxy._budget
         idle_streams = [await self.connect() for _ in range(25)]
         for number, streams in enumerate(idle_streams):
             streams[1].write(self.request("look", number))
-            await self.hear(streams[0])
+            await self.read_response(streams[0])
         del self.lines[1:]
-        await self.until(lambda: len(self.proxy._callers._idle) == len(idle_streams))
+        await self.wait_until(lambda: len(self.proxy._callers._idle) == len(idle_streams))
         for caller in self.proxy._callers._idle:
             caller.waiting_since -= 60_000_000
         new_streams = [await self.connect() for _ in range(25)]
         for number in (100, 101):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         for number, (reader, writer) in enumerate(new_streams, 200):
             writer.write(self.request("look", number))
-            self.assertIn((await self.hear(reader))[:3], ("200", "503"))
+            self.assertIn((await self.read_response(reader))[:3], ("200", "503"))
         del self.lines[7:]
         self.lines.append(f"of at most {budget.limit} connections no more are open: {budget.open <= budget.limit}")
         for _, writer in idle_streams + new_streams:
             writer.close()
-        await self.until(lambda: not self.proxy._callers.open and budget.open == 2)
+        await self.wait_until(lambda: not self.proxy._callers.open and budget.open == 2)
         self.lines.append("all callers gone, one is open to a1 and one kept for the next caller")
         # A connection that was idle for long but has a ticket in the kernel is not closed to free a descriptor.
         streams = await self.connect()
-        await self.ask("look 300", self.request("look", 300), streams)
-        await self.until(lambda: self.proxy._callers._idle)
+        await self.send_request("look 300", self.request("look", 300), streams)
+        await self.wait_until(lambda: self.proxy._callers._idle)
         for caller in self.proxy._callers._idle:
             caller.waiting_since -= 60_000_000
         streams[1].write(self.request("look", 301))
         closed = self.proxy._callers._close_one()
-        self.lines.append(f"look 301, its connection closed for room {closed} -> {await self.hear(streams[0])}")
+        self.lines.append(
+            f"look 301, its connection closed for room {closed} -> {await self.read_response(streams[0])}"
+        )
         self.compare_trace("net_room")
 
     # otherwise connections are closed as silent on a busy machine
@@ -687,13 +699,13 @@
     async def test_as_many_tickets_as_descriptors_go_round(self) -> None:
         """Connections to backends were limited to half of all descriptors, which included those of callers."""
         await self.open("a1", "b1", limits={"sockets": 64}, settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
+        self.timeout_ms = LONG_TIMEOUT_MS
         for fake_backend in self.fake_backends.values():
-            fake_backend.does = ["slow"] * 40
+            fake_backend.behaviors = ["slow"] * 40
         streams = [await self.connect() for _ in range(20)]
         for number, (_, writer) in enumerate(streams):
             writer.write(self.request("pay", number))
-        answers = [(await self.hear(reader))[:3] for reader, _ in streams]
+        answers = [(await self.read_response(reader))[:3] for reader, _ in streams]
         self.lines = [f"of 20 tickets at once with 46 descriptors done: {answers.count('200')}"]
         self.compare_trace("net_descriptors")
 
@@ -701,17 +713,19 @@
     @mock.patch("pepperusher.net.callers.FIRST_BYTE_TIMEOUT_US", 60_000_000)
     async def test_a_stop_answers_all_that_it_took(self) -> None:
         await self.open("a1", settings=LONG_TIMEOUT_SETTINGS)
-        self.left = LONG_TIMEOUT_MS
-        self.fake_backends["a1"].does = ["held"]
+        self.timeout_ms = LONG_TIMEOUT_MS
+        self.fake_backends["a1"].behaviors = ["held"]
         idle, busy = await self.connect(), await self.connect()
         busy[1].write(self.request("look", 1) + self.request("look", 11))
-        await self.until(lambda: "a1 gets" in self.lines[-1])
+        await self.wait_until(lambda: "a1 gets" in self.lines[-1])
         self.proxy.stop()
         await asyncio.sleep(0.35)
-        await self.ask("look 2, on a connection that came after", self.request("look", 2))
-        self.fake_backends["a1"].may.set()
-        self.lines.append(f"look 1 and 11, sent at once -> {await self.hear(busy[0])}, {await self.hear(busy[0])}")
-        self.lines.append(f"idle -> {await self.hear(idle[0])}")
+        await self.send_request("look 2, on a connection that came after", self.request("look", 2))
+        self.fake_backends["a1"].release.set()
+        self.lines.append(
+            f"look 1 and 11, sent at once -> {await self.read_response(busy[0])}, {await self.read_response(busy[0])}"
+        )
+        self.lines.append(f"idle -> {await self.read_response(idle[0])}")
         await asyncio.wait_for(self.serving, 10)
         self.compare_trace("net_stop")
 
@@ -724,36 +738,36 @@
         """
         long_use_case = {"name": "file", "promised-time": 9000.0, "outer-limit": 9000.0, "effect": "side_effect"}
         await self.open("a1", settings={**SETTINGS, "use-cases": [*SETTINGS["use-cases"], long_use_case]})
-        self.fake_backends["a1"].does = ["silent"]
+        self.fake_backends["a1"].behaviors = ["silent"]
         (reader, writer), streams = await self.connect(), await self.connect()
         writer.write(self.request("file", 1, left=9000))
-        await self.until(lambda: "id 1" in self.lines[-1])
-        await self.ask("look 2", self.request("look", 2), streams)
+        await self.wait_until(lambda: "id 1" in self.lines[-1])
+        await self.send_request("look 2", self.request("look", 2), streams)
         self.proxy.stop()
         await asyncio.sleep(2.5)  # of 4.7 s in all, and of 4.25 s until the last attempts are given up
-        await self.ask("look 3 on the same connection", self.request("look", 3), streams)
-        await self.ask("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.lines.append(f"file 1 -> {await asyncio.wait_for(self.hear(reader), 10)}")
+        await self.send_request("look 3 on the same connection", self.request("look", 3), streams)
+        await self.send_request("ready", b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
+        self.lines.append(f"file 1 -> {await asyncio.wait_for(self.read_response(reader), 10)}")
         await asyncio.wait_for(self.serving, 10)
         self.compare_trace("net_stop_late")
 
     async def test_the_list_is_followed_and_asked_for_again(self) -> None:
         await self.open("a1", "b1")
         self.endpoint_update(5, self.line("a1", "draining"))
-        await self.until(lambda: not self.proxy._backends._doors.get("a1"))
+        await self.wait_until(lambda: not self.proxy._backends._connections_by_backend.get("a1"))
         for number in range(3):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.watches[-1].close()
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.endpoint_update(6, self.line("a1"), full=True)
-        await self.until(lambda: not self.proxy._backends._doors.get("b1"))
-        await self.ask("look 4", self.request("look", 4))
+        await self.wait_until(lambda: not self.proxy._backends._connections_by_backend.get("b1"))
+        await self.send_request("look 4", self.request("look", 4))
         self.watches[-1].write(b"4\r\nhey\n\r\n")
-        await self.until(lambda: len(self.watches) == 3)
+        await self.wait_until(lambda: len(self.watches) == 3)
         # An infinite number ended the watch for good.
         self.endpoint_update(7, {**self.line("a1"), "started_ms": float("inf")})
-        await self.until(lambda: len(self.watches) == 4)
-        await self.ask("look 5", self.request("look", 5))
+        await self.wait_until(lambda: len(self.watches) == 4)
+        await self.send_request("look 5", self.request("look", 5))
         self.compare_trace("net_list")
 
     async def test_sighup_goes_over_to_the_new_discovery_once_it_has_told(self) -> None:
@@ -762,7 +776,7 @@
         new addresses the last one counts.
         """
         await self.open("a1", "b1")
-        other_servers = [await asyncio.start_server(self.watched, "127.0.0.1", 0) for _ in range(2)]
+        other_servers = [await asyncio.start_server(self.serve_watch, "127.0.0.1", 0) for _ in range(2)]
         ports = [other.sockets[0].getsockname()[1] for other in other_servers]
         # A truncated file, an address that refuses, one without a list, one with a list.
         original = self.given
@@ -772,7 +786,7 @@
             )
             lines_before = len(self.logged)
             os.kill(os.getpid(), signal.SIGHUP)
-            await self.until(
+            await self.wait_until(
                 lambda: (
                     len(self.watches) == watches
                     and any(
@@ -781,14 +795,14 @@
                     )
                 )
             )
-        second_watch, old_watch = self.heard[1], self.heard[0]
+        second_watch, old_watch = self.watch_readers[1], self.watch_readers[0]
         for version, watch in ((5, 0), (6, 1)):
             self.endpoint_update(version, self.line("a1", "draining"), watch=watch)
-            await self.until(lambda: not self.proxy._backends._doors.get("a1"))
+            await self.wait_until(lambda: not self.proxy._backends._connections_by_backend.get("a1"))
             for old_version in (4, version - 1):
                 self.endpoint_update(old_version, self.line("a1"), self.line("b1"), full=True, watch=1 - watch)
             await asyncio.sleep(0.1)
-            self.assertNotIn("a1", self.proxy._backends._doors)
+            self.assertNotIn("a1", self.proxy._backends._connections_by_backend)
         self.assertFalse(second_watch.at_eof() or old_watch.at_eof())
         self.lines.append("the second and the old one are still heard, each where it is newer")
         self.endpoint_update(2, self.line("a1"), full=True)
@@ -798,7 +812,7 @@
             except ConnectionResetError:
                 pass  # a heartbeat on the watch crossed the close, which TCP answers with a reset
         self.lines.append(f"both are left, version {self.proxy._discovery._source.version}")
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.lines.append(f"bad: {[line for line in self.logged if 'not taken' in line][0].partition('/')[0]}")
         self.compare_trace("net_sighup")
 
@@ -806,7 +820,9 @@
         """A silent watch looks healthy because its connection stays open, but no drain would be received."""
         with mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.1):
             await self.open("a1")
-            await self.until(lambda: len(self.watches) == 2 and any("list confirmed" in line for line in self.logged))
+            await self.wait_until(
+                lambda: len(self.watches) == 2 and any("list confirmed" in line for line in self.logged)
+            )
         # After the semicolon the line has figures: which call it was, and how old.
         self.lines += [line.partition(";")[0] for line in self.logged if "watch" in line or "list" in line]
         self.compare_trace("net_silent_watch")
@@ -833,12 +849,12 @@
             connected = await connect(*args)
             version = self.proxy._discovery._source.version + 1
             self.endpoint_update(version, self.line("a1", "draining"), self.line("b1"))
-            await self.until(lambda: self.proxy._discovery._source.version == version)
+            await self.wait_until(lambda: self.proxy._discovery._source.version == version)
             return connected
 
         self.proxy._backends._connect = connect_and_drain
         for number in range(2):
-            await self.ask(f"pay {number}", self.request("pay", number))
+            await self.send_request(f"pay {number}", self.request("pay", number))
         self.compare_trace("net_drained_meanwhile")
 
 
@@ -909,9 +925,7 @@
         self.compare_trace("net_sigterm")
 
     def test_what_must_hold_is_asserted_in_debug_and_counted_in_release(self) -> None:
-        code = (
-            "from pepperusher import invariants; invariants.check_invariant(1 > 2, 'order'); print(invariants.broken)"
-        )
+        code = "from pepperusher import invariants; invariants.check_invariant(1 > 2, 'order'); print(invariants.violations)"
         self.lines = []
         for options in ([], ["-O"]):
             result = subprocess.run(
--- a/tests/test_no_request_lost.py
+++ b/tests/test_no_request_lost.py
@@ -41,7 +41,7 @@
     async def ask_with_deadline(self, use_case: str, number: int) -> str:
         """What a client that waits 300 ms receives: well before anything else would end its request."""
         async with asyncio.timeout(10):
-            await self.ask(use_case, self.request(use_case, number, left=300))
+            await self.send_request(use_case, self.request(use_case, number, left=300))
         return next(line for line in reversed(self.lines) if line.startswith(f"{use_case} -> "))
 
     async def test_one_that_stops_short_is_answered_within_its_client_s_time(self) -> None:
@@ -62,7 +62,7 @@
                 number += 1
                 # The cases are independent: the backend's failures in previous cases are reset.
                 backend = self.proxy._facade._backends["a1"]
-                backend.failures, backend.run_failed = 0, 0
+                backend.failures, backend.consecutive_failures = 0, 0
                 backend.results.clear()
                 self.assertRegex(await self.ask_with_deadline(use_case, number), FINAL_ANSWER, (answer_start, use_case))
 
@@ -102,5 +102,5 @@
         await asyncio.sleep(0.1)  # and is read with the next part of the body; if not, the answer is still complete
         may_finish.set()
         async with asyncio.timeout(10):
-            self.assertIn("200 'abcd'", await self.hear(reader))
+            self.assertIn("200 'abcd'", await self.read_response(reader))
         writer.close()
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -329,11 +329,11 @@
         for a, hits_a in zip(some, hits):
             for b, hits_b in zip(some, hits):
                 if hits_a & hits_b:
-                    self.assertTrue(match.meet(a, b), (a, b))
-                if match.within(a, b):
+                    self.assertTrue(match.overlap(a, b), (a, b))
+                if match.is_contained(a, b):
                     self.assertLessEqual(hits_a, hits_b, (a, b))
-                    if not match.within(b, a):
-                        self.assertGreater(a.points, b.points, (a, b))
+                    if not match.is_contained(b, a):
+                        self.assertGreater(a.specificity, b.specificity, (a, b))
         sound: list[match.Pattern] = []
         for one in some:
             if not match.conflicts([*sound, one]):
@@ -345,7 +345,7 @@
             found = routes.find(*ticket)
             self.assertEqual(found, -1 if not those else found if found in those else None, ticket)
             for other in those:
-                self.assertTrue(match.within(sound[found], sound[other]))
+                self.assertTrue(match.is_contained(sound[found], sound[other]))
 
     def test_conflicts_are_those_of_all_pairs(self) -> None:
         for seed in range(20):
@@ -354,7 +354,8 @@
                 (a, b)
                 for a in range(25)
                 for b in range(a)
-                if match.meet(some[a], some[b]) and match.within(some[a], some[b]) == match.within(some[b], some[a])
+                if match.overlap(some[a], some[b])
+                and match.is_contained(some[a], some[b]) == match.is_contained(some[b], some[a])
             ]
             self.assertEqual(match.conflicts(some), sorted(pairs))
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -68,10 +68,10 @@
         for use_case in ("card", "look"):
             self.call(DONE, 0.05, use_case=use_case, times=20, quiet=True)
         ticket = self.ticket("card", timeout_s=4.0)
-        while (sent := self.where(ticket)).address != "d2":
+        while (sent := self.choose_backend(ticket)).address != "d2":
             ticket = self.ticket("card", timeout_s=4.0)
-        self.after(ticket, RESET, 0.05)
-        self.where(ticket)
+        self.end_attempt(ticket, RESET, 0.05)
+        self.choose_backend(ticket)
         self.compare_trace("placement_further")
 
     def test_it_is_kept_by_chance_s_every_turn(self) -> None:
--- a/tests/test_process_pause.py
+++ b/tests/test_process_pause.py
@@ -22,7 +22,7 @@
         await self.open("a1", "b1")
         self.open_streams = [await self.connect() for _ in range(4)]
         for number, streams in enumerate(self.open_streams):
-            await self.ask("look", self.request("look", number), streams)
+            await self.send_request("look", self.request("look", number), streams)
 
     def block_loop(self) -> None:
         """Blocks the event loop, which runs the proxy and everything else. Requests wait on the connections, and behind
@@ -37,7 +37,7 @@
     async def assert_drained(self) -> None:
         """Checks that all requests are answered, and none was sent to a1."""
         for reader, _ in self.open_streams:
-            self.assertIn("200", await self.hear(reader))
+            self.assertIn("200", await self.read_response(reader))
         self.assertEqual([], [line for line in self.lines if "    a1 gets" in line])
 
     async def test_after_standing_still_no_ticket_goes_before_the_list_is_read(self) -> None:
@@ -78,12 +78,14 @@
 
         with mock.patch.object(self.proxy._backends, "_connect", connect_and_block):
             for number in range(2):
-                await self.ask(f"pay {number}", self.request("pay", number))
+                await self.send_request(f"pay {number}", self.request("pay", number))
         self.assertEqual([], [line for line in self.lines if "    a1 gets" in line])
 
     async def test_an_attempt_that_ended_meanwhile_is_not_followed_by_another_before_the_list_is_read(self) -> None:
         await self.open("a1", "b1")
-        self.fake_backends["a1"].does = self.fake_backends["b1"].does = ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"]
+        self.fake_backends["a1"].behaviors = self.fake_backends["b1"].behaviors = [
+            "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
+        ]
         attempt = self.proxy._backends.attempt
         backends_tried: list[str] = []
 
@@ -97,26 +99,30 @@
             return result
 
         with mock.patch.object(self.proxy._backends, "attempt", attempt_and_block):
-            await self.ask("look 1", self.request("look", 1))
+            await self.send_request("look 1", self.request("look", 1))
         self.assertEqual([backends_tried[0]], sorted(set(backends_tried)))
 
     async def test_a_kept_connection_that_was_chosen_before_is_not_written_to(self) -> None:
         await self.open("a1", "b1")
         for number in range(4):
-            await self.ask("look", self.request("look", number))
+            await self.send_request("look", self.request("look", number))
         del self.lines[:]
         take_idle_connection = self.proxy._backends._take_idle_connection
         chosen: list[str] = []
 
         def choose_and_block(connections: BackendConnections) -> BackendConnection | None:
             if not chosen:
-                chosen.append(next(name for name, one in self.proxy._backends._doors.items() if one is connections))
+                chosen.append(
+                    next(
+                        name for name, one in self.proxy._backends._connections_by_backend.items() if one is connections
+                    )
+                )
                 self.endpoint_update(2, self.line(chosen[0], "draining"))
                 time.sleep(PAUSE_S)
             return take_idle_connection(connections)
 
         with mock.patch.object(self.proxy._backends, "_take_idle_connection", choose_and_block):
-            await self.ask("look 9", self.request("look", 9))
+            await self.send_request("look 9", self.request("look", 9))
         self.assertIn("200", self.lines[-1])
         self.assertEqual([], [line for line in self.lines if f"    {chosen[0]} gets" in line])
 
--- a/tests/test_rehearsal_parts.py
+++ b/tests/test_rehearsal_parts.py
@@ -202,12 +202,12 @@
 
     def test_a_margin_follows_the_machine(self) -> None:
         margin = SleepMargin(1000, 8000)
-        margin.woke(4000)
+        margin.record_wakeup(4000)
         self.assertEqual(margin.now, 5000)
-        margin.woke(90_000)
+        margin.record_wakeup(90_000)
         self.assertEqual(margin.now, 8000)
         for _ in range(1000):
-            margin.woke(0)
+            margin.record_wakeup(0)
         self.assertEqual(margin.now, 1000)
 
 
--- a/tests/test_rehearsal_plan.py
+++ b/tests/test_rehearsal_plan.py
@@ -11,7 +11,7 @@
 from pepperusher.rehearsal.fleet_plan import FleetPlan
 from pepperusher.rehearsal.endpoint_history import EndpointHistory
 from pepperusher.rehearsal.script import ScriptError
-from pepperusher.durations import said, span
+from pepperusher.durations import format_duration, span
 
 from tests.rehearsal_scene import raw, small
 from tests.scene import TraceTestCase
@@ -173,7 +173,8 @@
         )
         schedule = fault_schedule.timeline(scenario, FleetPlan(scenario, 16))
         self.lines = [
-            f"{said(one.at)} to {said(one.until)}: {one.what} {one.targets} by {one.by:.2f}" for one in schedule.strikes
+            f"{format_duration(one.at)} to {format_duration(one.until)}: {one.what} {one.targets} by {one.by:.2f}"
+            for one in schedule.strikes
         ]
         self.lines += [
             f"{one.id} born {one.born} drains {one.drains} again {one.again} ends {one.ends}" for one in schedule.lives
@@ -215,7 +216,7 @@
             version = history.version(at)
             is_full, entries = history.entries(0, version, version - 1)
             self.lines.append(
-                f"{said(at)}: {version}{' down' if history.down(at) else ''} "
+                f"{format_duration(at)}: {version}{' down' if history.down(at) else ''} "
                 + ", ".join(f"{entry.id} {entry.state}" for entry in entries)
             )
             at = history.next_change(at)
@@ -410,7 +411,7 @@
         for text in ("1", 1, "1 d", "-1s", "1e3s", True, "25h", None):
             with self.subTest(text=text), self.assertRaises(ValueError):
                 span(text)
-        self.assertEqual([said(us) for us in (7, 1500, 2_500_000)], ["7 us", "1.5 ms", "2.5 s"])
+        self.assertEqual([format_duration(us) for us in (7, 1500, 2_500_000)], ["7 us", "1.5 ms", "2.5 s"])
 
 
 if __name__ == "__main__":
--- a/tests/test_relayed_list.py
+++ b/tests/test_relayed_list.py
@@ -25,20 +25,20 @@
     async def test_it_rests_and_asks_again_from_where_it_was_told(self) -> None:
         await self.open("a1", "b1")
         discovery = self.proxy.discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery.suspend_calls()
         self.assertFalse(discovery.watched)
         # The watch ends, and no other goes out; nobody counts it as lost.
-        self.assertEqual(b"", await asyncio.wait_for(self.heard[0].read(), 5.0))
+        self.assertEqual(b"", await asyncio.wait_for(self.watch_readers[0].read(), 5.0))
         discovery.take_relayed_list(self.update(7, self.line("a1"), self.line("b1", "draining")), clock.now())
         await asyncio.sleep(1.5)
         self.assertEqual(
             (1, 1, "a1", 7), (len(self.watches), discovery.metrics.calls, self.listed(), discovery.version)
         )
         self.assertFalse([line for line in self.logged if "watch ended" in line])
-        self.assertFalse(self.proxy.facade._balancer._list_lost)
+        self.assertFalse(self.proxy.facade._balancer._list_unavailable)
         discovery.resume_calls()
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.assertIn("after=7", [line for line in self.lines if "discovery gets" in line][-1])
 
     async def test_at_rest_a_new_configuration_with_the_same_address_begins_no_term_of_its_own(self) -> None:
@@ -56,7 +56,7 @@
         """As after the process stood still: a watch stood beside control machines' list for good."""
         await self.open("a1")
         discovery = self.proxy.discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery.suspend_calls()
         await asyncio.sleep(0.1)
         discovery.resume_calls()
@@ -64,7 +64,7 @@
         await asyncio.sleep(0.5)
         self.assertEqual((1, 1, False), (len(self.watches), discovery.metrics.calls, discovery.watched))
         discovery.resume_calls()
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
 
     async def test_what_is_the_same_is_told_to_nobody(self) -> None:
         await self.open("a1", "b1", "c1")
@@ -94,32 +94,32 @@
         await self.open("a1", "b1")
         discovery = self.proxy.discovery
         self.endpoint_update(2, self.line("a1"))
-        await self.until(lambda: discovery.version == 2)
+        await self.wait_until(lambda: discovery.version == 2)
         self.watches[-1].close()
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         discovery.take_relayed_list(self.update(5, self.line("a1"), self.line("b1", "draining")), clock.now())
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         self.endpoint_update(3, self.line("b1"))
         for _ in range(20):
             self.assertEqual(("a1", 5), (self.listed(), discovery.version))
             await asyncio.sleep(0.01)
         self.endpoint_update(6, self.line("a1", "draining"), self.line("b1"))
-        await self.until(lambda: (self.listed(), discovery.version) == ("b1", 6))
+        await self.wait_until(lambda: (self.listed(), discovery.version) == ("b1", 6))
         # What begins anew counts from the start, as ever.
         self.watches[-1].close()
-        await self.until(lambda: len(self.watches) == 3)
+        await self.wait_until(lambda: len(self.watches) == 3)
         self.endpoint_update(1, self.line("a1"), self.line("b1"), full=True)
-        await self.until(lambda: (self.listed(), discovery.version) == ("a1 b1", 1))
+        await self.wait_until(lambda: (self.listed(), discovery.version) == ("a1 b1", 1))
 
     async def test_a_list_that_was_lost_is_not_when_another_tells_it(self) -> None:
         await self.open("a1")
         discovery = self.proxy.discovery
         self.server.close()
         self.watches[-1].close()
-        await self.until(lambda: self.proxy.facade._balancer._list_lost)
+        await self.wait_until(lambda: self.proxy.facade._balancer._list_unavailable)
         discovery.suspend_calls()
         discovery.take_relayed_list(self.update(1, self.line("a1")), clock.now())
-        self.assertFalse(self.proxy.facade._balancer._list_lost)
+        self.assertFalse(self.proxy.facade._balancer._list_unavailable)
 
 
 class Owner(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -82,10 +82,10 @@
                     self.backends[name], parse_load_report([("active", text)]), self.now - int(age_s * SECOND)
                 )
             ticket = self.ticket()
-            choice = self.where(ticket, True)
+            choice = self.choose_backend(ticket, True)
             if isinstance(choice, Backend):
                 counts[choice.address] += 1
-                self.after(ticket, DONE, 0.1, quiet=True)
+                self.end_attempt(ticket, DONE, 0.1, quiet=True)
             else:
                 refused_count += 1
         return ", ".join(f"{name} {count}" for name, count in counts.items()) + f", refused {refused_count}"
@@ -117,8 +117,8 @@
     async def test_answers_tell_and_their_header_goes_no_further(self) -> None:
         settings = {**SETTINGS, "reporting": {"how": "piggyback", "names": ["active", "cpu"]}}
         await self.open("a1", "b1", settings=settings)
-        self.fake_backends["a1"].does = [ORCA_ANSWER.format(9)] * 8
-        self.fake_backends["b1"].does = [ORCA_ANSWER.format(0)] * 8
+        self.fake_backends["a1"].behaviors = [ORCA_ANSWER.format(9)] * 8
+        self.fake_backends["b1"].behaviors = [ORCA_ANSWER.format(0)] * 8
         reader, writer = await self.connect()
         heads = []
         for number in range(8):
@@ -126,7 +126,7 @@
             heads.append((await reader.readuntil(b"\r\n\r\n")).lower())
             await reader.readexactly(2)
         writer.close()
-        reported = {one.address: one.told for one in self.proxy._facade._backends.values()}
+        reported = {one.address: one.reported_load for one in self.proxy._facade._backends.values()}
         self.assertEqual(reported, {"a1": 9.0, "b1": 0.0})
         self.assertFalse([head for head in heads if b"load-metrics" in head])
 
@@ -139,16 +139,16 @@
 
         await self.open("a1")
         write_configuration({"how": "piggyback", "names": ["active"]})
-        with_reports = self.read_again()
+        with_reports = self.reload_configuration()
         facade = self.proxy._facade
         reported = []
         facade.reconfigure(with_reports.policy_settings, SECOND)
         facade.record_load_report("a1", {terms.LOAD_ACTIVE: 7.0}, SECOND)
-        reported.append(facade._backends["a1"].told)
+        reported.append(facade._backends["a1"].reported_load)
         write_configuration({"how": "silent", "names": []})
-        facade.reconfigure(self.read_again(with_reports).policy_settings, SECOND)
+        facade.reconfigure(self.reload_configuration(with_reports).policy_settings, SECOND)
         facade.record_load_report("a1", {terms.LOAD_ACTIVE: 3.0}, SECOND)
-        reported.append(facade._backends["a1"].told)
+        reported.append(facade._backends["a1"].reported_load)
         self.assertEqual(reported, [7.0, 7.0])
         for reporting, message in (
             (None, "settings: reporting: missing"),
@@ -157,14 +157,16 @@
         ):
             write_configuration(reporting)
             with self.assertRaisesRegex(BootstrapError, message):
-                self.read_again(with_reports)
+                self.reload_configuration(with_reports)
 
     async def test_a_spoilt_report_ends_no_ticket_and_an_unasked_one_counts_for_nothing(self) -> None:
         await self.open("a1")
-        self.fake_backends["a1"].does = [ORCA_ANSWER.format(text) for text in INVALID_VALUES] + [ORCA_ANSWER.format(4)]
+        self.fake_backends["a1"].behaviors = [ORCA_ANSWER.format(text) for text in INVALID_VALUES] + [
+            ORCA_ANSWER.format(4)
+        ]
         reader, writer = await self.connect()
         for number in range(len(INVALID_VALUES) + 1):
             writer.write(self.request("look", number))
-            self.assertEqual(await self.hear(reader), "200 'ok'")
+            self.assertEqual(await self.read_response(reader), "200 'ok'")
         writer.close()
-        self.assertEqual([one.told for one in self.proxy._facade._backends.values()], [0.0])
+        self.assertEqual([one.reported_load for one in self.proxy._facade._backends.values()], [0.0])
--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -81,7 +81,7 @@
         """Sends SIGHUP with the configuration `text` and returns the log line about it."""
         self.given, first_line = text, len(self.logged)
         os.kill(os.getpid(), signal.SIGHUP)
-        await self.until(lambda: any("configuration" in line for line in self.logged[first_line:]))
+        await self.wait_until(lambda: any("configuration" in line for line in self.logged[first_line:]))
         return next(line for line in self.logged[first_line:] if "configuration" in line).replace("127.0.0.1", "")
 
     async def test_a_broken_file_is_turned_down_whole_and_by_name(self) -> None:
@@ -94,7 +94,7 @@
             connection = await self.connect()
             while not stop.is_set():
                 connection[1].write(self.request("look", len(statuses) + 10_000))
-                statuses.add((await self.hear(connection[0])).split()[0])
+                statuses.add((await self.read_response(connection[0])).split()[0])
                 await asyncio.sleep(0.001)
 
         client_task = asyncio.create_task(run_client())
@@ -158,7 +158,7 @@
             line if ".json" not in line else f"{line.partition(': ')[0]}: {line.partition('.json: ')[2]}"
             for line in self.lines
         ]
-        await self.ask("look is still known", self.request("look", 1))
+        await self.send_request("look is still known", self.request("look", 1))
         self.lines = [line for line in self.lines if "gets" not in line and "..." not in line]
         self.compare_trace("retuned_broken")
 
@@ -167,9 +167,9 @@
         good = json.loads(self.given)
         # A ticket is open under a use case that the new settings remove; it ends as it was accepted.
         for backend in self.fake_backends.values():
-            backend.does = ["slow"]
-        under_way = asyncio.create_task(self.ask("book open", self.request("book", 1)))
-        await self.until(lambda: self.lines[-1].startswith("    "))
+            backend.behaviors = ["slow"]
+        under_way = asyncio.create_task(self.send_request("book open", self.request("book", 1)))
+        await self.wait_until(lambda: self.lines[-1].startswith("    "))
         good["settings"]["use-cases"] = [
             good["settings"]["use-cases"][0],
             {**good["settings"]["use-cases"][0], "name": "look-v2", "effect": "side_effect"},
@@ -178,12 +178,12 @@
         await self.reload(json.dumps(good))
         await under_way
         for backend in self.fake_backends.values():
-            backend.does = []
+            backend.behaviors = []
         self.lines[:] = [line.replace("b1", "a1") for line in self.lines if "discovery" not in line]
-        await self.ask("book removed", self.request("book", 2))
-        await self.ask("look-v2 added", self.request("look-v2", 3))
+        await self.send_request("book removed", self.request("book", 2))
+        await self.send_request("look-v2 added", self.request("look-v2", 3))
         for backend in self.fake_backends.values():
-            backend.does = [ERROR] * 2
-        await self.ask("look is attempted once", self.request("look", 4))
+            backend.behaviors = [ERROR] * 2
+        await self.send_request("look is attempted once", self.request("look", 4))
         self.lines = [line.replace("b1", "a1") for line in self.lines]
         self.compare_trace("retuned_good")
--- a/tests/test_sides.py
+++ b/tests/test_sides.py
@@ -37,10 +37,10 @@
         zones: Counter[str] = Counter()
         for _ in range(times):
             ticket = self.ticket(use_case)
-            chosen = self.where(ticket, True)
+            chosen = self.choose_backend(ticket, True)
             zones[chosen.zone if isinstance(chosen, Backend) else "refused"] += 1
             if isinstance(chosen, Backend):
-                self.after(ticket, DONE, 0.1, quiet=True)
+                self.end_attempt(ticket, DONE, 0.1, quiet=True)
         return zones
 
     def test_what_the_own_location_refuses_goes_across(self) -> None:
@@ -50,9 +50,9 @@
         for name, backend in self.backends.items():
             backend.in_flight += 30 * name.startswith(HERE)
         for _ in range(20):  # the mean number of calls in flight rises over some tickets
-            self.where(self.ticket(), True)
+            self.choose_backend(self.ticket(), True)
         zones = Counter(
-            chosen.zone if isinstance(chosen := self.where(self.ticket(), True), Backend) else "refused"
+            chosen.zone if isinstance(chosen := self.choose_backend(self.ticket(), True), Backend) else "refused"
             for _ in range(6)
         )
         self.assertEqual((zones[HERE], zones["refused"]), (0, 0), zones)
@@ -91,7 +91,9 @@
                 lambda entry: None,
             )
             balancer.update_endpoints(listings(5, 35, 6.0), True, 0)
-            received.update(b.address for locality in balancer._localities.values() for b in locality.ring if b.near)
+            received.update(
+                b.address for locality in balancer._localities.values() for b in locality.ring if b.in_subset
+            )
         self.assertLess(max(received.values()), 120)
         self.assertGreater(min(received.values()), 10)
 
@@ -102,18 +104,18 @@
             self.balancer.update_endpoints(listings(40, 0), True, self.now)
 
             def subset_size() -> int:
-                return sum(b.near for b in self.balancer._localities[""].ring)
+                return sum(b.in_subset for b in self.balancer._localities[""].ring)
 
             for _ in range(100):
                 self.call(DONE, 0.001, quiet=True)
             size_before, in_flight = subset_size(), []
             for _ in range(200):
                 ticket = self.ticket()
-                if isinstance(self.where(ticket, True), Backend):
+                if isinstance(self.choose_backend(ticket, True), Backend):
                     in_flight.append(ticket)
             size_busy = subset_size()
             for ticket in in_flight:
-                self.after(ticket, DONE, 0.001, quiet=True)
+                self.end_attempt(ticket, DONE, 0.001, quiet=True)
             for _ in range(200):
                 self.call(DONE, 0.1, quiet=True)
             sizes.append((size_before, size_busy > 2 * size_before, subset_size()))
@@ -131,7 +133,7 @@
             self.open("a1", tier_index=stage, use_cases=[UseCase("look", SECOND, 2 * SECOND, 0.0)])
             self.call(DONE, 0.1, times=5, quiet=True)
             self.backends["a1"].in_flight = 20
-            self.where(self.ticket(), True)
+            self.choose_backend(self.ticket(), True)
 
     def test_what_is_taught_before_the_first_list_stays(self) -> None:
         """The completion rate and the cold-start rate were lost if the localities were only created with the first
@@ -162,11 +164,11 @@
         for number in range(200):
             ticket = self.ticket()
             ticket.work_hint = 600_000 if number % 5 == 0 else 100_000
-            chosen = self.where(ticket, True)
+            chosen = self.choose_backend(ticket, True)
             assert isinstance(chosen, Backend)
             if number >= 100 and ticket.work_hint > 500_000:
                 slow_chosen[chosen.address in slow_backends] += 1
-            self.after(
+            self.end_attempt(
                 ticket, DONE, ticket.work_hint / SECOND * (3 if chosen.address in slow_backends else 1), quiet=True
             )
         self.assertEqual(slow_chosen, Counter({False: 20}))
@@ -177,11 +179,11 @@
         self.open("a1", retry_after_allowed=True, max_retry_after=SECOND, is_sidecar=True)
         self.call(DONE, 0.1, times=30, quiet=True)
         self.backends["a1"].in_flight += 60
-        answers = [self.where(self.ticket(), True) for _ in range(30)]
+        answers = [self.choose_backend(self.ticket(), True) for _ in range(30)]
         self.assertIn(BOUNCE, answers)
         self.assertFalse([answer for answer in answers if answer not in (BOUNCE, self.backends["a1"])])
         bounced = self.ticket()
-        while self.where(bounced, True) != BOUNCE:
+        while self.choose_backend(bounced, True) != BOUNCE:
             bounced = self.ticket()
         self.assertTrue(bounced.finished)
         self.assertTrue(0 < self.balancer.wait_time(bounced, self.now) <= SECOND)
@@ -189,8 +191,8 @@
         self.open("a1", retry_after_allowed=True, max_retry_after=SECOND, is_sidecar=True)
         for outcome in (ERROR, TIMED_OUT):
             paid = self.ticket("pay")
-            self.where(paid, True)
-            self.assertEqual(self.after(paid, outcome, 0.2, quiet=True), SCRAP)
+            self.choose_backend(paid, True)
+            self.assertEqual(self.end_attempt(paid, outcome, 0.2, quiet=True), SCRAP)
             self.assertTrue(paid.finished)
 
     def test_a_use_case_late_by_its_own_times_is_refused(self) -> None:
@@ -213,7 +215,7 @@
             self.now,
             self.now - 100 * SECOND,
         )
-        self.assertEqual(self.where(self.ticket("add"), True), BOUNCE)
+        self.assertEqual(self.choose_backend(self.ticket("add"), True), BOUNCE)
         for use_case in use_cases:
             use_case.latency_deviation = 50_000
-        self.assertIs(self.where(self.ticket("add"), True), self.backends["a1"])
+        self.assertIs(self.choose_backend(self.ticket("add"), True), self.backends["a1"])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -100,20 +100,20 @@
         body = bytes(range(256)) * (LONG_BODY_BYTES // 256)
         self.lines.append(f"sent {len(body)} bytes {hashlib.sha256(body).hexdigest()[:8]}")
         streams = await self.connect()
-        await self.ask("with a length", self.long_request(1, len(body)) + body, streams)
+        await self.send_request("with a length", self.long_request(1, len(body)) + body, streams)
         streams[1].write(self.long_request(2, 0, "Transfer-Encoding: chunked"))
         for part in range(0, len(body), CHUNK_BYTES):
             streams[1].write(b"%x;why=not\r\n%s\r\n" % (CHUNK_BYTES, body[part : part + CHUNK_BYTES]))
-        await self.ask("chunked, with extensions and a trailer", b"0\r\nX-Trailer: t\r\n\r\n", streams)
+        await self.send_request("chunked, with extensions and a trailer", b"0\r\nX-Trailer: t\r\n\r\n", streams)
         streams[1].write(self.long_request(3, len(body), f"Content-Length: {len(body)}\r\nExpect: 100-continue"))
         self.lines.append(
             f"expecting -> {(await streams[0].readuntil(b'rnrn'.replace(b'rn', bytes((13, 10))))).decode().split()[1]}"
         )
-        await self.ask("which then comes", body, streams)
-        await self.ask(
+        await self.send_request("which then comes", body, streams)
+        await self.send_request(
             "two in a row", self.long_request(4, len(body)) + body + self.long_request(5, 3) + b"abc", streams
         )
-        self.lines.append(f"the second -> {await self.hear(streams[0])}")
+        self.lines.append(f"the second -> {await self.read_response(streams[0])}")
         self.lines = [line for line in self.lines if "..." not in line]
         self.compare_trace("streams_up")
 
@@ -134,7 +134,7 @@
         await asyncio.sleep(0.2)
         streams[1].write(bytes(CHUNK_BYTES))
         async with asyncio.timeout(3):
-            self.assertEqual(f"200 '{LONG_BODY_BYTES}'", await self.hear(streams[0]))
+            self.assertEqual(f"200 '{LONG_BODY_BYTES}'", await self.read_response(streams[0]))
 
     async def test_a_slow_client_costs_a_backend_nothing(self) -> None:
         """The client's time runs from the last byte of the body, and until then the attempt does not count as in
@@ -149,7 +149,7 @@
                 f"in flight {self.proxy._facade._backends['a1'].in_flight}, in hand {self.proxy._facade.open_tickets}"
             )
             streams[1].write(bytes(CHUNK_BYTES))
-        self.lines.append(f"done -> {await self.hear(streams[0])}")
+        self.lines.append(f"done -> {await self.read_response(streams[0])}")
         use_case = self.proxy._facade._use_cases["book"]
         self.lines.append(f"its time was learned as under 0.3 s: {0 < use_case.mean_latency < 300_000}")
         self.compare_trace("streams_slow")
@@ -163,14 +163,14 @@
         stalled_body[1].write(self.long_request(2, LONG_BODY_BYTES) + bytes(LONG_BODY_BYTES - CHUNK_BYTES))
         await asyncio.sleep(2.0)
         slow_head[1].write(request[40:])
-        self.lines.append(f"a head of 2 s -> {(await self.hear(slow_head[0])).split()[0]}")
+        self.lines.append(f"a head of 2 s -> {(await self.read_response(slow_head[0])).split()[0]}")
         async with asyncio.timeout(2):
-            self.lines.append(f"half a head -> {await self.hear(stalled_head[0])}")
+            self.lines.append(f"half a head -> {await self.read_response(stalled_head[0])}")
         async with asyncio.timeout(9):
-            self.lines.append(f"a body that stops -> {await self.hear(stalled_body[0])}")
+            self.lines.append(f"a body that stops -> {await self.read_response(stalled_body[0])}")
         # The attempt is given up at once with the answer; the backend sees it in a later loop iteration.
-        await self.until(lambda: self.lines[-1] == "    a backend's connection ends")
-        await self.until(lambda: not self.proxy._facade.open_tickets)
+        await self.wait_until(lambda: self.lines[-1] == "    a backend's connection ends")
+        await self.wait_until(lambda: not self.proxy._facade.open_tickets)
         self.lines.append(f"in flight {self.proxy._facade._backends['a1'].in_flight}")
         self.lines = [line for line in self.lines if "gets" not in line and "discovery" not in line]
         self.compare_trace("streams_stopped")
@@ -187,7 +187,7 @@
             writer.transport.abort()
 
         await self.open_with_handlers(LONG_TIMEOUT_SETTINGS, a1=break_off, b1=break_off)
-        await self.ask(
+        await self.send_request(
             "a backend breaks off midway",
             self.long_request(1, 100 * LONG_BODY_BYTES, left=60_000) + bytes(100 * LONG_BODY_BYTES),
         )
@@ -200,7 +200,7 @@
         for fake_backend in self.fake_backends.values():
             fake_backend.server.close()
             fake_backend.server = await asyncio.start_server(refuse_early, "127.0.0.1", fake_backend.port)
-        await self.ask(
+        await self.send_request(
             "refused midway", self.long_request(2, 100 * LONG_BODY_BYTES, left=60_000) + bytes(100 * LONG_BODY_BYTES)
         )
         for fake_backend in self.fake_backends.values():
@@ -210,7 +210,7 @@
             self.fake_backends["a1"].server if self.proxy._facade.choose_backend else self.fake_backends["b1"].server
         ).close()
         for number in range(3, 6):
-            await self.ask(
+            await self.send_request(
                 "one backend takes no connection",
                 self.long_request(number, LONG_BODY_BYTES, left=60_000) + bytes(LONG_BODY_BYTES),
             )
@@ -277,7 +277,7 @@
                 writer.close()
                 for _ in range(2):  # keeps the breaker closed
                     current_answer[:] = [("", ok + b"Content-Length: 2\r\n\r\nok")]
-                    await self.ask("between", self.request("look", 1000 + len(self.lines)))
+                    await self.send_request("between", self.request("look", 1000 + len(self.lines)))
         self.lines = [line for line in self.lines if line.startswith("HTTP")]
         self.compare_trace("streams_down")
 
@@ -355,10 +355,10 @@
             most_lent = max(most_lent, pool._lent)
         for pair in streams:
             pair[1].write(b"x")
-        statuses = [(await self.hear(pair[0])).split()[0] for pair in streams]
+        statuses = [(await self.read_response(pair[0])).split()[0] for pair in streams]
         self.assertEqual(["200"] * 10, statuses)
         self.assertLess(most_lent, 40 + 10 * 5)
-        await self.until(lambda: pool._lent == 0)
+        await self.wait_until(lambda: pool._lent == 0)
 
     @pytest.mark.timeout(240)
     async def test_fifty_slow_peers_both_ways_in_little_memory(self) -> None:
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -16,9 +16,9 @@
         self.list("d1", weight=10.0)
         for _ in range(40):
             ticket = self.ticket()
-            chosen = self.where(ticket, quiet=True)
+            chosen = self.choose_backend(ticket, quiet=True)
             if isinstance(chosen, Backend) and chosen.address != "d1":
-                self.after(ticket, DONE, 0.01, quiet=True)
+                self.end_attempt(ticket, DONE, 0.01, quiet=True)
         self.note(f"calls at the slow backend {self.backends['d1'].in_flight}")
         self.compare_trace("passed_over")
 
@@ -30,14 +30,14 @@
         sent = dict.fromkeys(self.backends, 0)
         for _ in range(80):
             while slow and slow[0][0] <= self.now:
-                self.after(slow.pop(0)[1], DONE, quiet=True)
+                self.end_attempt(slow.pop(0)[1], DONE, quiet=True)
             ticket = self.ticket()
-            chosen = self.where(ticket, quiet=True)
+            chosen = self.choose_backend(ticket, quiet=True)
             sent[chosen.address] += 1
             if chosen.address == "a1":
                 slow.append((self.now + SECOND // 5, ticket))
             else:
-                self.after(ticket, DONE, 0.05, quiet=True)
+                self.end_attempt(ticket, DONE, 0.05, quiet=True)
             self.pass_time(0.1)
         self.note(f"of 80 calls, one at a time, a1 taking four times as long: {sent}")
         self.compare_trace("few_calls")
@@ -47,19 +47,19 @@
         no bounce."""
         self.open("a1", "b1", "c2")
         ticket = self.ticket("book", timeout_s=4.0)
-        first = self.where(ticket)
+        first = self.choose_backend(ticket)
         while first.cell != 1:  # its cell has two backends
-            self.after(ticket, DONE, quiet=True)
+            self.end_attempt(ticket, DONE, quiet=True)
             ticket = self.ticket("book", timeout_s=4.0)
-            first = self.where(ticket)
-        self.after(ticket, ERROR, 0.01)
-        second = self.where(ticket)
+            first = self.choose_backend(ticket)
+        self.end_attempt(ticket, ERROR, 0.01)
+        second = self.choose_backend(ticket)
         self.assertEqual(1, second.cell)
-        self.after(ticket, FULL, 0.01)
-        third = self.where(ticket)
+        self.end_attempt(ticket, FULL, 0.01)
+        third = self.choose_backend(ticket)
         self.assertTrue(third == SCRAP or third.cell == 1)
         if third != SCRAP:
-            self.assertEqual(SCRAP, self.after(ticket, FULL, 0.01))
+            self.assertEqual(SCRAP, self.end_attempt(ticket, FULL, 0.01))
 
     def test_a_customer_saves_up_a_few_tickets_of_its_share(self) -> None:
         """Each proxy's quota is a fifth of a ticket a second, while several tickets may arrive at once by chance."""
@@ -127,44 +127,44 @@
         self.open("a1", "b1", "c2", "d2")
         for _ in range(2):
             ticket = self.ticket("book", timeout_s=4.0)
-            self.where(ticket)
-            self.after(ticket, ERROR, 0.05)
-            self.where(ticket)
-            self.after(ticket, TIMED_OUT, 1.2)
-            self.where(ticket)
+            self.choose_backend(ticket)
+            self.end_attempt(ticket, ERROR, 0.05)
+            self.choose_backend(ticket)
+            self.end_attempt(ticket, TIMED_OUT, 1.2)
+            self.choose_backend(ticket)
         self.compare_trace("referenced")
 
     def test_referenced_that_never_ran_goes_anywhere(self) -> None:
         self.open("a1", "b2")
         ticket = self.ticket("book", timeout_s=4.0)
-        self.where(ticket)
-        self.after(ticket, FULL)
-        self.where(ticket)
-        self.after(ticket, FULL)
-        self.where(ticket)
-        self.after(ticket, FULL)
+        self.choose_backend(ticket)
+        self.end_attempt(ticket, FULL)
+        self.choose_backend(ticket)
+        self.end_attempt(ticket, FULL)
+        self.choose_backend(ticket)
+        self.end_attempt(ticket, FULL)
         self.compare_trace("referenced_never_ran")
 
     def test_single_use_runs_once(self) -> None:
         self.open("a1", "b1")
         first, second = self.ticket("pay", timeout_s=4.0), self.ticket("pay", timeout_s=4.0)
         for ticket, outcome in ((first, FULL), (second, ERROR)):
-            self.where(ticket)
-            self.after(ticket, outcome, 0.05)
-        self.where(first)
-        self.after(first, TIMED_OUT, 3.9)
+            self.choose_backend(ticket)
+            self.end_attempt(ticket, outcome, 0.05)
+        self.choose_backend(first)
+        self.end_attempt(first, TIMED_OUT, 3.9)
         self.compare_trace("single_use")
 
     def test_one_final_answer_at_the_outer_limit(self) -> None:
         self.open("a1", "b1")
         ticket = self.ticket(timeout_s=0.5)
-        self.where(ticket)
-        self.after(ticket, TIMED_OUT, 0.5)
+        self.choose_backend(ticket)
+        self.end_attempt(ticket, TIMED_OUT, 0.5)
         disconnected = self.ticket()
-        self.where(disconnected)
+        self.choose_backend(disconnected)
         self.balancer.caller_disconnected(disconnected)
         self.note(f"client disconnected: cancels after {self.balancer.wait_time(disconnected, self.now)}")
-        self.after(disconnected, ERROR, 0.1)
+        self.end_attempt(disconnected, ERROR, 0.1)
         self.compare_trace("outer_limit")
 
     def test_further_attempts_are_a_part_of_the_tickets(self) -> None:
@@ -173,14 +173,14 @@
         self.balancer._retry_budget = 1.0
         for _ in range(3):
             ticket = self.ticket()
-            self.where(ticket)
-            self.after(ticket, ERROR, 0.01)
+            self.choose_backend(ticket)
+            self.end_attempt(ticket, ERROR, 0.01)
         self.compare_trace("spare")
 
     def test_an_empty_list_bounces(self) -> None:
         self.open(retry_after_allowed=True, max_retry_after=SECOND)
         ticket = self.ticket()
-        self.where(ticket)
+        self.choose_backend(ticket)
         self.note(
             f"retry-after within half of the promised time: {0 < self.balancer.wait_time(ticket, self.now) <= SECOND // 2}"
         )
@@ -224,7 +224,7 @@
             if ordinal < 3:
                 lines.append(f"proxy {ordinal} uses {' '.join(used)}")
         lines.append(f"of 96 calls each, backends get {min(received.values())} to {max(received.values())}")
-        near = [backend for backend in self.balancer._localities[""].ring if backend.near]
+        near = [backend for backend in self.balancer._localities[""].ring if backend.in_subset]
         for backend in near[1:]:
             self.balancer._set_state(backend, OPEN, self.now)
         self.lines = lines
@@ -238,15 +238,15 @@
         self.call(DONE, 0.1, times=20, quiet=True)
         first, second = self.ticket(), self.ticket()
         for ticket in (first, second):
-            self.where(ticket, quiet=True)
+            self.choose_backend(ticket, quiet=True)
         for ticket in (self.ticket(), self.ticket()):
-            self.where(ticket)
-            self.after(ticket, FULL, final=True)
-        self.where(self.ticket())
-        self.after(first, DONE, 0.02)
-        self.where(self.ticket())
+            self.choose_backend(ticket)
+            self.end_attempt(ticket, FULL, final=True)
+        self.choose_backend(self.ticket())
+        self.end_attempt(first, DONE, 0.02)
+        self.choose_backend(self.ticket())
         self.pass_time(0.1)
-        self.where(self.ticket())
+        self.choose_backend(self.ticket())
         self.compare_trace("full")
 
     def test_what_is_never_bounced_is_shared_by_all_proxies(self) -> None:
@@ -259,13 +259,13 @@
                 accepted = [
                     ticket
                     for ticket in (self.ticket() for _ in range(30))
-                    if isinstance(self.where(ticket, quiet=True), Backend)
+                    if isinstance(self.choose_backend(ticket, quiet=True), Backend)
                 ]
                 lines.append(
                     f"of 30 at once, one of {proxy_count} proxies takes {len(accepted)}, with {knowledge} known"
                 )
                 for ticket in accepted:
-                    self.after(ticket, DONE, quiet=True)
+                    self.end_attempt(ticket, DONE, quiet=True)
                 self.call(DONE, 0.6, times=10, quiet=True)
         self.lines = lines
         self.compare_trace("shared_allowance")
@@ -275,10 +275,10 @@
         scrapped."""
         self.open("a1", "b1", "c2", "d2")
         bound = self.ticket("book", timeout_s=4.0)
-        self.where(bound)
+        self.choose_backend(bound)
         cell = bound.attempts[0].backend.cell
         for backend in self.backends.values():
             backend.in_flight += 2 * (backend.cell == cell)
-        self.after(bound, ERROR, 0.01)
-        self.where(bound)
+        self.end_attempt(bound, ERROR, 0.01)
+        self.choose_backend(bound)
         self.compare_trace("busy_cell")
