--- a/pepperusher/capacity/control_run.py
+++ b/pepperusher/capacity/control_run.py
@@ -31,7 +31,7 @@
 from pepperusher.distribution.subscriber import Send
 from pepperusher.distribution.wire import HANDSHAKE_BYTES, Session
 from pepperusher.distribution.messages import (
-    CONFIG, OPERATOR, FiguresRequest, Heartbeat, Figures, Hello, Key, Message, Resource, Version,
+    CONFIG, OPERATOR, CountersRequest, Heartbeat, Counters, Hello, Key, Message, Resource, Version,
 )  # fmt: skip
 from pepperusher.rehearsal.worker import environment, with_parent
 
@@ -306,12 +306,12 @@
         figures = await operator_client.fetch_counters(machine.address, KEY.encode())
         hello = Hello(OPERATOR, f"operator {getpass.getuser()}"[:100], 2**62, "", "", False, [], [], [])
         # The answer includes the messages of this query that the machine received, but not the answer itself.
-        machine.query_costs["bytes in"] += HANDSHAKE_BYTES + framed_size(hello) + framed_size(FiguresRequest())
+        machine.query_costs["bytes in"] += HANDSHAKE_BYTES + framed_size(hello) + framed_size(CountersRequest())
         machine.query_costs["messages in"] += 2
         corrected = {
             counter: int(figures.get(counter, 0)) - machine.query_costs[counter] for counter in machine.query_counters
         }
-        machine.query_costs["bytes out"] += framed_size(Figures(figures))
+        machine.query_costs["bytes out"] += framed_size(Counters(figures))
         machine.query_costs["messages out"] += 1
         return {**figures, **corrected}
 
--- a/pepperusher/capacity/decisions.py
+++ b/pepperusher/capacity/decisions.py
@@ -184,7 +184,7 @@
         True,
         NOW,
     )
-    return [entry.address for entry in balancer._backends if entry.near]
+    return [entry.address for entry in balancer._backends if entry.in_subset]
 
 
 def connections_by_callers(
--- a/pepperusher/capacity/membership.py
+++ b/pepperusher/capacity/membership.py
@@ -59,7 +59,7 @@
         self.messages = (sum(member.sent for member in members) - messages) / size / seconds
         self.bytes = (sum(member.sent_bytes for member in members) - sent_bytes) / size / seconds
         messages, sent_bytes = sum(member.sent for member in members), sum(member.sent_bytes for member in members)
-        next(iter(members)).swim.say(SENT_AWAY, model.now)
+        next(iter(members)).swim.set_phase(SENT_AWAY, model.now)
         model.run(CHANGE_US)
         change_s = CHANGE_US / SECOND
         self.change_messages = (sum(member.sent for member in members) - messages) / size - self.messages * change_s
@@ -87,7 +87,7 @@
     def create() -> object:
         membership = Membership(PROBE_PERIOD)
         for number in range(size):
-            membership.take(member_record(number), START)
+            membership.merge(member_record(number), START)
         return membership
 
     return allocated_bytes(create)
@@ -103,8 +103,8 @@
         START,
     )
     for number in range(1, size):
-        swim.roll.take(member_record(number), START)
-    return float(sum(map(len, swim.whole())))
+        swim.members.merge(member_record(number), START)
+    return float(sum(map(len, swim.full_state())))
 
 
 def most_members() -> int:
@@ -112,9 +112,9 @@
     membership = Membership(PROBE_PERIOD)
     number = 0
     while not membership.refused:
-        membership.take(member_record(number), START)
+        membership.merge(member_record(number), START)
         number += 1
-        assert number <= 2 * group_membership.MOST
+        assert number <= 2 * group_membership.MAX_MEMBERS
     return len(membership)
 
 
@@ -123,7 +123,7 @@
     notices = Broadcasts(60 * SECOND)
     number = 0
     while not notices.refused:
-        notices.take(Broadcast("ban", f"service-{number:05d}", True, START), START)
+        notices.merge(Broadcast("ban", f"service-{number:05d}", True, START), START)
         number += 1
-        assert number <= 2 * group_broadcasts.MOST
+        assert number <= 2 * group_broadcasts.MAX_BROADCASTS
     return len(notices)
--- a/pepperusher/console/admin_listener.py
+++ b/pepperusher/console/admin_listener.py
@@ -58,7 +58,7 @@
         connection = StreamConnection()
         if len(self._open) >= CONNECTIONS_MAX:
             # Only a connection without unread data in the kernel is replaced.
-            oldest = next((candidate for candidate in self._incomplete if candidate.quiet()), None)
+            oldest = next((candidate for candidate in self._incomplete if candidate.nothing_pending()), None)
             if oldest is not None:
                 del self._incomplete[oldest]
                 oldest.abort()
@@ -93,7 +93,7 @@
             self._incomplete.pop(connection, None)
             if parser.our_state in (h11.IDLE, h11.SEND_RESPONSE):
                 connection.send(encode_answer(parser, answer, True))
-                connection.send_end()
+                connection.send_eof()
                 async with asyncio.timeout(CLOSE_TIMEOUT_S):
                     while await connection.read():
                         pass
--- a/pepperusher/extensions.py
+++ b/pepperusher/extensions.py
@@ -58,9 +58,9 @@
         )
         extensions.append(distributed)
     if manager.own.control.socket is not None:
-        from pepperusher.net.answers import Answers
+        from pepperusher.net.answers import ControlAnswers
 
-        extensions.append(Answers(manager, node, log.write_event, distributed))
+        extensions.append(ControlAnswers(manager, node, log.write_event, distributed))
     if admin_handlers is not None:
         extensions.append(admin_handlers)
     return extensions
--- a/pepperusher/net/configuration_manager.py
+++ b/pepperusher/net/configuration_manager.py
@@ -270,7 +270,7 @@
                 resolve(TOO_LATE)
 
         ticket.waiting.on_decision = resolve
-        call.on_leave = leave
+        call.on_disconnect = leave
         # A timer of its own, because the periodic check may come up to POLL_INTERVAL_S later, when the client has
         # already left.
         time_left = (
@@ -281,7 +281,7 @@
             return await outcome == ADMITTED and not call.left
         finally:
             timer.cancel()
-            call.on_leave = None
+            call.on_disconnect = None
 
     def refusal(self, ticket: AdmittedTicket) -> Answer | None:
         """The answer for a refused ticket; None where its client left."""
--- a/pepperusher/net/endpoint_relay.py
+++ b/pepperusher/net/endpoint_relay.py
@@ -114,8 +114,8 @@
         if step.apply_relayed_list and self._relayed_list is not None:
             update = self._relayed_list[0]
             self._version_in_use = update.version
-            discovery.take_relayed_list(update, now - (source.age(now) or 0))
-        elif source.active == CONTROL and (age := source.age(now)) is not None:
+            discovery.take_relayed_list(update, now - (source.age_us(now) or 0))
+        elif source.active == CONTROL and (age := source.age_us(now)) is not None:
             # This confirms the list as an empty line on a watch does.
             discovery.confirmed_at = max(now - age, discovery.confirmed_at or 0)
         if step.watch_discovery != self._calls_discovery:
@@ -129,7 +129,7 @@
             if source.active in (CONTROL, DISCOVERY):
                 self._say(
                     "the list now comes from " + SOURCE_NAMES[source.active],
-                    word_us_ago=source.age(now),
+                    word_us_ago=source.age_us(now),
                     version=self._version_in_use,
                 )
         self._timer_due_at = step.wake_at
@@ -154,7 +154,7 @@
             "resource": "/".join(self.key),
             "by": SOURCE_NAMES[self._source.active],
             "since_us_ago": now - self._source.since,
-            "word_us_ago": self._source.age(now),
+            "word_us_ago": self._source.age_us(now),
             "version": self._version_in_use,
             "watched": self._host.discovery.watched,
             "discovery_calls": self._host.discovery.metrics.calls,
--- a/pepperusher/net/node.py
+++ b/pepperusher/net/node.py
@@ -19,7 +19,7 @@
 from pepperusher.console.admin_commands import NEVER, AdminCommand, AdminCommands
 from pepperusher.group import endpoint_borrowing
 from pepperusher.group.swim import Swim, SwimSettings
-from pepperusher.group.wire import DATAGRAM, InvalidPacketError, Wire
+from pepperusher.group.wire import MAX_DATAGRAM_BYTES, InvalidPacketError, Wire
 from pepperusher.group.messages import (
     ALIVE,
     LEAVING,
@@ -28,7 +28,7 @@
     SERVING,
     STARTING,
     WANTS_LIST,
-    WANTS_ROLL,
+    WANTS_STATE,
     Broadcast,
     MemberRecord,
 )
@@ -210,16 +210,16 @@
         if self._host.has_successor:
             self._close()
         elif self.swim is not None:
-            self.swim.say(LEAVING, clock.now())
+            self.swim.set_phase(LEAVING, clock.now())
             self._wake()
 
     async def stop(self) -> None:
         if self.swim is not None and self._socket is not None:
-            self.swim.say(LEFT, clock.now())
+            self.swim.set_phase(LEFT, clock.now())
             self._wake()
             deadline = asyncio.get_running_loop().time() + LEAVE_TIMEOUT_S
             while asyncio.get_running_loop().time() < deadline:
-                acknowledged, expected = self.swim.farewells
+                acknowledged, expected = self.swim.phase_acks
                 if acknowledged >= min(expected, LEAVE_ACKS):
                     break
                 await asyncio.sleep(LEAVE_POLL_S)
@@ -248,7 +248,7 @@
         for _ in range(DATAGRAMS_PER_TURN):
             try:
                 # One byte more than the limit, so that a truncated datagram is recognized as too long.
-                data = self._socket.recv(DATAGRAM + 1)
+                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
@@ -280,7 +280,7 @@
         """Sends the packets, logs the changes and applies the commands that the last step produced."""
         swim = self.swim
         assert swim is not None
-        packets, swim.out = swim.out, []
+        packets, swim.outgoing = swim.outgoing, []
         for address, data in packets:
             try:
                 if self._socket is not None:
@@ -292,24 +292,24 @@
             if change.what == "suspected by one more":
                 continue  # the log line about the loss names them all
             self._say(f"group: {change.what}", of=change.name, **change.figures)
-        if swim.news:
-            news, swim.news = swim.news, []
+        if swim.new_broadcasts:
+            news, swim.new_broadcasts = swim.new_broadcasts, []
             self._apply_commands(
                 {broadcast.key: AdminCommand(broadcast.on, broadcast.at) for broadcast in news if broadcast.kind == BAN}
             )
             for broadcast in news:
                 self._say("group: an order", kind=broadcast.kind, key=broadcast.key, on=broadcast.on, at=broadcast.at)
-        if swim.roll.version != self._membership_version:
-            self._membership_version = swim.roll.version
+        if swim.members.version != self._membership_version:
+            self._membership_version = swim.members.version
             self._share()
-        if swim.wants_roll is not None and self._fetch_task is None:
-            address, swim.wants_roll = swim.wants_roll, None
+        if swim.sync_from is not None and self._fetch_task is None:
+            address, swim.sync_from = swim.sync_from, None
             self._fetch_task = asyncio.get_running_loop().create_task(self._fetch(address))
 
     def _share(self) -> None:
         """Tells the balancer how many proxies share the traffic, if that changed."""
         assert self.swim is not None
-        size = self.swim.size()
+        size = self.swim.sharer_count()
         if size != self.sharers:
             self.sharers = size
             self._host.facade.set_proxy_count(size)
@@ -324,10 +324,10 @@
             async with asyncio.timeout(STREAM_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
-                hello = self.swim.hello(WANTS_ROLL)
+                hello = self.swim.stream_opening(WANTS_STATE)
                 writer.write(PART_LENGTH.pack(len(hello)) + hello)
                 for _ in range(STREAM_PARTS_MAX):
-                    data = await _read_part(reader, DATAGRAM)
+                    data = await _read_part(reader, MAX_DATAGRAM_BYTES)
                     self.swim.receive(data, clock.now())
         except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError):
             pass
@@ -346,8 +346,8 @@
             self._streams += 1
             try:
                 async with asyncio.timeout(STREAM_TIMEOUT_S):
-                    hello = self._wire.unpack(await _read_part(reader, DATAGRAM))
-                    for data in self._list_parts() if hello.seq == WANTS_LIST else self.swim.whole():
+                    hello = self._wire.unpack(await _read_part(reader, MAX_DATAGRAM_BYTES))
+                    for data in self._list_parts() if hello.seq == WANTS_LIST else self.swim.full_state():
                         writer.write(PART_LENGTH.pack(len(data)) + data)
                         await writer.drain()
                     await writer.drain()
@@ -382,16 +382,18 @@
         try:
             while self._host.needs_list and self._socket is not None:
                 serving = [
-                    candidate.said.address
-                    for candidate in self.swim.roll
+                    candidate.record.address
+                    for candidate in self.swim.members
                     if candidate.health == ALIVE
-                    and candidate.said.phase in (SERVING, SENT_AWAY)
-                    and candidate.said.tier == self._policy_settings.tier_index
+                    and candidate.record.phase in (SERVING, SENT_AWAY)
+                    and candidate.record.tier == self._policy_settings.tier_index
                 ]
                 addresses = self._random.sample(serving, min(LENDERS_MAX, len(serving)))
                 lists = await asyncio.gather(*map(self._request_list, addresses))
                 try:
-                    merged = endpoint_borrowing.joined([candidate for candidate in lists if candidate is not None])
+                    merged = endpoint_borrowing.intersect_lists(
+                        [candidate for candidate in lists if candidate is not None]
+                    )
                     if merged is not None and self._host.needs_list:
                         age, listed = merged
                         self._host.borrow_list(listed, clock.now() - age)
@@ -415,10 +417,10 @@
             async with asyncio.timeout(STREAM_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*address, local_addr=(self._listen[0], 0))
                 assert self.swim is not None
-                hello = self.swim.hello(WANTS_LIST)
+                hello = self.swim.stream_opening(WANTS_LIST)
                 writer.write(PART_LENGTH.pack(len(hello)) + hello)
                 while len(text) < LIST_MAX_BYTES:
-                    text += self._wire.open(await _read_part(reader, PART_BYTES + DATAGRAM))
+                    text += self._wire.open(await _read_part(reader, PART_BYTES + MAX_DATAGRAM_BYTES))
         except asyncio.IncompleteReadError:
             pass  # end of the stream
         except (OSError, TimeoutError, ValueError):
@@ -438,10 +440,14 @@
         if self.swim is None or self._socket is None:
             return
         now = clock.now()
-        self.swim.list = self._host.list_version
+        self.swim.list_version = self._host.list_version
         if not self._host.stopping:
-            self.swim.say(self._phase(), now)
-        if self._list_task is None and self._host.needs_list and now - self.swim.me.number >= LIST_REQUEST_DELAY_US:
+            self.swim.set_phase(self._phase(), now)
+        if (
+            self._list_task is None
+            and self._host.needs_list
+            and now - self.swim.own_record.number >= LIST_REQUEST_DELAY_US
+        ):
             self._list_task = asyncio.get_running_loop().create_task(self._borrow_list())
         if self._owns_commands:
             self._orders.forget(now)
@@ -475,9 +481,9 @@
         """Broadcasts the commands that this proxy has from its admin listener or from its other process."""
         assert self.swim is not None
         for backend, command in self._orders.bans.items():
-            known = self.swim.notices.get(BAN, backend)
-            if known is None or (command.at, command.on) > known.rank:
-                self.swim.tell(Broadcast(BAN, backend, command.on, command.at), now)
+            known = self.swim.broadcasts.get(BAN, backend)
+            if known is None or (command.at, command.on) > known.precedence:
+                self.swim.broadcast(Broadcast(BAN, backend, command.on, command.at), now)
 
     async def held(self) -> tuple[int, int] | None:
         """How many proxies hold the same commands as this one, and of how many, as far as known within HELD_TIMEOUT_S;
@@ -489,7 +495,7 @@
         self._wake()
         deadline = asyncio.get_running_loop().time() + HELD_TIMEOUT_S
         while True:
-            holders, members = self.swim.holders()
+            holders, members = self.swim.holder_counts()
             if holders >= members or asyncio.get_running_loop().time() >= deadline:
                 return holders, members
             await asyncio.sleep(LEAVE_POLL_S)
@@ -500,19 +506,19 @@
             return None
         now = clock.now()
         return {
-            "reach": self.swim.reach(now)._asdict(),
+            "reach": self.swim.reachability(now)._asdict(),
             "sharers": self.sharers,
             "told": self._policy_settings.group_size,
             "doubt": self.swim.health.score,
             "counts": dict(self.swim.counts),
             "unsent": self._unsent,
-            "orders": [[command.kind, command.key, command.on, command.at] for command in self.swim.notices],
-            "members": self.swim.rows(now),
+            "orders": [[command.kind, command.key, command.on, command.at] for command in self.swim.broadcasts],
+            "members": self.swim.status_rows(now),
         }
 
     def forget(self, name: str) -> bool:
         """Removes a dead member from the member list. False where it is unknown or alive."""
-        return self.swim is not None and self.swim.roll.forget(name)
+        return self.swim is not None and self.swim.members.remove(name)
 
 
 async def _read_part(reader: asyncio.StreamReader, max_length: int) -> bytes:
--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -110,7 +110,7 @@
             "rules": {**SETTINGS["rules"], "ask-within": 1000 * ask_within},
         }
         log = Log(f"asker{number}")
-        log.say = lambda line, figures=None: None  # type: ignore[method-assign]
+        log.say = lambda line, fields=None: None  # type: ignore[method-assign]
         self.notified_at: dict[int, float] = {}  # version -> event loop time of its arrival
         policy_settings = read_settings(settings, seed * 1000 + number)
         self.facade = Facade(policy_settings, clock.now(), log.say)
--- a/pepperusher/rehearsal/fault_schedule.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from pepperusher.rehearsal.fleet_plan import FleetPlan, Gate, Place
-from pepperusher.rehearsal.script import OF_BACKENDS, OF_LINKS, OF_PROXIES, Chance, Fault, Script
+from pepperusher.rehearsal.script import BACKEND_FAULTS, LINK_FAULTS, PROXY_FAULTS, Chance, Fault, Script
 from pepperusher.durations import Span
 
 # Defaults for a restart, in us: how long the backend drains before its process ends, and how long after that the next
@@ -65,7 +65,7 @@
 def _select_targets(script: Script, plan: FleetPlan, fault: Fault, chance: Random) -> tuple[int, ...]:
     """The numbers of the backends or proxies that a fault affects, in the order of the script."""
     tiers = [tier.name for tier in script.tiers]
-    if fault.what in OF_PROXIES:
+    if fault.what in PROXY_FAULTS:
         tier_index = tiers.index(fault.tier) if fault.tier else 0
         candidates: list[Place] | list[Gate] = [
             gate
@@ -74,7 +74,7 @@
             and fault.zone in (None, gate.zone)
             and (not fault.names or gate.name in fault.names)
         ]
-    elif fault.what in OF_BACKENDS:
+    elif fault.what in BACKEND_FAULTS:
         candidates = [
             place
             for place in plan.places
@@ -138,7 +138,7 @@
     for number, fault in enumerate(script.faults):
         # The targets are drawn once for all repetitions, so that the same backend flaps each time.
         targets = _select_targets(script, plan, fault, Random(f"{script.seed}:fault:{number}"))
-        if fault.what in OF_LINKS:
+        if fault.what in LINK_FAULTS:
             targets = (number,)
         for occurrence in _occurrences(fault):
             strikes.extend(_strikes_of(occurrence, targets))
--- a/pepperusher/rehearsal/generator.py
+++ b/pepperusher/rehearsal/generator.py
@@ -129,7 +129,7 @@
                     continue
                 wake_at = due - self._margin.now
                 await asyncio.sleep((wake_at - clock()) / 1e6)
-                self._margin.woke(clock() - wake_at)
+                self._margin.record_wakeup(clock() - wake_at)
             request = loop.create_task(self._run_request(arrival, due))
             self._open_requests.add(request)
             request.add_done_callback(self._open_requests.discard)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -54,7 +54,7 @@
     def test_without_the_allowance_it_is_far_over(self) -> None:
         """Without the balancer's limit for cold backends the same cases exceed the limit, so the tests above detect its
         absence."""
-        with mock.patch.object(Balancer, "_may_warm", return_value=True):
+        with mock.patch.object(Balancer, "_within_cold_budget", return_value=True):
             for case in ("single, others lost", "replaced at once, load 1.3", "all, every proxy restarted"):
                 figures = reading("cold-start", case, seeds=1)
                 self.assertGreater(figures.over, 10, f"{case}: {figures}")
@@ -125,7 +125,7 @@
                 ignore=shutil.ignore_patterns("__pycache__"),
             )
             with (build / "pepperusher" / "policy.py").open("a") as module:
-                module.write("\n\nBalancer._may_warm = lambda self, backend, now: True\n")
+                module.write("\n\nBalancer._within_cold_budget = lambda self, backend, now: True\n")
             figures, _ = self.run_with(build)
         self.assertGreater(figures.over, 3, figures)
         self.assertGreater(figures.worst, 1.2, figures)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -84,11 +84,11 @@
     beats = False
     keeps_silent = False  # discovery accepts calls and sends nothing, not even a heartbeat
 
-    async def watched(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_watch(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.keeps_silent:
             await reader.read()
         else:
-            await super().watched(reader, writer)
+            await super().serve_watch(reader, writer)
 
     def ready_backends(self) -> str:
         return (
@@ -126,7 +126,7 @@
             ):
                 watches, logged = len(self.watches), len(self.logged)
                 self.send_line(text)
-                await self.until(
+                await self.wait_until(
                     lambda: len(self.watches) > watches and not self.proxy._discovery._source.following.done()
                 )
                 await self.settle()
@@ -134,7 +134,7 @@
                     line.split(" line ")[0].partition(";")[0][:60] for line in self.logged[logged:] if "watch" in line
                 ]
                 results.append(f"{case}: {self.ready_backends()}, log {reasons}")
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         results.append(self.lines[-1])
         self.lines = results
         self.compare_trace("discovery_bad")
@@ -155,7 +155,7 @@
             await self.settle()
             results.append(f"{case}: {self.ready_backends()}, version {self.proxy._discovery._source.version}")
         self.watches[-1].close()  # a discovery service that restarted counts its versions from the start
-        await self.until(lambda: len(self.watches) == 2)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.send_line(self.update_line(1, self.line("a1"), full=True))
         await self.settle()
         results.append(
@@ -173,8 +173,8 @@
             self.proxy._facade, "endpoint_request_delay", side_effect=RuntimeError("a fault")
         ) as tick:
             self.watches[-1].close()
-            await self.until(lambda: tick.called)
-        await self.until(lambda: len(self.watches) == 2)
+            await self.wait_until(lambda: tick.called)
+        await self.wait_until(lambda: len(self.watches) == 2)
         self.send_line(self.update_line(2, self.line("b1", "draining")))
         await self.settle()
         self.assertEqual("a1", self.ready_backends())
@@ -184,7 +184,7 @@
         """Moves discovery to another address and waits for the watch there; the process handles the signal after being
         stopped for `stopped_for` seconds.
         """
-        server = await asyncio.start_server(self.watched, "127.0.0.1", 0)
+        server = await asyncio.start_server(self.serve_watch, "127.0.0.1", 0)
         self.addCleanup(server.close)
         self.given = json.dumps(
             {**json.loads(self.given), "discovery": f"127.0.0.1:{server.sockets[0].getsockname()[1]}"}
@@ -192,14 +192,14 @@
         watches = len(self.watches)
         time.sleep(stopped_for)
         self.proxy.reload_configuration()
-        await self.until(lambda: len(self.watches) > watches)
+        await self.wait_until(lambda: len(self.watches) > watches)
 
     async def lose_discovery(self) -> None:
         """Makes discovery refuse all calls and ends its watch."""
-        await self.until(lambda: self.proxy._discovery.watched)
+        await self.wait_until(lambda: self.proxy._discovery.watched)
         self.server.close()
         self.watches[-1].close()
-        await self.until(lambda: not self.proxy._discovery.watched)
+        await self.wait_until(lambda: not self.proxy._discovery.watched)
 
     async def test_a_list_past_the_term_of_a_loss_is_said_and_counted_with_what_goes_out_by_it(self) -> None:
         """The soft deadline of an outage applies only while discovery can be reached, which the proxy cannot know: the
@@ -209,18 +209,18 @@
         metrics = self.proxy._discovery.metrics
         with mock.patch("pepperusher.net.discovery.LOST_DEADLINE_S", DEADLINE_S):
             await self.lose_discovery()
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertEqual((0, 0), (metrics.overdue, metrics.sent_overdue))
         await asyncio.sleep(DEADLINE_S + 0.05)
         for number in range(2, 6):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
         destinations = sorted(line.rpartition("goes to ")[2] for line in self.logged if "goes to" in line)
         self.assertEqual(["a1 by a list past its deadline", "b1 by a list past its deadline"], destinations)
         await self.move_discovery()
         self.send_line(self.update_line(2, self.line("a1"), full=True))
         await self.settle()
-        await self.ask("look 6", self.request("look", 6))
+        await self.send_request("look 6", self.request("look", 6))
         self.assertEqual((1, 4), (metrics.overdue, metrics.sent_overdue))
         self.assertGreater(metrics.longest_unconfirmed, 0.15)
         self.assertTrue(
@@ -235,18 +235,18 @@
         metrics = self.proxy._discovery.metrics
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", DEADLINE_S):
             await self.move_discovery()
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertEqual((0, 0), (metrics.expired, metrics.refused_expired))
         await asyncio.sleep(DEADLINE_S + 0.05)
         self.lines = []
         for number in range(2, 6):
-            await self.ask(f"look {number}", self.request("look", number))
+            await self.send_request(f"look {number}", self.request("look", number))
         self.assertEqual(4, sum("503" in line for line in self.lines), self.lines)
         self.assertEqual((1, 4, 0), (metrics.expired, metrics.refused_expired, metrics.sent_overdue))
         self.assertEqual(1, sum("is refused: the list has expired" in line for line in self.logged))
         self.send_line(self.update_line(2, self.line("a1"), full=True))
         await self.settle()
-        await self.ask("look 6", self.request("look", 6))
+        await self.send_request("look 6", self.request("look", 6))
         self.assertIn("200", self.lines[-1])
         self.assertEqual((1, 4), (metrics.expired, metrics.refused_expired))
         self.assertTrue(any("past its deadline, 4 requests refused" in line for line in self.logged))
@@ -261,7 +261,7 @@
 
         async def expires_meanwhile(*given: object) -> object:
             connection = await connect(*given)
-            await self.until(lambda: self.proxy._discovery.confirmation.expired)
+            await self.wait_until(lambda: self.proxy._discovery.confirmation.expired)
             return connection
 
         with (
@@ -270,7 +270,7 @@
         ):
             await self.move_discovery()
             self.lines = []
-            await self.ask("look 1", self.request("look", 1))
+            await self.send_request("look 1", self.request("look", 1))
         self.assertEqual(["look 1 ...", "look 1 -> 503 'bounced'"], self.lines)
         self.assertEqual(0, self.proxy._facade.backends()[0]["failed"])
 
@@ -290,10 +290,10 @@
 
         for use in ("book", "pay"):
             for toy in self.fake_backends.values():
-                toy.does = ["break"]
+                toy.behaviors = ["break"]
             self.lines.clear()  # the backends add lines too
             with mock.patch.object(type(confirmation), "expired", Expires()):
-                await self.ask(f"{use} 1", self.request(use, 1, "a body"))
+                await self.send_request(f"{use} 1", self.request(use, 1, "a body"))
             self.assertEqual(1, sum(" gets POST" in line for line in self.lines), self.lines)
             self.assertIn("502", self.lines[-1])
 
@@ -304,8 +304,8 @@
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", DEADLINE_S):
             self.proxy.reload_configuration()
         metrics = self.proxy._discovery.metrics
-        await self.until(lambda: metrics.unconnected and self.proxy._discovery.confirmation.overdue)
-        await self.ask("look 1", self.request("look", 1))
+        await self.wait_until(lambda: metrics.unconnected and self.proxy._discovery.confirmation.overdue)
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertEqual((1, 1, 0), (metrics.overdue, metrics.sent_overdue, metrics.expired))
 
@@ -318,8 +318,8 @@
         ):
             self.given = json.dumps({**json.loads(self.given), "discovery": "127.0.0.1:1"})
             self.proxy.reload_configuration()
-            await self.until(lambda: self.proxy._discovery.confirmation.expired)
-            await self.ask("look 1", self.request("look", 1))
+            await self.wait_until(lambda: self.proxy._discovery.confirmation.expired)
+            await self.send_request("look 1", self.request("look", 1))
         self.assertIn("503", self.lines[-1])
 
     async def test_a_configuration_that_can_not_be_read_begins_a_term_too(self) -> None:
@@ -331,14 +331,14 @@
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", 0.4):
             self.proxy.reload_configuration()
         await asyncio.sleep(0.45)
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1], "its watch was open all the time")
         with mock.patch("pepperusher.net.discovery.RECONFIGURED_DEADLINE_S", 0.4):
             self.proxy.reload_configuration()
         self.keeps_silent = True
         self.watches[-1].close()
         await asyncio.sleep(0.45)
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.assertIn("503", self.lines[-1])
 
     async def test_a_signal_may_have_come_as_long_ago_as_the_process_last_looked(self) -> None:
@@ -352,7 +352,7 @@
     async def test_who_takes_anothers_place_sends_nothing_once_the_term_of_that_is_over(self) -> None:
         await self.open("a1")
         discovery = self.proxy._discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery.stop()
         discovery.take_over(None)
         discovery.resume_from_handover(
@@ -361,11 +361,11 @@
         self.keeps_silent = True
         with mock.patch("pepperusher.net.discovery.TAKEN_OVER_DEADLINE_S", DEADLINE_S):
             discovery.start(at_once=False)
-        await self.ask("look 1", self.request("look", 1))
+        await self.send_request("look 1", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
         self.assertIsNotNone(self.proxy.list_for_peers())
         await asyncio.sleep(DEADLINE_S + 0.05)
-        await self.ask("look 2", self.request("look", 2))
+        await self.send_request("look 2", self.request("look", 2))
         self.assertIn("503", self.lines[-1])
         self.assertIsNone(self.proxy.list_for_peers(), "another process would send by a list that has expired here")
 
@@ -386,7 +386,7 @@
     async def test_the_term_of_a_silent_watch_counts_from_its_last_word(self) -> None:
         await self.open("a1")
         discovery = self.proxy._discovery
-        await self.until(lambda: discovery.watched)
+        await self.wait_until(lambda: discovery.watched)
         discovery._spread = 0.0
         with (
             mock.patch("pepperusher.net.call_schedule.WATCH_SILENCE_TIMEOUT_S", 0.4),
@@ -395,7 +395,7 @@
             self.send_line(b"\n")
             spoke_at = time.monotonic()
             self.keeps_silent = True
-            await self.until(lambda: not discovery.watched)
+            await self.wait_until(lambda: not discovery.watched)
             self.assertFalse(discovery.confirmation.overdue)
             await asyncio.sleep(spoke_at + 0.5 + DEADLINE_S - time.monotonic())
         self.assertTrue(discovery.confirmation.overdue)
@@ -415,7 +415,7 @@
             self.assertEqual("a1", self.ready_backends())
         # The older list was not merely delayed: b1 was not mentioned since, so it is ready again. c1 was mentioned.
         self.send_line(self.update_line(10, {**c, "state": "draining"}))
-        await self.until(lambda: self.ready_backends() == "a1, b1")
+        await self.wait_until(lambda: self.ready_backends() == "a1, b1")
 
     async def test_an_older_list_lifts_a_stop_where_the_endpoint_has_started_since_or_is_the_last(self) -> None:
         await self.open("a1", "b1")
@@ -446,7 +446,7 @@
             self.update_line(number, self.line("b1", "draining" if number % 2 else "ready")) for number in range(2, 502)
         )
         self.send_line(text)
-        await self.until(lambda: self.proxy._discovery._source.version == 501)
+        await self.wait_until(lambda: self.proxy._discovery._source.version == 501)
         self.assertEqual(500, sum(asked))
         self.assertLess(len(asked), 12)  # one per read at most
         self.assertEqual("a1", self.ready_backends())
@@ -499,13 +499,13 @@
                 before = len(asked)
                 for writer in self.watches:
                     writer.close()
-                self.proxy._discovery._facade._balancer._ask_step = 0
+                self.proxy._discovery._facade._balancer._list_backoff = 0
                 async with asyncio.timeout(8):
                     while len(asked) < before + 3:
                         await asyncio.sleep(0.01)
                 first, second, third = asked[before : before + 3]
                 self.assertLess(second - first, 2.5, what)
                 self.assertGreater(third - first, 0.5, what)
-                await self.ask("look", self.request("look", len(self.lines)))
+                await self.send_request("look", self.request("look", len(self.lines)))
                 self.assertIn("200", self.lines[-1], what)
         server.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -231,7 +231,7 @@
                     connection = await asyncio.open_connection(*self.at)
                 connection[1].write(self.request("look", number))
                 async with asyncio.timeout(3):
-                    answer = await self.hear(connection[0])
+                    answer = await self.read_response(connection[0])
             except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
                 answer, connection = type(error).__name__, None
             outcome = answer.split()[0] if answer[0].isdigit() else answer
@@ -279,7 +279,9 @@
         self.assertIn("200", await first.call("POST", "/-/backends/a1/enable"))
         async with asyncio.timeout(8):
             while not any("    a1 gets" in line for line in self.lines):
-                await self.ask("look", self.request("look", self.number), await asyncio.open_connection(*self.at))
+                await self.send_request(
+                    "look", self.request("look", self.number), await asyncio.open_connection(*self.at)
+                )
                 self.number += 1
 
     async def test_a_next_process_that_dies_leaves_the_first_whole_and_a_killed_one_is_followed(self) -> None:
@@ -296,11 +298,11 @@
         await first.end(signal.SIGKILL)
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("503", await self.hear(at[0]))  # the drain handed over stays in force
+        self.assertIn("503", await self.read_response(at[0]))  # the drain handed over stays in force
         self.assertIn("200", await third.call("POST", "/-/resume"))
         for number in range(4):
             at = await asyncio.open_connection(*self.at)
-            await self.ask("look", self.request("look", number), at)
+            await self.send_request("look", self.request("look", number), at)
         self.assertEqual(4, sum("    a1 gets" in line for line in self.lines))
         # A process that starts alone takes over a stored ban, but not a drain.
         self.assertIn("200", await third.call("POST", "/-/drain"))
@@ -308,7 +310,7 @@
         fourth = await self.process()
         at = await asyncio.open_connection(*self.at)
         at[1].write(b"GET /ready HTTP/1.1\r\nHost: p\r\n\r\n")
-        self.assertIn("200", await self.hear(at[0]))
+        self.assertIn("200", await self.read_response(at[0]))
         self.assertIn("200", await fourth.call("POST", "/-/backends/b1/enable"))
 
     async def send_tickets(self, tickets: int) -> list[str]:
@@ -320,7 +322,7 @@
             connection[1].write(self.request("look", self.number))
             try:
                 async with asyncio.timeout(3):
-                    outcomes.append((await self.hear(connection[0])).split()[0])
+                    outcomes.append((await self.read_response(connection[0])).split()[0])
             except TimeoutError:
                 outcomes.append("nothing")
             connection[1].close()
@@ -340,7 +342,7 @@
             for _ in range(12):  # about half of them at each process
                 self.number += 1
                 kept.append(await asyncio.open_connection(*self.at))
-                await self.ask("look", self.request("look", self.number), kept[-1])
+                await self.send_request("look", self.request("look", self.number), kept[-1])
             stopped.process.send_signal(signal.SIGSTOP)
             log_position[running] = await running.wait_for_log("new connections come here", log_position[running])
             self.assertEqual({"200"}, set(await self.send_tickets(30)))
@@ -428,11 +430,11 @@
             first, _ = process_slots(folder, "p1")
             first.take()  # another process holds the first slot and publishes nothing
             await self.open("a1", console="127.0.0.1:1", passed=folder)
-            await self.ask("look", self.request("look", 1))
+            await self.send_request("look", self.request("look", 1))
             self.assertIn("200", self.lines[-1])
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.desk.port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", self.admin_handlers.port)
             writer.write(b"POST /-/backends/a1/disable HTTP/1.1\r\nHost: c\r\n\r\n")
-            self.assertIn("500 'in force, but not kept", await self.hear(reader))
+            self.assertIn("500 'in force, but not kept", await self.read_response(reader))
             writer.close()
             first.close()
         self.assertTrue(any("the state is not kept: No space left" in line for line in self.logged), self.logged)
@@ -441,5 +443,5 @@
         await self.open("a1", console="127.0.0.1:1", passed="/nowhere")
         self.assertTrue(any("/nowhere: No such file or directory" in line for line in self.logged), self.logged)
         self.processes = []
-        await self.ask("look", self.request("look", 1))
+        await self.send_request("look", self.request("look", 1))
         self.assertIn("200", self.lines[-1])
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -331,11 +331,11 @@
         for a, hits_a in zip(patterns, matched_tickets):
             for b, hits_b in zip(patterns, matched_tickets):
                 if hits_a & hits_b:
-                    self.assertTrue(match.meet(a, b), (a, b))
-                if match.within(a, b):
+                    self.assertTrue(match.overlap(a, b), (a, b))
+                if match.is_contained(a, b):
                     self.assertLessEqual(hits_a, hits_b, (a, b))
-                    if not match.within(b, a):
-                        self.assertGreater(a.points, b.points, (a, b))
+                    if not match.is_contained(b, a):
+                        self.assertGreater(a.specificity, b.specificity, (a, b))
         accepted: list[match.Pattern] = []
         for candidate in patterns:
             if not match.conflicts([*accepted, candidate]):
@@ -351,7 +351,7 @@
                 found, -1 if not matching_indices else found if found in matching_indices else None, ticket
             )
             for matching_index in matching_indices:
-                self.assertTrue(match.within(accepted[found], accepted[matching_index]))
+                self.assertTrue(match.is_contained(accepted[found], accepted[matching_index]))
 
     def test_conflicts_are_those_of_all_pairs(self) -> None:
         for seed in range(20):
@@ -360,8 +360,8 @@
                 (a, b)
                 for a in range(25)
                 for b in range(a)
-                if match.meet(patterns[a], patterns[b])
-                and match.within(patterns[a], patterns[b]) == match.within(patterns[b], patterns[a])
+                if match.overlap(patterns[a], patterns[b])
+                and match.is_contained(patterns[a], patterns[b]) == match.is_contained(patterns[b], patterns[a])
             ]
             self.assertEqual(match.conflicts(patterns), sorted(pairs))
 
