--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -1,10 +1,10 @@
-"""Hollow proxies: everything of a proxy that control reaches, many in one process, without its requests.
+"""Hollow proxies: the control-plane side of a proxy without its request path, many in one process.
 
-Real are the watch at discovery, the list and the decision state it is put into, the own file's state with
-its versions and marks, whatever speaks for control over sockets, and, where the play asks for it, the
-membership of a group. Left out are the listener, requests with
-their connections, and the timers that serve those alone (`docs/scale.md` says what that changes). Run as
-`python -m pepperusher.rehearsal.hollow NUMBER SPEC`, a process takes orders as `rehearsal.worker` has them.
+The real code runs for the discovery watch, the endpoint list and the decision state built from it, the
+proxy's own configuration with its versions and marks, the client of the control machines and, if the run asks
+for it, the group membership. The listener, requests, their connections and the timers that only serve them are
+left out (`docs/scale.md` says what that changes). A process runs as
+`python -m pepperusher.rehearsal.hollow NUMBER SPEC` and takes orders as `rehearsal.worker` describes.
 """
 
 from __future__ import annotations
@@ -42,117 +42,119 @@
 if TYPE_CHECKING:
     from pepperusher.rehearsal.hollow_group import GroupOrders, MemberNode
 
-# One that is slow has its loop held so long at a time.
-SLOW_TURN = 0.05
-NOWHERE = ("127.0.0.1", 1)
-Noted = Callable[[str, int], None]
+# A slow process blocks its event loop for this many seconds at a time.
+SLOW_BLOCK_S = 0.05
+UNUSED_ADDRESS = ("127.0.0.1", 1)
+VersionCallback = Callable[[str, int], None]
 
 
-class NotedDiscovery(Discovery):
-    """Says when a version is in force: after the decisions have it."""
+class ReportingDiscovery(Discovery):
+    """Reports each version of the endpoint list once it is in force, which is after the decision state has it."""
 
     def __init__(
         self,
-        noted: Noted,
+        on_version: VersionCallback,
         address: tuple[str, int],
         facade: Facade,
         backends: Backends,
         log: Log,
-        narrows: Sequence[FilterEndpoints],
+        filters: Sequence[FilterEndpoints],
         seed: int,
     ) -> None:
-        super().__init__(address, facade, backends, log, narrows, seed)
-        self._noted = noted
+        super().__init__(address, facade, backends, log, filters, seed)
+        self._on_version = on_version
 
     def apply_update(self, update: EndpointUpdate, source: Source | None = None) -> None:
         super().apply_update(update, source)
-        self._noted("list", update.version)
+        self._on_version("list", update.version)
 
 
-class OwnState(Extension):
-    """The own file's state as a whole proxy has it. A text is taken whole, or not at all."""
+class ConfigurationExtension(Extension):
+    """The configuration state of a complete proxy. A configuration text is applied completely or not at all."""
 
-    def __init__(self, text: str, at: PolicySettings, log: Log) -> None:
-        self._policy_settings = at
+    def __init__(self, text: str, policy_settings: PolicySettings, log: Log) -> None:
+        self._policy_settings = policy_settings
         self._host: ExtensionHost | None = None
-        self.standing = ActiveConfiguration(self.read(text), clock.now(), self._list_again, log.write_event)
-        self.filter_endpoints = self.standing.overlay.lines
+        self.active = ActiveConfiguration(self.read(text), clock.now(), self._reapply_lines, log.write_event)
+        self.filter_endpoints = self.active.overlay.lines
 
     def read(self, text: str) -> Read:
         """Raises ConfigurationError."""
-        return loader.parse(text, "what is told", self._policy_settings)
+        return loader.parse(text, "configuration from control", self._policy_settings)
 
-    def _list_again(self, lines: list[Endpoint]) -> None:
+    def _reapply_lines(self, lines: list[Endpoint]) -> None:
         if self._host is not None:
             self._host.reapply_filters(self, lines)
 
     async def attach(self, host: ExtensionHost) -> None:
         self._host = host
 
-    def put(self, text: str) -> str | None:
-        """None where it is in force, else why not."""
-        now, standing = clock.now(), self.standing
+    def apply_text(self, text: str) -> str | None:
+        """Applies the configuration text. Returns None if it is in force, otherwise the reason for the refusal."""
+        now, active = clock.now(), self.active
         try:
             read = self.read(text)
-            if read.digest == standing.version.read.digest:
+            if read.digest == active.version.read.digest:
                 return None
-            change = standing.propose(read, "control", "told", now)
+            change = active.propose(read, "control", "told", now)
         except (ConfigurationError, TransactionError) as error:
             return str(error)
-        standing.stage(change, now)
-        standing.apply(change, now)
-        standing.confirm(change, "control", "told", now)
+        active.stage(change, now)
+        active.apply(change, now)
+        active.confirm(change, "control", "told", now)
         change.what = None
         return None
 
 
 class Hollow(Proxy):
-    """One of them, told by discovery, by control machines, or by both; a member of a group where `group` says
-    which (`hollow_group.place_of`).
+    """One hollow proxy, updated by discovery, by control machines or by both. With `group` (see
+    `hollow_group.place_of`) it is also a member of that group.
     """
 
-    def __init__(self, told: BootstrapConfiguration, own: str | None, group: dict[str, Any] | None = None) -> None:
-        self.own: OwnState | None = None
+    def __init__(self, bootstrap: BootstrapConfiguration, own: str | None, group: dict[str, Any] | None = None) -> None:
+        self.own: ConfigurationExtension | None = None
         self.node: MemberNode | None = None
-        self._sweeping: asyncio.TimerHandle | None = None
-        # What was in force when: (what, version, microseconds on the machine's clock). Emptied as it is
-        # asked for.
-        self.books: list[tuple[str, int, int]] = []
-        self.latest: dict[str, int] = {}
-
-        def make_extensions(of: BootstrapConfiguration, log: Log) -> list[Extension]:
-            made: list[Extension] = []
+        self._sweep_timer: asyncio.TimerHandle | None = None
+        # When each version came into force: (resource, version, microseconds on the machine's monotonic clock).
+        # An order to report the rows also clears them.
+        self.activation_times: list[tuple[str, int, int]] = []
+        self.latest_versions: dict[str, int] = {}
+
+        def make_extensions(configuration: BootstrapConfiguration, log: Log) -> list[Extension]:
+            extensions: list[Extension] = []
             if own is not None:
-                self.own = OwnState(own, of.policy_settings, log)
-                made.append(self.own)
+                self.own = ConfigurationExtension(own, configuration.policy_settings, log)
+                extensions.append(self.own)
             if group is not None:
                 from pepperusher.rehearsal.hollow_group import MemberNode
 
-                self.node = MemberNode(group, of.policy_settings, of.name, log.write_event, self.book)
-                made.append(self.node)
-            return made
+                self.node = MemberNode(
+                    group, configuration.policy_settings, configuration.name, log.write_event, self.record_activation
+                )
+                extensions.append(self.node)
+            return extensions
 
-        super().__init__(told, lambda before: before, make_extensions)
-        self._discovery = NotedDiscovery(
-            self.note,
-            told.discovery,
+        super().__init__(bootstrap, lambda configuration: configuration, make_extensions)
+        self._discovery = ReportingDiscovery(
+            self.record_version,
+            bootstrap.discovery,
             self._facade,
             self._backends,
             self._log,
-            [one.filter_endpoints for one in self._extensions if one.filter_endpoints is not None],
-            told.policy_settings.seed,
+            [extension.filter_endpoints for extension in self._extensions if extension.filter_endpoints is not None],
+            bootstrap.policy_settings.seed,
         )
-        self._lists: dict[str, dict[str, Endpoint]] = {}  # by service, what distribution told last; replaced with each
-        self._parts: dict[str, str] = {}  # by name, the texts that make up its own file
-        self._told_version = 0
+        self._service_entries: dict[str, dict[str, Endpoint]] = {}  # by service, the entries of its last endpoint list
+        self._configuration_parts: dict[str, str] = {}  # by resource name, the parts of its configuration text
+        self._update_version = 0
         self.client: Client | None = None
-        self.most_in_second = 0  # bytes both ways in the worst second so far
-        self._bytes = 0
+        self.max_bytes_per_second = 0  # the most bytes in both directions in one second since the last report
+        self._last_bytes = 0
         self.on = False
 
-    def joins(self, place: dict[str, Any], key: bytes) -> None:
-        """Its subscription at the control machines, before it begins."""
-        keep = place.get("keep")
+    def create_client(self, place: dict[str, Any], key: bytes) -> None:
+        """Sets up the subscription at the control machines; called before `begin`."""
+        cache_directory = place.get("keep")
         self.client = Client(
             [tuple(one) for one in place["upstreams"]],
             [tuple(one) for one in place["names"]],
@@ -162,80 +164,80 @@
             region=place["region"],
             zone=place["zone"],
             seed=place["index"],
-            cache_path=None if keep is None else Path(keep) / place["name"],
+            cache_path=None if cache_directory is None else Path(cache_directory) / place["name"],
             local_address=place.get("local", "127.0.0.1"),
             say=self._log.write_event,
         )
 
-    def take_resource(self, one: Resource) -> str | None:
-        """None for in force, else why it is refused."""
-        text = one.body
-        refused = (
-            self.take_configuration(one.name, text.decode("utf-8", "replace"))
-            if one.kind == CONFIG
-            else self.take_list(one.name, text)
+    def take_resource(self, resource: Resource) -> str | None:
+        """Applies a resource. Returns None if it is in force, otherwise the reason for the refusal."""
+        body = resource.body
+        refusal = (
+            self.take_configuration(resource.name, body.decode("utf-8", "replace"))
+            if resource.kind == CONFIG
+            else self.take_list(resource.name, body)
         )
-        if refused is None:
-            self.note(f"{one.kind}/{one.name}", number_of(*one.version))
-        return refused
+        if refusal is None:
+            self.record_version(f"{resource.kind}/{resource.name}", number_of(*resource.version))
+        return refusal
 
-    def second(self) -> None:
-        """One has passed."""
+    def record_second(self) -> None:
+        """Updates the most bytes in one second; called once a second."""
         if self.client is not None:
-            now = self.client.counts["bytes in"] + self.client.counts["bytes out"]
-            self.most_in_second = max(self.most_in_second, now - self._bytes)
-            self._bytes = now
+            total = self.client.counts["bytes in"] + self.client.counts["bytes out"]
+            self.max_bytes_per_second = max(self.max_bytes_per_second, total - self._last_bytes)
+            self._last_bytes = total
 
-    def note(self, what: str, version: int) -> None:
-        self.latest[what] = version
-        self.book(what, version)
+    def record_version(self, resource: str, version: int) -> None:
+        self.latest_versions[resource] = version
+        self.record_activation(resource, version)
 
-    def book(self, what: str, version: int) -> None:
-        self.books.append((what, version, time.monotonic_ns() // 1000))
+    def record_activation(self, resource: str, version: int) -> None:
+        self.activation_times.append((resource, version, time.monotonic_ns() // 1000))
 
     async def begin(self, watch: bool) -> None:
-        """As `serve` does it, without a listener."""
+        """Starts the proxy as `Proxy.serve` does, but without a listener."""
         self.on = True
-        for one in self._extensions:
-            await one.attach(self)
+        for extension in self._extensions:
+            await extension.attach(self)
         if watch:
             self._discovery.start()
         if self.client is not None:
             self.client.start()
-        for one in self._extensions:
-            await one.start()
+        for extension in self._extensions:
+            await extension.start()
         if self.node is not None:
-            self._sweep_later(self.node)
+            self._schedule_sweep(self.node)
 
-    def _sweep_later(self, node: MemberNode) -> None:
-        self._sweeping = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep_group, node)
+    def _schedule_sweep(self, node: MemberNode) -> None:
+        self._sweep_timer = asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep_group, node)
 
     def _sweep_group(self, node: MemberNode) -> None:
-        """As a whole one's sweep does: the other companions here have nothing to do in it."""
-        self._sweep_later(node)
+        """Does what the periodic sweep of a complete proxy does; the other extensions here have no work in it."""
+        self._schedule_sweep(node)
         node.sweep()
 
     async def leave(self) -> None:
-        """As a whole one that is told to stop, and has no client left."""
+        """Shuts down as a complete proxy does after SIGTERM when it has no open client connections."""
         self._stopping.set()
-        self._tell("leaving", lambda one: one.drain_started(clock.now()))
+        self._tell("leaving", lambda extension: extension.drain_started(clock.now()))
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         await self.end()
 
     async def end(self) -> None:
-        """In order."""
+        """Stops the extensions and the client in order, then everything else."""
         self.on = False
-        for one in reversed(self._extensions):
-            await one.stop()
+        for extension in reversed(self._extensions):
+            await extension.stop()
         if self.client is not None:
             await self.client.stop()
         self.cut_off()
 
     def cut_off(self) -> None:
-        """As a process that was killed: gone without a word."""
+        """Stops without notifying any peer, like a killed process."""
         self.on = False
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self.node is not None:
             self.node.cut_off()
         if hasattr(self._discovery._source, "following"):
@@ -244,71 +246,73 @@
             self.client.kill()
 
     def take_configuration(self, name: str, text: str) -> str | None:
-        """A part of its own file; the parts in the order of their names are the file."""
+        """Replaces one part of its configuration. The parts, joined in the order of their names, are the file."""
         assert self.own is not None
-        parts = {**self._parts, name: text}
-        refused = self.own.put("\n".join(parts[one] for one in sorted(parts)))
-        if refused is None:
-            self._parts = parts
-        return refused
+        parts = {**self._configuration_parts, name: text}
+        refusal = self.own.apply_text("\n".join(parts[one] for one in sorted(parts)))
+        if refusal is None:
+            self._configuration_parts = parts
+        return refusal
 
     def take_list(self, service: str, body: bytes) -> str | None:
-        """One service's list, whole, as a change of the whole list."""
+        """One service's list, complete, as an incremental update of all endpoints."""
         try:
             update = parse_endpoint_update(json.loads(body))
         except ValueError as error:
-            return f"a list {error}"
-        fresh = {entry.id: entry for entry in update.entries}
-        before = self._lists.get(service, {})
+            return f"endpoint list {error}"
+        current = {entry.id: entry for entry in update.entries}
+        previous = self._service_entries.get(service, {})
         changed = [
             (entry, address)
             for entry, address in zip(update.entries, update.addresses)
-            if before.get(entry.id) != entry
+            if previous.get(entry.id) != entry
         ]
-        gone = [(entry._replace(ready=False, gone=True), GONE) for id, entry in before.items() if id not in fresh]
-        self._lists[service] = fresh
-        self._told_version += 1
+        removed = [
+            (entry._replace(ready=False, gone=True), GONE) for id, entry in previous.items() if id not in current
+        ]
+        self._service_entries[service] = current
+        self._update_version += 1
         Discovery.apply_update(
             self._discovery,
             EndpointUpdate(
-                self._told_version,
+                self._update_version,
                 False,
-                [one for one, _ in changed + gone],
-                [address for _, address in changed + gone],
+                [one for one, _ in changed + removed],
+                [address for _, address in changed + removed],
             ),
         )
         return None
 
     def state(self) -> Counter[str]:
-        """What it holds, by kind; each grows with what control tells, and with nothing else."""
+        """How many items it holds, by kind. Each number depends on the updates from the control plane alone."""
         backends = self._facade.backends()
-        made = Counter(
+        counts = Counter(
             {
                 "told": self._discovery.size,
                 "backends": len(backends),
-                "ready": sum(1 for one in backends if one["ready"]),
-                "not closed": sum(1 for one in backends if one["state"] != "closed"),
+                "ready": sum(1 for backend in backends if backend["ready"]),
+                "not closed": sum(1 for backend in backends if backend["state"] != "closed"),
                 "doors": len(self._backends._doors),
                 "requests": self._facade.open_tickets,
                 "subscribed": 0 if self.client is None else len(self.client.in_force),
             }
         )
         if self.own is not None:
-            standing = self.own.standing
-            made.update(
+            active = self.own.active
+            counts.update(
                 {
-                    "versions": len(standing.versions),
-                    "routes": len(standing.version.read.own.routes),
-                    "marks": len(standing.version.marks),
-                    "changes": standing.version.number - 1,
-                    "history": len(standing.ledger.history),
+                    "versions": len(active.versions),
+                    "routes": len(active.version.read.own.routes),
+                    "marks": len(active.version.marks),
+                    "changes": active.version.number - 1,
+                    "history": len(active.ledger.history),
                 }
             )
-        return made
+        return counts
 
 
 def number_of(epoch: int, number: int) -> int:
-    """A version of distribution as one number, in the same order."""
+    """Packs a distribution version (epoch, number) into one integer with the same order."""
     return epoch << 53 | number
 
 
@@ -318,33 +322,40 @@
     number: int,
     zone: str,
     discovery: tuple[str, int],
-    known: dict[str, Any] | None = None,
+    initial_endpoints: dict[str, Any] | None = None,
 ) -> BootstrapConfiguration:
-    """What a whole proxy would read from its file."""
-    made = BootstrapConfiguration()
-    made.keys = {}
-    made.name, made.listen, made.discovery, made.console = name, NOWHERE, discovery, None
-    made.sockets, made.memory = 1024, 256 * 1024 * 1024
-    made.policy_settings = read_settings(
+    """The bootstrap configuration that a complete proxy would read from its file."""
+    configuration = BootstrapConfiguration()
+    configuration.keys = {}
+    configuration.name, configuration.listen, configuration.discovery, configuration.console = (
+        name,
+        UNUSED_ADDRESS,
+        discovery,
+        None,
+    )
+    configuration.sockets, configuration.memory = 1024, 256 * 1024 * 1024
+    configuration.policy_settings = read_settings(
         {**settings, "zone": zone, "ordinal": number % max(1, int(settings["group-size"]))}, number
     )
-    made.connect_timeout, made.idle_timeout = 500_000, 10_000_000
-    made.initial_endpoints = parse_endpoint_update(known) if known is not None else None
-    return made
+    configuration.connect_timeout, configuration.idle_timeout = 500_000, 10_000_000
+    configuration.initial_endpoints = (
+        parse_endpoint_update(initial_endpoints) if initial_endpoints is not None else None
+    )
+    return configuration
 
 
 class Process:
-    """The hollow proxies of one process, and the orders they are under."""
+    """The hollow proxies of one process and the handlers of the orders to them."""
 
     def __init__(self, spec: dict[str, Any], number: int) -> None:
         self._spec = spec
         self._number = number
-        self._hollows: dict[int, Hollow] = {}  # by index, those that ever ran here
+        self._hollows: dict[int, Hollow] = {}  # by index, the latest proxy at each place
         self._places: dict[int, dict[str, Any]] = {}
         self._group: GroupOrders | None = None
-        self._ended: Counter[str] = Counter()  # what those counted in whose place others stand now
-        self._counted: Counter[str] = Counter()
-        self._seconds: list[list[int]] = []  # emptied as they are asked for
+        self._replaced_counts: Counter[str] = Counter()  # client counters of replaced proxies
+        self._reported_counts: Counter[str] = Counter()
+        self._seconds: list[list[int]] = []  # [second, bytes, connects]; cleared by each report
 
     async def _begin(self, place: dict[str, Any]) -> None:
         spec = self._spec
@@ -352,20 +363,20 @@
         group = place.get("group")
         if group is not None:
             settings = {**settings, "group-size": group["size"]}
-        told = bootstrap_configuration(
+        bootstrap = bootstrap_configuration(
             settings, place["name"], place["index"], place["zone"], tuple(place["discovery"])
         )
-        hollow = Hollow(told, spec.get("own"), group)
+        hollow = Hollow(bootstrap, spec.get("own"), group)
         if place.get("upstreams"):
-            hollow.joins(place, spec["key"].encode())
+            hollow.create_client(place, spec["key"].encode())
         self._places[place["index"]] = place
-        before = self._hollows.get(place["index"])
-        if before is not None:
-            hollow.books = before.books
-            if before.client is not None:
-                self._ended.update(before.client.counts)
-            if before.node is not None:
-                self._group_orders().ended(before.node)
+        previous = self._hollows.get(place["index"])
+        if previous is not None:
+            hollow.activation_times = previous.activation_times
+            if previous.client is not None:
+                self._replaced_counts.update(previous.client.counts)
+            if previous.node is not None:
+                self._group_orders().ended(previous.node)
         self._hollows[place["index"]] = hollow
         await hollow.begin(place.get("watch", True))
 
@@ -377,28 +388,28 @@
         return {"running": self._running()}
 
     def _running(self) -> int:
-        return sum(1 for one in self._hollows.values() if one.on)
+        return sum(1 for hollow in self._hollows.values() if hollow.on)
 
-    def _meant(self, order: dict[str, Any]) -> list[int]:
-        """Of the indices named, those here; all where none are named."""
-        named = order.get("indices")
-        return list(self._hollows) if named is None else [one for one in named if one in self._hollows]
+    def _selected(self, order: dict[str, Any]) -> list[int]:
+        """The indices of the order that are in this process, or all of its proxies if the order names none."""
+        indices = order.get("indices")
+        return list(self._hollows) if indices is None else [index for index in indices if index in self._hollows]
 
     async def kill(self, order: dict[str, Any]) -> dict[str, Any]:
-        for index in self._meant(order):
+        for index in self._selected(order):
             self._hollows[index].cut_off()
         return {"running": self._running()}
 
     async def again(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Started anew in the place of those that are away."""
-        for index in self._meant(order):
+        """Starts a new proxy at each place whose proxy is not running."""
+        for index in self._selected(order):
             if not self._hollows[index].on:
                 await self._begin(self._places[index])
         return {"running": self._running()}
 
     async def behind(self, order: dict[str, Any]) -> dict[str, Any]:
-        """How many that run have not in force what they ought to: `versions` by view, `resources` by name."""
-        count = of = 0
+        """Counts the running proxies without the wanted versions in force: `versions` by view, `resources` by name."""
+        count = total = 0
         versions, resources = order.get("versions", {}), order.get("resources", {})
         for index, hollow in self._hollows.items():
             if not hollow.on:
@@ -411,21 +422,21 @@
                 if (version := resources.get(f"{kind}/{name}")) is not None:
                     wanted[f"{kind}/{name}"] = version
             if wanted:
-                of += 1
-                count += any(hollow.latest.get(what, -1) < version for what, version in wanted.items())
-        return {"behind": count, "of": of}
+                total += 1
+                count += any(hollow.latest_versions.get(resource, -1) < version for resource, version in wanted.items())
+        return {"behind": count, "of": total}
 
     async def traffic(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Of control, since it was last asked for: sums, the worst second of all together and of any one."""
+        """Control-plane traffic since the last report: sums, seconds of all together, the worst second of a proxy."""
         seconds, self._seconds = self._seconds, []
-        worst = max((hollow.most_in_second for hollow in self._hollows.values()), default=0)
+        max_bytes = max((hollow.max_bytes_per_second for hollow in self._hollows.values()), default=0)
         for hollow in self._hollows.values():
-            hollow.most_in_second = 0
-        made, self._counted = self._counts() - self._counted, self._counts()
+            hollow.max_bytes_per_second = 0
+        counts, self._reported_counts = self._counts() - self._reported_counts, self._counts()
         return {
-            "counts": dict(made),
+            "counts": dict(counts),
             "seconds": seconds,
-            "worst_one": worst,
+            "worst_one": max_bytes,
             "oldest_us": max(
                 (
                     hollow.client.age(clock.now()) or 0
@@ -437,67 +448,69 @@
         }
 
     def _counts(self) -> Counter[str]:
-        made: Counter[str] = Counter(self._ended)
+        total: Counter[str] = Counter(self._replaced_counts)
         for hollow in self._hollows.values():
             if hollow.client is not None:
-                made.update(hollow.client.counts)
-        return made
+                total.update(hollow.client.counts)
+        return total
 
-    async def _look(self) -> None:
-        """Once a second, what passed in it."""
-        before = self._counts()
+    async def _sample_traffic(self) -> None:
+        """Records the control-plane traffic of each second."""
+        previous = self._counts()
         while True:
             await asyncio.sleep(1.0)
             for hollow in self._hollows.values():
-                hollow.second()
-            now = self._counts()
+                hollow.record_second()
+            current = self._counts()
             self._seconds.append(
                 [
                     int(time.monotonic()),
-                    now["bytes in"] + now["bytes out"] - before["bytes in"] - before["bytes out"],
-                    now["connects"] - before["connects"],
+                    current["bytes in"] + current["bytes out"] - previous["bytes in"] - previous["bytes out"],
+                    current["connects"] - previous["connects"],
                 ]
             )
-            before = now
+            previous = current
 
-    async def books(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Who had what in force when, to a file, and forgotten here."""
+    async def activation_times(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Writes when each version came into force at each proxy to a file, and clears those rows."""
         path = Path(order["path"])
-        rows = [[index, self._places[index]["view"], hollow.books] for index, hollow in self._hollows.items()]
+        rows = [
+            [index, self._places[index]["view"], hollow.activation_times] for index, hollow in self._hollows.items()
+        ]
         path.write_text(json.dumps(rows))
         for hollow in self._hollows.values():
-            hollow.books = []
+            hollow.activation_times = []
         return {"books": str(path)}
 
     async def configure(self, order: dict[str, Any]) -> dict[str, Any]:
-        """A text handed over by hand, as `ctl propose` does at a whole one."""
-        refused = [
-            self._hollows[index].take_configuration(order["name"], order["text"]) for index in self._meant(order)
+        """Applies a configuration text by hand, as `ctl propose` does at a complete proxy."""
+        refusals = [
+            self._hollows[index].take_configuration(order["name"], order["text"]) for index in self._selected(order)
         ]
-        return {"refused": [why for why in refused if why is not None]}
+        return {"refused": [refusal for refusal in refusals if refusal is not None]}
 
     async def state(self, order: dict[str, Any]) -> dict[str, Any]:
-        """The sum over those that run, and what the process holds beside."""
+        """Sums the state of the running proxies, and counts the tasks, descriptors and objects of the process."""
         gc.collect()
-        made: Counter[str] = Counter()
+        total: Counter[str] = Counter()
         for hollow in self._hollows.values():
             if hollow.on:
-                made.update(hollow.state())
-        made["tasks"] = len(asyncio.all_tasks())
-        made["descriptors"] = len(os.listdir("/proc/self/fd"))
-        return {"state": dict(made), "running": self._running(), "objects": len(gc.get_objects())}
+                total.update(hollow.state())
+        total["tasks"] = len(asyncio.all_tasks())
+        total["descriptors"] = len(os.listdir("/proc/self/fd"))
+        return {"state": dict(total), "running": self._running(), "objects": len(gc.get_objects())}
 
     async def slow(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Has its loop for a part of the time alone, for so many seconds."""
-        asyncio.get_running_loop().create_task(self._held(float(order["part"]), float(order["seconds"])))
+        """Leaves the event loop only a part of the time, for `seconds`."""
+        asyncio.get_running_loop().create_task(self._block_loop(float(order["part"]), float(order["seconds"])))
         return {"slow": True}
 
     @staticmethod
-    async def _held(part: float, seconds: float) -> None:
-        until = time.monotonic() + seconds
-        while time.monotonic() < until:
-            time.sleep(SLOW_TURN)
-            await asyncio.sleep(SLOW_TURN * part / (1 - part))
+    async def _block_loop(free_share: float, seconds: float) -> None:
+        deadline = time.monotonic() + seconds
+        while time.monotonic() < deadline:
+            time.sleep(SLOW_BLOCK_S)
+            await asyncio.sleep(SLOW_BLOCK_S * free_share / (1 - free_share))
 
     def _group_orders(self) -> GroupOrders:
         if self._group is None:
@@ -507,31 +520,31 @@
         return self._group
 
     async def group(self, order: dict[str, Any]) -> dict[str, Any]:
-        """What is asked of those that are members of a group."""
-        return await self._group_orders().does(order)
+        """Handles an order to the members of a group."""
+        return await self._group_orders().handle(order)
 
     async def run(self) -> None:
         orders = await Orders.open()
         orders.say(standing=True, number=self._number)
-        does = {
+        handlers = {
             "start": self.start,
             "kill": self.kill,
             "again": self.again,
             "behind": self.behind,
-            "books": self.books,
+            "books": self.activation_times,
             "configure": self.configure,
             "state": self.state,
             "slow": self.slow,
             "traffic": self.traffic,
             "group": self.group,
         }
-        looking = asyncio.get_running_loop().create_task(self._look())
+        sampling = asyncio.get_running_loop().create_task(self._sample_traffic())
         while (order := await orders.next()) is not None:
-            told = await does[order["do"]](order)
-            orders.say(did=order["do"], **told)
+            answer = await handlers[order["do"]](order)
+            orders.say(did=order["do"], **answer)
         for hollow in self._hollows.values():
             hollow.cut_off()
-        looking.cancel()
+        sampling.cancel()
 
 
 def main(arguments: Sequence[str]) -> None:
--- a/pepperusher/rehearsal/hollow_control.py
+++ b/pepperusher/rehearsal/hollow_control.py
@@ -1,4 +1,4 @@
-"""The control machines of a scale test: real control roles in processes of their own, struck as machines are."""
+"""The control machines of a scale test: real control-plane processes, and the faults injected into them."""
 
 from __future__ import annotations
 
@@ -21,34 +21,34 @@
 from pepperusher.store.disk import Disk
 
 KEY = "a key of the scale tests, for all"
-START_WITHIN = 60.0
-# The origin begins to write once it has compared with half of the others.
-WRITES_WITHIN = 30.0
-AGAIN_EVERY = 0.1
+START_TIMEOUT_S = 60.0
+# The origin accepts writes only after it has compared its state with half of the other machines.
+WRITE_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.1
 ORIGIN = 0
 
 
 class Controls:
-    """`fronts` are, for each zone, the addresses by which the machines are reached from there."""
+    """The processes of the control machines, their addresses and the newest versions published there."""
 
     def __init__(self, count: int, regions: int, zones: int, work: Path) -> None:
         self.count, self._regions, self._zones, self._work = count, regions, zones, work
         self.workers: list[Worker] = []
         self.addresses: list[tuple[str, int]] = []
-        self.versions: dict[str, int] = {}  # by kind/name, the newest that was written
+        self.versions: dict[str, int] = {}  # by kind/name, the newest published version
         self.bodies: dict[str, bytes] = {}
         (work / "key").write_text(KEY + "\n")
 
     def zone(self, number: int) -> int:
-        """Each stands in a zone of its own, as far as there are so many."""
+        """Each machine has its own zone as long as there are enough zones."""
         return number % self._zones
 
     def folder(self, number: int) -> Path:
         return self._work / f"control-{number}"
 
     def write_file(self, number: int, peers: Sequence[tuple[str, int]]) -> None:
-        at = [f"{host}:{port}" for host, port in peers]
-        owner = number < self._regions
+        peer_addresses = [f"{host}:{port}" for host, port in peers]
+        owns_lists = number < self._regions
         self.folder(number).mkdir(exist_ok=True)
         zone, key = self.zone(number), json.dumps(str(self._work / "key"))
         lines = [
@@ -58,16 +58,16 @@
             f"state_dir = {json.dumps(str(self.folder(number)))}",
             f'region = "r{region_of(zone)}"',
             f'zone = "z{zone}"',
-            f"peers = {json.dumps(at)}",
+            f"peers = {json.dumps(peer_addresses)}",
             "epoch = 1",
             f"origin = {json.dumps(number == ORIGIN)}",
-            f"owns_facts = {json.dumps(owner)}",
+            f"owns_facts = {json.dumps(owns_lists)}",
             "subscribers = 20000",
         ]
         (self._work / f"control-{number}.toml").write_text("\n".join(lines) + "\n")
 
     async def start(self, number: int) -> Worker:
-        """One process in its place, listening."""
+        """Starts or restarts one machine and waits until it listens."""
         worker = await Worker.start(
             "pepperusher",
             f"control {number}",
@@ -76,7 +76,7 @@
             "--config",
             str(self._work / f"control-{number}.toml"),
         )
-        port = (await worker.said("port", START_WITHIN))["port"]
+        port = (await worker.said("port", START_TIMEOUT_S))["port"]
         address = f"127.0.1.{number + 1}", port
         if number < len(self.workers):
             self.workers[number], self.addresses[number] = worker, address
@@ -92,16 +92,18 @@
     def freeze(self, number: int, on: bool) -> None:
         self.workers[number].signal(signal.SIGSTOP if on else signal.SIGCONT)
 
-    def full_disk(self, number: int, on: bool) -> None:
-        """No file of its process may grow: writes fail as on a full disk, with another number (EFBIG)."""
-        most = 0 if on else resource.RLIM_INFINITY
-        resource.prlimit(self.workers[number].pid, resource.RLIMIT_FSIZE, (most, resource.RLIM_INFINITY))
+    def limit_disk(self, number: int, on: bool) -> None:
+        """Sets the file size limit of the process to zero, so that writes fail as on a full disk, though with EFBIG instead
+        of ENOSPC.
+        """
+        limit = 0 if on else resource.RLIM_INFINITY
+        resource.prlimit(self.workers[number].pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
-    def keep_disk(self, number: int) -> None:
+    def copy_disk(self, number: int) -> None:
         shutil.copytree(self.folder(number), self._work / f"old-{number}", dirs_exist_ok=True)
 
-    def old_disk(self, number: int) -> None:
-        """As from a backup; its process has ended."""
+    def restore_disk(self, number: int) -> None:
+        """Restores the copy of `copy_disk`, as from a backup; the process must not be running."""
         shutil.rmtree(self.folder(number))
         shutil.copytree(self._work / f"old-{number}", self.folder(number))
 
@@ -111,19 +113,19 @@
             worker.signal(signal.SIGTERM)
         await asyncio.gather(*(worker.end() for worker in self.workers))
 
-    # --- what operators do --------------------------------------------------------------------------
+    # --- operator calls --------------------------------------------------------------------------
 
     async def publish(self, kind: str, name: str, body: bytes) -> int:
-        """The version as one number. Raises operate.NoAnswer where it is not taken."""
+        """Publishes a resource. Returns its version as one number. Raises operator_client.NoAnswerError if it is refused."""
         writer = ORIGIN if kind == "config" else int(name.partition("/")[0].removeprefix("r"))
         version = await operator_client.publish(self.addresses[writer], KEY.encode(), kind, name, body)
-        made = self.versions[f"{kind}/{name}"] = number_of(*version)
+        number = self.versions[f"{kind}/{name}"] = number_of(*version)
         self.bodies[f"{kind}/{name}"] = body
-        return made
+        return number
 
     async def can_write(self) -> None:
-        """Waits until the origin does. Raises operate.NoAnswer."""
-        async with asyncio.timeout(WRITES_WITHIN):
+        """Waits until the origin accepts writes. Raises operator_client.NoAnswerError."""
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             while True:
                 try:
                     await self.publish("config", "probe", b"")
@@ -131,49 +133,51 @@
                 except operator_client.NoAnswerError as error:
                     if "begins to write" not in str(error):
                         raise
-                await asyncio.sleep(AGAIN_EVERY)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def rollout(self, kind: str, name: str) -> Rollout:
         return await operator_client.rollout(self.addresses[ORIGIN], KEY.encode(), kind, name)
 
-    async def settled(self, within: float) -> None:
-        """Until all hold all that was written, and nothing is on its way. Raises TimeoutError."""
+    async def wait_until_settled(self, within: float) -> None:
+        """Waits until every machine has every published resource and no rollout is in progress. Raises TimeoutError."""
         async with asyncio.timeout(within):
             while not all(
-                one.get("resources", 0) >= len(self.versions) and one.get("rolling") == 0
-                for one in await self.figures()
+                counters.get("resources", 0) >= len(self.versions) and counters.get("rolling") == 0
+                for counters in await self.counters()
             ):
-                await asyncio.sleep(AGAIN_EVERY)
-
-    async def kept(self, what: str, within: float) -> bool:
-        """Until each machine has on its disk the newest of `what` that was written; False where not in time."""
-        until = time.monotonic() + within
-        while not all(self._kept(number, what) >= self.versions[what] for number in range(self.count)):
-            if time.monotonic() >= until:
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def wait_until_on_disk(self, resource: str, within: float) -> bool:
+        """Waits until every machine has the newest published version of a resource on disk. Returns False on time-out."""
+        deadline = time.monotonic() + within
+        while not all(
+            self._version_on_disk(number, resource) >= self.versions[resource] for number in range(self.count)
+        ):
+            if time.monotonic() >= deadline:
                 return False
-            await asyncio.sleep(AGAIN_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
-    def _kept(self, number: int, what: str) -> int:
-        """The version that this one's disk has, -1 for none; files are replaced whole, so its process may run."""
-        made, _ = version_records.read(Disk(self.folder(number)))
-        versions = [one.version for one, _, _ in made if f"{one.kind}/{one.name}" == what]
+    def _version_on_disk(self, number: int, resource: str) -> int:
+        """The version on the disk of one machine, or -1. Files are replaced atomically, so the process may be running."""
+        records, _ = version_records.read(Disk(self.folder(number)))
+        versions = [record.version for record, _, _ in records if f"{record.kind}/{record.name}" == resource]
         return number_of(*versions[0]) if versions else -1
 
-    async def sums(self) -> Counter[str]:
-        """Counts of all together."""
-        made: Counter[str] = Counter()
-        for one in await self.figures():
-            made.update({what: count for what, count in one.items() if isinstance(count, int)})
-        return made
+    async def counter_sums(self) -> Counter[str]:
+        """The sums of the counters over all machines."""
+        total: Counter[str] = Counter()
+        for counters in await self.counters():
+            total.update({counter: count for counter, count in counters.items() if isinstance(count, int)})
+        return total
 
-    async def figures(self) -> list[dict[str, Any]]:
-        """Of each, with its counts; those that do not answer have none."""
+    async def counters(self) -> list[dict[str, Any]]:
+        """The counters of each machine, empty for a machine that does not answer."""
 
-        async def one(address: tuple[str, int]) -> dict[str, Any]:
+        async def fetch(address: tuple[str, int]) -> dict[str, Any]:
             try:
                 return dict(await operator_client.fetch_counters(address, KEY.encode()))
             except operator_client.NoAnswerError:
                 return {}
 
-        return list(await asyncio.gather(*map(one, self.addresses)))
+        return list(await asyncio.gather(*map(fetch, self.addresses)))
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -1,8 +1,7 @@
-"""The group's membership in hollow proxies: the very node of a whole one with its sockets, its datagrams
-counted and what it finds noted in the books.
+"""Group membership of hollow proxies: the real group node with its sockets. Its traffic is counted and its
+observations are recorded.
 
-Loaded only where a play has a group. `GroupOrders` are the orders about it that a process of hollow ones
-takes.
+Only runs with a group import this module. `GroupOrders` handles the orders to the members in one process.
 """
 
 from __future__ import annotations
@@ -21,18 +20,19 @@
 from pepperusher.terms import PolicySettings
 
 Say = Callable[..., None]
-Book = Callable[[str, int], None]  # what, and its version
-SAYS = "group: "
-# In the books: all others are found alive, or no longer.
-ALL_THERE, NOT_ALL = "all there", "not all there"
+RecordObservation = Callable[[str, int], None]  # the observation and its version
+LOG_PREFIX = "group: "
+# Observations: all other members are alive, or no longer all are.
+ALL_ALIVE, NOT_ALL_ALIVE = "all there", "not all there"
 GONE = "gone"
-SILENT = ("suspected", "lost")
-# Noted by whom it is of; what there is of each by the size of a group squared, as "met", is left out.
-NOTED = (*SILENT, "heard of again", "left", "clients sent away", "a new life")
+SILENT_EVENTS = ("suspected", "lost")
+# Log events that are recorded with the name of the member they concern. Events that occur for every pair of
+# members, such as "met", are left out: their number grows with the square of the group size.
+RECORDED_EVENTS = (*SILENT_EVENTS, "heard of again", "left", "clients sent away", "a new life")
 
 
 def group_table(place: Mapping[str, Any]) -> Group:
-    """The group's table as a whole proxy reads it from its own file."""
+    """The group table that a complete proxy reads from its configuration."""
     return Group(
         listen=place["listen"],
         advertise=place.get("advertise"),
@@ -44,7 +44,7 @@
 
 
 class CountedSocket(socket.socket):
-    """Counts what passes through it."""
+    """A UDP socket that counts its datagrams and bytes."""
 
     counts: Counter[str]
 
@@ -63,17 +63,17 @@
 
 
 class MemberNode(Node):
-    """`place` has the group's table and `size`, how many there are."""
+    """The group node of a hollow proxy. `place` has the fields of the group table, and `size` for the group size."""
 
     def __init__(
-        self, place: Mapping[str, Any], policy_settings: PolicySettings, name: str, say: Say, book: Book
+        self, place: Mapping[str, Any], policy_settings: PolicySettings, name: str, say: Say, record: RecordObservation
     ) -> None:
-        self._tells, self._book = say, book
+        self._forward_event, self._record_observation = say, record
         self._size = int(place["size"])
-        self._silent: set[str] = set()  # emptied by their words
-        self._all_there = False
+        self._silent_members: set[str] = set()  # members found suspected or lost, until a message from them
+        self._all_alive = False
         self.traffic: Counter[str] = Counter()
-        super().__init__(group_table(place), policy_settings, name, self._noted)
+        super().__init__(group_table(place), policy_settings, name, self._handle_event)
 
     def _bound(self) -> socket.socket:
         counted = CountedSocket(fileno=super()._bound().detach())
@@ -85,27 +85,29 @@
         self.traffic["streams"] += 1
         await super()._fetch(address)
 
-    def _noted(self, line: str, **figures: Any) -> None:
-        self._tells(line, **figures)
-        if not line.startswith(SAYS):
+    def _handle_event(self, line: str, **figures: Any) -> None:
+        self._forward_event(line, **figures)
+        if not line.startswith(LOG_PREFIX):
             return
-        what, of = line.removeprefix(SAYS), str(figures.get("of", ""))
-        if what == "an order":
-            self._book(f"order {figures['key']}", int(figures["at"]))
+        event, member = line.removeprefix(LOG_PREFIX), str(figures.get("of", ""))
+        if event == "an order":
+            self._record_observation(f"order {figures['key']}", int(figures["at"]))
             return
-        if what.startswith(("reaches", "shares", "stood still", "doubled", "no longer", "not believed")):
-            self._book(what, 1)
+        if event.startswith(("reaches", "shares", "stood still", "doubled", "no longer", "not believed")):
+            self._record_observation(event, 1)
             return
-        if what in NOTED:
-            self._book(f"{what} {of}", 1)
-        (self._silent.add if what in SILENT else self._silent.discard)(of)
-        there = not self._silent and self.swim is not None and len(self.swim.roll) + 1 >= self._size
-        if there != self._all_there:
-            self._all_there = there
-            self._book(ALL_THERE if there else NOT_ALL, 1)
+        if event in RECORDED_EVENTS:
+            self._record_observation(f"{event} {member}", 1)
+        (self._silent_members.add if event in SILENT_EVENTS else self._silent_members.discard)(member)
+        all_alive = not self._silent_members and self.swim is not None and len(self.swim.roll) + 1 >= self._size
+        if all_alive != self._all_alive:
+            self._all_alive = all_alive
+            self._record_observation(ALL_ALIVE if all_alive else NOT_ALL_ALIVE, 1)
 
     def order(self, backend: str, on: bool) -> int:
-        """As by a call at its console: a ban, or its end. When it counts from, 0 where it was so already."""
+        """Sets or lifts a ban, like a call at the console. Returns the time of the ban order (us of Unix time), or 0 if
+        nothing changed.
+        """
         lines = self._orders.ban(backend, on, clock.now())
         if not lines and self._orders.banned(backend) != on:
             return 0
@@ -113,14 +115,14 @@
         self.spread(clock.now())
         self._wake()
         at = self._orders.bans[backend].at
-        self._book(f"order {backend}", at)
+        self._record_observation(f"order {backend}", at)
         return at
 
     def cut_off(self) -> None:
         self._close()
 
-    def kept(self) -> Counter[str]:
-        """What it holds, by kind."""
+    def state_counts(self) -> Counter[str]:
+        """The number of items in its membership state, by kind."""
         swim = self.swim
         if swim is None:
             return Counter()
@@ -134,26 +136,26 @@
                 "owing": len(swim._owing),
                 "rivals": len(swim._rivals),
                 "packed words": len(swim._parts),
-                "doubted": sum(one.health == SUSPECTED for one in swim.roll),
+                "doubted": sum(member.health == SUSPECTED for member in swim.roll),
             }
         )
 
 
-def kinds_of(view: Mapping[str, Any]) -> Counter[str]:
-    """What one member finds, by kind, from what it tells people (`Node.members`): others by how they are
-    found, orders that are on, of how many it is one, and how far it reaches.
+def count_view(view: Mapping[str, Any]) -> Counter[str]:
+    """Counts one member's view (`Node.members`) by kind: the other members by health, active orders, the number of
+    members that share the limits, and whether the member reaches a majority.
     """
-    made: Counter[str] = Counter(str(row["found"]) for row in view["members"] if row["found"] != "itself")
-    made["doubled"] = sum("doubled" in row["is"] for row in view["members"])
-    # Parts of one answer each have them.
-    made["orders on"] = len({(kind, key) for kind, key, on, _ in view["orders"] if on})
-    made["share of"] = int(view["sharers"] or 0)
-    made[f"reaches {view['reach']['word']}"] += 1
-    return made
+    counts: Counter[str] = Counter(str(row["found"]) for row in view["members"] if row["found"] != "itself")
+    counts["doubled"] = sum("doubled" in row["is"] for row in view["members"])
+    # Each part of a split answer repeats the orders, so the set removes duplicates.
+    counts["orders on"] = len({(order_kind, key) for order_kind, key, on, _ in view["orders"] if on})
+    counts["share of"] = int(view["sharers"] or 0)
+    counts[f"reaches {view['reach']['word']}"] += 1
+    return counts
 
 
 class Member(Protocol):
-    """A hollow proxy, as these orders see it."""
+    """The part of a hollow proxy that the orders use."""
 
     @property
     def on(self) -> bool: ...
@@ -165,29 +167,29 @@
 
 
 class GroupOrders:
-    """`members` by index; those of the process, changed by it as they come and go."""
+    """Handles the group orders of a process. `members` are its proxies by index; the process updates this mapping."""
 
     def __init__(self, members: Mapping[int, Any]) -> None:
         self._members: Mapping[int, Member] = members
-        self._ended: Counter[str] = Counter()  # of those in whose place others stand now
-        self._counted: Counter[str] = Counter()
-        self._leaving: set[asyncio.Task[None]] = set()  # emptied as they have left
+        self._replaced_traffic: Counter[str] = Counter()  # traffic of replaced members
+        self._reported_traffic: Counter[str] = Counter()
+        self._leaving: set[asyncio.Task[None]] = set()  # tasks of the members that are leaving
 
     def ended(self, node: MemberNode) -> None:
-        self._ended.update(node.traffic)
+        self._replaced_traffic.update(node.traffic)
 
-    def _here(self, named: Iterable[int] | None = None) -> list[tuple[int, Member, MemberNode]]:
-        """Those that run and are members, of the indices named; all where none are."""
-        wanted = None if named is None else set(named)
+    def _local_members(self, indices: Iterable[int] | None = None) -> list[tuple[int, Member, MemberNode]]:
+        """The running proxies of the process that are group members, limited to the indices in `named` if given."""
+        wanted = None if indices is None else set(indices)
         return [
-            (index, one, one.node)
-            for index, one in self._members.items()
-            if one.on and one.node is not None and (wanted is None or index in wanted)
+            (index, member, member.node)
+            for index, member in self._members.items()
+            if member.on and member.node is not None and (wanted is None or index in wanted)
         ]
 
-    async def does(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Raises KeyError where it is none."""
-        known = {
+    async def handle(self, order: dict[str, Any]) -> dict[str, Any]:
+        """Handles an order. Raises KeyError if it is unknown."""
+        handlers = {
             "finds": self.finds,
             "kinds": self.kinds,
             "traffic": self.traffic,
@@ -196,92 +198,92 @@
             "holds": self.holds,
             "there": self.there,
         }
-        return await known[order["asked"]](order)
+        return await handlers[order["asked"]](order)
 
     async def leave(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Told to stop; not waited for."""
-        for _, one, _ in self._here(order["indices"]):
-            task = asyncio.get_running_loop().create_task(one.leave())
+        """Starts the shutdown of these members and does not wait for its end."""
+        for _, member, _ in self._local_members(order["indices"]):
+            task = asyncio.get_running_loop().create_task(member.leave())
             self._leaving.add(task)
             task.add_done_callback(self._leaving.discard)
         return {"leaving": len(self._leaving)}
 
     async def order(self, order: dict[str, Any]) -> dict[str, Any]:
-        at = [node.order(order["backend"], order["on"]) for _, _, node in self._here([order["index"]])]
-        return {"at": max(at, default=0)}
+        order_times = [
+            node.order(order["backend"], order["on"]) for _, _, node in self._local_members([order["index"]])
+        ]
+        return {"at": max(order_times, default=0)}
 
     async def finds(self, order: dict[str, Any]) -> dict[str, Any]:
-        """By how many, of how many, all of `names` but itself are found so."""
-        names, how = order["names"], order["how"]
-        finds = of = 0
-        for number, (_, _, node) in enumerate(self._here(order.get("by"))):
-            of += 1
-            finds += node.swim is not None and all(
+        """Counts the members whose view of every member in `names`, except themselves, is `how`."""
+        names, state = order["names"], order["how"]
+        matching = total = 0
+        for number, (_, _, node) in enumerate(self._local_members(order.get("by"))):
+            total += 1
+            matching += node.swim is not None and all(
                 (known := node.swim.roll.get(name)) is not None
-                and (GONE if known.said.phase == LEFT else HEALTH[known.health]) == how
+                and (GONE if known.said.phase == LEFT else HEALTH[known.health]) == state
                 for name in names
                 if name != node.swim.me.name
             )
             if number % 8 == 7:
                 await asyncio.sleep(0)
-        return {"finds": finds, "of": of}
+        return {"finds": matching, "of": total}
 
     async def there(self, order: dict[str, Any]) -> dict[str, Any]:
-        """How many find all others there, on the roll and alive; and how many reach how far, as one of how
-        many.
-        """
-        made: Counter[str] = Counter()
-        rows = self._here(order.get("by"))
+        """Counts the members that find all others alive, and the members by reach and by number of sharers."""
+        counts: Counter[str] = Counter()
+        rows = self._local_members(order.get("by"))
         for number, (_, _, node) in enumerate(rows):
             swim = node.swim
             if swim is None:
                 continue
-            made["finds all"] += len(swim.roll) + 1 >= order["size"] and not any(
-                one.health != ALIVE or one.said.phase == LEFT or one.said.doubled for one in swim.roll
+            counts["finds all"] += len(swim.roll) + 1 >= order["size"] and not any(
+                member.health != ALIVE or member.said.phase == LEFT or member.said.doubled for member in swim.roll
             )
-            made["lost"] += sum(one.health == LOST and one.said.phase != LEFT for one in swim.roll)
-            # As it has said, and not as it would say at its next turn: that is in its books.
-            made[f"reaches {swim._reached}"] += 1
-            made[f"share of {node.sharers}"] += 1
+            counts["lost"] += sum(member.health == LOST and member.said.phase != LEFT for member in swim.roll)
+            # The reach that the member announced last. Changes since then are in its recorded observations.
+            counts[f"reaches {swim._reached}"] += 1
+            counts[f"share of {node.sharers}"] += 1
             if number % 8 == 7:
                 await asyncio.sleep(0)
-        return {"there": dict(made), "of": len(rows)}
+        return {"there": dict(counts), "of": len(rows)}
 
     async def holds(self, order: dict[str, Any]) -> dict[str, Any]:
-        """By how many of how many an order stands as it was given."""
-        rows = self._here(order.get("by"))
-        held = sum(
+        """Counts the members that have this ban order or a newer one."""
+        rows = self._local_members(order.get("by"))
+        holding = sum(
             node.swim is not None
             and (known := node.swim.notices.get(BAN, order["backend"])) is not None
             and known.rank >= (order["at"], order["on"])
             for _, _, node in rows
         )
-        return {"holds": held, "of": len(rows)}
+        return {"holds": holding, "of": len(rows)}
 
     async def kinds(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Sums of what they find and of what they hold."""
+        """Sums the views and the membership state of the members, by kind."""
         finds: Counter[str] = Counter()
-        kept: Counter[str] = Counter()
-        rows = self._here(order.get("by"))
+        state_counts: Counter[str] = Counter()
+        rows = self._local_members(order.get("by"))
         for number, (_, _, node) in enumerate(rows):
             if order.get("finds") and (view := node.members()) is not None:
-                finds.update(kinds_of(view))
-            kept.update(node.kept())
+                finds.update(count_view(view))
+            state_counts.update(node.state_counts())
             if number % 8 == 7:
                 await asyncio.sleep(0)
-        return {"finds": dict(finds), "kept": dict(kept), "of": len(rows)}
+        return {"finds": dict(finds), "kept": dict(state_counts), "of": len(rows)}
 
     async def traffic(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Of all here, since it was last asked for; the longest datagram ever."""
-        now = Counter(self._ended)
-        longest = now.pop("longest", 0)
+        """Traffic of all members here since the last report, and the longest datagram since the start."""
+        total = Counter(self._replaced_traffic)
+        longest = total.pop("longest", 0)
         counts: Counter[str] = Counter()
-        for one in self._members.values():
-            if one.node is not None:
-                now.update(one.node.traffic)
-                longest = max(longest, one.node.traffic["longest"])
-                if one.node.swim is not None:
-                    counts.update(one.node.swim.counts)
-        now.pop("longest", None)
-        made, self._counted = now - self._counted, now
-        return {"traffic": dict(made), "longest": longest, "counts": dict(counts)}
+        for member in self._members.values():
+            if member.node is not None:
+                total.update(member.node.traffic)
+                longest = max(longest, member.node.traffic["longest"])
+                if member.node.swim is not None:
+                    counts.update(member.node.swim.counts)
+        total.pop("longest", None)
+        traffic, self._reported_traffic = total - self._reported_traffic, total
+        return {"traffic": dict(traffic), "longest": longest, "counts": dict(counts)}
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -1,8 +1,8 @@
-"""A group of whole proxies and a group of hollow ones side by side under the same churn: datagrams, bytes and
-streams between their members, and what these find and hold, by kind.
+"""Compares a group of complete proxies and a group of hollow proxies under the same churn: datagrams, bytes and
+streams between their members, and the members' views, by kind.
 
-Both groups are counted by the same links, at the same moments; whatever happens, happens to both before
-either goes on.
+The same kind of relays counts the traffic of both groups at the same times. Each fault reaches both groups before
+the next step begins.
 """
 
 from __future__ import annotations
@@ -17,33 +17,32 @@
 from typing import Any
 
 from pepperusher.rehearsal.group_run import IN
-from pepperusher.rehearsal.hollow_fidelity import BACKENDS, WITHIN, FidelityComparison, ServeProcess
-from pepperusher.rehearsal.hollow_group import kinds_of
-from pepperusher.rehearsal.hollow_group_run import KEY, PERIOD, PORT, HollowGroupRun, host_of
-from pepperusher.rehearsal.hollow_group_run import WITHIN as ANSWER
+from pepperusher.rehearsal.hollow_fidelity import BACKENDS, TOLERANCE, FidelityComparison, ServeProcess
+from pepperusher.rehearsal.hollow_group import count_view
+from pepperusher.rehearsal.hollow_group_run import KEY, PERIOD, PORT, HollowGroupRun, member_host
+from pepperusher.rehearsal.hollow_group_run import ANSWER_TIMEOUT
 from pepperusher.rehearsal.hollow_plan import Place, Plan, row
 from pepperusher.rehearsal.hollow_run import DISCOVERY, OWN
 from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.worker import Worker
 
 SEEDS = 3
-# Who is struck: by number, of both groups the same. The hollow one that stands still has a process of its
-# own.
-TELLS, KILLED, STOPPED, LEAVES = 0, 1, 2, 3
-LEAST = 5
+# Numbers of the members that take a ban, are killed, are suspended and leave, the same in both groups. The hollow
+# member that is suspended has its own process.
+BANNING, KILLED, STOPPED, LEAVING = 0, 1, 2, 3
+MIN_SIZE = 5
 BANNED = "s0-11"
-# The others share so many processes: on a busy machine twenty of one process have a twentieth of what as many
-# whole ones have, and begin behind them.
-PROCESSES = 4
-# Whole ones' hosts come after those of the hollow.
-HOSTS_FROM = 1000
-STEP_WITHIN = 90.0
-LOOK_EVERY = 0.05
-LOG_EVERY = 0.005
-# Datagrams and bytes are counted from the first start; and apart the joining, once it has settled for so
-# long, and a span in which nothing happens (s).
-SETTLES, QUIET = 4.0, 10.0
-TRAFFIC = {
+# Number of processes for the other hollow members. With a single process on a busy machine, twenty hollow members
+# would have a twentieth of the processor time of twenty complete proxies and would start later.
+WORKER_COUNT = 4
+# Host numbers of the complete proxies start after those of the hollow members.
+FIRST_COMPLETE_HOST = 1000
+STEP_TIMEOUT_S = 90.0
+POLL_INTERVAL_S = 0.05
+LOG_POLL_INTERVAL_S = 0.005
+# Traffic is counted in total, for the join phase including SETTLE_S after it, and for an idle span of QUIET_S.
+SETTLE_S, QUIET_S = 4.0, 10.0
+TRAFFIC_KINDS = {
     "came": "datagrams sent",
     "passed": "datagrams received",
     "came bytes": "bytes sent",
@@ -51,88 +50,90 @@
     "streams": "streams",
     "stream bytes": "stream bytes",
 }
-FINDS = ("alive", "suspected", "lost", "gone", "doubled", "orders on", "share of", "reaches majority")
+VIEW_KINDS = ("alive", "suspected", "lost", "gone", "doubled", "orders on", "share of", "reaches majority")
 
 
 def layout(size: int) -> Plan:
-    """Two views of one list: the first is for the whole ones."""
+    """Two views with the same list: the first for complete proxies, the second for hollow ones."""
     rows = [row(0, number, 0) for number in range(BACKENDS)]
     places = [
-        Place(index, f"m{index}", 0, 0, 1, PROCESSES if index == STOPPED else index % PROCESSES)
+        Place(index, f"m{index}", 0, 0, 1, WORKER_COUNT if index == STOPPED else index % WORKER_COUNT)
         for index in range(size)
     ]
-    return Plan([rows], [[0], [0]], places, [0] * (PROCESSES + 1))
+    return Plan([rows], [[0], [0]], places, [0] * (WORKER_COUNT + 1))
 
 
-class Beside(HollowGroupRun):
-    """The hollow ones' stand, and links for as many whole ones."""
+class ComparisonRun(HollowGroupRun):
+    """The run of the hollow group, with relays for the same number of complete proxies."""
 
-    whole_ways: Worker
+    complete_relays: Worker
 
     async def stand(self) -> None:
         await super().stand()
-        self.whole_ways = await self._start(
+        self.complete_relays = await self._start_process(
             "hollow_group_links", "ways 1", str(self._seed * 1000 + 1), f"127.{self._net}.0.11"
         )
-        await self.whole_ways.said("standing", STEP_WITHIN)
-        at = {str(one.number): [self.whole_host(one.number), PORT] for one in self.plan.places}
-        self.whole_fronts = (await self._ask(self.whole_ways, "open", at=at, side=""))["fronts"]
+        await self.complete_relays.said("standing", STEP_TIMEOUT_S)
+        listen_addresses = {str(place.number): [self.complete_host(place.number), PORT] for place in self.plan.places}
+        self.complete_addresses = (await self._ask(self.complete_relays, "open", at=listen_addresses, side=""))[
+            "fronts"
+        ]
 
-    def whole_host(self, number: int) -> str:
-        return host_of(self._net, HOSTS_FROM + number)
+    def complete_host(self, number: int) -> str:
+        return member_host(self._net, FIRST_COMPLETE_HOST + number)
 
     def listen(self, number: int) -> str:
-        return f"{self.whole_host(number)}:7070"
+        return f"{self.complete_host(number)}:7070"
 
     def console(self, number: int) -> str:
-        return f"{self.whole_host(number)}:7071"
+        return f"{self.complete_host(number)}:7071"
 
-    def own_of(self, number: int) -> str:
-        """The own file of a whole one."""
-        host, port = self.whole_fronts[str(number)]
-        seeds = [":".join(map(str, self.whole_fronts[str(one)])) for one in self.seeds()]
+    def configuration_text(self, number: int) -> str:
+        """The configuration text of a complete proxy."""
+        host, port = self.complete_addresses[str(number)]
+        seeds = [":".join(map(str, self.complete_addresses[str(one)])) for one in self.seeds()]
         return (
-            f'{OWN}\n[group]\nlisten = "{self.whole_host(number)}:{PORT}"\nadvertise = "{host}:{port}"\n'
+            f'{OWN}\n[group]\nlisten = "{self.complete_host(number)}:{PORT}"\nadvertise = "{host}:{port}"\n'
             f'seeds = {json.dumps(seeds)}\nkey = "{KEY}"\n'
             f'period = "{self._period}us"\nwithin = "{self._within}us"\n'
         )
 
-    async def counts_of(self, ways: Worker) -> Counter[str]:
-        """What passed there so far."""
+    async def relay_traffic(self, ways: Worker) -> Counter[str]:
+        """The traffic through these relays so far."""
         return Counter((await self._ask(ways, "counts"))["counts"])
 
     async def end(self) -> None:
         await super().end()
         if hasattr(self, "whole_ways"):
-            await self.whole_ways.end()
+            await self.complete_relays.end()
 
 
-class WholeGroup:
-    """The whole ones, asked what they find."""
+class CompleteGroup:
+    """The group of complete proxies and the queries to its members."""
 
-    def __init__(self, play: Beside, work: Path, size: int) -> None:
-        self._play, self._work, self._size = play, work, size
-        self.ones = [
-            ServeProcess(work, index, size, play.console(index) if index == TELLS else "", play.listen(index))
+    def __init__(self, run: ComparisonRun, work: Path, size: int) -> None:
+        self._run, self._work, self._size = run, work, size
+        self.proxies = [
+            ServeProcess(work, index, size, run.console(index) if index == BANNING else "", run.listen(index))
             for index in range(size)
         ]
-        self.away: set[int] = set()
+        self.excluded: set[int] = set()
 
     def log(self, index: int) -> Path:
         return self._work / f"w{index}.log"
 
     async def view(self, index: int) -> dict[str, Any] | None:
-        return await self.ones[index].ask("members")
+        return await self.proxies[index].ask("members")
 
     async def views(self) -> list[dict[str, Any]]:
-        asked = [index for index in range(self._size) if index not in self.away]
-        return [view for view in await asyncio.gather(*map(self.view, asked)) if view is not None]
+        indices = [index for index in range(self._size) if index not in self.excluded]
+        return [view for view in await asyncio.gather(*map(self.view, indices)) if view is not None]
 
-    async def found(self, number: int, how: str) -> bool:
-        """Whether each that runs finds this one so."""
+    async def found(self, number: int, state: str) -> bool:
+        """Whether every running member finds member `number` in this state."""
         views = await self.views()
-        return len(views) == self._size - len(self.away) and all(
-            any(row["name"] == f"w{number}" and row["found"] == how for row in view["members"]) for view in views
+        return len(views) == self._size - len(self.excluded) and all(
+            any(row["name"] == f"w{number}" and row["found"] == state for row in view["members"]) for view in views
         )
 
     async def all_there(self) -> bool:
@@ -146,31 +147,31 @@
         return all(any(key == backend and on for _, key, on, _ in view["orders"]) for view in views)
 
     async def ban(self, backend: str) -> None:
-        """At the console of one. Raises RuntimeError where it is not taken."""
-        host, _, port = self._play.console(TELLS).rpartition(":")
+        """Sets a ban at the console of one member. Raises RuntimeError if the call is refused."""
+        host, _, port = self._run.console(BANNING).rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             writer.write(f"POST /-/backends/{backend}/disable HTTP/1.1\r\nHost: console\r\n\r\n".encode())
             if not (line := await reader.readline()).startswith(b"HTTP/1.1 200"):
-                raise RuntimeError(f"a whole proxy did not take a ban: {line!r}")
+                raise RuntimeError(f"complete proxy refused a ban: {line!r}")
         finally:
             writer.close()
 
-    def signal(self, number: int, sign: int) -> None:
-        self.ones[number].process.send_signal(sign)
+    def signal(self, number: int, signal_number: int) -> None:
+        self.proxies[number].process.send_signal(signal_number)
 
     async def end(self) -> None:
-        await asyncio.gather(*(one.end() for one in self.ones))
+        await asyncio.gather(*(proxy.end() for proxy in self.proxies))
 
 
-async def _until(what: str, *asks: Callable[[], Awaitable[bool]]) -> None:
-    """Until each says so. Raises RuntimeError."""
-    until = time.monotonic() + STEP_WITHIN
-    for ask in asks:
-        while not await ask():
-            if time.monotonic() > until:
-                raise RuntimeError(f"not within {STEP_WITHIN:g} s: {what}")
-            await asyncio.sleep(LOOK_EVERY)
+async def _wait_until(description: str, *conditions: Callable[[], Awaitable[bool]]) -> None:
+    """Waits until every condition holds. Raises RuntimeError on time-out."""
+    deadline = time.monotonic() + STEP_TIMEOUT_S
+    for condition in conditions:
+        while not await condition():
+            if time.monotonic() > deadline:
+                raise RuntimeError(f"condition not met within {STEP_TIMEOUT_S:g} s: {description}")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def compare(
@@ -179,28 +180,28 @@
     work: Path,
     say: Callable[[str], None],
     period: int = PERIOD,
-    within: int = ANSWER,
-    settles: float = SETTLES,
-    quiet: float = QUIET,
+    within: int = ANSWER_TIMEOUT,
+    settles: float = SETTLE_S,
+    quiet: float = QUIET_S,
 ) -> dict[str, Any]:
-    """`size` of each, LEAST or more. Raises WorkerError where a process of the play's own failed,
-    RuntimeError where a step did not come about in either group.
+    """Compares two groups of `size` members each, at least MIN_SIZE. Raises WorkerError if a process of the run failed,
+    RuntimeError if a step did not complete in either group.
     """
-    if size < LEAST:
-        raise RuntimeError(f"a group's churn needs {LEAST} members or more")
+    if size < MIN_SIZE:
+        raise RuntimeError(f"the comparison needs at least {MIN_SIZE} members")
     with reserve_network() as net:
-        play = Beside(layout(size), seed, work, say, net, period, within)
-        whole = WholeGroup(play, work, size)
+        run = ComparisonRun(layout(size), seed, work, say, net, period, within)
+        complete = CompleteGroup(run, work, size)
         try:
-            return await _played(play, whole, size, seed, settles, quiet, say)
+            return await _run_comparison(run, complete, size, seed, settles, quiet, say)
         finally:
-            await whole.end()
-            await play.end()
+            await complete.end()
+            await run.end()
 
 
-async def _played(
-    play: Beside,
-    whole: WholeGroup,
+async def _run_comparison(
+    run: ComparisonRun,
+    complete: CompleteGroup,
     size: int,
     seed: int,
     settles: float,
@@ -208,127 +209,136 @@
     say: Callable[[str], None],
 ) -> dict[str, Any]:
     def running(number: int) -> Iterable[int]:
-        return [one for one in range(size) if one != number and one not in whole.away]
+        return [
+            comparison for comparison in range(size) if comparison != number and comparison not in complete.excluded
+        ]
 
-    async def found(what: str, number: int, how: str) -> None:
-        await _until(
-            what,
-            lambda: whole.found(number, how),
-            lambda: play.found([f"m{number}"], how, 0.0, running(number)),
+    async def found(description: str, number: int, state: str) -> None:
+        await _wait_until(
+            description,
+            lambda: complete.found(number, state),
+            lambda: run.wait_until_found([f"m{number}"], state, 0.0, running(number)),
         )
 
-    await play.stand()
-    say(f"{size} whole and {size} hollow ones join")
+    await run.stand()
+    say(f"{size} complete and {size} hollow members join")
 
-    since: dict[str, list[float]] = {"whole": [], "hollow": []}  # when each became a member
+    start_times: dict[str, list[float]] = {"whole": [], "hollow": []}  # when each member joined
 
     async def join(number: int) -> None:
-        """A hollow one as soon as the whole one of its number is a member: their starts are the same herd."""
-        await whole.ones[number].start(play.front(0, 0), play.own_of(number))
-        await _member(whole, number)
-        since["whole"].append(time.monotonic())
-        await play.begin([play.plan.places[number]], DISCOVERY)
-        since["hollow"].append(time.monotonic())
+        """Starts a hollow member as soon as the complete proxy with its number is a member, so that both groups start at
+        the same rate.
+        """
+        await complete.proxies[number].start(run.front(0, 0), run.configuration_text(number))
+        await _wait_until_member(complete, number)
+        start_times["whole"].append(time.monotonic())
+        await run.begin([run.plan.places[number]], DISCOVERY)
+        start_times["hollow"].append(time.monotonic())
 
     await asyncio.gather(*map(join, range(size)))
 
-    await _until("all know all", whole.all_there, lambda: play.all_there(0.0))
-    say("all know all, and nothing happens for a while")
-    starts = {kind: sum(times) / size for kind, times in since.items()}
-    span = time.monotonic() - min(starts.values()) + settles
+    await _wait_until("all members know all others", complete.all_there, lambda: run.wait_until_all_alive(0.0))
+    say("all members know all others; idle span")
+    mean_starts = {kind: sum(times) / size for kind, times in start_times.items()}
+    span = time.monotonic() - min(mean_starts.values()) + settles
 
-    async def rested(kind: str, ways: Worker) -> tuple[Counter[str], Counter[str]]:
-        """What passed in the same span from the mean start of its members, and in the quiet one after it: the
-        whole ones are up first, and would else be counted for longer.
+    async def count_spans(kind: str, relays: Worker) -> tuple[Counter[str], Counter[str]]:
+        """The traffic of the join span and of the idle span after it. The join span begins at the mean start time of the
+        group's members, since the complete proxies start first and would otherwise be counted for longer.
         """
-        await asyncio.sleep(starts[kind] + span - time.monotonic())
-        joined = await play.counts_of(ways)
+        await asyncio.sleep(mean_starts[kind] + span - time.monotonic())
+        join_traffic = await run.relay_traffic(relays)
         await asyncio.sleep(quiet)
-        return joined, await play.counts_of(ways) - joined
-
-    spans = await asyncio.gather(rested("whole", play.whole_ways), rested("hollow", play.ways[0]))
-    say("one is killed")
-    await whole.ones[KILLED].end()
-    await play.ask_all("kill", indices=[KILLED])
-    whole.away.add(KILLED)
-    await found("the killed one is lost at all", KILLED, "lost")
-    say("one stands still and goes on")
-    whole.signal(STOPPED, signal.SIGSTOP)
-    play.freeze([PROCESSES], True)
-    whole.away.add(STOPPED)
-    await found("the stopped one is lost at all", STOPPED, "lost")
-    whole.signal(STOPPED, signal.SIGCONT)
-    play.freeze([PROCESSES], False)
-    whole.away.discard(STOPPED)
-    await _until(
-        "the stopped one is found again",
-        lambda: _found_again(whole, STOPPED),
-        lambda: play.found([f"m{STOPPED}"], "alive", 0.0),
+        return join_traffic, await run.relay_traffic(relays) - join_traffic
+
+    spans = await asyncio.gather(count_spans("whole", run.complete_relays), count_spans("hollow", run.relays[0]))
+    say("a member is killed")
+    await complete.proxies[KILLED].end()
+    await run.ask_all("kill", indices=[KILLED])
+    complete.excluded.add(KILLED)
+    await found("every member finds the killed member lost", KILLED, "lost")
+    say("a member is suspended and resumed")
+    complete.signal(STOPPED, signal.SIGSTOP)
+    run.freeze([WORKER_COUNT], True)
+    complete.excluded.add(STOPPED)
+    await found("every member finds the suspended member lost", STOPPED, "lost")
+    complete.signal(STOPPED, signal.SIGCONT)
+    run.freeze([WORKER_COUNT], False)
+    complete.excluded.discard(STOPPED)
+    await _wait_until(
+        "every member finds the resumed member alive",
+        lambda: _finds_resumed_member(complete, STOPPED),
+        lambda: run.wait_until_found([f"m{STOPPED}"], "alive", 0.0),
     )
-    say("one leaves")
-    whole.signal(LEAVES, signal.SIGTERM)
-    await play.group("leave", indices=[LEAVES])
-    whole.away.add(LEAVES)
-    await found("the one that left is gone at all", LEAVES, "gone")
-    say("a ban is told to all")
-    await whole.ban(BANNED)
-    at = await play.ban(TELLS, BANNED, True)
-    await _until(
-        "all hold the ban",
-        lambda: whole.holds(BANNED),
-        lambda: play.until("holds", 0.0, "holds", backend=BANNED, at=at, on=True),
+    say("a member leaves")
+    complete.signal(LEAVING, signal.SIGTERM)
+    await run.group("leave", indices=[LEAVING])
+    complete.excluded.add(LEAVING)
+    await found("every member finds the leaving member gone", LEAVING, "gone")
+    say("a ban is set at one member")
+    await complete.ban(BANNED)
+    ordered_at = await run.ban(BANNING, BANNED, True)
+    await _wait_until(
+        "every member has the ban",
+        lambda: complete.holds(BANNED),
+        lambda: run.wait_for_all("holds", 0.0, "holds", backend=BANNED, at=ordered_at, on=True),
     )
     await asyncio.sleep(settles)
-    views, (hollow, kept) = await whole.views(), await play.kinds(finds=True)
-    whole_all, hollow_all = await asyncio.gather(play.counts_of(play.whole_ways), play.counts_of(play.ways[0]))
-    own, longest, _ = await play.group_traffic()
-    finds: Counter[str] = Counter()
+    views, (hollow_views, hollow_state) = await complete.views(), await run.kinds(finds=True)
+    complete_total, hollow_total = await asyncio.gather(
+        run.relay_traffic(run.complete_relays), run.relay_traffic(run.relays[0])
+    )
+    member_traffic, longest, _ = await run.group_traffic()
+    complete_views: Counter[str] = Counter()
     for view in views:
-        finds.update(kinds_of(view))
-    (whole_joined, whole_quiet), (hollow_joined, hollow_quiet) = spans
-    kinds = [
-        FidelityComparison(label + name, of_whole[key], of_hollow[key])
-        for label, of_whole, of_hollow in (
-            ("join: ", whole_joined, hollow_joined),
-            ("quiet: ", whole_quiet, hollow_quiet),
-            ("", whole_all, hollow_all),
+        complete_views.update(count_view(view))
+    (complete_joined, complete_quiet), (hollow_joined, hollow_quiet) = spans
+    comparisons = [
+        FidelityComparison(label + name, complete_counts[key], hollow_counts[key])
+        for label, complete_counts, hollow_counts in (
+            ("join: ", complete_joined, hollow_joined),
+            ("quiet: ", complete_quiet, hollow_quiet),
+            ("", complete_total, hollow_total),
         )
-        for key, name in TRAFFIC.items()
+        for key, name in TRAFFIC_KINDS.items()
+    ]
+    comparisons += [
+        FidelityComparison(f"finds: {kind}", complete_views[kind], hollow_views[kind]) for kind in VIEW_KINDS
     ]
-    kinds += [FidelityComparison(f"finds: {kind}", finds[kind], hollow[kind]) for kind in FINDS]
     return {
         "size": size,
         "seed": seed,
         "refused": [],
-        "kinds": [{**one._asdict(), "agrees": one.agrees} for one in kinds],
-        # The hollow ones count for themselves as well: what the scenes go by.
+        "kinds": [{**comparison._asdict(), "agrees": comparison.agrees} for comparison in comparisons],
+        # The hollow members also count their own traffic; the scenarios use these counts.
         "at_members": {
-            "sent": own["datagrams out"],
-            "received": own["datagrams in"],
-            "bytes sent": own["bytes out"],
+            "sent": member_traffic["datagrams out"],
+            "received": member_traffic["datagrams in"],
+            "bytes sent": member_traffic["bytes out"],
             "longest": longest,
         },
-        "kept": dict(kept),
-        "lost_under_way": {"whole": whole_all["lost"], "hollow": hollow_all["lost"]},
-        "within": WITHIN,
-        "verdict": "passed" if all(one.agrees for one in kinds) else "failed",
+        "kept": dict(hollow_state),
+        "lost_under_way": {"whole": complete_total["lost"], "hollow": hollow_total["lost"]},
+        "within": TOLERANCE,
+        "verdict": "passed" if all(comparison.agrees for comparison in comparisons) else "failed",
     }
 
 
-async def _member(whole: WholeGroup, number: int) -> None:
-    """Until it says in its log that it is in the group: to ask it would come too late by half a herd. Raises
-    RuntimeError."""
-    until = time.monotonic() + STEP_WITHIN
-    while IN not in whole.log(number).read_text(errors="replace"):
-        if time.monotonic() > until or whole.ones[number].process.returncode is not None:
-            raise RuntimeError(f"w{number} did not become a member in {STEP_WITHIN:g} s")
-        await asyncio.sleep(LOG_EVERY)
+async def _wait_until_member(complete: CompleteGroup, number: int) -> None:
+    """Waits until the log of a complete proxy says that it joined the group; a query would notice that too late, when
+    many others have already started. Raises RuntimeError on time-out.
+    """
+    deadline = time.monotonic() + STEP_TIMEOUT_S
+    while IN not in complete.log(number).read_text(errors="replace"):
+        if time.monotonic() > deadline or complete.proxies[number].process.returncode is not None:
+            raise RuntimeError(f"w{number} did not become a member in {STEP_TIMEOUT_S:g} s")
+        await asyncio.sleep(LOG_POLL_INTERVAL_S)
 
 
-async def _found_again(whole: WholeGroup, number: int) -> bool:
-    """By all others, and it finds them as they are."""
-    views = await whole.views()
-    return len(views) == len(whole.ones) - len(whole.away) and all(
+async def _finds_resumed_member(complete: CompleteGroup, number: int) -> bool:
+    """Whether all other members find the resumed member alive."""
+    views = await complete.views()
+    return len(views) == len(complete.proxies) - len(complete.excluded) and all(
         row["found"] == "alive"
         for view in views
         for row in view["members"]
--- a/pepperusher/rehearsal/hollow_group_links.py
+++ b/pepperusher/rehearsal/hollow_group_links.py
@@ -1,9 +1,8 @@
-"""The links to the members of a group in one zone, or to all of a small group: what others send them passes
-through here.
+"""Relays the traffic to the group members of one zone, or to all members of a small group, with network faults.
 
-A member is told to others by the address of its front here (`rehearsal.links`). Who stands together is one
-side: links are cut and shaped between sides. Run as `python -m
-pepperusher.rehearsal.hollow_group_links SEED HOST`, under orders.
+Members advertise their relay addresses of this process (`rehearsal.links`). The members at one place form a side;
+links are cut and shaped between sides. Runs as `python -m pepperusher.rehearsal.hollow_group_links SEED HOST` and
+takes orders as `rehearsal.worker` describes.
 """
 
 from __future__ import annotations
@@ -19,33 +18,35 @@
 
 
 class GroupLinks:
+    """The relays of one zone; each public method handles the order of its name."""
+
     def __init__(self, seed: int, host: str) -> None:
         self._links = Links(host, Random(seed))
 
     async def open(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Fronts by name, and where those named listen; `side` is theirs."""
-        fronts = {}
+        """Opens a relay address for each member on `side` and forwards it to the listen address of the member."""
+        relay_addresses = {}
         for name, address in order["at"].items():
-            fronts[name] = await self._links.open(name, order["side"])
+            relay_addresses[name] = await self._links.open(name, order["side"])
             self._links.stands(name, tuple(address))
-        return {"fronts": fronts}
+        return {"fronts": relay_addresses}
 
     async def senders(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Hosts of those whose fronts are elsewhere, by side."""
+        """Sets the sides of the hosts of members whose relay addresses belong to other processes."""
         for host, side in order["hosts"].items():
             self._links.sends_from(host, side)
         return {}
 
     async def shape(self, order: dict[str, Any]) -> dict[str, Any]:
-        """From these sides to those."""
-        manner = LinkProperties(
+        """Sets the properties of the links from the sides `senders` to the sides `receivers`."""
+        properties = LinkProperties(
             lost=order.get("lost", 0.0), delay=order.get("delay", 0.0), jitter=order.get("jitter", 0.0)
         )
-        self._links.shape(manner, order["senders"], order["receivers"])
+        self._links.shape(properties, order["senders"], order["receivers"])
         return {}
 
     async def cut(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Between these sides and those, both ways."""
+        """Cuts the links between `sides` and `others` in both directions."""
         self._links.part((order["sides"], order["others"]))
         return {}
 
@@ -59,7 +60,7 @@
     async def run(self) -> None:
         orders = await Orders.open()
         orders.say(standing=True)
-        does = {
+        handlers = {
             "open": self.open,
             "senders": self.senders,
             "shape": self.shape,
@@ -68,7 +69,7 @@
             "counts": self.counts,
         }
         while (order := await orders.next()) is not None:
-            orders.say(did=order["do"], **await does[order["do"]](order))
+            orders.say(did=order["do"], **await handlers[order["do"]](order))
         self._links.close()
 
 
--- a/pepperusher/rehearsal/hollow_group_run.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -1,6 +1,4 @@
-"""A stand of hollow proxies that are one group: their links, what is done to them, and what they are
-asked.
-"""
+"""A run of hollow proxies that form one group: their links, the faults injected into them, and the queries to them."""
 
 from __future__ import annotations
 
@@ -16,28 +14,30 @@
 from pepperusher.rehearsal.worker import Worker
 
 KEY = "of this play alone"
-# The port of every member, each on a host of its own.
+# The port of every member; each member has its own loopback address.
 PORT = 7100
 SEEDS = 3
-HOSTS_A_NET = 250
-STAND_WITHIN = 60.0
-HOSTS_AT_ONCE = 1000
-NAMES_AT_ONCE = 200
-# As the own file has them where it says nothing (us).
-PERIOD, WITHIN = 500_000, 150_000
-LOOK_EVERY = 0.2
+HOSTS_PER_SUBNET = 250
+START_TIMEOUT_S = 60.0
+HOSTS_PER_ORDER = 1000
+RELAYS_PER_ORDER = 200
+# The defaults of the group table (us): probe period, and time to wait for an answer.
+PERIOD, ANSWER_TIMEOUT = 500_000, 150_000
+POLL_INTERVAL_S = 0.2
 
 
-def host_of(net: int, number: int) -> str:
-    return f"127.{net}.{1 + number // HOSTS_A_NET}.{1 + number % HOSTS_A_NET}"
+def member_host(net: int, number: int) -> str:
+    return f"127.{net}.{1 + number // HOSTS_PER_SUBNET}.{1 + number % HOSTS_PER_SUBNET}"
 
 
-def side_of(zone: int) -> str:
+def zone_side(zone: int) -> str:
     return f"z{zone}"
 
 
 class HollowGroupRun(HollowRun):
-    """`net` is the second number of the loopback addresses that are this play's alone (`loopback_networks.own_net`)."""
+    """The processes of a run with a group. `net` is the second number of its loopback addresses, which no other run
+    uses (`loopback_networks.reserve_network`).
+    """
 
     def __init__(
         self,
@@ -47,19 +47,19 @@
         progress: Callable[[str], None],
         net: int,
         period: int = PERIOD,
-        within: int = WITHIN,
+        within: int = ANSWER_TIMEOUT,
     ) -> None:
         super().__init__(plan, seed, work, progress)
         self._net, self._period, self._within = net, period, within
         self.size = len(plan.places)
-        self.ways: list[Worker] = []  # the links of each zone, for those who stand there
-        self.addresses: dict[int, list[Any]] = {}  # of each member's front
+        self.relays: list[Worker] = []  # by zone, the relay process of the links to its members
+        self.addresses: dict[int, list[Any]] = {}  # by member, its relay address
 
     async def stand(self) -> None:
         await super().stand()
         zones = range(max(self.plan.workers) + 1)
-        self.ways = [
-            await self._start(
+        self.relays = [
+            await self._start_process(
                 "hollow_group_links",
                 f"ways {zone}",
                 str(self._seed * 1000 + zone),
@@ -67,70 +67,72 @@
             )
             for zone in zones
         ]
-        for worker in self.ways:
-            await worker.said("standing", STAND_WITHIN)
-        hosts = {host_of(self._net, one.number): side_of(one.zone) for one in self.plan.places}
+        for worker in self.relays:
+            await worker.said("standing", START_TIMEOUT_S)
+        hosts = {member_host(self._net, place.number): zone_side(place.zone) for place in self.plan.places}
         rows = list(hosts.items())
-        for start in range(0, len(rows), HOSTS_AT_ONCE):
-            part = dict(rows[start : start + HOSTS_AT_ONCE])
-            await asyncio.gather(*(self._ask(worker, "senders", hosts=part) for worker in self.ways))
-        for zone, worker in enumerate(self.ways):
-            those = {
-                str(one.number): [host_of(self._net, one.number), PORT] for one in self.plan.places if one.zone == zone
+        for start in range(0, len(rows), HOSTS_PER_ORDER):
+            batch = dict(rows[start : start + HOSTS_PER_ORDER])
+            await asyncio.gather(*(self._ask(worker, "senders", hosts=batch) for worker in self.relays))
+        for zone, worker in enumerate(self.relays):
+            listen_addresses = {
+                str(place.number): [member_host(self._net, place.number), PORT]
+                for place in self.plan.places
+                if place.zone == zone
             }
-            names = list(those)
-            for start in range(0, len(names), NAMES_AT_ONCE):
-                at = {name: those[name] for name in names[start : start + NAMES_AT_ONCE]}
-                fronts = (await self._ask(worker, "open", at=at, side=side_of(zone)))["fronts"]
-                self.addresses.update({int(name): address for name, address in fronts.items()})
-        await self.shape_ways()
-
-    async def shape_ways(self, lost: float = 0.0) -> None:
-        """The members' links as they are without trouble, or with a part of the datagrams lost, those within
-        a zone too.
+            names = list(listen_addresses)
+            for start in range(0, len(names), RELAYS_PER_ORDER):
+                batch = {name: listen_addresses[name] for name in names[start : start + RELAYS_PER_ORDER]}
+                relays = (await self._ask(worker, "open", at=batch, side=zone_side(zone)))["fronts"]
+                self.addresses.update({int(name): address for name, address in relays.items()})
+        await self.shape_relays()
+
+    async def shape_relays(self, lost: float = 0.0) -> None:
+        """Sets the links between members to their normal delay, with a share `lost` of the datagrams dropped, also within
+        a zone.
         """
-        for zone, worker in enumerate(self.ways):
-            there: dict[float, list[str]] = {}
-            for other in range(len(self.ways)):
+        for zone, worker in enumerate(self.relays):
+            sides_by_delay: dict[float, list[str]] = {}
+            for other in range(len(self.relays)):
                 delay = 0.0
                 if other != zone:
                     delay = WITHIN_REGION if region_of(zone) == region_of(other) else BETWEEN
-                there.setdefault(delay, []).append(side_of(other))
-            for delay, sides in there.items():
+                sides_by_delay.setdefault(delay, []).append(zone_side(other))
+            for delay, sides in sides_by_delay.items():
                 await self._ask(
                     worker,
                     "shape",
                     senders=sides,
-                    receivers=[side_of(zone)],
+                    receivers=[zone_side(zone)],
                     delay=delay / 1000,
                     lost=lost,
                 )
 
-    async def part(self, zones: set[int]) -> None:
-        """Nothing passes between members there and all others."""
-        inner = [side_of(zone) for zone in zones]
-        outer = [side_of(zone) for zone in range(len(self.ways)) if zone not in zones]
-        await asyncio.gather(*(self._ask(worker, "cut", sides=inner, others=outer) for worker in self.ways))
+    async def cut_off_zones(self, zones: set[int]) -> None:
+        """Cuts these zones off from all others."""
+        inner = [zone_side(zone) for zone in zones]
+        outer = [zone_side(zone) for zone in range(len(self.relays)) if zone not in zones]
+        await asyncio.gather(*(self._ask(worker, "cut", sides=inner, others=outer) for worker in self.relays))
 
-    async def heal_ways(self) -> None:
-        await asyncio.gather(*(self._ask(worker, "heal") for worker in self.ways))
-        await self.shape_ways()
+    async def heal_relays(self) -> None:
+        await asyncio.gather(*(self._ask(worker, "heal") for worker in self.relays))
+        await self.shape_relays()
 
-    async def ways_counts(self) -> Counter[str]:
-        made: Counter[str] = Counter()
-        for told in await asyncio.gather(*(self._ask(worker, "counts") for worker in self.ways)):
-            made.update(told["counts"])
-        return made
+    async def relay_counts(self) -> Counter[str]:
+        total: Counter[str] = Counter()
+        for answer in await asyncio.gather(*(self._ask(worker, "counts") for worker in self.relays)):
+            total.update(answer["counts"])
+        return total
 
     async def end(self) -> None:
         await super().end()
-        await asyncio.gather(*(worker.end() for worker in self.ways))
+        await asyncio.gather(*(worker.end() for worker in self.relays))
 
-    def _order(self, place: Place, lists: str) -> dict[str, Any]:
-        told = super()._order(place, lists)
+    def _start_order(self, place: Place, lists: str) -> dict[str, Any]:
+        order = super()._start_order(place, lists)
         address = self.addresses[place.number]
-        told["group"] = {
-            "listen": f"{host_of(self._net, place.number)}:{PORT}",
+        order["group"] = {
+            "listen": f"{member_host(self._net, place.number)}:{PORT}",
             "advertise": f"{address[0]}:{address[1]}",
             "seeds": [f"{host}:{port}" for host, port in map(self.addresses.__getitem__, self.seeds())],
             "key": KEY,
@@ -138,79 +140,84 @@
             "within": self._within,
             "size": self.size,
         }
-        return told
+        return order
 
     def seeds(self) -> list[int]:
-        """The first few; they stand in zones of their own where there are so many."""
-        return [one.number for one in self.plan.places[:SEEDS]]
+        """The first members are the seeds; they are in different zones if there are enough zones."""
+        return [place.number for place in self.plan.places[:SEEDS]]
 
     async def begin_all(self) -> None:
         await self.begin(self.plan.places, DISCOVERY)
 
-    # --- what is asked --------------------------------------------------------------------------------
+    # --- queries --------------------------------------------------------------------------------
 
-    async def group(self, what: str, **order: Any) -> list[dict[str, Any]]:
-        """Of every process that can answer."""
-        return await self.ask_all("group", asked=what, **order)
+    async def group(self, query: str, **order: Any) -> list[dict[str, Any]]:
+        """Sends a group order to every process that can answer."""
+        return await self.ask_all("group", asked=query, **order)
 
-    async def until(self, what: str, within: float, many: str, **order: Any) -> bool:
-        """Until all that are asked say so; False where they have not in time."""
-        until = time.monotonic() + within
+    async def wait_for_all(self, query: str, timeout: float, count_key: str, **order: Any) -> bool:
+        """Repeats a query until the count under `count_key` includes all queried members. Returns False on time-out."""
+        deadline = time.monotonic() + timeout
         while True:
-            told = await self.group(what, **order)
-            if sum(one[many] for one in told) >= sum(one["of"] for one in told):
+            answers = await self.group(query, **order)
+            if sum(answer[count_key] for answer in answers) >= sum(answer["of"] for answer in answers):
                 return True
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline:
                 return False
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def found(self, names: Iterable[str], how: str, within: float, by: Iterable[int] | None = None) -> bool:
-        """Until all those asked find all named so: "alive", "suspected", "lost" or "gone"."""
-        return await self.until(
-            "finds", within, "finds", names=list(names), how=how, by=None if by is None else list(by)
+    async def wait_until_found(
+        self, names: Iterable[str], state: str, timeout: float, by: Iterable[int] | None = None
+    ) -> bool:
+        """Waits until the members in `by` (or all) find every member in `names` in `state`: "alive", "suspected",
+        "lost" or "gone".
+        """
+        return await self.wait_for_all(
+            "finds", timeout, "finds", names=list(names), how=state, by=None if by is None else list(by)
         )
 
-    async def there(self, by: Iterable[int] | None = None) -> Counter[str]:
-        made: Counter[str] = Counter()
-        for told in await self.group("there", size=self.size, by=None if by is None else list(by)):
-            made.update(told["there"])
-            made["of"] += told["of"]
-        return made
+    async def count_alive_views(self, by: Iterable[int] | None = None) -> Counter[str]:
+        total: Counter[str] = Counter()
+        for answer in await self.group("there", size=self.size, by=None if by is None else list(by)):
+            total.update(answer["there"])
+            total["of"] += answer["of"]
+        return total
 
-    async def all_there(self, within: float) -> bool:
-        """Until each that runs finds all others."""
-        until = time.monotonic() + within
+    async def wait_until_all_alive(self, timeout: float) -> bool:
+        """Waits until every running member finds all others alive."""
+        deadline = time.monotonic() + timeout
         while True:
-            told = await self.there()
-            if told["finds all"] == told["of"] > 0:
+            counts = await self.count_alive_views()
+            if counts["finds all"] == counts["of"] > 0:
                 return True
-            if time.monotonic() >= until:
-                self._say(f"  {told['finds all']} of {told['of']} find all others")
+            if time.monotonic() >= deadline:
+                self._progress(f"  {counts['finds all']} of {counts['of']} members find all others alive")
                 return False
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def group_traffic(self) -> tuple[Counter[str], int, Counter[str]]:
-        """Of all members since this was last asked for, the longest datagram ever, and their own counts since
-        they began."""
-        made: Counter[str] = Counter()
+        """The traffic of all members since the last call, the longest datagram since the start, and the counters of the
+        membership protocol since the start.
+        """
+        traffic: Counter[str] = Counter()
         counts: Counter[str] = Counter()
         longest = 0
-        for told in await self.group("traffic"):
-            made.update(told["traffic"])
-            counts.update(told["counts"])
-            longest = max(longest, told["longest"])
-        return made, longest, counts
+        for answer in await self.group("traffic"):
+            traffic.update(answer["traffic"])
+            counts.update(answer["counts"])
+            longest = max(longest, answer["longest"])
+        return traffic, longest, counts
 
     async def kinds(self, finds: bool = False) -> tuple[Counter[str], Counter[str]]:
-        """Sums over all that run: what they find, and what they hold."""
-        found: Counter[str] = Counter()
-        kept: Counter[str] = Counter()
-        for told in await self.group("kinds", finds=finds):
-            found.update(told["finds"])
-            kept.update(told["kept"])
-        return found, kept
+        """Sums over the running members, by kind: their views and their membership state."""
+        views: Counter[str] = Counter()
+        state: Counter[str] = Counter()
+        for answer in await self.group("kinds", finds=finds):
+            views.update(answer["finds"])
+            state.update(answer["kept"])
+        return views, state
 
     async def ban(self, number: int, backend: str, on: bool) -> int:
-        """By one member; when the order counts from (us of Unix time)."""
-        told = await self.group("order", index=number, backend=backend, on=on)
-        return max(int(one["at"]) for one in told)
+        """Sets or lifts a ban at one member. Returns the time of the order (us of Unix time)."""
+        answers = await self.group("order", index=number, backend=backend, on=on)
+        return max(int(answer["at"]) for answer in answers)
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -1,5 +1,4 @@
-"""The scene of a group at scale: hollow proxies that are its members, what is done to them, and what must
-hold."""
+"""The scenario of a group of hollow proxies at scale: its steps, the faults in them and the checks that follow."""
 
 from __future__ import annotations
 
@@ -15,370 +14,418 @@
 from pepperusher.net.proxy import ACCEPT_AFTER_SIGTERM_S
 from pepperusher.rehearsal import hollow_group_statistics
 from pepperusher.rehearsal.hollow_statistics import Propagation, Row
-from pepperusher.rehearsal.hollow_group import ALL_THERE
-from pepperusher.rehearsal.hollow_group_statistics import QUIET_MOST
-from pepperusher.rehearsal.hollow_group_run import PERIOD, WITHIN, HollowGroupRun
+from pepperusher.rehearsal.hollow_group import ALL_ALIVE
+from pepperusher.rehearsal.hollow_group_statistics import MAX_IDLE_DATAGRAMS
+from pepperusher.rehearsal.hollow_group_run import PERIOD, ANSWER_TIMEOUT, HollowGroupRun
 from pepperusher.rehearsal.hollow_plan import ZONES, plan
 from pepperusher.rehearsal.loopback_networks import reserve_network
 from pepperusher.rehearsal.wire import clock
 
-# The roll takes so many names beside a member's own (group/membership.py).
+# The member list holds at most MOST other members (group/membership.py).
 LARGEST = MOST + 1
-# A small stand has fewer zones: up to so many members, so many.
-ZONES_AT = ((60, 3), (300, 5))
-# What a step waits for comes within this, or its check does not hold.
-PATIENCE = 150.0
-QUICK_PATIENCE = 40.0
-LOOK_EVERY = 0.2
-LOST = 0.3
-# Spans without anything, and with links that lose (s), quick and not.
-QUIET = 2.0, 20.0
-LOSING = 2.0, 30.0
-BANNED = "s0-0"
-# Sums over all members that may be a little more at one look than at another.
-GROWTH = 1.01
-FEW = 2
+# (largest number of members, zones): small groups have fewer zones.
+ZONE_COUNTS = ((60, 3), (300, 5))
+# Time-out of the wait in a step; after it the check of the step fails.
+WAIT_TIMEOUT_S = 150.0
+QUICK_TIMEOUT_S = 40.0
+POLL_INTERVAL_S = 0.2
+LOSS_RATE = 0.3
+# Seconds of the idle step and of the step with packet loss: in a quick run, in a full run.
+IDLE_SPANS_S = 2.0, 20.0
+LOSS_SPANS_S = 2.0, 30.0
+BANNED_BACKEND = "s0-0"
+# Sums over all members vary a little between two queries, so small differences are no growth.
+GROWTH_TOLERANCE = 1.01
+SMALL_DIFFERENCE = 2
 
 
 class GroupScenarioEnvironment:
-    """One stand, and the checks of a scene on it."""
+    """The run that all steps share, and the checks of the current step."""
 
-    def __init__(
-        self, play: HollowGroupRun, period: int, quick: bool, say: Callable[[str], None], slack: float
-    ) -> None:
-        self.play, self.quick, self.say = play, quick, say
-        self.size = play.size
+    def __init__(self, run: HollowGroupRun, period: int, quick: bool, say: Callable[[str], None], slack: float) -> None:
+        self.run, self.quick, self.say = run, quick, say
+        self.size = run.size
         self.period = period
         self.slack = slack
-        self.silence = slack * hollow_group_statistics.detection_time_limit(self.size, period)
-        self.news = slack * hollow_group_statistics.propagation_time_limit(period)
+        self.detection_limit = slack * hollow_group_statistics.detection_time_limit(self.size, period)
+        self.propagation_limit = slack * hollow_group_statistics.propagation_time_limit(period)
         self.checks: list[dict[str, Any]] = []
         self.rows: list[Row] = []
 
-    def check(self, what: str, holds: bool, detail: Any) -> None:
-        self.checks.append({"what": what, "holds": bool(holds), "seen": detail})
+    def check(self, description: str, holds: bool, detail: Any) -> None:
+        self.checks.append({"what": description, "holds": bool(holds), "seen": detail})
         if not holds:
-            self.say(f"  DOES NOT HOLD: {what}: {detail}")
+            self.say(f"  DOES NOT HOLD: {description}: {detail}")
 
-    def everyone(self, without: Iterable[int] = ()) -> set[int]:
-        return {place.number for place in self.play.plan.places} - set(without)
+    def member_numbers(self, excluded: Iterable[int] = ()) -> set[int]:
+        return {place.number for place in self.run.plan.places} - set(excluded)
 
     @staticmethod
-    def name(number: int) -> str:
+    def member_name(number: int) -> str:
         return f"p{number}"
 
-    async def read(self) -> list[Row]:
-        self.rows = await self.play.books()
+    async def read_records(self) -> list[Row]:
+        self.rows = await self.run.activations()
         return self.rows
 
-    def within(self, label: str, told: Propagation, bound: float) -> dict[str, Any]:
+    def check_time(self, label: str, propagation: Propagation, limit: float) -> dict[str, Any]:
         self.check(
-            f"{label}: at all {told.of} within {bound:.1f} s",
-            told.all is not None and told.all <= bound,
-            told.row(),
+            f"{label}: at all {propagation.of} within {limit:.1f} s",
+            propagation.all is not None and propagation.all <= limit,
+            propagation.row(),
         )
-        return told.row()
-
-    def had(self, what: str, at: int, meant: set[int], version: int = 1) -> Propagation:
-        return self.play.reached_resource(self.rows, what, version, at, meant)
-
-    def lost_only(self, label: str, those: Iterable[int]) -> None:
-        """Nobody is found lost but them."""
-        meant = {self.name(one) for one in those}
-        wrong = {
-            of: by
-            for of, by in hollow_group_statistics.count_observations(self.rows, "lost").items()
-            if of not in meant
+        return propagation.row()
+
+    def propagation(self, observation: str, at: int, expected: set[int], version: int = 1) -> Propagation:
+        return self.run.reached_resource(self.rows, observation, version, at, expected)
+
+    def check_only_lost(self, label: str, lost: Iterable[int]) -> None:
+        """Checks that no other member was found lost."""
+        expected = {self.member_name(number) for number in lost}
+        unexpected = {
+            member: observers
+            for member, observers in hollow_group_statistics.count_observations(self.rows, "lost").items()
+            if member not in expected
         }
-        self.check(f"{label}: nobody else is lost", not wrong, dict(list(wrong.items())[:5]))
+        self.check(f"{label}: no other member found lost", not unexpected, dict(list(unexpected.items())[:5]))
 
-    async def shares(self, label: str, of: int, by: Iterable[int] | None = None) -> Counter[str]:
-        """Each is one of so many."""
-        told = await self.play.there(by)
-        self.check(f"{label}: each is one of {of}", told[f"share of {of}"] == told["of"] > 0, dict(told))
-        return told
+    async def check_sharers(self, label: str, size: int, by: Iterable[int] | None = None) -> Counter[str]:
+        """Checks that every member shares the limits with the expected number of members."""
+        counts = await self.run.count_alive_views(by)
+        self.check(
+            f"{label}: each member is one of {size} sharers",
+            counts[f"share of {size}"] == counts["of"] > 0,
+            dict(counts),
+        )
+        return counts
 
     async def costs(self) -> dict[str, Any]:
-        """Of one member a second, since this was last asked for, by its own count; and the machine's."""
-        seconds = time.monotonic() - self._asked
-        traffic, longest, counts = await self.play.group_traffic()
-        self._asked = time.monotonic()
-        use = self.play.use()
-        cores = use.get("proxies", {})
-        each = max(0.001, seconds) * self.size
+        """Traffic per member and second since the last call, as the members count it, and processor and memory use."""
+        seconds = time.monotonic() - self._last_costs_at
+        traffic, longest, counts = await self.run.group_traffic()
+        self._last_costs_at = time.monotonic()
+        usage = self.run.usage()
+        cores = usage.get("proxies", {})
+        member_seconds = max(0.001, seconds) * self.size
         return {
             "seconds": round(seconds, 1),
-            "datagrams_out_a_second": round(traffic["datagrams out"] / each, 2),
-            "datagrams_in_a_second": round(traffic["datagrams in"] / each, 2),
-            "bytes_out_a_second": round(traffic["bytes out"] / each, 1),
-            "bytes_in_a_second": round(traffic["bytes in"] / each, 1),
+            "datagrams_out_a_second": round(traffic["datagrams out"] / member_seconds, 2),
+            "datagrams_in_a_second": round(traffic["datagrams in"] / member_seconds, 2),
+            "bytes_out_a_second": round(traffic["bytes out"] / member_seconds, 1),
+            "bytes_in_a_second": round(traffic["bytes in"] / member_seconds, 1),
             "streams": traffic["streams"],
             "longest_datagram": longest,
             "member_cores": round(cores.get("cores_mean", 0.0) / self.size, 6),
             "member_cores_worst_second": round(cores.get("cores_worst_s", 0.0) / self.size, 6),
             "member_memory_mb": round(cores.get("memory_mb", 0.0) / self.size, 3),
-            "links_cores": use.get("ways", {}).get("cores_mean"),
-            "counts": {what: many for what, many in sorted(counts.items())},
+            "links_cores": usage.get("ways", {}).get("cores_mean"),
+            "counts": {counter: count for counter, count in sorted(counts.items())},
         }
 
     async def begin(self) -> None:
-        await self.play.stand()
-        self.play.use()
-        self._asked = time.monotonic()
+        await self.run.stand()
+        self.run.usage()
+        self._last_costs_at = time.monotonic()
 
-    async def settled(self) -> float | None:
-        """Until nothing is passed on any more, seconds; None where it never was so."""
+    async def wait_until_quiet(self) -> float | None:
+        """Waits until no member has updates left to gossip. Returns the seconds that took, or None on time-out."""
         began = time.monotonic()
-        while time.monotonic() - began < PATIENCE:
-            if not (await self.play.kinds())[1]["rumours"]:
+        while time.monotonic() - began < WAIT_TIMEOUT_S:
+            if not (await self.run.kinds())[1]["rumours"]:
                 return round(time.monotonic() - began, 1)
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return None
 
 
-async def join(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """All at once, until each knows all."""
-    at = clock()
-    await ground.play.begin_all()
-    begun = round((clock() - at) / 1e6, 2)
-    had = await ground.play.all_there(PATIENCE)
-    ground.check("join: each finds all others", had, dict(await ground.play.there()))
-    await ground.read()
-    made = ground.had(ALL_THERE, at, ground.everyone())
-    told = await ground.shares("join", ground.size)
-    ground.check("join: each reaches a majority", told["reaches majority"] == ground.size, dict(told))
-    ground.lost_only("join", ())
-    costs = await ground.costs()
+async def join(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """All members start at once, until each finds all others alive."""
+    started_at = clock()
+    await environment.run.begin_all()
+    start_duration_s = round((clock() - started_at) / 1e6, 2)
+    complete = await environment.run.wait_until_all_alive(WAIT_TIMEOUT_S)
+    environment.check(
+        "join: each member finds all others alive", complete, dict(await environment.run.count_alive_views())
+    )
+    await environment.read_records()
+    propagation = environment.propagation(ALL_ALIVE, started_at, environment.member_numbers())
+    counts = await environment.check_sharers("join", environment.size)
+    environment.check(
+        "join: each member reaches a majority", counts["reaches majority"] == environment.size, dict(counts)
+    )
+    environment.check_only_lost("join", ())
+    costs = await environment.costs()
     longest = costs["longest_datagram"]
-    ground.check("join: no datagram over its size", longest <= DATAGRAM, longest)
-    return {"started_s": begun, "each_knows_all": made.row(), **costs}
-
-
-async def quiet(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """Nothing happens, once the news of the joining are with all."""
-    settled = await ground.settled()
-    ground.check("quiet: news of the joining end", settled is not None, settled)
-    await ground.read()
-    after = await ground.costs()
-    await asyncio.sleep(QUIET[not ground.quick])
-    costs = await ground.costs()
-    rows = await ground.read()
-    each = costs["datagrams_out_a_second"] * ground.period / 1e6
-    ground.check(f"quiet: {QUIET_MOST:g} datagrams a period at the most", each <= QUIET_MOST, round(each, 2))
-    ground.lost_only("quiet", ())
+    environment.check("join: no datagram over the size limit", longest <= DATAGRAM, longest)
+    return {"started_s": start_duration_s, "each_knows_all": propagation.row(), **costs}
+
+
+async def quiet(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """An idle span, after the updates about the joined members have reached all."""
+    settled_after_s = await environment.wait_until_quiet()
+    environment.check("quiet: no more updates about joined members", settled_after_s is not None, settled_after_s)
+    await environment.read_records()
+    costs_before = await environment.costs()
+    await asyncio.sleep(IDLE_SPANS_S[not environment.quick])
+    costs = await environment.costs()
+    rows = await environment.read_records()
+    datagrams_per_period = costs["datagrams_out_a_second"] * environment.period / 1e6
+    environment.check(
+        f"quiet: {MAX_IDLE_DATAGRAMS:g} datagrams per period at most",
+        datagrams_per_period <= MAX_IDLE_DATAGRAMS,
+        round(datagrams_per_period, 2),
+    )
+    environment.check_only_lost("quiet", ())
     return {
-        "news_end_after_s": settled,
-        "until_then": after,
-        "datagrams_a_period": round(each, 2),
+        "news_end_after_s": settled_after_s,
+        "until_then": costs_before,
+        "datagrams_a_period": round(datagrams_per_period, 2),
         "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
         **costs,
     }
 
 
-async def killed(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """One is killed: silent, and its part stays its own. It comes back under its name."""
-    victim = ground.size - 1
-    others = ground.everyone({victim})
-    at = clock()
-    await ground.play.ask_all("kill", indices=[victim])
-    await ground.play.found([ground.name(victim)], "lost", PATIENCE)
-    await ground.read()
-    name = ground.name(victim)
-    made = ground.within("killed: it is lost", ground.had(f"lost {name}", at, others), ground.silence)
-    ground.lost_only("killed", {victim})
-    await ground.shares("killed", ground.size)
-    costs = await ground.costs()
-    at = clock()
-    await ground.play.ask_all("again", indices=[victim])
-    ground.check("started again: each finds all", await ground.play.all_there(PATIENCE), None)
-    await ground.read()
-    back = ground.within(
-        "started again: all others know the new life",
-        ground.had(f"a new life {name}", at, others),
-        ground.silence,
+async def killed(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """A member is killed: the others find it lost and keep its share of the limits. It restarts under its name."""
+    victim = environment.size - 1
+    others = environment.member_numbers({victim})
+    fault_at = clock()
+    await environment.run.ask_all("kill", indices=[victim])
+    await environment.run.wait_until_found([environment.member_name(victim)], "lost", WAIT_TIMEOUT_S)
+    await environment.read_records()
+    name = environment.member_name(victim)
+    found_lost = environment.check_time(
+        "killed: found lost", environment.propagation(f"lost {name}", fault_at, others), environment.detection_limit
     )
-    return {"lost": made, "found_again": back, **costs}
-
-
-async def left(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """One leaves and says so: its part is free. It comes back, and takes it again."""
-    leaver = ground.size - 2
-    others = ground.everyone({leaver})
-    at = clock()
-    await ground.play.group("leave", indices=[leaver])
-    await ground.play.found([ground.name(leaver)], "gone", PATIENCE, others)
-    await ground.read()
-    # It says so once it has stopped, as a whole one does, a while after it was told to.
-    known = ground.had(f"left {ground.name(leaver)}", at, others)
-    made = ground.within("left: all know", known, ACCEPT_AFTER_SIGTERM_S + ground.news)
-    ground.lost_only("left", ())
-    await ground.shares("left", ground.size - 1)
-    await ground.play.ask_all("again", indices=[leaver])
-    ground.check("back: each finds all", await ground.play.all_there(PATIENCE), None)
-    await ground.shares("back", ground.size)
-    return {"gone": made, **await ground.costs()}
-
-
-async def ban(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """Told to one, held by all, and lifted by another."""
-    made: dict[str, Any] = {}
-    for number, on in ((0, True), (ground.size // 2, False)):
-        await ground.read()
+    environment.check_only_lost("killed", {victim})
+    await environment.check_sharers("killed", environment.size)
+    costs = await environment.costs()
+    fault_at = clock()
+    await environment.run.ask_all("again", indices=[victim])
+    environment.check(
+        "restarted: each member finds all others alive",
+        await environment.run.wait_until_all_alive(WAIT_TIMEOUT_S),
+        None,
+    )
+    await environment.read_records()
+    found_again = environment.check_time(
+        "restarted: all others know the new incarnation",
+        environment.propagation(f"a new life {name}", fault_at, others),
+        environment.detection_limit,
+    )
+    return {"lost": found_lost, "found_again": found_again, **costs}
+
+
+async def left(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """A member leaves with a notice: its share of the limits goes to the others. It restarts and takes a share again."""
+    leaver = environment.size - 2
+    others = environment.member_numbers({leaver})
+    ordered_at = clock()
+    await environment.run.group("leave", indices=[leaver])
+    await environment.run.wait_until_found([environment.member_name(leaver)], "gone", WAIT_TIMEOUT_S, others)
+    await environment.read_records()
+    # Like a complete proxy, it sends the notice when its drain time is over, some time after the order to stop.
+    propagation = environment.propagation(f"left {environment.member_name(leaver)}", ordered_at, others)
+    found_gone = environment.check_time(
+        "left: notice received", propagation, ACCEPT_AFTER_SIGTERM_S + environment.propagation_limit
+    )
+    environment.check_only_lost("left", ())
+    await environment.check_sharers("left", environment.size - 1)
+    await environment.run.ask_all("again", indices=[leaver])
+    environment.check(
+        "rejoined: each member finds all others alive", await environment.run.wait_until_all_alive(WAIT_TIMEOUT_S), None
+    )
+    await environment.check_sharers("rejoined", environment.size)
+    return {"gone": found_gone, **await environment.costs()}
+
+
+async def ban(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """A ban is set at one member, reaches all, and is lifted at another member."""
+    figures: dict[str, Any] = {}
+    for number, on in ((0, True), (environment.size // 2, False)):
+        await environment.read_records()
         began = clock()
-        at = await ground.play.ban(number, BANNED, on)
-        await ground.play.until("holds", PATIENCE, "holds", backend=BANNED, at=at, on=on)
-        await ground.read()
-        word = "ban" if on else "ban lifted"
-        made[word] = ground.within(
-            f"{word}: held", ground.had(f"order {BANNED}", began, ground.everyone(), at), ground.news
+        ordered_at = await environment.run.ban(number, BANNED_BACKEND, on)
+        await environment.run.wait_for_all(
+            "holds", WAIT_TIMEOUT_S, "holds", backend=BANNED_BACKEND, at=ordered_at, on=on
+        )
+        await environment.read_records()
+        action = "ban" if on else "ban lifted"
+        figures[action] = environment.check_time(
+            f"{action}: received",
+            environment.propagation(f"order {BANNED_BACKEND}", began, environment.member_numbers(), ordered_at),
+            environment.propagation_limit,
         )
-    return {**made, **await ground.costs()}
-
-
-async def stopped(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """A tenth stands still until all others find it lost, and goes on."""
-    play = ground.play
-    frozen: set[int] = set()
-    away: set[int] = set()
-    for worker in reversed(range(len(play.workers))):
-        if len(away) < ground.size / 10:
-            frozen.add(worker)
-            away |= {place.number for place in play.plan.places if place.worker == worker}
-    others = ground.everyone(away)
-    names = [ground.name(one) for one in sorted(away)]
-    await ground.read()
-    at = clock()
-    play.freeze(frozen, True)
-    found = await play.found(names, "lost", PATIENCE, others)
-    stood = round((clock() - at) / 1e6, 2)
-    ground.check(f"a tenth stopped: {len(away)} are lost at all others", found, stood)
-    await ground.read()
-    slowest = [ground.had(f"lost {name}", at, others) for name in names]
-    worst = max(slowest, key=lambda one: one.all if one.all is not None else PATIENCE)
-    made = ground.within("a tenth stopped: the last of them is lost", worst, ground.silence)
-    ground.lost_only("a tenth stopped", away)
-    await ground.shares("a tenth stopped", ground.size, others)
-    at = clock()
-    play.freeze(frozen, False)
-    ground.check("a tenth goes on: each finds all", await play.all_there(PATIENCE), None)
-    rows = await ground.read()
-    back = ground.within(
-        "a tenth goes on: each finds all",
-        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
-        ground.silence,
+    return {**figures, **await environment.costs()}
+
+
+async def stopped(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """A tenth of the members is suspended until all others find it lost, and then resumed."""
+    run = environment.run
+    workers: set[int] = set()
+    suspended: set[int] = set()
+    for worker in reversed(range(len(run.workers))):
+        if len(suspended) < environment.size / 10:
+            workers.add(worker)
+            suspended |= {place.number for place in run.plan.places if place.worker == worker}
+    others = environment.member_numbers(suspended)
+    names = [environment.member_name(number) for number in sorted(suspended)]
+    await environment.read_records()
+    fault_at = clock()
+    run.freeze(workers, True)
+    found = await run.wait_until_found(names, "lost", WAIT_TIMEOUT_S, others)
+    suspended_s = round((clock() - fault_at) / 1e6, 2)
+    environment.check(f"a tenth suspended: all others find the {len(suspended)} members lost", found, suspended_s)
+    await environment.read_records()
+    propagations = [environment.propagation(f"lost {name}", fault_at, others) for name in names]
+    last_propagation = max(
+        propagations, key=lambda propagation: propagation.all if propagation.all is not None else WAIT_TIMEOUT_S
+    )
+    last_lost = environment.check_time(
+        "a tenth suspended: last one found lost", last_propagation, environment.detection_limit
+    )
+    environment.check_only_lost("a tenth suspended", suspended)
+    await environment.check_sharers("a tenth suspended", environment.size, others)
+    fault_at = clock()
+    run.freeze(workers, False)
+    environment.check(
+        "a tenth resumed: each member finds all others alive", await run.wait_until_all_alive(WAIT_TIMEOUT_S), None
+    )
+    rows = await environment.read_records()
+    found_again = environment.check_time(
+        "a tenth resumed: each member finds all others alive",
+        hollow_group_statistics.last_occurrence_times(rows, ALL_ALIVE, fault_at, environment.member_numbers()),
+        environment.detection_limit,
+    )
+    losses = hollow_group_statistics.count_observations([row for row in rows if row[0] in suspended], "lost")
+    environment.check(
+        "a tenth resumed: resumed members found no other lost", not losses, dict(list(losses.items())[:5])
     )
-    own = hollow_group_statistics.count_observations([row for row in rows if row[0] in away], "lost")
-    ground.check("a tenth goes on: those that stood still lose nobody", not own, dict(list(own.items())[:5]))
-    await ground.shares("a tenth goes on", ground.size)
+    await environment.check_sharers("a tenth resumed", environment.size)
     return {
-        "stopped": len(away),
-        "stood_s": stood,
-        "last_lost": made,
-        "found_again": back,
-        **await ground.costs(),
+        "stopped": len(suspended),
+        "stood_s": suspended_s,
+        "last_lost": last_lost,
+        "found_again": found_again,
+        **await environment.costs(),
     }
 
 
-async def zone(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """A zone is cut off and healed; a ban is called outside."""
-    play = ground.play
-    cut = len(play.ways) - 1
-    inner = {place.number for place in play.plan.places if place.zone == cut}
-    outer = ground.everyone(inner)
-    names = [ground.name(one) for one in sorted(inner)]
-    await ground.read()
-    at = clock()
-    await play.part({cut})
-    ground.check(
-        f"a zone cut off: all outside find its {len(inner)} lost",
-        await play.found(names, "lost", PATIENCE, outer),
+async def zone(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """A zone is cut off, a ban is set outside of it, and the partition heals."""
+    run = environment.run
+    cut_zone = len(run.relays) - 1
+    members_inside = {place.number for place in run.plan.places if place.zone == cut_zone}
+    members_outside = environment.member_numbers(members_inside)
+    names = [environment.member_name(number) for number in sorted(members_inside)]
+    await environment.read_records()
+    cut_at = clock()
+    await run.cut_off_zones({cut_zone})
+    environment.check(
+        f"zone cut off: all outside find its {len(members_inside)} members lost",
+        await run.wait_until_found(names, "lost", WAIT_TIMEOUT_S, members_outside),
         None,
     )
-    until = time.monotonic() + (QUICK_PATIENCE if ground.quick else PATIENCE)
-    while (inside := await play.there(inner))["reaches majority"] and time.monotonic() < until:
-        await asyncio.sleep(LOOK_EVERY)
-    rows = await ground.read()
-    slowest = [ground.had(f"lost {name}", at, outer) for name in names]
-    worst = max(slowest, key=lambda one: one.all if one.all is not None else PATIENCE)
-    made = ground.within("a zone cut off: the last of it is lost outside", worst, ground.silence)
-    no_majority = ground.had("reaches part", at, inner)
-    ground.within("a zone cut off: its own know that they reach a part", no_majority, ground.silence)
-    outside = await ground.shares("a zone cut off, outside", ground.size, outer)
-    reaching = outside["reaches majority"]
-    ground.check("a zone cut off: all outside reach a majority", reaching == len(outer), reaching)
-    await ground.shares("a zone cut off, inside", ground.size, inner)
-    ordered = clock()
-    order = await play.ban(min(outer), BANNED, True)
-    await play.until("holds", PATIENCE, "holds", backend=BANNED, at=order, on=True, by=sorted(outer))
-    await ground.read()
-    held = ground.had(f"order {BANNED}", ordered, outer, order)
-    ground.within("a zone cut off: a ban outside", held, ground.news)
-    leaked = ground.had(f"order {BANNED}", ordered, inner, order).had
-    ground.check("a zone cut off: the ban does not pass the cut", leaked == 0, leaked)
-    costs = await ground.costs()
-    healed = clock()
-    await play.heal_ways()
-    ground.check("a zone healed: each finds all", await play.all_there(PATIENCE), None)
-    by_all = await play.until("holds", PATIENCE, "holds", backend=BANNED, at=order, on=True)
-    ground.check("a zone healed: all hold the ban", by_all, None)
-    rows = await ground.read()
-    back = ground.within(
-        "a zone healed: each finds all",
-        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, healed, ground.everyone()),
-        ground.silence,
+    deadline = time.monotonic() + (QUICK_TIMEOUT_S if environment.quick else WAIT_TIMEOUT_S)
+    while (counts_inside := await run.count_alive_views(members_inside))[
+        "reaches majority"
+    ] and time.monotonic() < deadline:
+        await asyncio.sleep(POLL_INTERVAL_S)
+    rows = await environment.read_records()
+    propagations = [environment.propagation(f"lost {name}", cut_at, members_outside) for name in names]
+    last_propagation = max(
+        propagations, key=lambda propagation: propagation.all if propagation.all is not None else WAIT_TIMEOUT_S
+    )
+    last_lost = environment.check_time(
+        "zone cut off: last member found lost outside", last_propagation, environment.detection_limit
+    )
+    no_majority = environment.propagation("reaches part", cut_at, members_inside)
+    environment.check_time("zone cut off: members inside detect the minority", no_majority, environment.detection_limit)
+    counts_outside = await environment.check_sharers("zone cut off, outside", environment.size, members_outside)
+    majority_count = counts_outside["reaches majority"]
+    environment.check(
+        "zone cut off: all outside reach a majority", majority_count == len(members_outside), majority_count
+    )
+    await environment.check_sharers("zone cut off, inside", environment.size, members_inside)
+    published_at = clock()
+    order_time = await run.ban(min(members_outside), BANNED_BACKEND, True)
+    await run.wait_for_all(
+        "holds", WAIT_TIMEOUT_S, "holds", backend=BANNED_BACKEND, at=order_time, on=True, by=sorted(members_outside)
+    )
+    await environment.read_records()
+    propagation_outside = environment.propagation(f"order {BANNED_BACKEND}", published_at, members_outside, order_time)
+    environment.check_time("zone cut off: ban received outside", propagation_outside, environment.propagation_limit)
+    leak_count = environment.propagation(
+        f"order {BANNED_BACKEND}", published_at, members_inside, order_time
+    ).propagation
+    environment.check("zone cut off: ban not received inside", leak_count == 0, leak_count)
+    costs = await environment.costs()
+    healed_at = clock()
+    await run.heal_relays()
+    environment.check(
+        "zone healed: each member finds all others alive", await run.wait_until_all_alive(WAIT_TIMEOUT_S), None
+    )
+    complete = await run.wait_for_all("holds", WAIT_TIMEOUT_S, "holds", backend=BANNED_BACKEND, at=order_time, on=True)
+    environment.check("zone healed: all members have the ban", complete, None)
+    rows = await environment.read_records()
+    found_again = environment.check_time(
+        "zone healed: each member finds all others alive",
+        hollow_group_statistics.last_occurrence_times(rows, ALL_ALIVE, healed_at, environment.member_numbers()),
+        environment.detection_limit,
     )
-    taken = ground.within(
-        "a zone healed: the ban is in it", ground.had(f"order {BANNED}", healed, inner, order), ground.silence
+    ban_inside = environment.check_time(
+        "zone healed: ban received inside",
+        environment.propagation(f"order {BANNED_BACKEND}", healed_at, members_inside, order_time),
+        environment.detection_limit,
     )
-    await ground.shares("a zone healed", ground.size)
-    await play.ban(min(outer), BANNED, False)
+    await environment.check_sharers("zone healed", environment.size)
+    await run.ban(min(members_outside), BANNED_BACKEND, False)
     return {
-        "cut_off": len(inner),
-        "last_lost_outside": made,
+        "cut_off": len(members_inside),
+        "last_lost_outside": last_lost,
         "no_majority_inside": no_majority.row(),
         "no_majority_inside_periods": None
         if no_majority.all is None
-        else round(no_majority.all * 1e6 / ground.period, 1),
-        "reach_inside": dict(inside),
-        "found_again": back,
-        "ban_inside": taken,
+        else round(no_majority.all * 1e6 / environment.period, 1),
+        "reach_inside": dict(counts_inside),
+        "found_again": found_again,
+        "ban_inside": ban_inside,
         "cut": costs,
-        "healing": await ground.costs(),
+        "healing": await environment.costs(),
     }
 
 
-async def losing(ground: GroupScenarioEnvironment) -> dict[str, Any]:
-    """Every link loses three datagrams in ten for a while."""
-    await ground.read()
-    await ground.costs()
-    await ground.play.shape_ways(LOST)
-    await asyncio.sleep(LOSING[not ground.quick])
-    during = await ground.play.there()
-    costs = await ground.costs()
-    lost_by_links = (await ground.play.ways_counts())["lost"]
-    ground.check("links lose: they do", lost_by_links > 0, lost_by_links)
-    await ground.shares("links lose", ground.size)
-    at = clock()
-    await ground.play.shape_ways()
-    there = await ground.play.all_there(PATIENCE)
-    ground.check("links healed: each finds all, nobody is lost for good", there, None)
-    rows = await ground.read()
-    back = ground.within(
-        "links healed: each finds all",
-        hollow_group_statistics.last_occurrence_times(rows, ALL_THERE, at, ground.everyone()),
-        ground.silence,
+async def losing(environment: GroupScenarioEnvironment) -> dict[str, Any]:
+    """Every link loses 30% of its datagrams for a while."""
+    await environment.read_records()
+    await environment.costs()
+    await environment.run.shape_relays(LOSS_RATE)
+    await asyncio.sleep(LOSS_SPANS_S[not environment.quick])
+    counts_during = await environment.run.count_alive_views()
+    costs = await environment.costs()
+    lost_by_links = (await environment.run.relay_counts())["lost"]
+    environment.check("packet loss: datagrams were lost", lost_by_links > 0, lost_by_links)
+    await environment.check_sharers("packet loss", environment.size)
+    healed_at = clock()
+    await environment.run.shape_relays()
+    complete = await environment.run.wait_until_all_alive(WAIT_TIMEOUT_S)
+    environment.check("links healed: each member finds all others alive", complete, None)
+    rows = await environment.read_records()
+    found_again = environment.check_time(
+        "links healed: each member finds all others alive",
+        hollow_group_statistics.last_occurrence_times(rows, ALL_ALIVE, healed_at, environment.member_numbers()),
+        environment.detection_limit,
     )
     return {
         "suspicions": hollow_group_statistics.count_observations(rows, "suspected").total(),
         "losses": hollow_group_statistics.count_observations(rows, "lost").total(),
-        "lost_at_its_end": during["lost"],
-        "found_again": back,
+        "lost_at_its_end": counts_during["lost"],
+        "found_again": found_again,
         **costs,
     }
 
 
 STEPS = (join, quiet, killed, left, ban, stopped, zone, losing)
-# For sizes at which news of the joining go round for many minutes.
+# The steps for large groups, in which the updates about joined members circulate for many minutes.
 SHORT = (join, killed, ban)
 Step = Callable[[GroupScenarioEnvironment], Awaitable[dict[str, Any]]]
 
@@ -391,54 +438,54 @@
     say: Callable[[str], None],
     each: Callable[[dict[str, Any]], None] = lambda told: None,
     period: int = PERIOD,
-    within: int = WITHIN,
+    within: int = ANSWER_TIMEOUT,
     steps: Sequence[Step] = STEPS,
     slack: float = 1.0,
 ) -> list[dict[str, Any]]:
-    """The steps in turn on one stand, and whether anything has grown since the quiet one; `each` has every
-    one as it ends. `slack` stretches what is allowed in time, for a machine that others keep busy; nothing
-    else.
+    """Runs the steps one after another on the same processes, then checks that no state has grown since the idle step.
+    `each` receives every result as soon as its step ends. `slack` multiplies the time limits alone, for a machine
+    with other load.
     """
-    zones = next((many for most, many in ZONES_AT if size <= most), ZONES)
-    # A tenth that stands still is a process or two.
-    laid = plan(size, seed, 1 if zones == ZONES and size <= 1000 else 2, zones)
-    made: list[dict[str, Any]] = []
-
-    def ended(name: str, began: float, figures: dict[str, Any]) -> None:
-        holds = all(one["holds"] for one in ground.checks)
-        made.append(
+    zones = next((zone_count for largest, zone_count in ZONE_COUNTS if size <= largest), ZONES)
+    # The processes are small enough that one or two of them hold the tenth of the members to suspend.
+    layout = plan(size, seed, 1 if zones == ZONES and size <= 1000 else 2, zones)
+    results: list[dict[str, Any]] = []
+
+    def add_result(name: str, began: float, figures: dict[str, Any]) -> None:
+        holds = all(one["holds"] for one in environment.checks)
+        results.append(
             {
                 "scene": f"group: {name}",
                 "verdict": "passed" if holds else "failed",
                 "seconds": round(time.monotonic() - began, 1),
-                "checks": ground.checks,
+                "checks": environment.checks,
                 "figures": figures,
             }
         )
-        each(made[-1])
+        each(results[-1])
 
     with reserve_network() as net:
-        play = HollowGroupRun(laid, seed, work, say, net, period, within)
-        ground = GroupScenarioEnvironment(play, period, quick, say, slack)
-        before: dict[str, int] = {}
+        run = HollowGroupRun(layout, seed, work, say, net, period, within)
+        environment = GroupScenarioEnvironment(run, period, quick, say, slack)
+        state_before: dict[str, int] = {}
         try:
-            await ground.begin()
+            await environment.begin()
             for step in steps:
                 say(f"group of {size}: {step.__name__}")
-                ground.checks = []
+                environment.checks = []
                 began = time.monotonic()
-                ended(step.__name__, began, await step(ground))
+                add_result(step.__name__, began, await step(environment))
                 if step is quiet:
-                    before = await _state(ground)
-            if not before:
-                return made
-            ground.checks = []
+                    state_before = await _state(environment)
+            if not state_before:
+                return results
+            environment.checks = []
             began = time.monotonic()
-            await ground.settled()
-            after = await _state(ground)
-            # A ban that was lifted is remembered for an hour, so that whoever was cut off hears of it; a try
-            # that is under way, and an answer that is waited for, are there at one look and not at another.
-            for kind, more in {
+            await environment.wait_until_quiet()
+            state_after = await _state(environment)
+            # Members keep a lifted ban for an hour, so that members that were cut off learn of it. Probes in
+            # flight and awaited answers vary between two queries.
+            for kind, allowance in {
                 "members": 0,
                 "rumours": 0,
                 "relays": size,
@@ -447,22 +494,22 @@
                 "orders": size,
                 "awaited": size,
                 "packed words": size * size,
-                "tasks": FEW,
-                "descriptors": FEW,
+                "tasks": SMALL_DIFFERENCE,
+                "descriptors": SMALL_DIFFERENCE,
             }.items():
-                ground.check(
-                    f"after all that: {kind} do not grow",
-                    after[kind] <= before[kind] * GROWTH + more,
-                    [before[kind], after[kind]],
+                environment.check(
+                    f"after all steps: {kind} do not grow",
+                    state_after[kind] <= state_before[kind] * GROWTH_TOLERANCE + allowance,
+                    [state_before[kind], state_after[kind]],
                 )
-            ended("state", began, {"before": before, "after": after, "memory_mb_all": play.memory()})
+            add_result("state", began, {"before": state_before, "after": state_after, "memory_mb_all": run.memory()})
         finally:
-            await play.end()
-    return made
+            await run.end()
+    return results
 
 
-async def _state(ground: GroupScenarioEnvironment) -> dict[str, int]:
-    """What all members hold, and the processes beside."""
-    _, kept = await ground.play.kinds()
-    state = await ground.play.state()
-    return {**kept, **{kind: state[kind] for kind in ("running", "tasks", "descriptors", "objects")}}
+async def _state(environment: GroupScenarioEnvironment) -> dict[str, int]:
+    """Sums of the membership state of all members and of the state of their processes."""
+    _, member_state = await environment.run.kinds()
+    state = await environment.run.state()
+    return {**member_state, **{kind: state[kind] for kind in ("running", "tasks", "descriptors", "objects")}}
--- a/pepperusher/rehearsal/hollow_group_statistics.py
+++ b/pepperusher/rehearsal/hollow_group_statistics.py
@@ -1,4 +1,6 @@
-"""What the books of a group's members tell: when each found what, and whom it lost. Free of I/O."""
+"""Statistics of the observations of group members: when each member observed an event, and which members it lost.
+Does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,48 +10,50 @@
 
 from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 
-# As docs/group.md has them for a small group: periods until silence is found by all, and until news of a
-# member's own are with all. The first grows with the logarithm of the size, as suspicion does
-# (group/membership.py).
-LOST_PERIODS, NEWS_PERIODS = 15, 6
-# Sent by one member in a period when nothing happens.
-QUIET_MOST = 3.0
+# Limits for a small group as in docs/group.md, in probe periods: until all members detect a silent member, and until
+# an update that a member sends reaches all. The first grows with the logarithm of the group size, as the suspicion
+# time does (group/membership.py).
+DETECTION_PERIODS, PROPAGATION_PERIODS = 15, 6
+# Datagrams that one member may send in a period while nothing happens.
+MAX_IDLE_DATAGRAMS = 3.0
 
 
 def detection_time_limit(size: int, period: int) -> float:
-    """Seconds until all find a silent member, at the most."""
-    return LOST_PERIODS * max(1.0, log10(size + 1)) * period / 1e6
+    """The longest time in seconds until all members detect a silent member."""
+    return DETECTION_PERIODS * max(1.0, log10(size + 1)) * period / 1e6
 
 
 def propagation_time_limit(period: int) -> float:
-    """Seconds until all have heard what a member says of itself, or orders, at the most."""
-    return NEWS_PERIODS * period / 1e6
+    """The longest time in seconds until an update or order of a member reaches all others."""
+    return PROPAGATION_PERIODS * period / 1e6
 
 
-def last_occurrence_times(rows: Iterable[Row], what: str, at: int, meant: set[int]) -> Propagation:
-    """Seconds after `at` (us of the machine's clock) until it was so for the last time, at half, at 99 of 100
-    and at all that are meant. Whose books do not name it at all had it so throughout.
+def last_occurrence_times(rows: Iterable[Row], wanted: str, at: int, expected: set[int]) -> Propagation:
+    """Seconds from `at` (us on the monotonic clock) to the last record of an observation, as percentiles over the
+    members in `expected`. A member with no record since `at` counts as 0 s: its state did not change.
     """
     times: list[float] = []
-    for index, _, books in rows:
-        if index in meant:
-            named = [when for key, _, when in books if key == what and when >= at]
-            times.append((named[-1] - at) / 1e6 if named else 0.0)
+    for index, _, records in rows:
+        if index in expected:
+            occurrences = [
+                recorded_at for observation, _, recorded_at in records if observation == wanted and recorded_at >= at
+            ]
+            times.append((occurrences[-1] - at) / 1e6 if occurrences else 0.0)
     times.sort()
 
-    def part(share: float) -> float | None:
-        place = max(0, -(-len(meant) * round(share * 100) // 100) - 1)
-        return round(times[place], 3) if place < len(times) else None
+    def percentile(share: float) -> float | None:
+        position = max(0, -(-len(expected) * round(share * 100) // 100) - 1)
+        return round(times[position], 3) if position < len(times) else None
 
-    return Propagation(part(0.5), part(0.99), part(1.0), len(times), len(meant))
+    return Propagation(percentile(0.5), percentile(0.99), percentile(1.0), len(times), len(expected))
 
 
-def count_observations(rows: Iterable[Row], what: str) -> Counter[str]:
-    """How many members' books have it of whom ("lost" and "suspected", say), by name."""
-    made: Counter[str] = Counter()
-    for _, _, books in rows:
-        for key, _, _ in books:
-            kind, _, of = key.rpartition(" ")
-            if kind == what:
-                made[of] += 1
-    return made
+def count_observations(rows: Iterable[Row], event: str) -> Counter[str]:
+    """Counts the records of an event, such as "lost" or "suspected", by the member that it concerns."""
+    counts: Counter[str] = Counter()
+    for _, _, records in rows:
+        for key, _, _ in records:
+            kind, _, member = key.rpartition(" ")
+            if kind == event:
+                counts[member] += 1
+    return counts
--- a/pepperusher/rehearsal/hollow_links.py
+++ b/pepperusher/rehearsal/hollow_links.py
@@ -1,7 +1,8 @@
-"""The links of one zone to everything that control has elsewhere: a process between its proxies and the rest.
+"""Relays the traffic between the processes of one zone and the control plane, with network faults.
 
-Whoever is in the zone is told the address of a front here in place of the real one (`rehearsal.links`). Run
-as `python -m pepperusher.rehearsal.hollow_links SEED`, under orders.
+Each process in the zone connects to a relay address of this process instead of the real address
+(`rehearsal.links`). Runs as `python -m pepperusher.rehearsal.hollow_links SEED` and takes orders as
+`rehearsal.worker` describes.
 """
 
 from __future__ import annotations
@@ -15,11 +16,13 @@
 from pepperusher.rehearsal.links import Links, LinkProperties
 from pepperusher.rehearsal.worker import Orders
 
-# Whoever connects from the zone: it has no front of its own here.
-ZONE = ""
+# Link name of every client in the zone; clients have no relay address of their own.
+CLIENTS = ""
 
 
 class Zone:
+    """The relays of one zone; each public method handles the order of its name."""
+
     def __init__(self, seed: int) -> None:
         self._links = Links("127.0.0.1", Random(seed))
 
@@ -32,23 +35,25 @@
         return {}
 
     async def shape(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Both ways, to those named."""
-        manner = LinkProperties(
+        """Sets the properties of the links to the named destinations, in both directions."""
+        properties = LinkProperties(
             delay=order.get("delay", 0.0),
             lost=order.get("lost", 0.0),
             jitter=order.get("jitter", 0.0),
             rate=order.get("rate", 0.0),
         )
-        self._links.shape(manner, [ZONE], order["names"])
-        self._links.shape(manner, order["names"], [ZONE])
+        self._links.shape(properties, [CLIENTS], order["names"])
+        self._links.shape(properties, order["names"], [CLIENTS])
         return {}
 
     async def cut(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Both ways, or what the zone hears (`in`) or says (`out`) alone."""
+        """Cuts the links to the named destinations: in both directions, or only the traffic into the zone (`in`) or out of
+        it (`out`).
+        """
         if order.get("way", "both") in ("both", "out"):
-            self._links.cut([ZONE], order["names"])
+            self._links.cut([CLIENTS], order["names"])
         if order.get("way", "both") in ("both", "in"):
-            self._links.cut(order["names"], [ZONE])
+            self._links.cut(order["names"], [CLIENTS])
         return {}
 
     async def heal(self, order: dict[str, Any]) -> dict[str, Any]:
@@ -58,7 +63,7 @@
     async def run(self) -> None:
         orders = await Orders.open()
         orders.say(standing=True)
-        does = {
+        handlers = {
             "open": self.open,
             "stands": self.stands,
             "shape": self.shape,
@@ -66,7 +71,7 @@
             "heal": self.heal,
         }
         while (order := await orders.next()) is not None:
-            orders.say(did=order["do"], **await does[order["do"]](order))
+            orders.say(did=order["do"], **await handlers[order["do"]](order))
         self._links.close()
 
 
--- a/pepperusher/rehearsal/hollow_plan.py
+++ b/pepperusher/rehearsal/hollow_plan.py
@@ -1,5 +1,4 @@
-"""Where everything of a scale test stands: services, views, regions, zones, and who is in which process.
-Free of I/O."""
+"""The layout of a scale test: services, views, regions and zones, and the process of each proxy. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,16 +8,17 @@
 
 REGIONS = 4
 ZONES = 13
-# Of 5,000 backends; fewer have fewer services of the same sizes.
-SERVICES_AT = (210, 5000)
-# Sizes fall with the rank by this power: the mean is 24, the largest some 420 of 5,000.
-SKEW = 0.75
-# Services that one proxy calls, and lists of them that differ.
-CALLS = 5
+# 210 services for 5,000 backends; smaller tests have proportionally fewer services.
+REFERENCE_SERVICES_BACKENDS = (210, 5000)
+# Exponent of the power law by which service sizes fall with their rank. With 5,000 backends the mean size is 24
+# and the largest about 420.
+SIZE_EXPONENT = 0.75
+# Number of services that one proxy calls, and number of different sets of services (views).
+SERVICES_PER_VIEW = 5
 VIEWS = 42
-# Every so many views call the largest service.
-LARGEST_IN = 5
-# Milliseconds one way: within a zone, within a region, between regions.
+# One view in this many calls the largest service.
+LARGEST_INTERVAL = 5
+# One-way link delays in ms.
 WITHIN_ZONE, WITHIN_REGION, BETWEEN = 0.3, 1.0, 30.0
 
 SETTINGS: dict[str, Any] = {
@@ -57,12 +57,12 @@
     ],
 }
 
-# Those of a proxy that lacks a use case: a file whose route names it is refused there.
+# Settings of a proxy without the use case "book". It refuses a configuration with a route for that use case.
 LACKING = {**SETTINGS, "use-cases": SETTINGS["use-cases"][:1]}
 
 
 class Place(NamedTuple):
-    """One proxy's."""
+    """The position of one proxy in the layout."""
 
     number: int
     name: str
@@ -73,22 +73,22 @@
 
 
 class Plan(NamedTuple):
-    services: list[list[dict[str, Any]]]  # the rows of each, the largest first
+    services: list[list[dict[str, Any]]]  # the backends of each service, the largest service first
     views: list[list[int]]
     places: list[Place]
-    workers: list[int]  # each one's zone
+    workers: list[int]  # the zone of each worker process
 
     def region(self, zone: int) -> int:
         return region_of(zone)
 
 
 def region_of(zone: int) -> int:
-    """The zones are dealt to the regions in turn."""
+    """The zones are assigned to the regions round-robin."""
     return zone % REGIONS
 
 
 def row(service: int, number: int, zone: int, state: str = "ready", turn: int = 0) -> dict[str, Any]:
-    """One backend as discovery tells it; `turn` counts those that stood in its place before."""
+    """One backend in the format of discovery; `turn` counts the earlier backends at its address."""
     return {
         "id": f"s{service}-{number}" + (f".{turn}" if turn else ""),
         "addr": f"10.{service % 200}.{number // 200}.{number % 200 + 1}:80",
@@ -101,54 +101,64 @@
 
 
 def sizes(size: int, services: int) -> list[int]:
-    """Of the services, the largest first; together `size`."""
-    weights = [(rank + 1) ** -SKEW for rank in range(services)]
+    """The sizes of the services, the largest first; their sum is `size`."""
+    weights = [(rank + 1) ** -SIZE_EXPONENT for rank in range(services)]
     ends = [round(size * end / sum(weights)) for end in accumulate(weights)]
-    made = [max(1, end - before) for before, end in zip([0, *ends], ends)]
-    made[0] -= sum(made) - size
-    return made
+    counts = [max(1, end - previous_end) for previous_end, end in zip([0, *ends], ends)]
+    counts[0] -= sum(counts) - size
+    return counts
 
 
 def plan(size: int, seed: int, workers_per_zone: int, zones: int = ZONES, views: int = VIEWS) -> Plan:
-    chance = Random(seed)
-    count = max(CALLS + 1, round(size * SERVICES_AT[0] / SERVICES_AT[1]))
-    numbers = iter(range(size))
+    random = Random(seed)
+    service_count = max(
+        SERVICES_PER_VIEW + 1, round(size * REFERENCE_SERVICES_BACKENDS[0] / REFERENCE_SERVICES_BACKENDS[1])
+    )
+    backend_numbers = iter(range(size))
     services = [
-        [row(service, number, next(numbers) % zones) for number in range(many)]
-        for service, many in enumerate(sizes(size, count))
+        [row(service, number, next(backend_numbers) % zones) for number in range(service_size)]
+        for service, service_size in enumerate(sizes(size, service_count))
     ]
-    called = []
+    view_services = []
     for view in range(views):
-        chosen = chance.sample(range(1, count), CALLS - 1 if view % LARGEST_IN == 0 else CALLS)
-        called.append(sorted([0, *chosen] if view % LARGEST_IN == 0 else chosen))
+        chosen = random.sample(
+            range(1, service_count), SERVICES_PER_VIEW - 1 if view % LARGEST_INTERVAL == 0 else SERVICES_PER_VIEW
+        )
+        view_services.append(sorted([0, *chosen] if view % LARGEST_INTERVAL == 0 else chosen))
     places = [
         Place(
             index,
             f"p{index}",
             index % zones,
             region_of(index % zones),
-            chance.randrange(views),
+            random.randrange(views),
             (index % zones) * workers_per_zone + index // zones % workers_per_zone,
         )
         for index in range(size)
     ]
-    return Plan(services, called, places, [one // workers_per_zone for one in range(zones * workers_per_zone)])
+    return Plan(
+        services, view_services, places, [worker // workers_per_zone for worker in range(zones * workers_per_zone)]
+    )
 
 
 TEAMS = 100
 
 
 def names_of(place: Place, plan: Plan, parts: int = REGIONS) -> list[list[str]]:
-    """What it subscribes to: all proxies' configuration, its team's, lists of the services it calls."""
-    made = [["config", "common"], ["config", f"t{place.number % TEAMS}"]]
-    return made + [["endpoints", list_of(service, parts)] for service in plan.views[place.view]]
+    """The subscriptions of a proxy as [kind, name]: the common configuration, that of its team, and the endpoint lists
+    of the services that it calls.
+    """
+    subscriptions = [["config", "common"], ["config", f"t{place.number % TEAMS}"]]
+    return subscriptions + [["endpoints", list_of(service, parts)] for service in plan.views[place.view]]
 
 
 def list_of(service: int, parts: int = REGIONS) -> str:
-    """The name of its list. Each is a fact of one region; the services are dealt to the regions in turn."""
+    """The name of the endpoint list of a service. One region owns each list; the services are assigned to the regions
+    round-robin.
+    """
     return f"r{service % parts}/s{service}"
 
 
 def lists_of(plan: Plan, parts: int = REGIONS) -> dict[str, list[dict[str, Any]]]:
-    """Every list, by name."""
+    """The backends of every endpoint list, by its name."""
     return {list_of(service, parts): rows for service, rows in enumerate(plan.services)}
--- a/pepperusher/rehearsal/hollow_report.py
+++ b/pepperusher/rehearsal/hollow_report.py
@@ -1,5 +1,4 @@
-"""A page of scenes at scale that needs nothing beside it: verdicts, checks, how long each thing took to reach
-whom, and what it cost."""
+"""Writes a self-contained HTML report of scale test scenarios: verdicts, checks, propagation times and costs."""
 
 from __future__ import annotations
 
@@ -12,14 +11,14 @@
 from pepperusher.rehearsal.page import STYLE, table
 from pepperusher.rehearsal.plots import bars
 
-# Of a figure that tells until when something had reached how many.
-PARTS = "50%_s", "99%_s", "all_s"
-# Of a member or proxy a second.
-COSTS = "bytes_out_a_second", "bytes_in_a_second", "proxy_bytes_a_second"
+# The keys that mark a group of figures as propagation times.
+PROPAGATION_KEYS = "50%_s", "99%_s", "all_s"
+# Figures per proxy or group member and second.
+COST_KEYS = "bytes_out_a_second", "bytes_in_a_second", "proxy_bytes_a_second"
 
 
 class Spread(NamedTuple):
-    """Seconds until something had reached half, 99 of 100 and all; None where it never did."""
+    """Propagation times in seconds to 50%, 99% and all of the proxies, or None if that many were never reached."""
 
     name: str
     times: tuple[float | None, float | None, float | None]
@@ -28,49 +27,50 @@
 
 
 def spreads(figures: Mapping[str, Any], name: str = "") -> Iterator[Spread]:
-    """Every figure that is one, however deep, by its keys."""
-    if all(part in figures for part in PARTS):
-        half, most, everyone = (figures[part] for part in PARTS)
-        yield Spread(name, (half, most, everyone), int(figures["had"]), int(figures["of"]))
+    """Finds the propagation times in nested figures; the name of each is the path of its keys."""
+    if all(key in figures for key in PROPAGATION_KEYS):
+        half, p99, all_proxies = (figures[key] for key in PROPAGATION_KEYS)
+        yield Spread(name, (half, p99, all_proxies), int(figures["had"]), int(figures["of"]))
         return
     for key, value in figures.items():
         if isinstance(value, Mapping):
             yield from spreads(value, f"{name}: {key}" if name else key)
 
 
-def _scene(told: Mapping[str, Any]) -> str:
-    word = "kept" if told["verdict"] == "passed" else "broken"
-    parts = [
-        f'<h2>{escape(told["scene"])}: <span class="{word}">{escape(told["verdict"])}</span></h2>',
-        f"<p>{told.get('size', '')} proxies, seed {told.get('seed', '')}, {told.get('seconds', '')} s.</p>",
+def _scene(result: Mapping[str, Any]) -> str:
+    css_class = "kept" if result["verdict"] == "passed" else "broken"
+    sections = [
+        f'<h2>{escape(result["scene"])}: <span class="{css_class}">{escape(result["verdict"])}</span></h2>',
+        f"<p>{result.get('size', '')} proxies, seed {result.get('seed', '')}, {result.get('seconds', '')} s.</p>",
     ]
-    if checks := told.get("checks"):
+    if checks := result.get("checks"):
         rows = [
-            (one["what"], "holds" if one["holds"] else "DOES NOT HOLD", json.dumps(one["seen"])[:300]) for one in checks
+            (check["what"], "holds" if check["holds"] else "DOES NOT HOLD", json.dumps(check["seen"])[:300])
+            for check in checks
         ]
-        parts.append(table(("what must hold", "", "seen"), rows))
-    found = list(spreads(told.get("figures") or {}))
-    if found:
-        rows_ = [(one.name, *one.times, f"{one.had} of {one.of}") for one in found]
-        parts.append(table(("until it had reached", "half, s", "99%, s", "all, s", "had it"), rows_))
-        labels = [part.removesuffix("_s") for part in PARTS]
-        parts.append(bars("Until it had reached", "s", labels, [(one.name, one.times) for one in found]))
-    parts.append(f"<pre>{escape(json.dumps(told.get('figures'), indent=1))}</pre>")
-    return "\n".join(parts)
+        sections.append(table(("what must hold", "", "seen"), rows))
+    propagations = list(spreads(result.get("figures") or {}))
+    if propagations:
+        rows_ = [(check.name, *check.times, f"{check.had} of {check.of}") for check in propagations]
+        sections.append(table(("time to reach", "half, s", "99%, s", "all, s", "had it"), rows_))
+        labels = [part.removesuffix("_s") for part in PROPAGATION_KEYS]
+        sections.append(bars("Time to reach", "s", labels, [(check.name, check.times) for check in propagations]))
+    sections.append(f"<pre>{escape(json.dumps(result.get('figures'), indent=1))}</pre>")
+    return "\n".join(sections)
 
 
 def html(scenes: Iterable[Mapping[str, Any]]) -> str:
-    told = list(scenes)
+    results = list(scenes)
     costs = [
-        (one["scene"], tuple(one["figures"].get(kind) for kind in COSTS))
-        for one in told
-        if any(kind in (one.get("figures") or {}) for kind in COSTS)
+        (result["scene"], tuple(result["figures"].get(kind) for kind in COST_KEYS))
+        for result in results
+        if any(kind in (result.get("figures") or {}) for kind in COST_KEYS)
     ]
     body = ["<h1>Scenes at scale</h1>"]
     if costs:
-        labels = [kind.replace("_", " ") for kind in COSTS]
-        body.append(bars("Bytes of one proxy a second, by scene", "bytes/s", labels, costs))
-    body += map(_scene, told)
+        labels = [kind.replace("_", " ") for kind in COST_KEYS]
+        body.append(bars("Bytes per second of one proxy, by scene", "bytes/s", labels, costs))
+    body += map(_scene, results)
     return (
         '<!DOCTYPE html>\n<html lang="en"><head><meta charset="utf-8"><title>Scenes at scale</title>'
         f"<style>{STYLE}</style></head>\n<body>\n" + "\n".join(body) + "\n</body></html>\n"
