--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -1,4 +1,4 @@
-"""Stands a scale test up, strikes it, waits for what is observed at the proxies, and keeps its figures."""
+"""Starts the processes of a scale test, injects faults, waits for the proxies and collects the measurements."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 )
 from pepperusher.rehearsal.worker import Worker
 
-TICK = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
-STAND_WITHIN = 120.0
-ANSWER_WITHIN = 120.0
-LOOK_EVERY = 0.2
-SAMPLE_EVERY = 1.0
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
+START_TIMEOUT_S = 120.0
+ANSWER_TIMEOUT_S = 120.0
+POLL_INTERVAL_S = 0.2
+SAMPLE_INTERVAL_S = 1.0
 DISCOVERY_ZONE = 0
-PUBLISHED_AT_ONCE = 16
-# An order is a line, and a process reads lines of up to 64 kB.
-PLACES_AT_ONCE = 40
-# Who is listened to: discovery with its lists, control machines with lists and configuration, or both.
+PUBLISH_BATCH = 16
+# Limits the length of an order: it is one line, and a process reads lines of at most 64 kB.
+START_BATCH = 40
+# Source of the updates: discovery (endpoint lists), the control machines (lists and configuration), or both.
 DISCOVERY, CONTROL, BOTH = "discovery", "control", "both"
 
 OWN = """
@@ -61,12 +61,12 @@
 
 
 def endpoint_list_body(rows: list[dict[str, Any]]) -> bytes:
-    """A list as a resource."""
+    """The body of an endpoint list resource."""
     return json.dumps({"version": 0, "full": True, "servers": rows}).encode()
 
 
 class HollowRun:
-    """`progress` is told what happens, a line at a time."""
+    """The processes of one scale test. `progress` receives one line of text for each event."""
 
     def __init__(
         self,
@@ -82,30 +82,31 @@
         self.plan = plan
         self._seed = seed
         self._work = work
-        self._say = progress
-        self._own = own
-        # How many regions own a part of each list: with few control machines not all have one.
+        self._progress = progress
+        self._initial_configuration = own
+        # Number of regions whose control machine owns endpoint lists; with fewer control machines than regions,
+        # some regions have none.
         self.parts = min(REGIONS, controls)
         self.controls = Controls(controls, self.parts, max(plan.workers) + 1, work) if controls else None
-        self._turns: dict[int, asyncio.Lock] = {}  # by process
-        self._names_of_all = names  # in place of what the plan has each subscribe to
-        self._keep = work / "kept" if keeps else None
-        self.lacking: set[int] = set()  # numbers of those whose settings lack a use case
+        self._order_locks: dict[int, asyncio.Lock] = {}  # by process
+        self._subscription_override = names  # subscriptions of every proxy, instead of those of the plan
+        self._cache_directory = work / "kept" if keeps else None
+        self.lacking: set[int] = set()  # numbers of the proxies whose settings lack a use case
         self.discovery: Worker
         self.zones: list[Worker] = []
         self.workers: list[Worker] = []
         self._samples: list[tuple[float, dict[str, tuple[float, float]]]] = []
-        self._sampling: asyncio.Task[None] | None = None
-        self._names: dict[int, str] = {}  # of the processes that are sampled, by id
-        self._fronts: list[dict[str, Any]] = []
-        self._books = 0
-        self.stopped: set[int] = set()  # workers that stand still
-        self.gone: set[int] = set()  # and that were killed
+        self._sampling_task: asyncio.Task[None] | None = None
+        self._process_names: dict[int, str] = {}  # names of the sampled processes, by process id
+        self._relay_addresses: list[dict[str, Any]] = []
+        self._activation_files = 0
+        self.stopped: set[int] = set()  # numbers of the suspended workers
+        self.gone: set[int] = set()  # numbers of the killed workers
 
     # --- start and end ------------------------------------------------------------------------------
 
     async def stand(self) -> None:
-        """Every process up, no proxy begun."""
+        """Starts every process but no proxy."""
         spec = self._work / "spec.json"
         spec.write_text(
             json.dumps(
@@ -113,206 +114,211 @@
                     "services": self.plan.services,
                     "views": self.plan.views,
                     "settings": SETTINGS,
-                    "own": self._own,
+                    "own": self._initial_configuration,
                     "key": KEY,
                     "lacking": LACKING,
                 }
             )
         )
-        self.discovery = await self._start("hollow_discovery", "discovery 0", str(spec))
-        listening = (await self.discovery.said("listening", STAND_WITHIN))["listening"]
+        self.discovery = await self._start_process("hollow_discovery", "discovery 0", str(spec))
+        listening = (await self.discovery.said("listening", START_TIMEOUT_S))["listening"]
         count = max(self.plan.workers) + 1
         self.zones = [
-            await self._start("hollow_links", f"links {zone}", str(self._seed * 1000 + zone)) for zone in range(count)
+            await self._start_process("hollow_links", f"links {zone}", str(self._seed * 1000 + zone))
+            for zone in range(count)
         ]
         names = {f"view {view}": address for view, address in enumerate(listening)}
         for zone, worker in enumerate(self.zones):
-            await worker.said("standing", STAND_WITHIN)
+            await worker.said("standing", START_TIMEOUT_S)
             fronts = (await self._ask(worker, "open", names=list(names)))["fronts"]
             await self._ask(worker, "stands", at=names)
-            self._fronts.append(fronts)
+            self._relay_addresses.append(fronts)
         if self.controls is not None:
-            await self._stand_controls(self.controls)
+            await self._start_controls(self.controls)
         await self.shape()
         self.workers = [
-            await self._start("hollow", f"proxies {number}", str(number), str(spec))
+            await self._start_process("hollow", f"proxies {number}", str(number), str(spec))
             for number in range(len(self.plan.workers))
         ]
         for worker in self.workers:
-            await worker.said("standing", STAND_WITHIN)
-        self._sampling = asyncio.get_running_loop().create_task(self._sample())
+            await worker.said("standing", START_TIMEOUT_S)
+        self._sampling_task = asyncio.get_running_loop().create_task(self._sample_processes())
 
-    async def _stand_controls(self, controls: Controls) -> None:
-        """Each is told the others by its own zone's fronts; then every zone where they really listen."""
+    async def _start_controls(self, controls: Controls) -> None:
+        """Starts the control machines. Each reaches its peers by the relay addresses of its own zone; the relays then
+        learn the addresses on which the machines listen."""
         names = [f"control {number}" for number in range(controls.count)]
         for zone, worker in enumerate(self.zones):
-            self._fronts[zone].update((await self._ask(worker, "open", names=names))["fronts"])
+            self._relay_addresses[zone].update((await self._ask(worker, "open", names=names))["fronts"])
         for number in range(controls.count):
-            near = self._fronts[controls.zone(number)]
-            controls.write_file(number, [tuple(near[name]) for name in names if name != names[number]])
+            relays = self._relay_addresses[controls.zone(number)]
+            controls.write_file(number, [tuple(relays[name]) for name in names if name != names[number]])
             await self.start_control(number)
 
     async def start_control(self, number: int) -> None:
-        """Anew, or the first time."""
+        """Starts or restarts a control machine and directs the relays of every zone to it."""
         assert self.controls is not None
         worker = await self.controls.start(number)
-        self._names[worker.pid] = f"control {number}"
-        at = {f"control {number}": list(self.controls.addresses[number])}
-        await asyncio.gather(*(self._ask(zone, "stands", at=at) for zone in self.zones))
+        self._process_names[worker.pid] = f"control {number}"
+        addresses = {f"control {number}": list(self.controls.addresses[number])}
+        await asyncio.gather(*(self._ask(zone, "stands", at=addresses) for zone in self.zones))
 
     async def publish_all(self) -> None:
-        """What there is before any proxy is: configuration for all and for each team, and every list."""
+        """Publishes the initial resources: the common configuration, one for each team, and every endpoint list."""
         assert self.controls is not None
         controls = self.controls
         await controls.can_write()
-        rows = [("config", "common", (self._own or "").encode())]
+        rows = [("config", "common", (self._initial_configuration or "").encode())]
         rows += [("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))]
         rows += [
-            ("endpoints", name, endpoint_list_body(those)) for name, those in lists_of(self.plan, self.parts).items()
+            ("endpoints", name, endpoint_list_body(endpoints))
+            for name, endpoints in lists_of(self.plan, self.parts).items()
         ]
-        for start in range(0, len(rows), PUBLISHED_AT_ONCE):
-            await asyncio.gather(*(controls.publish(*one) for one in rows[start : start + PUBLISHED_AT_ONCE]))
-        self._say(f"{len(rows)} resources are written")
+        for start in range(0, len(rows), PUBLISH_BATCH):
+            await asyncio.gather(*(controls.publish(*resource) for resource in rows[start : start + PUBLISH_BATCH]))
+        self._progress(f"{len(rows)} resources are published")
 
-    async def _start(self, module: str, name: str, *arguments: str) -> Worker:
+    async def _start_process(self, module: str, name: str, *arguments: str) -> Worker:
         log = self._work / f"{name.replace(' ', '-')}.log"
         worker = await Worker.start(f"pepperusher.rehearsal.{module}", name, log, *arguments)
-        self._names[worker.pid] = name
+        self._process_names[worker.pid] = name
         return worker
 
     async def shape(self) -> None:
-        """Each zone's links to everything elsewhere as they are without trouble."""
+        """Sets the links of each zone to their normal delay."""
         for zone, worker in enumerate(self.zones):
-            there: dict[float, list[str]] = {}
-            for name in self._fronts[zone]:
-                there.setdefault(self._delay(zone, self._zone_of(name)), []).append(name)
-            for delay, names in there.items():
+            names_by_delay: dict[float, list[str]] = {}
+            for name in self._relay_addresses[zone]:
+                names_by_delay.setdefault(self._link_delay(zone, self._zone_of(name)), []).append(name)
+            for delay, names in names_by_delay.items():
                 await self._ask(worker, "shape", names=names, delay=delay / 1000)
 
-    def _zone_of(self, front: str) -> int:
-        kind, _, number = front.partition(" ")
+    def _zone_of(self, name: str) -> int:
+        kind, _, number = name.partition(" ")
         return DISCOVERY_ZONE if kind == "view" or self.controls is None else self.controls.zone(int(number))
 
     @staticmethod
-    def _delay(zone: int, other: int) -> float:
+    def _link_delay(zone: int, other: int) -> float:
         if zone == other:
             return WITHIN_ZONE
         return WITHIN_REGION if region_of(zone) == region_of(other) else BETWEEN
 
     async def end(self) -> None:
-        if self._sampling is not None:
-            self._sampling.cancel()
+        if self._sampling_task is not None:
+            self._sampling_task.cancel()
         for number in self.stopped:
             self.workers[number].signal(signal.SIGCONT)
         if self.controls is not None:
             await self.controls.end()
-        everyone = [*self.workers, *self.zones, *([self.discovery] if hasattr(self, "discovery") else [])]
-        await asyncio.gather(*(worker.end() for worker in everyone))
+        processes = [*self.workers, *self.zones, *([self.discovery] if hasattr(self, "discovery") else [])]
+        await asyncio.gather(*(worker.end() for worker in processes))
 
-    async def _ask(self, worker: Worker, what: str, **order: Any) -> dict[str, Any]:
-        """One question at a time to each process."""
-        async with self._turns.setdefault(worker.pid, asyncio.Lock()):
-            worker.tell(do=what, **order)
-            return await worker.said("did", ANSWER_WITHIN)
+    async def _ask(self, worker: Worker, action: str, **order: Any) -> dict[str, Any]:
+        """Sends an order and returns the answer; only one order at a time is open for each process."""
+        async with self._order_locks.setdefault(worker.pid, asyncio.Lock()):
+            worker.tell(do=action, **order)
+            return await worker.said("did", ANSWER_TIMEOUT_S)
 
-    async def ask_all(self, what: str, **order: Any) -> list[dict[str, Any]]:
-        """Every process of proxies that can answer."""
+    async def ask_all(self, action: str, **order: Any) -> list[dict[str, Any]]:
+        """Sends an order to every process of proxies that is neither suspended nor killed."""
         return list(
             await asyncio.gather(
                 *(
-                    self._ask(worker, what, **order)
+                    self._ask(worker, action, **order)
                     for number, worker in enumerate(self.workers)
                     if number not in self.stopped | self.gone
                 )
             )
         )
 
-    def _order(self, place: Place, lists: str) -> dict[str, Any]:
-        fronts = self._fronts[place.zone]
-        told = {
+    def _start_order(self, place: Place, lists: str) -> dict[str, Any]:
+        relays = self._relay_addresses[place.zone]
+        order = {
             "index": place.number,
             "name": place.name,
             "zone": f"z{place.zone}",
             "view": place.view,
             "region": f"r{place.region}",
-            "discovery": fronts[f"view {place.view}"],
+            "discovery": relays[f"view {place.view}"],
             "watch": lists != CONTROL,
             "lacks": place.number in self.lacking,
         }
         if self.controls is not None and lists != DISCOVERY:
-            told["upstreams"] = [
-                [*fronts[f"control {number}"], f"r{region_of(self.controls.zone(number))}"]
+            order["upstreams"] = [
+                [*relays[f"control {number}"], f"r{region_of(self.controls.zone(number))}"]
                 for number in range(self.controls.count)
             ]
-            # The client binds before it connects, and one address has 28,000 ports for all its connections,
-            # those just closed among them.
-            told["local"] = f"127.{10 + place.zone}.{place.worker}.1"
-            told["names"] = self._names_of_all or names_of(place, self.plan, self.parts)
-            told["keep"] = None if self._keep is None else str(self._keep)
-        return told
+            # The client binds before it connects. One local address has 28,000 ports for all connections,
+            # including recently closed ones, so each process gets its own.
+            order["local"] = f"127.{10 + place.zone}.{place.worker}.1"
+            order["names"] = self._subscription_override or names_of(place, self.plan, self.parts)
+            order["keep"] = None if self._cache_directory is None else str(self._cache_directory)
+        return order
 
     async def begin(self, places: Iterable[Place], lists: str = DISCOVERY, spread: float = 0.0) -> None:
-        """These proxies start; `spread` seconds between two of one process."""
-        if self._keep is not None:
-            self._keep.mkdir(exist_ok=True)
-        dealt: dict[int, list[dict[str, Any]]] = {}
+        """Starts these proxies, with `spread` seconds between two starts in one process."""
+        if self._cache_directory is not None:
+            self._cache_directory.mkdir(exist_ok=True)
+        orders_by_worker: dict[int, list[dict[str, Any]]] = {}
         for place in places:
-            dealt.setdefault(place.worker, []).append(self._order(place, lists))
+            orders_by_worker.setdefault(place.worker, []).append(self._start_order(place, lists))
 
-        async def start(number: int, those: list[dict[str, Any]]) -> None:
-            for first in range(0, len(those), PLACES_AT_ONCE):
-                part = those[first : first + PLACES_AT_ONCE]
-                await self._ask(self.workers[number], "start", places=part, spread=spread)
+        async def start(number: int, orders: list[dict[str, Any]]) -> None:
+            for first in range(0, len(orders), START_BATCH):
+                batch = orders[first : first + START_BATCH]
+                await self._ask(self.workers[number], "start", places=batch, spread=spread)
 
-        await asyncio.gather(*(start(number, those) for number, those in dealt.items()))
+        await asyncio.gather(*(start(number, orders) for number, orders in orders_by_worker.items()))
 
-    # --- what is observed ---------------------------------------------------------------------------
+    # --- observation ---------------------------------------------------------------------------
 
     async def versions(self) -> dict[int, int]:
-        told = await self._ask(self.discovery, "versions")
-        return {int(view): version for view, version in told["versions"].items()}
+        answer = await self._ask(self.discovery, "versions")
+        return {int(view): version for view, version in answer["versions"].items()}
 
     async def until_in_force(self, versions: dict[int, int], within: float, spare: int = 0) -> bool:
-        """Until all that run and can answer have these views' versions, but for `spare` of them; False where
-        they have not in time.
+        """Waits until all running proxies that can answer, except at most `spare` of them, have the versions of
+        their views in force. Returns False if that takes longer than `within` seconds.
         """
-        return await self._until({"versions": {str(view): one for view, one in versions.items()}}, within, spare)
+        return await self._wait_until_in_force(
+            {"versions": {str(view): version for view, version in versions.items()}}, within, spare
+        )
 
     async def until_resources(self, versions: dict[str, int], within: float, spare: int = 0) -> bool:
-        """The same for resources by kind/name."""
-        return await self._until({"resources": versions}, within, spare)
+        """Like `until_in_force`, for the versions of resources by kind/name."""
+        return await self._wait_until_in_force({"resources": versions}, within, spare)
 
-    async def _until(self, wanted: dict[str, Any], within: float, spare: int) -> bool:
-        until = time.monotonic() + within
+    async def _wait_until_in_force(self, wanted: dict[str, Any], within: float, spare: int) -> bool:
+        deadline = time.monotonic() + within
         while True:
-            told = await self.ask_all("behind", **wanted)
-            behind, of = sum(one["behind"] for one in told), sum(one["of"] for one in told)
+            answers = await self.ask_all("behind", **wanted)
+            behind, total = sum(answer["behind"] for answer in answers), sum(answer["of"] for answer in answers)
             if behind <= spare:
                 return True
-            if time.monotonic() >= until:
-                self._say(f"  {behind} of {of} have not what they ought to")
+            if time.monotonic() >= deadline:
+                self._progress(f"  {behind} of {total} proxies do not have the expected versions in force")
                 return False
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def traffic(self) -> dict[str, Any]:
-        """What control cost the proxies since this was last asked for."""
+        """The control-plane traffic of the proxies since the last call."""
         total: Counter[str] = Counter()
-        seconds: Counter[int] = Counter()
-        connects: Counter[int] = Counter()
-        worst = oldest = 0
-        for told in await self.ask_all("traffic"):
-            total.update(told["counts"])
-            worst, oldest = max(worst, told["worst_one"]), max(oldest, told["oldest_us"])
-            for second, size, many in told["seconds"]:
-                seconds[second] += size
-                connects[second] += many
+        bytes_by_second: Counter[int] = Counter()
+        connects_by_second: Counter[int] = Counter()
+        max_bytes = max_age_us = 0
+        for answer in await self.ask_all("traffic"):
+            total.update(answer["counts"])
+            max_bytes, max_age_us = max(max_bytes, answer["worst_one"]), max(max_age_us, answer["oldest_us"])
+            for second, size, count in answer["seconds"]:
+                bytes_by_second[second] += size
+                connects_by_second[second] += count
         return {
             **total,
-            "seconds": len(seconds),
-            "worst second bytes": max(seconds.values(), default=0),
-            "worst second connects": max(connects.values(), default=0),
-            "worst second of one bytes": worst,
-            "oldest_s": round(oldest / 1e6, 1),
+            "seconds": len(bytes_by_second),
+            "worst second bytes": max(bytes_by_second.values(), default=0),
+            "worst second connects": max(connects_by_second.values(), default=0),
+            "worst second of one bytes": max_bytes,
+            "oldest_s": round(max_age_us / 1e6, 1),
         }
 
     def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Propagation:
@@ -321,154 +327,162 @@
         )
 
     async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
-        """At discovery; when, and what version each view has of it."""
-        told = await self._ask(self.discovery, "change", rows=rows)
-        return told["at"], {int(view): version for view, version in told["versions"].items()}
-
-    async def books(self) -> list[Row]:
-        """Since they were last asked for, of all that can answer."""
-        self._books += 1
-        asked = [
+        """Changes backends at discovery. Returns the time of the change and the new version of each changed view."""
+        answer = await self._ask(self.discovery, "change", rows=rows)
+        return answer["at"], {int(view): version for view, version in answer["versions"].items()}
+
+    async def activations(self) -> list[Row]:
+        """When each version came into force at the proxies that can answer, since the last call."""
+        self._activation_files += 1
+        workers = [
             (number, worker) for number, worker in enumerate(self.workers) if number not in self.stopped | self.gone
         ]
-        told = await asyncio.gather(
+        answers = await asyncio.gather(
             *(
-                self._ask(worker, "books", path=str(self._work / f"books-{self._books}-{number}"))
-                for number, worker in asked
+                self._ask(worker, "books", path=str(self._work / f"books-{self._activation_files}-{number}"))
+                for number, worker in workers
             )
         )
         rows: list[Row] = []
-        for one in told:
-            path = Path(one["books"])
+        for answer in answers:
+            path = Path(answer["books"])
             rows += [
-                (index, view, [(what, version, at) for what, version, at in books])
-                for index, view, books in json.loads(path.read_text())
+                (index, view, [(resource, version, at) for resource, version, at in activations])
+                for index, view, activations in json.loads(path.read_text())
             ]
             path.unlink()
         return rows
 
     async def state(self) -> dict[str, int]:
-        made: Counter[str] = Counter()
-        for told in await self.ask_all("state"):
-            made.update(told["state"])
-            made["running"] += told["running"]
-            made["objects"] += told["objects"]
-        return dict(made)
+        total: Counter[str] = Counter()
+        for answer in await self.ask_all("state"):
+            total.update(answer["state"])
+            total["running"] += answer["running"]
+            total["objects"] += answer["objects"]
+        return dict(total)
 
     async def counts(self) -> dict[str, Any]:
-        """Of discovery, since they were last asked for: sums, and the worst second."""
-        told = await self._ask(self.discovery, "counts")
-        seconds = list(told["seconds"].values())
+        """The counters of discovery since the last call: sums and the highest values of one second."""
+        answer = await self._ask(self.discovery, "counts")
+        seconds = list(answer["seconds"].values())
         total: Counter[str] = Counter()
-        for view in told["views"]:
+        for view in answer["views"]:
             total.update({key: value for key, value in view.items() if key != "servers"})
         return {
             **total,
             "seconds": len(seconds),
             **{
-                f"worst second {key}": max((one.get(key, 0) for one in seconds), default=0)
+                f"worst second {key}": max((second.get(key, 0) for second in seconds), default=0)
                 for key in ("calls", "lines", "out")
             },
         }
 
     async def counts_by_view(self) -> list[dict[str, int]]:
-        told = await self._ask(self.discovery, "counts")
-        views: list[dict[str, int]] = told["views"]
+        answer = await self._ask(self.discovery, "counts")
+        views: list[dict[str, int]] = answer["views"]
         return views
 
     async def settled(self, view: int, watches: int, within: float, empty: int = 0) -> bool:
-        """Until so many watch this view, and had so many empty lines since they were last counted."""
-        until = time.monotonic() + within
-        while time.monotonic() < until:
-            told = await self._ask(self.discovery, "watches")
-            if told["watches"][view] == watches and told["empty"][view] >= empty:
+        """Waits until `watches` connections watch this view and `empty` keepalive lines were sent to it since the last
+        count. Returns False on time-out."""
+        deadline = time.monotonic() + within
+        while time.monotonic() < deadline:
+            answer = await self._ask(self.discovery, "watches")
+            if answer["watches"][view] == watches and answer["empty"][view] >= empty:
                 return True
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
     def front(self, zone: int, view: int) -> list[Any]:
-        """Where discovery is reached from there."""
-        address: list[Any] = self._fronts[zone][f"view {view}"]
+        """The relay address at which `zone` reaches discovery for this view."""
+        address: list[Any] = self._relay_addresses[zone][f"view {view}"]
         return address
 
     def machines(self, zone: int) -> list[str]:
-        """Where the control machines are."""
-        fronts = [
-            self._fronts[zone][f"control {number}"] for number in range(self.controls.count if self.controls else 0)
+        """The relay addresses at which `zone` reaches the control machines."""
+        relays = [
+            self._relay_addresses[zone][f"control {number}"]
+            for number in range(self.controls.count if self.controls else 0)
         ]
-        return [f"{host}:{port}" for host, port in fronts]
+        return [f"{host}:{port}" for host, port in relays]
 
     @staticmethod
     def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Propagation:
         return hollow_statistics.propagation_times(rows, "list", versions, at, meant)
 
-    # --- what is done to it -------------------------------------------------------------------------
+    # --- faults -------------------------------------------------------------------------
 
     async def away(self, on: bool) -> None:
-        """Discovery is gone for whoever watches it, or back."""
+        """Makes discovery unavailable to all watchers, or available again."""
         await self._ask(self.discovery, "absent", on=on)
 
     async def cut(self, regions: set[int], on: bool) -> None:
-        """These regions from all that control has outside of them, or healed."""
+        """Cuts these regions off from the control plane outside of them, or heals every cut."""
         for zone, worker in enumerate(self.zones):
             if on:
-                far = [
+                outside = [
                     name
-                    for name in self._fronts[zone]
+                    for name in self._relay_addresses[zone]
                     if (region_of(self._zone_of(name)) in regions) != (region_of(zone) in regions)
                 ]
-                await self._ask(worker, "cut", names=far)
+                await self._ask(worker, "cut", names=outside)
             else:
                 await self._ask(worker, "heal")
         if not on:
             await self.shape()
 
     async def cut_control(self, number: int, way: str) -> None:
-        """One control machine from every zone: what they say ("out") or what they hear ("in") is lost."""
+        """Cuts one control machine off from every zone in one direction: `way` is "out" for the traffic from the zones
+        to the machine, "in" for the opposite direction."""
         await asyncio.gather(*(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zones))
 
     async def heal(self) -> None:
-        """Every cut, and the links as they are without trouble."""
+        """Heals every cut and restores the normal delays."""
         await asyncio.gather(*(self._ask(zone, "heal") for zone in self.zones))
         await self.shape()
 
     async def slow(self, numbers: Iterable[int], part: float, seconds: float) -> None:
-        """Processes of proxies have their loop for a part of the time."""
-        await asyncio.gather(*(self._ask(self.workers[one], "slow", part=part, seconds=seconds) for one in numbers))
+        """Leaves these processes of proxies their event loop for only `part` of the time, for `seconds`."""
+        await asyncio.gather(
+            *(self._ask(self.workers[number], "slow", part=part, seconds=seconds) for number in numbers)
+        )
 
     def freeze(self, numbers: Iterable[int], on: bool) -> None:
-        """Processes of proxies stand still, or go on."""
+        """Suspends or resumes processes of proxies."""
         for number in numbers:
             self.workers[number].signal(signal.SIGSTOP if on else signal.SIGCONT)
             (self.stopped.add if on else self.stopped.discard)(number)
 
     # --- processor and memory -----------------------------------------------------------------------
 
-    async def _sample(self) -> None:
+    async def _sample_processes(self) -> None:
         while True:
-            now: dict[str, tuple[float, float]] = {}
-            for pid, name in self._names.items():
+            usage: dict[str, tuple[float, float]] = {}
+            for pid, name in self._process_names.items():
                 try:
-                    stat = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-                    pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
+                    stat_fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+                    resident_pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
                 except (OSError, IndexError, ValueError):
                     continue
-                now[name] = (int(stat[11]) + int(stat[12])) / TICK, pages * PAGE / 2**20
-            self._samples.append((time.monotonic(), now))
-            await asyncio.sleep(SAMPLE_EVERY)
+                usage[name] = (
+                    (int(stat_fields[11]) + int(stat_fields[12])) / CLOCK_TICKS_PER_S,
+                    resident_pages * PAGE_SIZE_BYTES / 2**20,
+                )
+            self._samples.append((time.monotonic(), usage))
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    def use(self) -> dict[str, dict[str, Any]]:
-        """By role, since it was last asked for."""
+    def usage(self) -> dict[str, dict[str, Any]]:
+        """Processor and memory use by role since the last call."""
         samples, self._samples = self._samples, self._samples[-1:]
-        return {role: use.row() for role, use in hollow_statistics.resource_usage(samples).items()}
+        return {role: usage.row() for role, usage in hollow_statistics.resource_usage(samples).items()}
 
     def memory(self) -> float:
-        """MB of all processes together, what they share counted once for each part of it."""
-        total = 0
-        for pid in self._names:
+        """Memory of all processes in MB, as the sum of their proportional set sizes (PSS): shared pages count once."""
+        pss_kb = 0
+        for pid in self._process_names:
             try:
                 text = Path(f"/proc/{pid}/smaps_rollup").read_text()
             except OSError:
                 continue
-            total += next((int(line.split()[1]) for line in text.splitlines() if line.startswith("Pss:")), 0)
-        return round(total / 1024, 1)
+            pss_kb += next((int(line.split()[1]) for line in text.splitlines() if line.startswith("Pss:")), 0)
+        return round(pss_kb / 1024, 1)
--- a/pepperusher/rehearsal/hollow_scenarios.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenes of a scale test: what is done to machines, links and proxies, and what must hold after."""
+"""The scenarios of a scale test: faults of machines, links and proxies, and the checks that follow."""
 
 from __future__ import annotations
 
@@ -17,37 +17,39 @@
 from pepperusher.rehearsal.hollow_run import CONTROL, DISCOVERY, OWN, HollowRun, endpoint_list_body
 from pepperusher.rehearsal.wire import clock
 
-# In force everywhere that can be reached within this, and so long after a healing.
-IN_FORCE_WITHIN = 12.0
-# Then a scene goes on without.
-PATIENCE = 40.0
-START_WITHIN = 120.0
-# Of a proxy for control: bytes a second in the mean, and a part of a core.
-BYTES_A_SECOND = 21_000
-CORES = 0.014
-# Of an ordinary day.
-CHANGES_A_DAY, RESTARTS_A_DAY = 2400, 1500
-# Every so many lack a use case that a refused change names.
-LACKS_EVERY = 5
-REFUSED = '\n[[routes]]\nname = "book"\nuse_case = "book"\nmatch = {path = "/book/{any*}"}\n'
-# A slow one has its loop for a fifth of the time.
-SLOW_PART, SLOW_FOR = 0.2, 10.0
-SMALL, SMALL_ZONES = 300, 5
-LOOK_EVERY = 0.1
+# A change has to be in force at every reachable proxy within this time after it or after the end of a fault.
+IN_FORCE_LIMIT_S = 12.0
+# After this time a scenario stops waiting and continues; its checks then fail.
+WAIT_TIMEOUT_S = 40.0
+START_TIMEOUT_S = 120.0
+# Limits of the control-plane cost of one proxy: mean bytes per second, and share of a core.
+MAX_BYTES_PER_SECOND = 21_000
+MAX_CORES = 0.014
+# Configuration changes and proxy restarts of an ordinary day.
+CHANGES_PER_DAY, RESTARTS_PER_DAY = 2400, 1500
+# One proxy in this many lacks the use case that the refused change names.
+LACKING_INTERVAL = 5
+REFUSED_ROUTE = '\n[[routes]]\nname = "book"\nuse_case = "book"\nmatch = {path = "/book/{any*}"}\n'
+# The event loop of a slow process runs for a fifth of the time.
+SLOW_LOOP_SHARE, SLOW_DURATION_S = 0.2, 10.0
+SMALL_SIZE, SMALL_ZONES = 300, 5
+POLL_INTERVAL_S = 0.1
 
 
 class ScenarioEnvironment:
-    """One stand of everything, for scenes in turn. `quick` shortens spans and eases no check."""
+    """The processes and the state that successive scenarios share. `quick` shortens time spans but keeps every
+    check as strict.
+    """
 
     def __init__(
         self, size: int, controls: int, seed: int, quick: bool, work: Path, say: Callable[[str], None]
     ) -> None:
         workers = 2 if size > 1000 else 1
-        # A small stand has fewer zones, each two processes, but every region.
-        zones = ZONES if size > SMALL or controls > SMALL_ZONES else SMALL_ZONES
+        # A small test has fewer zones, since each needs two processes, but it has every region.
+        zones = ZONES if size > SMALL_SIZE or controls > SMALL_ZONES else SMALL_ZONES
         self.size, self.seed, self.quick, self.say = size, seed, quick, say
-        self.play = HollowRun(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
-        self.play.lacking = {place.number for place in self.play.plan.places if place.number % LACKS_EVERY == 0}
+        self.run = HollowRun(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
+        self.run.lacking = {place.number for place in self.run.plan.places if place.number % LACKING_INTERVAL == 0}
         self.chance = Random(seed)
         self.text = OWN
         self._number = 0
@@ -56,79 +58,81 @@
 
     @property
     def controls(self) -> Controls:
-        assert self.play.controls is not None
-        return self.play.controls
+        assert self.run.controls is not None
+        return self.run.controls
 
-    def check(self, what: str, holds: bool, detail: Any) -> None:
-        self.checks.append({"what": what, "holds": holds, "seen": detail})
+    def check(self, description: str, holds: bool, detail: Any) -> None:
+        self.checks.append({"what": description, "holds": holds, "seen": detail})
         if not holds:
-            self.say(f"  DOES NOT HOLD: {what}: {detail}")
+            self.say(f"  DOES NOT HOLD: {description}: {detail}")
 
-    def everyone(self, without: set[int] | None = None) -> set[int]:
-        return {place.number for place in self.play.plan.places} - (without or set())
+    def proxy_numbers(self, excluded: set[int] | None = None) -> set[int]:
+        return {place.number for place in self.run.plan.places} - (excluded or set())
 
-    async def publish(self, name: str = "common", more: str = "") -> tuple[str, int, int]:
-        """A change of configuration: its resource, its version, and when it was handed in."""
+    async def publish(self, name: str = "common", extra_text: str = "") -> tuple[str, int, int]:
+        """Publishes a change of configuration. Returns its resource, its version and the time just before."""
         self._number += 1
-        # Each leaves another file behind, of the same length.
+        # Each change makes a different file of the same length.
         text = (
             self.text if name == "common" else ""
         ) + f'\n[[backends]]\nid = "c{self._number:06}-{name}"\nweight = 0.5\n'
-        at = clock()
-        version = await self.controls.publish("config", name, (text + more).encode())
-        return f"config/{name}", version, at
+        published_at = clock()
+        version = await self.controls.publish("config", name, (text + extra_text).encode())
+        return f"config/{name}", version, published_at
 
-    def subscribers(self, what: str) -> set[int]:
-        kind, _, name = what.partition("/")
+    def subscribers(self, resource: str) -> set[int]:
+        kind, _, name = resource.partition("/")
         return {
             place.number
-            for place in self.play.plan.places
-            if [kind, name] in names_of(place, self.play.plan, self.play.parts)
+            for place in self.run.plan.places
+            if [kind, name] in names_of(place, self.run.plan, self.run.parts)
         }
 
-    async def taken(
+    async def check_change(
         self,
         change: tuple[str, int, int],
         label: str,
-        meant: set[int] | None = None,
+        expected: set[int] | None = None,
         rows: list[Row] | None = None,
-        within: float = IN_FORCE_WITHIN,
+        limit: float = IN_FORCE_LIMIT_S,
     ) -> dict[str, Any]:
-        """Waits for it, unless the books are given, and checks that all that are meant had it in time."""
-        what, version, at = change
+        """Checks that the change was in force in time at the expected proxies. Without `rows` it first waits for the
+        change and collects the activation records.
+        """
+        resource, version, published_at = change
         if rows is None:
-            await self.play.until_resources({what: version}, PATIENCE)
-            rows = await self.play.books()
-        meant = self.subscribers(what) if meant is None else meant & self.subscribers(what)
-        told = self.play.reached_resource(rows, what, version, at, meant)
+            await self.run.until_resources({resource: version}, WAIT_TIMEOUT_S)
+            rows = await self.run.activations()
+        expected = self.subscribers(resource) if expected is None else expected & self.subscribers(resource)
+        propagation = self.run.reached_resource(rows, resource, version, published_at, expected)
         self.check(
-            f"{label}: in force at all {told.of} within {within:g} s",
-            told.all is not None and told.all <= within,
-            told.row(),
+            f"{label}: in force at all {propagation.of} within {limit:g} s",
+            propagation.all is not None and propagation.all <= limit,
+            propagation.row(),
         )
         self.check(
-            f"{label}: nothing older after something newer",
+            f"{label}: no older version in force after a newer one",
             hollow_statistics.count_version_regressions(rows) == 0,
             len(rows),
         )
-        return told.row()
-
-    async def rested(self) -> dict[str, int]:
-        """The state once nothing is under way any more."""
-        until = time.monotonic() + PATIENCE
-        state = await self.play.state()
-        while time.monotonic() < until:
-            last, state = state, await self.play.state()
-            if state["tasks"] == last["tasks"] <= 2 * len(self.play.workers):
+        return propagation.row()
+
+    async def wait_until_idle(self) -> dict[str, int]:
+        """Waits until the number of tasks is stable and low, and returns the state of the proxies."""
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
+        state = await self.run.state()
+        while time.monotonic() < deadline:
+            previous, state = state, await self.run.state()
+            if state["tasks"] == previous["tasks"] <= 2 * len(self.run.workers):
                 break
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return state
 
     async def costs(self) -> dict[str, Any]:
-        """Since this was last asked for."""
-        traffic, use = await self.play.traffic(), self.play.use()
+        """Traffic, processor and memory use since the last call, mostly for each proxy."""
+        traffic, usage = await self.run.traffic(), self.run.usage()
         seconds = max(1, traffic["seconds"])
-        proxies = use.get("proxies", {})
+        proxies = usage.get("proxies", {})
         return {
             "proxy_bytes_a_second": round(
                 (traffic.get("bytes in", 0) + traffic.get("bytes out", 0)) / seconds / self.size, 1
@@ -138,9 +142,11 @@
             "proxy_cores": round(proxies.get("cores_mean", 0.0) / self.size, 6),
             "proxy_cores_worst_second": round(proxies.get("cores_worst_s", 0.0) / self.size, 6),
             "proxy_memory_mb": round(proxies.get("memory_mb", 0.0) / self.size, 3),
-            "control_cores_each": round(use.get("control", {}).get("cores_mean", 0.0) / max(1, self.controls.count), 4),
-            "control_cores_worst_second_all": use.get("control", {}).get("cores_worst_s"),
-            "control_memory_mb_all": use.get("control", {}).get("memory_mb"),
+            "control_cores_each": round(
+                usage.get("control", {}).get("cores_mean", 0.0) / max(1, self.controls.count), 4
+            ),
+            "control_cores_worst_second_all": usage.get("control", {}).get("cores_worst_s"),
+            "control_memory_mb_all": usage.get("control", {}).get("memory_mb"),
             "connects": traffic.get("connects", 0),
             "connects_worst_second": traffic["worst second connects"],
             "snapshots": traffic.get("snapshots", 0),
@@ -149,419 +155,481 @@
             "messages_in": traffic.get("messages in", 0),
             "messages_out": traffic.get("messages out", 0),
             "seconds": seconds,
-            "memory_mb_all": self.play.memory(),
+            "memory_mb_all": self.run.memory(),
         }
 
     async def begin(self) -> None:
-        """Every proxy started at once, which is a scene by itself."""
+        """Starts every proxy at once, which is a scenario by itself."""
         self.checks, self.figures = [], {}
-        await self.play.stand()
-        await self.play.publish_all()
-        await self.controls.settled(PATIENCE)
-        self.play.use()
-        at = clock()
+        await self.run.stand()
+        await self.run.publish_all()
+        await self.controls.wait_until_settled(WAIT_TIMEOUT_S)
+        self.run.usage()
+        started_at = clock()
         self.say(f"{self.size} proxies start at once")
-        await self.play.begin(self.play.plan.places, CONTROL)
-        had = await self.play.until_resources(dict(self.controls.versions), START_WITHIN)
-        rows = await self.play.books()
+        await self.run.begin(self.run.plan.places, CONTROL)
+        complete = await self.run.until_resources(dict(self.controls.versions), START_TIMEOUT_S)
+        rows = await self.run.activations()
         self.figures = {
-            "common": self.play.reached_resource(
-                rows, "config/common", self.controls.versions["config/common"], at, self.everyone()
+            "common": self.run.reached_resource(
+                rows, "config/common", self.controls.versions["config/common"], started_at, self.proxy_numbers()
             ).row(),
             **await self.costs(),
         }
-        self.check("start: everyone has all it uses", had, self.figures["common"])
+        self.check("start: every proxy has all resources it subscribes to", complete, self.figures["common"])
         self.check(
-            "start: two connections a proxy and few over",
+            "start: at most three connections per proxy",
             self.figures["connects"] <= 3 * self.size,
             self.figures["connects"],
         )
 
 
-# --- the scenes --------------------------------------------------------------------------------------
+# --- the scenarios --------------------------------------------------------------------------------------
 
 
-async def change(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """One change of configuration reaches all."""
-    made = await ground.publish()
-    told = await ground.taken(made, "one change")
-    costs = await ground.costs()
-    ground.check(
-        "one change: each was sent it once",
-        costs["deltas"] + costs["snapshots"] == ground.size,
+async def change(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """One configuration change reaches every proxy."""
+    published = await environment.publish()
+    propagation = await environment.check_change(published, "one change")
+    costs = await environment.costs()
+    environment.check(
+        "one change: sent once to each proxy",
+        costs["deltas"] + costs["snapshots"] == environment.size,
         [costs["deltas"], costs["snapshots"]],
     )
-    return {"change": told, **costs}
+    return {"change": propagation, **costs}
 
 
-async def day(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """An ordinary day's changes and restarts, pressed."""
+async def day(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """The changes and restarts of an ordinary day at 72 times their usual rate."""
     factor = 72.0
-    span = 10.0 if ground.quick else 60.0
-    before = await ground.rested()
+    span = 10.0 if environment.quick else 60.0
+    before = await environment.wait_until_idle()
     changes: list[tuple[str, int, int]] = []
     restarted: set[int] = set()
     restarts = 0
     began = time.monotonic()
     done = 0
-    while (passed := time.monotonic() - began) < span:
-        for _ in range(int(passed * factor * CHANGES_A_DAY / 86400) - len(changes)):
-            # One in twenty is for all, the others for a team.
-            name = "common" if ground.chance.random() < 0.05 else f"t{ground.chance.randrange(min(TEAMS, ground.size))}"
-            changes.append(await ground.publish(name))
-        for _ in range(int(passed * factor * RESTARTS_A_DAY / 86400) - restarts):
-            those = [ground.chance.randrange(ground.size)]
-            await ground.play.ask_all("kill", indices=those)
-            await ground.play.ask_all("again", indices=those)
-            restarted.update(those)
+    while (elapsed := time.monotonic() - began) < span:
+        for _ in range(int(elapsed * factor * CHANGES_PER_DAY / 86400) - len(changes)):
+            # One change in twenty is for every proxy, the others are for one team.
+            name = (
+                "common"
+                if environment.chance.random() < 0.05
+                else f"t{environment.chance.randrange(min(TEAMS, environment.size))}"
+            )
+            changes.append(await environment.publish(name))
+        for _ in range(int(elapsed * factor * RESTARTS_PER_DAY / 86400) - restarts):
+            indices = [environment.chance.randrange(environment.size)]
+            await environment.run.ask_all("kill", indices=indices)
+            await environment.run.ask_all("again", indices=indices)
+            restarted.update(indices)
             restarts += 1
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(POLL_INTERVAL_S)
         done += 1
-    last = {what: version for what, version, _ in changes}
-    had = await ground.play.until_resources(last, PATIENCE)
-    ground.check("day: everyone has the last of each", had, len(last))
-    rows = await ground.play.books()
-    slowest = []
-    for one in changes:
-        slowest.append(
-            ground.play.reached_resource(rows, one[0], one[1], one[2], ground.subscribers(one[0]) - restarted)
+    last_versions = {resource: version for resource, version, _ in changes}
+    complete = await environment.run.until_resources(last_versions, WAIT_TIMEOUT_S)
+    environment.check("day: every proxy has the last version of each resource", complete, len(last_versions))
+    rows = await environment.run.activations()
+    propagations = []
+    for published in changes:
+        propagations.append(
+            environment.run.reached_resource(
+                rows, published[0], published[1], published[2], environment.subscribers(published[0]) - restarted
+            )
         )
-    late = [told.row() for told in slowest if told.all is None or told.all > IN_FORCE_WITHIN]
-    ground.check(
-        f"day: each of {len(changes)} changes in force at all that ran on within {IN_FORCE_WITHIN:g} s",
+    late = [
+        propagation.row()
+        for propagation in propagations
+        if propagation.all is None or propagation.all > IN_FORCE_LIMIT_S
+    ]
+    environment.check(
+        f"day: each of {len(changes)} changes in force within {IN_FORCE_LIMIT_S:g} s at all proxies that did not restart",
         not late,
         late[:3],
     )
-    costs = await ground.costs()
-    ground.check(
-        "day: bytes of a proxy a second",
-        costs["proxy_bytes_a_second"] <= BYTES_A_SECOND,
+    costs = await environment.costs()
+    environment.check(
+        "day: bytes per second of a proxy",
+        costs["proxy_bytes_a_second"] <= MAX_BYTES_PER_SECOND,
         costs["proxy_bytes_a_second"],
     )
-    ground.check("day: processor of a proxy", costs["proxy_cores"] <= CORES, costs["proxy_cores"])
-    after = await ground.rested()
+    environment.check("day: processor use of a proxy", costs["proxy_cores"] <= MAX_CORES, costs["proxy_cores"])
+    after = await environment.wait_until_idle()
     for kind in ("running", "told", "backends", "versions", "subscribed", "tasks"):
-        ground.check(f"day: {kind} does not grow", after[kind] <= before[kind] * 1.01 + 2, [before[kind], after[kind]])
-    ends = [told.all for told in slowest if told.all is not None]
-    mosts = [told.most for told in slowest if told.most is not None]
+        environment.check(
+            f"day: {kind} does not grow", after[kind] <= before[kind] * 1.01 + 2, [before[kind], after[kind]]
+        )
+    times_to_all = [propagation.all for propagation in propagations if propagation.all is not None]
+    times_to_99 = [propagation.most for propagation in propagations if propagation.most is not None]
     return {
         "factor": factor,
         "changes": len(changes),
         "restarts": restarts,
-        "slowest_all_s": max(ends, default=None),
-        "slowest_99%_s": max(mosts, default=None),
+        "slowest_all_s": max(times_to_all, default=None),
+        "slowest_99%_s": max(times_to_99, default=None),
         "state_before": before,
         "state_after": after,
         **costs,
     }
 
 
-async def control_lost(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A control machine is killed, a change goes out, it is back; then all are restarted at once."""
-    made: dict[str, Any] = {}
-    victim = ground.controls.count - 1
-    await ground.controls.kill(victim)
-    made["change_after_a_kill"] = await ground.taken(await ground.publish(), "a control machine killed")
-    await ground.play.start_control(victim)
-    # What follows is of machines that have the change. One that dies again before it had it is another case: it has
-    # no base for what its proxies hold (`Plays.test_all_killed_as_one_of_them_is_behind`).
-    kept = await ground.controls.kept("config/common", IN_FORCE_WITHIN)
-    ground.check(f"a control machine back: on every disk within {IN_FORCE_WITHIN:g} s", kept, kept)
-    made["one_lost"] = await ground.costs()
-    ground.say("all control machines are killed and started")
-    await asyncio.gather(*(ground.controls.kill(number) for number in range(ground.controls.count)))
-    running = (await ground.play.state())["running"]
-    ground.check("all control machines away: all proxies go on", running == ground.size, running)
+async def control_lost(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """A control machine is killed, a change is published and the machine restarts; then all machines are killed and
+    restarted at once.
+    """
+    figures: dict[str, Any] = {}
+    victim = environment.controls.count - 1
+    await environment.controls.kill(victim)
+    figures["change_after_a_kill"] = await environment.check_change(
+        await environment.publish(), "a control machine killed"
+    )
+    await environment.run.start_control(victim)
+    # The next step requires that every machine has the change on disk. A machine that is killed again before that
+    # has no base version for the resources of its proxies; `Plays.test_all_killed_as_one_of_them_is_behind` covers
+    # that case.
+    kept = await environment.controls.wait_until_on_disk("config/common", IN_FORCE_LIMIT_S)
+    environment.check(f"control machine restarted: change on every disk within {IN_FORCE_LIMIT_S:g} s", kept, kept)
+    figures["one_lost"] = await environment.costs()
+    environment.say("all control machines are killed and started")
+    await asyncio.gather(*(environment.controls.kill(number) for number in range(environment.controls.count)))
+    running = (await environment.run.state())["running"]
+    environment.check("all control machines down: all proxies keep running", running == environment.size, running)
     began = clock()
-    await asyncio.gather(*(ground.play.start_control(number) for number in range(ground.controls.count)))
-    await ground.controls.can_write()
-    made["writes_again_s"] = round((clock() - began) / 1e6, 2)
-    change_ = await ground.publish()
-    await ground.play.until_resources({change_[0]: change_[1]}, PATIENCE)
-    rows = await ground.play.books()
-    made["from_the_start_to_in_force"] = await ground.taken(
-        (change_[0], change_[1], began), "all control machines restarted", None, rows, 2 * IN_FORCE_WITHIN
+    await asyncio.gather(*(environment.run.start_control(number) for number in range(environment.controls.count)))
+    await environment.controls.can_write()
+    figures["writes_again_s"] = round((clock() - began) / 1e6, 2)
+    published = await environment.publish()
+    await environment.run.until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
+    rows = await environment.run.activations()
+    figures["from_the_start_to_in_force"] = await environment.check_change(
+        (published[0], published[1], began), "all control machines restarted", None, rows, 2 * IN_FORCE_LIMIT_S
     )
-    made["all_restarted"] = await ground.costs()
-    storm = made["all_restarted"]
-    ground.check(
+    figures["all_restarted"] = await environment.costs()
+    costs = figures["all_restarted"]
+    environment.check(
         "all restarted: resumed without snapshots",
-        storm["snapshots"] <= 0.02 * 7 * ground.size,
-        storm["snapshots"],
+        costs["snapshots"] <= 0.02 * 7 * environment.size,
+        costs["snapshots"],
+    )
+    environment.check(
+        "all restarted: number of connects", costs["connects"] <= 12 * environment.size, costs["connects"]
     )
-    ground.check("all restarted: calls of the storm", storm["connects"] <= 12 * ground.size, storm["connects"])
-    return made
+    return figures
 
 
-async def region(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A region without a way out for a while, a change on both sides, healed."""
-    return await _apart(ground, 8.0 if ground.quick else 60.0, 1)
+async def region(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """A network partition cuts off a region for a while, with one change on each side, and then heals."""
+    return await _run_partition(environment, 8.0 if environment.quick else 60.0, 1)
 
 
-async def apart(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """The same for five minutes, with changes on both sides all the while."""
-    return await _apart(ground, 30.0 if ground.quick else 300.0, 3 if ground.quick else 15)
+async def apart(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """Like `region`, but the partition lasts five minutes, with changes on both sides throughout."""
+    return await _run_partition(environment, 30.0 if environment.quick else 300.0, 3 if environment.quick else 15)
 
 
-async def _apart(ground: ScenarioEnvironment, span: float, rounds: int) -> dict[str, Any]:
-    cut = ground.play.parts - 1
-    inside = {place.number for place in ground.play.plan.places if place.region == cut}
-    owned = next(service for service in range(len(ground.play.plan.services)) if service % ground.play.parts == cut)
-    name = list_of(owned, ground.play.parts)
-    rows_ = list(ground.play.plan.services[owned])
-    await ground.play.cut({cut}, True)
+async def _run_partition(environment: ScenarioEnvironment, span: float, rounds: int) -> dict[str, Any]:
+    cut_region = environment.run.parts - 1
+    inside = {place.number for place in environment.run.plan.places if place.region == cut_region}
+    owned = next(
+        service
+        for service in range(len(environment.run.plan.services))
+        if service % environment.run.parts == cut_region
+    )
+    name = list_of(owned, environment.run.parts)
+    endpoints = list(environment.run.plan.services[owned])
+    await environment.run.cut({cut_region}, True)
     began = time.monotonic()
-    both: list[tuple[Propagation, Propagation]] = []
-    leaked = 0
+    propagations: list[tuple[Propagation, Propagation]] = []
+    leak_count = 0
     for number in range(rounds):
-        outer = await ground.publish()
-        rows_ = [row(owned, 7000 + number, cut), *rows_]
+        outside_change = await environment.publish()
+        endpoints = [row(owned, 7000 + number, cut_region), *endpoints]
         at = clock()
-        inner = f"endpoints/{name}", await ground.controls.publish("endpoints", name, endpoint_list_body(rows_)), at
-        until = time.monotonic() + PATIENCE
+        inside_change = (
+            f"endpoints/{name}",
+            await environment.controls.publish("endpoints", name, endpoint_list_body(endpoints)),
+            at,
+        )
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         rows: list[Row] = []
         while True:
-            rows = joined(rows, await ground.play.books())
-            outside_has = ground.play.reached_resource(rows, *outer, ground.everyone(inside))
-            inside_has = ground.play.reached_resource(rows, *inner, ground.subscribers(inner[0]) & inside)
-            over = time.monotonic() - began >= span * (number + 1) / rounds
-            had = outside_has.all is not None and inside_has.all is not None
-            if over and (had or time.monotonic() >= until):
+            rows = merge_records(rows, await environment.run.activations())
+            outside_has = environment.run.reached_resource(rows, *outside_change, environment.proxy_numbers(inside))
+            inside_has = environment.run.reached_resource(
+                rows, *inside_change, environment.subscribers(inside_change[0]) & inside
+            )
+            span_elapsed = time.monotonic() - began >= span * (number + 1) / rounds
+            complete = outside_has.all is not None and inside_has.all is not None
+            if span_elapsed and (complete or time.monotonic() >= deadline):
                 break
-            await asyncio.sleep(LOOK_EVERY * 5)
-        both.append((outside_has, inside_has))
-        leaked += ground.play.reached_resource(rows, *outer, inside).had
-    slowest = [max(those, key=lambda one: PATIENCE if one.all is None else one.all) for those in zip(*both)]
-    for label, told in zip(("outside has configuration", "inside has its own list"), slowest):
-        ground.check(
-            f"region cut off: {label} within {IN_FORCE_WITHIN:g} s",
-            told.all is not None and told.all <= IN_FORCE_WITHIN,
-            told.row(),
+            await asyncio.sleep(POLL_INTERVAL_S * 5)
+        propagations.append((outside_has, inside_has))
+        leak_count += environment.run.reached_resource(rows, *outside_change, inside).had
+    slowest = [
+        max(results, key=lambda result: WAIT_TIMEOUT_S if result.all is None else result.all)
+        for results in zip(*propagations)
+    ]
+    for label, propagation in zip(("outside has configuration", "inside has its own list"), slowest):
+        environment.check(
+            f"region cut off: {label} within {IN_FORCE_LIMIT_S:g} s",
+            propagation.all is not None and propagation.all <= IN_FORCE_LIMIT_S,
+            propagation.row(),
         )
-    ground.check("region cut off: the change did not pass the cut", leaked == 0, leaked)
-    during = await ground.costs()
-    healed = clock()
-    await ground.play.cut({cut}, False)
-    had = await ground.play.until_resources({outer[0]: outer[1], inner[0]: inner[1]}, PATIENCE)
-    ground.check("region healed: all have both", had, None)
-    rows = await ground.play.books()
-    made: dict[str, Any] = {
+    environment.check("region cut off: the change did not reach the region", leak_count == 0, leak_count)
+    during = await environment.costs()
+    healed_at = clock()
+    await environment.run.cut({cut_region}, False)
+    complete = await environment.run.until_resources(
+        {outside_change[0]: outside_change[1], inside_change[0]: inside_change[1]}, WAIT_TIMEOUT_S
+    )
+    environment.check("region healed: all have both", complete, None)
+    rows = await environment.run.activations()
+    figures: dict[str, Any] = {
         "cut_s": round(time.monotonic() - began, 1),
         "changes_on_each_side": rounds,
         "outside": slowest[0].row(),
         "inside": slowest[1].row(),
         "during": during,
     }
-    for label, change_, meant in (
-        ("configuration inside", outer, inside),
-        ("list outside", inner, ground.subscribers(inner[0]) - inside),
+    for label, published, expected in (
+        ("configuration inside", outside_change, inside),
+        ("list outside", inside_change, environment.subscribers(inside_change[0]) - inside),
     ):
-        told = ground.play.reached_resource(rows, change_[0], change_[1], healed, meant)
-        ground.check(
-            f"region healed: {label} within {IN_FORCE_WITHIN:g} s of the healing",
-            told.all is not None and told.all <= IN_FORCE_WITHIN,
-            told.row(),
+        propagation = environment.run.reached_resource(rows, published[0], published[1], healed_at, expected)
+        environment.check(
+            f"region healed: {label} within {IN_FORCE_LIMIT_S:g} s of the healing",
+            propagation.all is not None and propagation.all <= IN_FORCE_LIMIT_S,
+            propagation.row(),
         )
-        made[f"healed, {label}"] = told.row()
-    made["healing"] = await ground.costs()
-    return made
+        figures[f"healed, {label}"] = propagation.row()
+    figures["healing"] = await environment.costs()
+    return figures
 
 
-def joined(rows: list[Row], more: list[Row]) -> list[Row]:
-    """Books that follow one another, as one."""
-    known = {index: (index, view, list(books)) for index, view, books in rows}
-    for index, view, books in more:
-        known.setdefault(index, (index, view, []))[2].extend(books)
-    return list(known.values())
+def merge_records(rows: list[Row], later: list[Row]) -> list[Row]:
+    """Appends later activation records to earlier ones, by proxy."""
+    by_index = {index: (index, view, list(records)) for index, view, records in rows}
+    for index, view, records in later:
+        by_index.setdefault(index, (index, view, []))[2].extend(records)
+    return list(by_index.values())
 
 
-async def release(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """The largest service is replaced whole, a part of it at a time, through its list."""
-    service, name = 0, list_of(0, ground.play.parts)
-    rows_ = {one["id"]: one for one in ground.play.plan.services[service]}
-    old = list(rows_)
-    step = max(1, len(old) // (6 if ground.quick else 24))
+async def release(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """Every backend of the largest service is replaced in steps through its endpoint list."""
+    service, name = 0, list_of(0, environment.run.parts)
+    endpoints = {endpoint["id"]: endpoint for endpoint in environment.run.plan.services[service]}
+    old = list(endpoints)
+    step = max(1, len(old) // (6 if environment.quick else 24))
     changes: list[tuple[str, int, int]] = []
     began = time.monotonic()
     for start in range(0, len(old), step):
         for number, id in enumerate(old[start : start + step], start):
-            gone = rows_.pop(id)
-            fresh = row(service, number, int(gone["zone"][1:]), "ready", 1)
-            rows_[fresh["id"]] = fresh
+            removed = endpoints.pop(id)
+            replacement = row(service, number, int(removed["zone"][1:]), "ready", 1)
+            endpoints[replacement["id"]] = replacement
         at = clock()
-        version = await ground.controls.publish("endpoints", name, endpoint_list_body(list(rows_.values())))
+        version = await environment.controls.publish("endpoints", name, endpoint_list_body(list(endpoints.values())))
         changes.append((f"endpoints/{name}", version, at))
-        await asyncio.sleep(LOOK_EVERY * 5)
-    told = await ground.taken(changes[-1], "release: the last step")
-    costs = await ground.costs()
-    ground.check(
-        "release: bytes of a proxy a second",
-        costs["proxy_bytes_a_second"] <= BYTES_A_SECOND,
+        await asyncio.sleep(POLL_INTERVAL_S * 5)
+    propagation = await environment.check_change(changes[-1], "release: the last step")
+    costs = await environment.costs()
+    environment.check(
+        "release: bytes per second of a proxy",
+        costs["proxy_bytes_a_second"] <= MAX_BYTES_PER_SECOND,
         costs["proxy_bytes_a_second"],
     )
     return {
         "replaced": len(old),
         "steps": len(changes),
         "seconds": round(time.monotonic() - began, 1),
-        "subscribers": len(ground.subscribers(f"endpoints/{name}")),
-        "last_step": told,
+        "subscribers": len(environment.subscribers(f"endpoints/{name}")),
+        "last_step": propagation,
         **costs,
     }
 
 
-async def slow(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A control machine stands still and goes on; then a tenth of the proxies does, and a tenth is slow."""
-    made: dict[str, Any] = {}
-    span = 8.0 if ground.quick else 30.0
-    victim = ground.controls.count - 1
-    ground.controls.freeze(victim, True)
+async def slow(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """A control machine is suspended and resumed; then a tenth of the proxies is suspended and resumed."""
+    figures: dict[str, Any] = {}
+    span = 8.0 if environment.quick else 30.0
+    victim = environment.controls.count - 1
+    environment.controls.freeze(victim, True)
     began = time.monotonic()
-    made["control_stopped"] = await ground.taken(await ground.publish(), "a control machine stands still")
+    figures["control_stopped"] = await environment.check_change(
+        await environment.publish(), "control machine suspended"
+    )
     await asyncio.sleep(max(0.0, span - (time.monotonic() - began)))
-    ground.controls.freeze(victim, False)
-    made["control_goes_on"] = await ground.taken(await ground.publish(), "the control machine goes on")
-    workers = len(ground.play.workers)
-    frozen = set(range(0, workers, 10))
-    away = {place.number for place in ground.play.plan.places if place.worker in frozen}
-    ground.play.freeze(frozen, True)
-    change_ = await ground.publish()
-    made["a_tenth_frozen"] = await ground.taken(change_, "a tenth frozen: the others", ground.everyone(away))
-    ground.play.freeze(frozen, False)
-    went_on = clock()
-    await ground.play.until_resources({change_[0]: change_[1]}, PATIENCE)
-    made["thawed"] = await ground.taken(
-        (change_[0], change_[1], went_on),
-        "those that were frozen, once they go on",
-        away,
-        await ground.play.books(),
+    environment.controls.freeze(victim, False)
+    figures["control_goes_on"] = await environment.check_change(await environment.publish(), "control machine resumed")
+    workers = len(environment.run.workers)
+    frozen_workers = set(range(0, workers, 10))
+    suspended = {place.number for place in environment.run.plan.places if place.worker in frozen_workers}
+    environment.run.freeze(frozen_workers, True)
+    published = await environment.publish()
+    figures["a_tenth_frozen"] = await environment.check_change(
+        published, "a tenth suspended: the other proxies", environment.proxy_numbers(suspended)
     )
-    made["frozen"] = len(away)
-    made.update(await ground.costs())
-    return made
-
-
-async def troubled(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A control machine that hears nobody and is heard; one whose disk is full; a tenth of the proxies slow."""
-    made: dict[str, Any] = {}
-    victim = ground.controls.count - 1
-    await ground.play.cut_control(victim, "out")
-    made["hears_nobody"] = await ground.taken(await ground.publish(), "a control machine hears nobody")
-    await ground.play.heal()
-    ground.controls.full_disk(victim, True)
-    made["disk_full"] = await ground.taken(await ground.publish(), "a control machine's disk is full")
-    ground.controls.full_disk(victim, False)
-    slow_ones = range(0, len(ground.play.workers), 10)
-    await ground.play.slow(slow_ones, SLOW_PART, SLOW_FOR)
-    made["a_tenth_slow"] = await ground.taken(await ground.publish(), "a tenth slow: all, those too")
-    made.update(await ground.costs())
-    return made
-
-
-async def origin(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """The origin's disk is full and free again; then it is killed and comes back with one from before a change."""
-    made: dict[str, Any] = {}
-    controls = ground.controls
-    controls.full_disk(ORIGIN, True)
-    why = ""
+    environment.run.freeze(frozen_workers, False)
+    resumed_at = clock()
+    await environment.run.until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
+    figures["thawed"] = await environment.check_change(
+        (published[0], published[1], resumed_at),
+        "suspended proxies after they resume",
+        suspended,
+        await environment.run.activations(),
+    )
+    figures["frozen"] = len(suspended)
+    figures.update(await environment.costs())
+    return figures
+
+
+async def troubled(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """A control machine receives no traffic but can send; its disk is full; then a tenth of the proxies is slow."""
+    figures: dict[str, Any] = {}
+    victim = environment.controls.count - 1
+    await environment.run.cut_control(victim, "out")
+    figures["hears_nobody"] = await environment.check_change(
+        await environment.publish(), "control machine receives no traffic"
+    )
+    await environment.run.heal()
+    environment.controls.limit_disk(victim, True)
+    figures["disk_full"] = await environment.check_change(
+        await environment.publish(), "a control machine's disk is full"
+    )
+    environment.controls.limit_disk(victim, False)
+    slow_workers = range(0, len(environment.run.workers), 10)
+    await environment.run.slow(slow_workers, SLOW_LOOP_SHARE, SLOW_DURATION_S)
+    figures["a_tenth_slow"] = await environment.check_change(await environment.publish(), "a tenth slow: all proxies")
+    figures.update(await environment.costs())
+    return figures
+
+
+async def origin(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """The disk of the origin is full and then free again; then the origin is killed and restarts from a copy of its
+    disk that lacks the last change.
+    """
+    figures: dict[str, Any] = {}
+    controls = environment.controls
+    controls.limit_disk(ORIGIN, True)
+    reason = ""
     try:
-        await ground.publish()
+        await environment.publish()
     except operator_client.NoAnswerError as error:
-        why = str(error)
-    controls.full_disk(ORIGIN, False)
-    ground.check("the origin's disk is full: a change is refused, with why", "can't be written" in why, why)
-    made["disk_free"] = await ground.taken(await ground.publish(), "the origin's disk is free again")
-    controls.keep_disk(ORIGIN)
-    last = await ground.publish()
-    made["change_after_the_copy"] = await ground.taken(last, "a change that the copy of its disk lacks")
+        reason = str(error)
+    controls.limit_disk(ORIGIN, False)
+    environment.check(
+        "the origin's disk is full: a change is refused with the reason", "can't be written" in reason, reason
+    )
+    figures["disk_free"] = await environment.check_change(
+        await environment.publish(), "the origin's disk is free again"
+    )
+    controls.copy_disk(ORIGIN)
+    last_change = await environment.publish()
+    figures["change_after_the_copy"] = await environment.check_change(
+        last_change, "change that the copy of the origin's disk lacks"
+    )
     await controls.kill(ORIGIN)
-    controls.old_disk(ORIGIN)
+    controls.restore_disk(ORIGIN)
     began = clock()
-    await ground.play.start_control(ORIGIN)
-    change_ = await _written(ground)
-    made["writes_again_s"] = round((clock() - began) / 1e6, 2)
-    ground.check("an old disk: no version is given twice", change_[1] > last[1], [last[1], change_[1]])
-    made["old_disk"] = await ground.taken(change_, "the origin is back with an old disk")
-    made.update(await ground.costs())
-    return made
-
-
-async def _written(ground: ScenarioEnvironment) -> tuple[str, int, int]:
-    """A change, once the origin has compared with the others and fetched what it lacks. Raises operate.NoAnswer."""
-    until = time.monotonic() + PATIENCE
+    await environment.run.start_control(ORIGIN)
+    published = await _publish_when_writable(environment)
+    figures["writes_again_s"] = round((clock() - began) / 1e6, 2)
+    environment.check(
+        "old disk: no version number is reused", published[1] > last_change[1], [last_change[1], published[1]]
+    )
+    figures["old_disk"] = await environment.check_change(published, "origin restarted with an old disk")
+    figures.update(await environment.costs())
+    return figures
+
+
+async def _publish_when_writable(environment: ScenarioEnvironment) -> tuple[str, int, int]:
+    """Publishes a change, retrying until the origin has compared its state with the other machines and fetched the
+    missing versions. Raises operator_client.NoAnswerError.
+    """
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
     while True:
         try:
-            return await ground.publish()
+            return await environment.publish()
         except operator_client.NoAnswerError as error:
-            if time.monotonic() >= until or not any(one in str(error) for one in ("begins to write", "fetched")):
+            if time.monotonic() >= deadline or not any(text in str(error) for text in ("begins to write", "fetched")):
                 raise
-        await asyncio.sleep(LOOK_EVERY)
-
-
-async def refused(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A change that a fifth of the proxies refuse stops, and the next one goes on from what stands."""
-    what, version, at = await ground.publish(more=REFUSED)
-    until = time.monotonic() + PATIENCE
-    rollout = await ground.controls.rollout("config", "common")
-    while not rollout.halted and time.monotonic() < until:
-        await asyncio.sleep(LOOK_EVERY)
-        rollout = await ground.controls.rollout("config", "common")
-    stopped_after = round((clock() - at) / 1e6, 2)
-    # It is halted everywhere once every control machine says so.
-    while time.monotonic() < until and not all(one.get("halted") == 1 for one in await ground.controls.figures()):
-        await asyncio.sleep(LOOK_EVERY)
-    rows = await ground.play.books()
-    told = ground.play.reached_resource(rows, what, version, at, ground.everyone())
-    ground.check("refused by a fifth: it stops", bool(rollout.halted), rollout.halted)
-    ground.check("refused by a fifth: less than half have it", told.had < ground.size / 2, told.had)
-    ground.check(
-        "refused by a fifth: whoever refused is named, with why",
-        bool(rollout.refused) and all("book" in why for why in rollout.refused.values()),
+        await asyncio.sleep(POLL_INTERVAL_S)
+
+
+async def refused(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """The rollout of a change that a fifth of the proxies refuse halts; the next change succeeds."""
+    resource, version, at = await environment.publish(extra_text=REFUSED_ROUTE)
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    rollout = await environment.controls.rollout("config", "common")
+    while not rollout.halted and time.monotonic() < deadline:
+        await asyncio.sleep(POLL_INTERVAL_S)
+        rollout = await environment.controls.rollout("config", "common")
+    halted_after_s = round((clock() - at) / 1e6, 2)
+    # The rollout has halted everywhere once every control machine reports it.
+    while time.monotonic() < deadline and not all(
+        counters.get("halted") == 1 for counters in await environment.controls.counters()
+    ):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    rows = await environment.run.activations()
+    propagation = environment.run.reached_resource(rows, resource, version, at, environment.proxy_numbers())
+    environment.check("refused by a fifth: the rollout halts", bool(rollout.halted), rollout.halted)
+    environment.check(
+        "refused by a fifth: less than half have it", propagation.had < environment.size / 2, propagation.had
+    )
+    environment.check(
+        "refused by a fifth: each refusing proxy is listed with its reason",
+        bool(rollout.refused) and all("book" in reason for reason in rollout.refused.values()),
         dict(list(rollout.refused.items())[:2]),
     )
-    lacking = {f"p{number}" for number in ground.play.lacking}
-    ground.check("refused by a fifth: nobody else refused", set(rollout.refused) <= lacking, len(rollout.refused))
-    after = await ground.taken(await ground.publish(), "the change after a refused one")
+    lacking = {f"p{number}" for number in environment.run.lacking}
+    environment.check(
+        "refused by a fifth: no other proxy refused", set(rollout.refused) <= lacking, len(rollout.refused)
+    )
+    after = await environment.check_change(await environment.publish(), "change after a refused change")
     return {
-        "stopped_after_s": stopped_after,
-        "had_it": told.had,
+        "stopped_after_s": halted_after_s,
+        "had_it": propagation.had,
         "refused_it": len(rollout.refused),
         "after": after,
-        **await ground.costs(),
+        **await environment.costs(),
     }
 
 
-async def zone(ground: ScenarioEnvironment) -> dict[str, Any]:
-    """A rack, then a zone with its control machine and its proxies, lost and back."""
-    made: dict[str, Any] = {}
-    places = ground.play.plan.places
+async def zone(environment: ScenarioEnvironment) -> dict[str, Any]:
+    """A rack is lost and restored, then a zone with its proxies and its control machine."""
+    figures: dict[str, Any] = {}
+    places = environment.run.plan.places
     lost_zone = 1
-    rack = [place.number for place in places if place.zone == 2][: max(2, ground.size // 125)]
-    whole = [place.number for place in places if place.zone == lost_zone]
-    for label, gone, control in (("rack", rack, None), ("zone", whole, lost_zone)):
-        ground.say(f"a {label} is lost: {len(gone)} proxies")
-        await ground.play.ask_all("kill", indices=gone)
-        if control is not None and control < ground.controls.count and control != ORIGIN:
-            await ground.controls.kill(control)
-        others = ground.everyone(set(gone))
-        made[f"{label}_lost"] = await ground.taken(await ground.publish(), f"{label} lost: the others", others)
-        back = clock()
-        if control is not None and control < ground.controls.count and control != ORIGIN:
-            await ground.play.start_control(control)
-        await ground.play.ask_all("again", indices=gone)
-        last = {"config/common": ground.controls.versions["config/common"]}
-        await ground.play.until_resources(last, PATIENCE)
-        made[f"{label}_back"] = await ground.taken(
-            ("config/common", last["config/common"], back),
-            f"{label} back",
-            set(gone),
-            await ground.play.books(),
+    rack = [place.number for place in places if place.zone == 2][: max(2, environment.size // 125)]
+    zone_places = [place.number for place in places if place.zone == lost_zone]
+    for label, lost, control in (("rack", rack, None), ("zone", zone_places, lost_zone)):
+        environment.say(f"a {label} is lost: {len(lost)} proxies")
+        await environment.run.ask_all("kill", indices=lost)
+        if control is not None and control < environment.controls.count and control != ORIGIN:
+            await environment.controls.kill(control)
+        remaining = environment.proxy_numbers(set(lost))
+        figures[f"{label}_lost"] = await environment.check_change(
+            await environment.publish(), f"{label} lost: the other proxies", remaining
         )
-        made[f"{label}_costs"] = await ground.costs()
-    return made
+        restarted_at = clock()
+        if control is not None and control < environment.controls.count and control != ORIGIN:
+            await environment.run.start_control(control)
+        await environment.run.ask_all("again", indices=lost)
+        last_version = {"config/common": environment.controls.versions["config/common"]}
+        await environment.run.until_resources(last_version, WAIT_TIMEOUT_S)
+        figures[f"{label}_back"] = await environment.check_change(
+            ("config/common", last_version["config/common"], restarted_at),
+            f"{label} restored",
+            set(lost),
+            await environment.run.activations(),
+        )
+        figures[f"{label}_costs"] = await environment.costs()
+    return figures
 
 
-Scene = Callable[[ScenarioEnvironment], Awaitable[dict[str, Any]]]
-SCENES: dict[str, Scene] = {
+Scenario = Callable[[ScenarioEnvironment], Awaitable[dict[str, Any]]]
+SCENES: dict[str, Scenario] = {
     "change": change,
     "day": day,
     "control-lost": control_lost,
@@ -576,13 +644,13 @@
 }
 
 
-def _verdict(name: str, ground: ScenarioEnvironment, figures: dict[str, Any], seconds: float) -> dict[str, Any]:
-    holds = all(one["holds"] for one in ground.checks)
+def _result(name: str, environment: ScenarioEnvironment, figures: dict[str, Any], seconds: float) -> dict[str, Any]:
+    passed = all(check["holds"] for check in environment.checks)
     return {
         "scene": name,
-        "verdict": "passed" if holds else "failed",
+        "verdict": "passed" if passed else "failed",
         "seconds": round(seconds, 1),
-        "checks": ground.checks,
+        "checks": environment.checks,
         "figures": figures,
     }
 
@@ -597,25 +665,27 @@
     say: Callable[[str], None],
     each: Callable[[dict[str, Any]], None] = lambda told: None,
 ) -> list[dict[str, Any]]:
-    """The start of all, and then these scenes in turn on the same stand; `each` has every one as it ends."""
-    made: list[dict[str, Any]] = []
-    ground = ScenarioEnvironment(size, controls, seed, quick, work, say)
+    """Starts every proxy, then runs these scenarios one after another on the same processes. `each` receives every
+    result as soon as its scenario ends.
+    """
+    results: list[dict[str, Any]] = []
+    environment = ScenarioEnvironment(size, controls, seed, quick, work, say)
     try:
         began = time.monotonic()
-        await ground.begin()
-        made.append(_verdict("start", ground, ground.figures, time.monotonic() - began))
-        each(made[-1])
+        await environment.begin()
+        results.append(_result("start", environment, environment.figures, time.monotonic() - began))
+        each(results[-1])
         for name in names:
             say(f"scene {name}")
-            ground.checks = []
+            environment.checks = []
             began = time.monotonic()
-            await ground.costs()
-            figures = await SCENES[name](ground)
-            made.append(_verdict(name, ground, figures, time.monotonic() - began))
-            each(made[-1])
+            await environment.costs()
+            figures = await SCENES[name](environment)
+            results.append(_result(name, environment, figures, time.monotonic() - began))
+            each(results[-1])
     finally:
-        await ground.play.end()
-    return made
+        await environment.run.end()
+    return results
 
 
 async def before(
@@ -623,73 +693,74 @@
     seed: int,
     work: Path,
     say: Callable[[str], None],
-    each: Callable[[dict[str, Any]], None] = lambda told: None,
+    each: Callable[[dict[str, Any]], None] = lambda propagation: None,
 ) -> list[dict[str, Any]]:
-    """One discovery that all proxies watch, and nothing else: the start of all, one change, and the largest
-    service replaced. Without checks: these are the figures that control machines are held against.
+    """Measures the design without control machines: every proxy watches one discovery process. The steps are the
+    start of all proxies, one change, and the replacement of the largest service. They have no limits to check:
+    their figures are the baseline for the control machines.
     """
     workers = 2 if size > 1000 else 1
-    play = HollowRun(plan(size, seed, workers), seed, work, say)
-    made: list[dict[str, Any]] = []
+    run = HollowRun(plan(size, seed, workers), seed, work, say)
+    results: list[dict[str, Any]] = []
 
     async def costs(seconds: float) -> dict[str, Any]:
-        use, counts = play.use(), await play.counts()
+        usage, counts = run.usage(), await run.counts()
         return {
             "discovery": counts,
-            "discovery_cores": use.get("discovery"),
-            "proxies": use.get("proxies"),
+            "discovery_cores": usage.get("discovery"),
+            "proxies": usage.get("proxies"),
             "proxy_bytes_a_second": round(counts.get("bytes out", 0) / size / max(0.1, seconds), 1),
-            "memory_mb_all": play.memory(),
+            "memory_mb_all": run.memory(),
         }
 
-    def told_of(one: dict[str, Any]) -> None:
-        made.append(one)
-        each(one)
+    def add_result(result: dict[str, Any]) -> None:
+        results.append(result)
+        each(result)
 
     try:
-        await play.stand()
-        play.use()
+        await run.stand()
+        run.usage()
         at, began = clock(), time.monotonic()
-        await play.begin(play.plan.places, DISCOVERY)
-        versions = await play.versions()
-        had = await play.until_in_force(versions, START_WITHIN)
-        told = play.reached(await play.books(), versions, at)
-        told_of(
+        await run.begin(run.plan.places, DISCOVERY)
+        versions = await run.versions()
+        complete = await run.until_in_force(versions, START_TIMEOUT_S)
+        propagation = run.reached(await run.activations(), versions, at)
+        add_result(
             {
                 "scene": "before: start",
-                "verdict": "passed" if had else "failed",
-                "in_force": told.row(),
+                "verdict": "passed" if complete else "failed",
+                "in_force": propagation.row(),
                 **await costs(time.monotonic() - began),
             }
         )
         began = time.monotonic()
-        at, versions = await play.change([{**play.plan.services[0][1], "state": "draining"}])
-        had = await play.until_in_force(versions, PATIENCE)
-        told = play.reached(await play.books(), versions, at)
-        told_of(
+        at, versions = await run.change([{**run.plan.services[0][1], "state": "draining"}])
+        complete = await run.until_in_force(versions, WAIT_TIMEOUT_S)
+        propagation = run.reached(await run.activations(), versions, at)
+        add_result(
             {
                 "scene": "before: one change",
-                "verdict": "passed" if had else "failed",
-                "in_force": told.row(),
+                "verdict": "passed" if complete else "failed",
+                "in_force": propagation.row(),
                 **await costs(time.monotonic() - began),
             }
         )
         began = time.monotonic()
-        views = [number for number, services in enumerate(play.plan.views) if 0 in services]
-        for number, one in enumerate(play.plan.services[0]):
-            fresh = row(0, number, int(one["zone"][1:]), "ready", 1)
-            at, versions = await play.change([{**one, "state": "gone"}, {**fresh, "new_in": views}])
-        had = await play.until_in_force(versions, PATIENCE)
-        told = play.reached(await play.books(), versions, at)
-        told_of(
+        views = [number for number, services in enumerate(run.plan.views) if 0 in services]
+        for number, endpoint in enumerate(run.plan.services[0]):
+            replacement = row(0, number, int(endpoint["zone"][1:]), "ready", 1)
+            at, versions = await run.change([{**endpoint, "state": "gone"}, {**replacement, "new_in": views}])
+        complete = await run.until_in_force(versions, WAIT_TIMEOUT_S)
+        propagation = run.reached(await run.activations(), versions, at)
+        add_result(
             {
                 "scene": "before: release",
-                "verdict": "passed" if had else "failed",
-                "in_force": told.row(),
-                "replaced": len(play.plan.services[0]),
+                "verdict": "passed" if complete else "failed",
+                "in_force": propagation.row(),
+                "replaced": len(run.plan.services[0]),
                 **await costs(time.monotonic() - began),
             }
         )
     finally:
-        await play.end()
-    return made
+        await run.end()
+    return results
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -1,5 +1,4 @@
-"""What the books of a scale test tell: until when a change was in force at so many, and what each second
-cost."""
+"""Statistics of a scale test: propagation times of changes, and processor and memory use."""
 
 from __future__ import annotations
 
@@ -7,12 +6,15 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, NamedTuple
 
-Row = tuple[int, int, list[tuple[str, int, int]]]  # index, view, what it had in force when
+Row = tuple[
+    int, int, list[tuple[str, int, int]]
+]  # index, view, [(resource, version, time in us at which it came into force)]
 
 
 class Propagation(NamedTuple):
-    """Seconds after the change until it was in force at half, at 99 of 100 and at all that are meant; None
-    where it never was at so many. `of` are those meant, `had` those that have it."""
+    """Seconds from a change until it was in force at 50%, 99% and all of the expected proxies, or None if that many
+    never had it. `of` is the number of expected proxies, `had` the number of those that have the change.
+    """
 
     half: float | None
     most: float | None
@@ -25,43 +27,52 @@
 
 
 def propagation_times(
-    rows: Iterable[Row], what: str, versions: Mapping[int, int], at: int, meant: set[int] | None = None
+    rows: Iterable[Row], resource: str, versions: Mapping[int, int], at: int, expected: set[int] | None = None
 ) -> Propagation:
-    """`versions` is what each view has to have at least; `at` the time of the change on the machine's clock
-    (us). One that has it several times counts from the first after `at`."""
+    """Propagation times of a change made at `at` (us on the monotonic clock). A proxy has the change from its first
+    record after `at` with at least the version that `versions` gives for its view. `meant` limits the proxies.
+    """
     times: list[float] = []
-    of = 0
-    for index, view, books in rows:
+    expected_count = 0
+    for index, view, records in rows:
         wanted = versions.get(view)
-        if wanted is None or meant is not None and index not in meant:
+        if wanted is None or expected is not None and index not in expected:
             continue
-        of += 1
-        first = next((when for key, version, when in books if key == what and version >= wanted and when >= at), None)
-        if first is not None:
-            times.append((first - at) / 1e6)
+        expected_count += 1
+        activated_at = next(
+            (
+                activated_at_us
+                for record_resource, version, activated_at_us in records
+                if record_resource == resource and version >= wanted and activated_at_us >= at
+            ),
+            None,
+        )
+        if activated_at is not None:
+            times.append((activated_at - at) / 1e6)
     times.sort()
 
-    def part(share: float) -> float | None:
-        place = max(0, -(-of * round(share * 100) // 100) - 1)
-        return round(times[place], 3) if place < len(times) else None
+    def percentile(share: float) -> float | None:
+        position = max(0, -(-expected_count * round(share * 100) // 100) - 1)
+        return round(times[position], 3) if position < len(times) else None
 
-    return Propagation(part(0.5), part(0.99), part(1.0), len(times), of)
+    return Propagation(percentile(0.5), percentile(0.99), percentile(1.0), len(times), expected_count)
 
 
 def count_version_regressions(rows: Iterable[Row]) -> int:
-    """How often one had something older in force after something newer: none, while it runs on."""
+    """Counts records of a proxy with an older version of a resource in force after a newer one. Without a restart of
+    the proxy there are none.
+    """
     count = 0
-    for _, _, books in rows:
+    for _, _, records in rows:
         latest: dict[str, int] = defaultdict(int)
-        for what, version, _ in books:
-            count += version < latest[what]
-            latest[what] = version
+        for resource, version, _ in records:
+            count += version < latest[resource]
+            latest[resource] = version
     return count
 
 
 class ResourceUsage(NamedTuple):
-    """Of one role over a span: cores in the mean and in the worst second, of so many processes; memory in
-    MB."""
+    """Use by all processes of one role over a time span: mean cores, cores in the worst second, and memory in MB."""
 
     mean: float
     worst: float
@@ -78,27 +89,31 @@
 
 
 def resource_usage(samples: Sequence[tuple[float, Mapping[str, tuple[float, float]]]]) -> dict[str, ResourceUsage]:
-    """By role, from samples (time, {process: (processor seconds, memory MB)}), roles being processes' names
-    without their numbers. Between two samples only processes in both count."""
+    """Computes the use by role from samples (time, {process name: (processor seconds, memory in MB)}). A role is the
+    process name without its number. Only processes in both of two successive samples count for that interval.
+    """
     rates: dict[str, list[float]] = defaultdict(list)
     memory: dict[str, float] = defaultdict(float)
-    named: dict[str, set[str]] = defaultdict(set)
-    for (before_at, before), (at, now) in zip(samples, samples[1:]):
-        sums: dict[str, float] = defaultdict(float)
-        held: dict[str, float] = defaultdict(float)
-        for name, (processor, megabytes) in now.items():
+    process_names: dict[str, set[str]] = defaultdict(set)
+    for (previous_at, previous), (sampled_at, current) in zip(samples, samples[1:]):
+        processor_sums: dict[str, float] = defaultdict(float)
+        memory_sums: dict[str, float] = defaultdict(float)
+        for name, (processor, megabytes) in current.items():
             role = name.rpartition(" ")[0]
-            named[role].add(name)
-            held[role] += megabytes
-            if name in before:
-                sums[role] += max(0.0, processor - before[name][0])
-        for role, spent in sums.items():
-            rates[role].append(spent / (at - before_at))
-        for role, megabytes in held.items():
+            process_names[role].add(name)
+            memory_sums[role] += megabytes
+            if name in previous:
+                processor_sums[role] += max(0.0, processor - previous[name][0])
+        for role, processor_seconds in processor_sums.items():
+            rates[role].append(processor_seconds / (sampled_at - previous_at))
+        for role, megabytes in memory_sums.items():
             memory[role] = max(memory[role], megabytes)
     return {
         role: ResourceUsage(
-            round(sum(all_) / len(all_), 4), round(max(all_), 4), len(named[role]), round(memory[role], 1)
+            round(sum(role_rates) / len(role_rates), 4),
+            round(max(role_rates), 4),
+            len(process_names[role]),
+            round(memory[role], 1),
         )
-        for role, all_ in rates.items()
+        for role, role_rates in rates.items()
     }
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -10,7 +10,7 @@
 from pepperusher.rehearsal import hollow_statistics, hollow_fidelity, hollow_group_fidelity, hollow_report
 from pepperusher.rehearsal.hollow_statistics import Propagation, Row
 from pepperusher.rehearsal.hollow_fidelity import FidelityComparison
-from pepperusher.rehearsal.hollow_plan import CALLS, VIEWS, ZONES, plan, sizes
+from pepperusher.rehearsal.hollow_plan import SERVICES_PER_VIEW, VIEWS, ZONES, plan, sizes
 
 SECOND = 1_000_000
 WITHIN = 60.0
@@ -149,7 +149,7 @@
         self.assertEqual(made, plan(500, 3, 2))
         self.assertNotEqual(made.views, plan(500, 4, 2).views)
         self.assertEqual(len(made.views), VIEWS)
-        self.assertTrue(all(len(set(view)) == CALLS for view in made.views))
+        self.assertTrue(all(len(set(view)) == SERVICES_PER_VIEW for view in made.views))
         self.assertEqual({one.zone for one in made.places}, set(range(ZONES)))
         self.assertEqual(sum(map(len, made.services)), 500)
         self.assertTrue(all(made.workers[one.worker] == one.zone for one in made.places))
