--- a/pepperusher/rehearsal/group_model.py
+++ b/pepperusher/rehearsal/group_model.py
@@ -1,8 +1,7 @@
-"""A group in virtual time: the very members of `group/swim.py` with a network of ours between them, all from
-one seed.
+"""Simulates a group in virtual time: the real members of `group/swim.py` on a simulated network, reproducible by seed.
 
-For what takes hundreds of members or thousands of histories. What several processes do to each other on a
-machine is played by `grounds.py` with whole ones; figures from here are called simulated.
+It serves tests with hundreds of members or thousands of histories. Effects between real processes on a machine are
+tested with complete proxies instead; figures from this model are called simulated.
 """
 
 from __future__ import annotations
@@ -22,7 +21,7 @@
 
 
 class LinkProperties(NamedTuple):
-    """What befalls a datagram between two: a share that is lost or comes twice, and its time under way."""
+    """Properties of a link: the share of datagrams that are lost or duplicated, and the delay and jitter in us."""
 
     lost: float = 0.0
     twice: float = 0.0
@@ -31,7 +30,7 @@
 
 
 class ObservedChange(NamedTuple):
-    """A line of the book: when, who says, what of whom."""
+    """A change that the member `by` observed, with the time."""
 
     at: int
     by: str
@@ -44,19 +43,21 @@
     def __init__(self, swim: Swim) -> None:
         self.swim = swim
         self.up = True
-        self.stopped_until: int | None = None  # stands still: what comes waits, as in a socket's buffer
-        self.waiting: list[bytes] = []  # at most BUFFERED; emptied when it goes on
-        self.duty = 1.0  # the part of its time in which it has its processor
-        self.turn_of = 0  # where its turns begin, if it has only a part
+        self.stopped_until: int | None = None  # suspended until then; datagrams wait as in a socket buffer
+        self.waiting: list[bytes] = []  # unread datagrams, at most BUFFERED
+        self.duty = 1.0  # the share of time in which the process gets the processor
+        self.turn_of = 0  # offset of its time slices if the share is less than 1
         self.sent = self.sent_bytes = 0
 
 
 BUFFERED = 400
-# A process that has a part of its processor has it in turns this long.
-TURN = 100_000
+# Period in us of the time slices of a process with a share of the processor.
+TIME_SLICE_PERIOD = 100_000
 
 
 class Model:
+    """A simulated group with its members, its links and a virtual clock in us."""
+
     def __init__(
         self, seed: int, period: int = 200_000, within: int = 60_000, manner: LinkProperties = LinkProperties()
     ) -> None:
@@ -67,13 +68,13 @@
         self.ones: dict[str, ModelMember] = {}
         self.book: list[ObservedChange] = []
         self.wire = Wire("the model's")
-        # Whether nothing passes from one to the other.
+        # Tells whether the link from the first member to the second is cut.
         self.cut: Callable[[str, str], bool] = lambda _, __: False
         self.manners: dict[tuple[str, str], LinkProperties] = {}
-        self.turn = TURN
+        self.turn = TIME_SLICE_PERIOD
         self._heap: list[tuple[int, int, str, Any]] = []
-        self._order = count()
-        self._at: dict[tuple[str, int], str] = {}
+        self._sequence = count()
+        self._names_by_address: dict[tuple[str, int], str] = {}
         self._ports = count(1)
 
     def address(self, name: str) -> tuple[str, int]:
@@ -89,15 +90,15 @@
         behind: int = 0,
         address: tuple[str, int] | None = None,
     ) -> ModelMember:
-        """A member that starts now; again under a name that was there, it has lost all that it knew. `behind`
-        is how far its clock is set back.
+        """Starts a member. If the name exists already, the member restarts without its state. `behind` is how far its
+        clock is set back (us).
         """
-        old = self.ones.get(name)
-        if address is None and old is not None:
-            old.up = False  # its process ends: two of one name stand at two addresses
+        previous = self.ones.get(name)
+        if address is None and previous is not None:
+            previous.up = False  # its process ends; a duplicate name needs an explicit address
         if address is None:
-            address = old.swim.me.address if old is not None else ("m", next(self._ports))
-        others = [one.swim.me.address for one in self.ones.values() if one is not old]
+            address = previous.swim.me.address if previous is not None else ("m", next(self._ports))
+        other_addresses = [member.swim.me.address for member in self.ones.values() if member is not previous]
         me = MemberRecord(
             name,
             address[0],
@@ -110,18 +111,18 @@
             tier,
             len(self.ones) if place is None else place,
         )
-        terms = SwimSettings(self.period, self.within, tuple(others[:seeds]), told, 60 * SECOND)
-        one = ModelMember(Swim(me, terms, self.wire, Random(self.chance.getrandbits(32)), self.now))
-        self.ones[name] = one
-        self._at[address] = name
-        self._push(self.now, "wake", (name, one))
-        return one
+        settings = SwimSettings(self.period, self.within, tuple(other_addresses[:seeds]), told, 60 * SECOND)
+        member = ModelMember(Swim(me, settings, self.wire, Random(self.chance.getrandbits(32)), self.now))
+        self.ones[name] = member
+        self._names_by_address[address] = name
+        self._push(self.now, "wake", (name, member))
+        return member
 
     def kill(self, name: str) -> None:
         self.ones[name].up = False
 
     def stop(self, name: str, span: int) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
+        """Suspends a member for `span` us, like SIGSTOP followed by SIGCONT."""
         self.ones[name].stopped_until = self.now + span
         self._push(self.now + span, "go on", (name, self.ones[name]))
 
@@ -129,102 +130,104 @@
         self.ones[name].duty = duty
         self.ones[name].turn_of = self.chance.randrange(self.turn)
 
-    def _push(self, at: int, what: str, of: Any) -> None:
-        heappush(self._heap, (at, next(self._order), what, of))
-
-    def _turn(self, one: ModelMember) -> int:
-        """When it next has its processor."""
-        if one.stopped_until is not None and self.now < one.stopped_until:
-            return one.stopped_until
-        if one.duty < 1.0:
-            at = (self.now + one.turn_of) % self.turn
-            if at >= one.duty * self.turn:
-                return self.now + self.turn - at
+    def _push(self, at: int, kind: str, arguments: Any) -> None:
+        heappush(self._heap, (at, next(self._sequence), kind, arguments))
+
+    def _next_run_time(self, member: ModelMember) -> int:
+        """The time at which the member next gets the processor."""
+        if member.stopped_until is not None and self.now < member.stopped_until:
+            return member.stopped_until
+        if member.duty < 1.0:
+            offset = (self.now + member.turn_of) % self.turn
+            if offset >= member.duty * self.turn:
+                return self.now + self.turn - offset
         return self.now
 
     def run(self, span: int, until: Callable[[], bool] | None = None, every: int = 20_000) -> bool:
-        """Plays on for so long, or until something holds, which is looked at so often; whether it did."""
-        end, look = self.now + span, self.now
+        """Runs for `span` us, or until the condition `until` holds, which is checked every `every` us. Returns whether it
+        held.
+        """
+        end, next_check = self.now + span, self.now
         while self._heap and self._heap[0][0] <= end:
-            if until is not None and self._heap[0][0] >= look:
+            if until is not None and self._heap[0][0] >= next_check:
                 if until():
                     return True
-                look = self._heap[0][0] + every
-            self.now, _, what, of = heappop(self._heap)
-            name, one = of[0], of[1]
-            if not one.up:
+                next_check = self._heap[0][0] + every
+            self.now, _, kind, arguments = heappop(self._heap)
+            name, member = arguments[0], arguments[1]
+            if not member.up:
                 continue
-            if what == "wake":
-                turn = self._turn(one)
-                if turn > self.now:
-                    self._push(turn, "wake", of)
+            if kind == "wake":
+                run_time = self._next_run_time(member)
+                if run_time > self.now:
+                    self._push(run_time, "wake", arguments)
                     continue
-                self._read(one)
-                due = one.swim.wake(self.now)
-                self._send(name, one)
-                self._push(due, "wake", of)
-            elif what == "go on":
-                one.stopped_until = None
-            elif what == "come":
-                if len(one.waiting) < BUFFERED:
-                    one.waiting.append(of[2])
-                turn = self._turn(one)
-                if turn > self.now:
-                    self._push(turn, "look", (name, one))
+                self._read(member)
+                due = member.swim.wake(self.now)
+                self._send(name, member)
+                self._push(due, "wake", arguments)
+            elif kind == "go on":
+                member.stopped_until = None
+            elif kind == "come":
+                if len(member.waiting) < BUFFERED:
+                    member.waiting.append(arguments[2])
+                run_time = self._next_run_time(member)
+                if run_time > self.now:
+                    self._push(run_time, "look", (name, member))
                 else:
-                    self._read(one)
-                    self._send(name, one)
-            elif what == "look" and self._turn(one) == self.now:
-                self._read(one)
-                self._send(name, one)
+                    self._read(member)
+                    self._send(name, member)
+            elif kind == "look" and self._next_run_time(member) == self.now:
+                self._read(member)
+                self._send(name, member)
         self.now = max(self.now, end)
         return until is not None and until()
 
-    def _read(self, one: ModelMember) -> None:
-        came, one.waiting = one.waiting, []
-        for data in came:
-            one.swim.receive(data, self.now)
+    def _read(self, member: ModelMember) -> None:
+        datagrams, member.waiting = member.waiting, []
+        for data in datagrams:
+            member.swim.receive(data, self.now)
 
-    def _send(self, name: str, one: ModelMember) -> None:
-        swim = one.swim
+    def _send(self, name: str, member: ModelMember) -> None:
+        swim = member.swim
         out, swim.out = swim.out, []
         for address, data in out:
-            one.sent += 1
-            one.sent_bytes += len(data)
+            member.sent += 1
+            member.sent_bytes += len(data)
             self.datagram(name, address, data)
         for change in swim.changes:
             self.book.append(ObservedChange(self.now, name, change))
         swim.changes.clear()
         if swim.wants_roll is not None:
-            self._stream(name, one, swim.wants_roll)
+            self._stream(name, member, swim.wants_roll)
             swim.wants_roll = None
 
     def datagram(self, name: str, address: tuple[str, int], data: bytes) -> None:
-        to = self._at.get(address)
-        if to is None or self.cut(name, to):
+        receiver = self._names_by_address.get(address)
+        if receiver is None or self.cut(name, receiver):
             return
-        manner = self.manners.get((name, to), self.manner)
-        for _ in range(2 if self.chance.random() < manner.twice else 1):
-            if self.chance.random() >= manner.lost:
+        link = self.manners.get((name, receiver), self.manner)
+        for _ in range(2 if self.chance.random() < link.twice else 1):
+            if self.chance.random() >= link.lost:
                 self._push(
-                    self.now + manner.delay + self.chance.randrange(manner.jitter + 1),
+                    self.now + link.delay + self.chance.randrange(link.jitter + 1),
                     "come",
-                    (to, self.ones[to], data),
+                    (receiver, self.ones[receiver], data),
                 )
 
-    def _stream(self, name: str, one: ModelMember, address: tuple[str, int]) -> None:
-        to = self._at.get(address)
-        if to is None or self.cut(name, to) or self.cut(to, name) or not self.ones[to].up:
+    def _stream(self, name: str, member: ModelMember, address: tuple[str, int]) -> None:
+        receiver = self._names_by_address.get(address)
+        if receiver is None or self.cut(name, receiver) or self.cut(receiver, name) or not self.ones[receiver].up:
             return
-        for part in self.ones[to].swim.whole():
-            self._push(self.now + 2 * self.manner.delay, "come", (name, one, part))
+        for part in self.ones[receiver].swim.whole():
+            self._push(self.now + 2 * self.manner.delay, "come", (name, member, part))
 
-    # --- what a test asks -----------------------------------------------------------------------------
+    # --- queries of tests -----------------------------------------------------------------------------
 
     def finds(self, by: str) -> dict[str, tuple[int, int]]:
-        """What a member finds of all others: health and phase."""
-        return {one.said.name: (one.health, one.said.phase) for one in self.ones[by].swim.roll}
+        """The view of member `by`: health and phase of every other member."""
+        return {known.said.name: (known.health, known.said.phase) for known in self.ones[by].swim.roll}
 
     def all_know(self, names: list[str], true: Callable[[Swim, str], bool]) -> bool:
-        up = [name for name, one in self.ones.items() if one.up]
-        return all(true(self.ones[by].swim, name) for by in up for name in names if name != by)
+        running = [name for name, member in self.ones.items() if member.up]
+        return all(true(self.ones[by].swim, name) for by in running for name in names if name != by)
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -354,9 +354,7 @@
     await environment.read_records()
     propagation_outside = environment.propagation(f"order {BANNED_BACKEND}", published_at, members_outside, order_time)
     environment.check_time("zone cut off: ban received outside", propagation_outside, environment.propagation_limit)
-    leak_count = environment.propagation(
-        f"order {BANNED_BACKEND}", published_at, members_inside, order_time
-    ).propagation
+    leak_count = environment.propagation(f"order {BANNED_BACKEND}", published_at, members_inside, order_time).had
     environment.check("zone cut off: ban not received inside", leak_count == 0, leak_count)
     costs = await environment.costs()
     healed_at = clock()
--- a/pepperusher/rehearsal/raft_model.py
+++ b/pepperusher/rehearsal/raft_model.py
@@ -1,10 +1,10 @@
-"""Histories of a few voters, the first states all and longer ones by chance: what may never be, never is.
+"""Model checker for the Raft voters: an exhaustive search of short histories and random walks through long ones.
 
-The voters are the program's own (`consensus/raft.py`). A network that keeps all that was ever sent, and may
-deliver any of it at any time, again or never, is loss, repeats, lateness and every order in one. A crash
-comes before what a step wrote is on disk, and takes what it would have said with it; a restart knows its disk
-alone. Time is left out here: anybody may ask for votes or speak at any moment; leases, which hang on time,
-are not looked at here.
+The voters are those of the program (`consensus/raft.py`). The network keeps every sent message and may deliver any of
+them at any time, repeatedly or never; that covers loss, duplication, delay and reordering. A crash happens before
+the writes of a step are on disk and drops the messages that wait for those writes; a restarted voter has only the
+contents of its disk. The model has no time: any voter may start an election and any leader may send at any moment.
+Leases depend on time and are not checked here.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 
 
 class Limits(NamedTuple):
-    """How far histories go: terms, entries proposed, times that a leader speaks, crashes, and states at the
-    most.
+    """Limits of a search: terms, proposed entries, append rounds of leaders, crashes and visited states. With
+    `asks_first` it includes pre-vote requests.
     """
 
     terms: int = 2
@@ -34,14 +34,14 @@
 
 
 class Violation(NamedTuple):
-    """Something that may never be, and the steps that lead to it."""
+    """A violated invariant and the steps that lead to it."""
 
     what: str
     steps: tuple[str, ...]
 
 
 class SearchResult(NamedTuple):
-    """How many states were looked at, whether that was all, and what was wrong, if anything."""
+    """The number of visited states, whether the search covered all states, and the violation if there was one."""
 
     states: int
     whole: bool
@@ -49,69 +49,71 @@
 
 
 class Disk(NamedTuple):
+    """The persistent state of a voter."""
+
     kept: PersistentState
     base: Base
     entries: tuple[Entry, ...]
 
 
 class World:
-    """One state: voters, disks, all that was sent, and what has ever counted or led."""
+    """One state of the model: voters, disks, every sent message, and all leaders and committed entries so far."""
 
-    __slots__ = ("voters", "disks", "sent", "led", "counted", "proposed", "rounds", "crashes")
+    __slots__ = ("voters", "disks", "sent", "leaders", "committed", "proposed", "rounds", "crashes")
 
     def __init__(self, make: type[RaftVoter]) -> None:
         base = Base(10, 0, NAMES)
         self.disks = {name: Disk(PersistentState(0, ""), base, ()) for name in NAMES}
-        self.voters = {name: started(make, name, self.disks[name]) for name in NAMES}
-        # In the order of sending: a set's hangs on the run, and a seed would not play the same walk twice.
+        self.voters = {name: start_voter(make, name, self.disks[name]) for name in NAMES}
+        # A dict keeps the order of sending. The order of a set differs between runs, so a seed would not reproduce a walk.
         self.sent: dict[tuple[str, Message], None] = {}
-        self.led: dict[int, str] = {}
-        self.counted: dict[int, Entry] = {}
+        self.leaders: dict[int, str] = {}
+        self.committed: dict[int, Entry] = {}
         self.proposed = self.rounds = self.crashes = 0
 
-    def copy(self, touched: str) -> World:
-        made: World = object.__new__(World)
-        made.voters = {**self.voters, touched: cloned(self.voters[touched])}
-        made.disks = dict(self.disks)
-        made.sent, made.led, made.counted = dict(self.sent), dict(self.led), dict(self.counted)
-        made.proposed, made.rounds, made.crashes = self.proposed, self.rounds, self.crashes
-        return made
+    def copy(self, changed_voter: str) -> World:
+        copy: World = object.__new__(World)
+        copy.voters = {**self.voters, changed_voter: clone_voter(self.voters[changed_voter])}
+        copy.disks = dict(self.disks)
+        copy.sent, copy.leaders, copy.committed = dict(self.sent), dict(self.leaders), dict(self.committed)
+        copy.proposed, copy.rounds, copy.crashes = self.proposed, self.rounds, self.crashes
+        return copy
 
-    def frozen(self) -> Any:
+    def state_key(self) -> Any:
         return (
-            tuple(map(of_voter, self.voters.values())),
+            tuple(map(voter_state, self.voters.values())),
             tuple(self.disks.values()),
             frozenset(self.sent),
-            tuple(sorted(self.led.items())),
-            tuple(sorted(self.counted.items())),
+            tuple(sorted(self.leaders.items())),
+            tuple(sorted(self.committed.items())),
             self.proposed,
             self.rounds,
             self.crashes,
         )
 
 
-def started(make: type[RaftVoter], name: str, disk: Disk) -> RaftVoter:
-    made = make(name, NAMES, Bounds(1, 0, 0), Random(1), 0, 0, disk.kept, disk.base, disk.entries)
-    made._chance = None  # type: ignore[assignment]
-    return made
+def start_voter(make: type[RaftVoter], name: str, disk: Disk) -> RaftVoter:
+    voter = make(name, NAMES, Bounds(1, 0, 0), Random(1), 0, 0, disk.kept, disk.base, disk.entries)
+    voter._chance = None  # type: ignore[assignment]
+    return voter
 
 
-def cloned(voter: RaftVoter) -> RaftVoter:
-    made = object.__new__(type(voter))
-    made.__dict__.update(voter.__dict__)
+def clone_voter(voter: RaftVoter) -> RaftVoter:
+    clone = object.__new__(type(voter))
+    clone.__dict__.update(voter.__dict__)
     for name, value in voter.__dict__.items():
         if isinstance(value, list | set | dict) and name != "_progress":
-            made.__dict__[name] = value.copy()
-    made._progress = {}
-    for name, one in voter._progress.items():
-        kept = Progress(one.next)
-        kept.match, kept.round = one.match, one.round
-        made._progress[name] = kept
-    return made
+            clone.__dict__[name] = value.copy()
+    clone._progress = {}
+    for name, progress in voter._progress.items():
+        progress_copy = Progress(progress.next)
+        progress_copy.match, progress_copy.round = progress.match, progress.round
+        clone._progress[name] = progress_copy
+    return clone
 
 
-def of_voter(voter: RaftVoter) -> Any:
-    progress = tuple(sorted((name, one.next, one.match, one.round) for name, one in voter._progress.items()))
+def voter_state(voter: RaftVoter) -> Any:
+    progress = tuple(sorted((name, peer.next, peer.match, peer.round) for name, peer in voter._progress.items()))
     return (
         voter.role,
         voter.leader,
@@ -129,165 +131,174 @@
 
 
 def flushed(disk: Disk, voter: RaftVoter) -> Disk:
-    """The disk with all that the voter has handed to it."""
-    kept, base, entries = disk
+    """The disk after all pending writes of the voter."""
+    persistent_state, base, entries = disk
     for write in voter.writes:
-        kept = write.kept or kept
+        persistent_state = write.kept or persistent_state
         if write.base is not None:
             base = write.base
             entries = write.entries if write.start else entries
         if write.start and write.base is None:
             entries = (*entries[: write.start - base.index - 1], *write.entries)
-    return Disk(kept, base, entries)
+    return Disk(persistent_state, base, entries)
 
 
 def steps(world: World, limits: Limits) -> Iterator[tuple[str, str, Callable[[RaftVoter], Any], dict[str, int]]]:
-    """What may happen now: in words, to whom, what it does, and which counts it raises."""
+    """The possible next steps: description, name of the voter, action, and the counters that the step increments."""
     for name, voter in world.voters.items():
         if voter.role != LEADS and voter.kept.term < limits.terms:
-            # At once for votes too, though it would ask first: that only keeps elections away.
-            yield f"{name} asks for votes", name, lambda one: one._ask(0), {}
+            # The vote request also comes without a pre-vote: pre-votes only prevent elections, so leaving them out
+            # allows more histories.
+            yield f"{name} asks for votes", name, lambda target: target._ask(0), {}
             if limits.asks_first:
-                yield f"{name} asks first", name, lambda one: one._ask_first(0), {}
+                yield f"{name} asks for pre-votes", name, lambda target: target._ask_first(0), {}
         if voter.role == LEADS:
             if world.proposed < limits.entries:
-                what = f"x{world.proposed}"
-                yield f"{name} proposes {what}", name, lambda one, what=what: one.propose(what), {"proposed": 1}
+                entry = f"x{world.proposed}"
+                yield (
+                    f"{name} proposes {entry}",
+                    name,
+                    lambda target, entry=entry: target.propose(entry),
+                    {"proposed": 1},
+                )
             if world.rounds < limits.rounds:
-                yield f"{name} speaks", name, lambda one: one._speak(0), {"rounds": 1}
+                yield f"{name} sends entries", name, lambda target: target._speak(0), {"rounds": 1}
     for to, message in world.sent:
-        yield f"{to} hears {message}", to, lambda one, message=message: one.receive(message, 0), {}
+        yield f"{to} receives {message}", to, lambda target, message=message: target.receive(message, 0), {}
 
 
-def after(
+def apply_step(
     world: World,
     name: str,
-    does: Callable[[RaftVoter], Any],
+    action: Callable[[RaftVoter], Any],
     counts: dict[str, int],
     make: type[RaftVoter],
     crash: bool,
     lag: bool = False,
 ) -> World:
-    """The world after a step. With `lag` the disk has not done what the step handed to it; what waits for that waits on."""
-    made = world.copy(name)
-    for count, by in counts.items():
-        setattr(made, count, getattr(made, count) + by)
-    voter = made.voters[name]
-    does(voter)
+    """The state after a step. With `lag` the writes of the step stay pending, and so do the messages that wait for them."""
+    result = world.copy(name)
+    for count, increment in counts.items():
+        setattr(result, count, getattr(result, count) + increment)
+    voter = result.voters[name]
+    action(voter)
     while True:
         if crash:
-            # What was to be said only once it is on disk goes with it; what does not wait for the disk is out
-            # already.
-            made.sent |= {(one.to, one.message): None for one in voter.out if one.after <= voter._flushed}
-            made.crashes += 1
-            made.voters[name] = started(make, name, made.disks[name])
-            return made
+            # Messages that wait for a pending write are lost; messages that do not wait have already been sent.
+            result.sent |= {
+                (message.to, message.message): None for message in voter.out if message.after <= voter._flushed
+            }
+            result.crashes += 1
+            result.voters[name] = start_voter(make, name, result.disks[name])
+            return result
         if lag:
-            made.sent |= {(one.to, one.message): None for one in voter.out if one.after <= voter._flushed}
-            voter.out = [one for one in voter.out if one.after > voter._flushed]
-            return made
-        made.disks[name] = flushed(made.disks[name], voter)
+            result.sent |= {
+                (message.to, message.message): None for message in voter.out if message.after <= voter._flushed
+            }
+            voter.out = [message for message in voter.out if message.after > voter._flushed]
+            return result
+        result.disks[name] = flushed(result.disks[name], voter)
         out, voter.out, voter.writes = voter.out, [], []
-        made.sent |= {(one.to, one.message): None for one in out}
+        result.sent |= {(message.to, message.message): None for message in out}
         if voter._number == voter._flushed:
             break
         voter.on_disk(voter._number, 0)
-    return made
+    return result
 
 
-def look(world: World) -> str | None:
-    """What may never be: two that lead in one term, two entries that count at one place, a disk behind what
-    it counts.
+def check_invariants(world: World) -> str | None:
+    """Checks the invariants: at most one leader in a term, at most one committed entry at an index, and a commit index
+    within the voter's log. Returns a description of the violation, or None.
     """
     for name, voter in world.voters.items():
         if voter.role == LEADS:
-            other = world.led.setdefault(voter.kept.term, name)
+            other = world.leaders.setdefault(voter.kept.term, name)
             if other != name:
-                return f"{other} and {name} lead in term {voter.kept.term}"
+                return f"{other} and {name} are both leaders in term {voter.kept.term}"
         assert voter.base is not None
         if voter.commit > voter.last:
-            return f"{name} counts what it has not"
-        for at, entry in enumerate(voter.between(voter.base.index + 1, voter.commit), voter.base.index + 1):
-            before = world.counted.setdefault(at, entry)
-            if before != entry:
-                return f"at {at} {before} counted, and now {entry} at {name}"
+            return f"{name} has a commit index beyond its log"
+        for index, entry in enumerate(voter.between(voter.base.index + 1, voter.commit), voter.base.index + 1):
+            committed = world.committed.setdefault(index, entry)
+            if committed != entry:
+                return f"{committed} was committed at index {index}, but {name} commits {entry}"
     return None
 
 
 def explore(make: type[RaftVoter] = RaftVoter, limits: Limits = Limits()) -> SearchResult:
-    """Breadth first, so that the steps to what is wrong are the fewest."""
-    first = World(make)
-    seen = {hash(first.frozen())}
-    waiting: deque[tuple[World, tuple[Any, ...] | None]] = deque([(first, None)])
+    """Searches all states breadth-first, so a violation is reported with the fewest steps."""
+    start = World(make)
+    seen = {hash(start.state_key())}
+    waiting: deque[tuple[World, tuple[Any, ...] | None]] = deque([(start, None)])
     while waiting:
-        world, way = waiting.popleft()
-        for said, name, does, counts in steps(world, limits):
+        world, path = waiting.popleft()
+        for description, name, action, counts in steps(world, limits):
             for crash in (False, True) if world.crashes < limits.crashes else (False,):
-                words = f"{said}, and crashes before it is on disk" if crash else said
+                step_text = f"{description}, and crashes before the write is on disk" if crash else description
                 try:
-                    made = after(world, name, does, counts, make, crash)
-                    wrong = look(made)
+                    next_world = apply_step(world, name, action, counts, make, crash)
+                    violation = check_invariants(next_world)
                 except AssertionError as error:
-                    wrong, made = str(error) or "what must hold does not", None
-                if wrong is not None:
-                    return SearchResult(len(seen), False, Violation(wrong, spoken((words, way))))
-                assert made is not None
-                key = hash(made.frozen())
+                    violation, next_world = str(error) or "assertion failed", None
+                if violation is not None:
+                    return SearchResult(len(seen), False, Violation(violation, step_list((step_text, path))))
+                assert next_world is not None
+                key = hash(next_world.state_key())
                 if key in seen:
                     continue
                 if len(seen) >= limits.states:
                     return SearchResult(len(seen), False, None)
                 seen.add(key)
-                waiting.append((made, (words, way)))
+                waiting.append((next_world, (step_text, path)))
     return SearchResult(len(seen), True, None)
 
 
 def wander(
     make: type[RaftVoter] = RaftVoter, limits: Limits = Limits(), seed: int = 1, walks: int = 200, length: int = 120
 ) -> SearchResult:
-    """Long histories by chance beside it, for what lies deeper than all states can be looked at."""
-    chance = Random(seed)
+    """Takes random walks, to find violations deeper than the exhaustive search can reach."""
+    random = Random(seed)
     count = 0
     for _ in range(walks):
-        world, way = World(make), None
-        heard: set[str] = set()
-        slow = chance.choice(("", *NAMES))  # whose disk is late for most of this history
+        world, path = World(make), None
+        seen: set[str] = set()
+        slow_voter = random.choice(("", *NAMES))  # the voter whose disk writes stay pending in most steps of this walk
         for _ in range(length):
-            said, name, does, counts = drawn(world, limits, heard, chance)
-            crash = world.crashes < limits.crashes and chance.random() < 0.1
-            lag = not crash and chance.random() < (0.85 if name == slow else 0.05)
-            way = (said + (", and crashes" if crash else ", its disk is late" if lag else ""), way)
+            description, name, action, counts = draw_step(world, limits, seen, random)
+            crash = world.crashes < limits.crashes and random.random() < 0.1
+            lag = not crash and random.random() < (0.85 if name == slow_voter else 0.05)
+            path = (description + (", and crashes" if crash else ", its disk writes stay pending" if lag else ""), path)
             count += 1
             try:
-                world = after(world, name, does, counts, make, crash, lag)
-                wrong = look(world)
+                world = apply_step(world, name, action, counts, make, crash, lag)
+                violation = check_invariants(world)
             except AssertionError as error:
-                wrong = str(error) or "what must hold does not"
-            if wrong is not None:
-                return SearchResult(count, False, Violation(wrong, spoken(way)))
+                violation = str(error) or "assertion failed"
+            if violation is not None:
+                return SearchResult(count, False, Violation(violation, step_list(path)))
     return SearchResult(count, False, None)
 
 
-def drawn(world: World, limits: Limits, heard: set[str], chance: Random) -> Any:
-    """A step by chance, as a history goes: mostly what was sent and not yet heard, now and then an old
-    message again, and seldom one who asks for votes; else nobody would lead for long enough to do harm.
+def draw_step(world: World, limits: Limits, seen: set[str], random: Random) -> Any:
+    """Draws a random step: mostly a message not yet delivered, sometimes a repeated message, and rarely an election,
+    since otherwise no leader would last long enough to reveal a fault.
     """
-    own, new, old = [], [], []
+    local, undelivered, repeated = [], [], []
     for step in steps(world, limits):
-        (own if step[1] + " hears" not in step[0] else old if step[0] in heard else new).append(step)
-    asks = [step for step in own if "asks" in step[0]]
-    acts = [step for step in own if "asks" not in step[0]]
-    pools = [(new, 0.62), (acts, 0.26), (asks, 0.06), (old, 0.06)]
+        (local if step[1] + " receives" not in step[0] else repeated if step[0] in seen else undelivered).append(step)
+    elections = [step for step in local if "asks" in step[0]]
+    leader_actions = [step for step in local if "asks" not in step[0]]
+    pools = [(undelivered, 0.62), (leader_actions, 0.26), (elections, 0.06), (repeated, 0.06)]
     pools = [(pool, weight) for pool, weight in pools if pool]
-    pool = chance.choices([one for one, _ in pools], [weight for _, weight in pools])[0]
-    step = chance.choice(pool)
-    heard.add(step[0])
+    pool = random.choices([step_pool for step_pool, _ in pools], [weight for _, weight in pools])[0]
+    step = random.choice(pool)
+    seen.add(step[0])
     return step
 
 
-def spoken(way: Any) -> tuple[str, ...]:
-    said = []
-    while way is not None:
-        said.append(way[0])
-        way = way[1]
-    return tuple(reversed(said))
+def step_list(path: Any) -> tuple[str, ...]:
+    descriptions = []
+    while path is not None:
+        descriptions.append(path[0])
+        path = path[1]
+    return tuple(reversed(descriptions))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,6 @@
-"""Scenes at scale, small: the same checks as with 5,000, and slopes counted in messages and bytes."""
+"""Runs the scale test scenarios at small sizes, with the same checks as for 5,000 proxies, and limits the messages and
+bytes per proxy.
+"""
 
 from __future__ import annotations
 
@@ -10,51 +12,51 @@
 
 from pepperusher.rehearsal import hollow_scenarios
 
-WITHIN = 110.0
-# Resources that each proxy subscribes to: configuration for all and of its team, five lists.
-NAMES = 7
+TIMEOUT_S = 110.0
+# Resources that each proxy subscribes to: the common configuration, that of its team, and five endpoint lists.
+RESOURCES_PER_PROXY = 7
 
 
-def play(names: list[str], size: int, controls: int) -> dict[str, dict[str, Any]]:
+def run_scenarios(names: list[str], size: int, controls: int) -> dict[str, dict[str, Any]]:
     async def run(work: Path) -> list[dict[str, Any]]:
-        async with asyncio.timeout(WITHIN):
+        async with asyncio.timeout(TIMEOUT_S):
             return await hollow_scenarios.run_scenarios(names, size, controls, 1, True, work, lambda line: None)
 
     with tempfile.TemporaryDirectory() as work:
-        return {one["scene"]: one for one in asyncio.run(run(Path(work)))}
+        return {result["scene"]: result for result in asyncio.run(run(Path(work)))}
 
 
 class Scale(unittest.TestCase):
-    def hold(self, told: dict[str, dict[str, Any]], *names: str) -> None:
-        self.assertEqual(set(told), {"start", *names})
-        for name, one in told.items():
-            self.assertTrue(one["checks"], name)
-            self.assertEqual(one["verdict"], "passed", [each for each in one["checks"] if not each["holds"]])
-
-    def slopes(self, told: dict[str, dict[str, Any]], size: int) -> None:
-        """For each proxy so much, whatever the size."""
-        start, change = told["start"]["figures"], told["change"]["figures"]
-        # Each resource once to each, or twice: the second upstream is asked where the first is late.
-        self.assertGreaterEqual(start["snapshots"], NAMES * size)
-        self.assertLessEqual(start["snapshots"], 2 * NAMES * size)
+    def assert_passed(self, results: dict[str, dict[str, Any]], *names: str) -> None:
+        self.assertEqual(set(results), {"start", *names})
+        for name, result in results.items():
+            self.assertTrue(result["checks"], name)
+            self.assertEqual(result["verdict"], "passed", [check for check in result["checks"] if not check["holds"]])
+
+    def assert_cost_per_proxy(self, results: dict[str, dict[str, Any]], size: int) -> None:
+        """Checks the cost per proxy, which must not depend on the number of proxies."""
+        start, change = results["start"]["figures"], results["change"]["figures"]
+        # Each proxy gets each resource once, or twice if the first upstream is late and it asks the second.
+        self.assertGreaterEqual(start["snapshots"], RESOURCES_PER_PROXY * size)
+        self.assertLessEqual(start["snapshots"], 2 * RESOURCES_PER_PROXY * size)
         self.assertLessEqual(start["connects"], 3 * size)
-        # One message with the change for each, beside beats of two upstreams and an offer by the second.
+        # Each proxy gets one message with the change, besides heartbeats of two upstreams and an offer by the second.
         self.assertEqual(change["deltas"] + change["snapshots"], size)
         self.assertLessEqual(change["messages_in"], (3 + 1.5 * (change["seconds"] + 1)) * size)
-        spent = change["proxy_bytes_a_second"] * change["seconds"]
-        self.assertLessEqual(spent, 2_000 + 300 * change["seconds"])
+        bytes_spent = change["proxy_bytes_a_second"] * change["seconds"]
+        self.assertLessEqual(bytes_spent, 2_000 + 300 * change["seconds"])
 
     def test_slopes_at_two_sizes_and_what_is_refused(self) -> None:
-        few = play(["change"], 60, 3)
-        self.hold(few, "change")
-        self.slopes(few, 60)
-        many = play(["change", "refused"], 200, 3)
-        self.hold(many, "change", "refused")
-        self.slopes(many, 200)
+        small_results = run_scenarios(["change"], 60, 3)
+        self.assert_passed(small_results, "change")
+        self.assert_cost_per_proxy(small_results, 60)
+        large_results = run_scenarios(["change", "refused"], 200, 3)
+        self.assert_passed(large_results, "change", "refused")
+        self.assert_cost_per_proxy(large_results, 200)
 
     def test_control_machines_and_a_region_lost_and_back_and_in_trouble(self) -> None:
         names = ["control-lost", "region", "troubled", "origin"]
-        self.hold(play(names, 100, 3), *names)
+        self.assert_passed(run_scenarios(names, 100, 3), *names)
 
 
 if __name__ == "__main__":
