--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -111,8 +111,10 @@
     `hollow_group.place_of`) it is also a member of that group.
     """
 
-    def __init__(self, bootstrap: BootstrapConfiguration, own: str | None, group: dict[str, Any] | None = None) -> None:
-        self.own: ConfigurationExtension | None = None
+    def __init__(
+        self, bootstrap: BootstrapConfiguration, configuration_text: str | None, group: dict[str, Any] | None = None
+    ) -> None:
+        self.configuration: ConfigurationExtension | None = None
         self.node: MemberNode | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
         # When each version came into force: (resource, version, microseconds on the machine's monotonic clock).
@@ -122,9 +124,9 @@
 
         def make_extensions(configuration: BootstrapConfiguration, log: Log) -> list[Extension]:
             extensions: list[Extension] = []
-            if own is not None:
-                self.own = ConfigurationExtension(own, configuration.policy_settings, log)
-                extensions.append(self.own)
+            if configuration_text is not None:
+                self.configuration = ConfigurationExtension(configuration_text, configuration.policy_settings, log)
+                extensions.append(self.configuration)
             if group is not None:
                 from pepperusher.rehearsal.hollow_group import MemberNode
 
@@ -150,10 +152,10 @@
         self.client: Client | None = None
         self.max_bytes_per_second = 0  # the most bytes in both directions in one second since the last report
         self._last_bytes = 0
-        self.on = False
+        self.running = False
 
     def create_client(self, place: dict[str, Any], key: bytes) -> None:
-        """Sets up the subscription at the control machines; called before `begin`."""
+        """Sets up the subscription at the control machines; called before `start_proxy`."""
         cache_directory = place.get("keep")
         self.client = Client(
             [tuple(one) for one in place["upstreams"]],
@@ -195,9 +197,9 @@
     def record_activation(self, resource: str, version: int) -> None:
         self.activation_times.append((resource, version, time.monotonic_ns() // 1000))
 
-    async def begin(self, watch: bool) -> None:
+    async def start_proxy(self, watch: bool) -> None:
         """Starts the proxy as `Proxy.serve` does, but without a listener."""
-        self.on = True
+        self.running = True
         for extension in self._extensions:
             await extension.attach(self)
         if watch:
@@ -222,11 +224,11 @@
         self._stopping.set()
         self._tell("leaving", lambda extension: extension.drain_started(clock.now()))
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
-        await self.end()
+        await self.stop_proxy()
 
-    async def end(self) -> None:
+    async def stop_proxy(self) -> None:
         """Stops the extensions and the client in order, then everything else."""
-        self.on = False
+        self.running = False
         for extension in reversed(self._extensions):
             await extension.stop()
         if self.client is not None:
@@ -235,7 +237,7 @@
 
     def cut_off(self) -> None:
         """Stops without notifying any peer, like a killed process."""
-        self.on = False
+        self.running = False
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self.node is not None:
@@ -247,9 +249,9 @@
 
     def take_configuration(self, name: str, text: str) -> str | None:
         """Replaces one part of its configuration. The parts, joined in the order of their names, are the file."""
-        assert self.own is not None
+        assert self.configuration is not None
         parts = {**self._configuration_parts, name: text}
-        refusal = self.own.apply_text("\n".join(parts[one] for one in sorted(parts)))
+        refusal = self.configuration.apply_text("\n".join(parts[one] for one in sorted(parts)))
         if refusal is None:
             self._configuration_parts = parts
         return refusal
@@ -297,8 +299,8 @@
                 "subscribed": 0 if self.client is None else len(self.client.in_force),
             }
         )
-        if self.own is not None:
-            active = self.own.active
+        if self.configuration is not None:
+            active = self.configuration.active
             counts.update(
                 {
                     "versions": len(active.versions),
@@ -357,7 +359,7 @@
         self._reported_counts: Counter[str] = Counter()
         self._seconds: list[list[int]] = []  # [second, bytes, connects]; cleared by each report
 
-    async def _begin(self, place: dict[str, Any]) -> None:
+    async def _start_proxy(self, place: dict[str, Any]) -> None:
         spec = self._spec
         settings = spec["lacking"] if place.get("lacks") else spec["settings"]
         group = place.get("group")
@@ -378,17 +380,17 @@
             if previous.node is not None:
                 self._group_orders().ended(previous.node)
         self._hollows[place["index"]] = hollow
-        await hollow.begin(place.get("watch", True))
+        await hollow.start_proxy(place.get("watch", True))
 
     async def start(self, order: dict[str, Any]) -> dict[str, Any]:
         for place in order["places"]:
-            await self._begin(place)
+            await self._start_proxy(place)
             if order.get("spread"):
                 await asyncio.sleep(order["spread"])
         return {"running": self._running()}
 
     def _running(self) -> int:
-        return sum(1 for hollow in self._hollows.values() if hollow.on)
+        return sum(1 for hollow in self._hollows.values() if hollow.running)
 
     def _selected(self, order: dict[str, Any]) -> list[int]:
         """The indices of the order that are in this process, or all of its proxies if the order names none."""
@@ -403,8 +405,8 @@
     async def again(self, order: dict[str, Any]) -> dict[str, Any]:
         """Starts a new proxy at each place whose proxy is not running."""
         for index in self._selected(order):
-            if not self._hollows[index].on:
-                await self._begin(self._places[index])
+            if not self._hollows[index].running:
+                await self._start_proxy(self._places[index])
         return {"running": self._running()}
 
     async def behind(self, order: dict[str, Any]) -> dict[str, Any]:
@@ -412,7 +414,7 @@
         count = total = 0
         versions, resources = order.get("versions", {}), order.get("resources", {})
         for index, hollow in self._hollows.items():
-            if not hollow.on:
+            if not hollow.running:
                 continue
             place = self._places[index]
             wanted = {}
@@ -441,7 +443,7 @@
                 (
                     hollow.client.age(clock.now()) or 0
                     for hollow in self._hollows.values()
-                    if hollow.on and hollow.client is not None
+                    if hollow.running and hollow.client is not None
                 ),
                 default=0,
             ),
@@ -494,7 +496,7 @@
         gc.collect()
         total: Counter[str] = Counter()
         for hollow in self._hollows.values():
-            if hollow.on:
+            if hollow.running:
                 total.update(hollow.state())
         total["tasks"] = len(asyncio.all_tasks())
         total["descriptors"] = len(os.listdir("/proc/self/fd"))
--- a/pepperusher/rehearsal/hollow_fidelity.py
+++ b/pepperusher/rehearsal/hollow_fidelity.py
@@ -167,27 +167,27 @@
     run = HollowRun(layout(size), seed, work, say)
     complete = [ServeProcess(work, index) for index in range(size)]
     try:
-        await run.stand()
-        await asyncio.gather(*(proxy.start(run.front(0, 0)) for proxy in complete))
-        await run.begin(run.plan.places)
+        await run.start_processes()
+        await asyncio.gather(*(proxy.start(run.discovery_address(0, 0)) for proxy in complete))
+        await run.start_proxies(run.plan.places)
         say(f"starting {size} complete and {size} hollow proxies")
         await _wait_until_ready(complete)
-        if not await run.until_in_force({1: 1}, SETTLE_TIMEOUT_S):
+        if not await run.wait_until_versions({1: 1}, SETTLE_TIMEOUT_S):
             raise RuntimeError("hollow proxies did not receive the endpoint list in time")
         await _wait_until_watching(run, size)
-        await run.counts()
+        await run.discovery_counts()
         before = [proxy.resource_use() for proxy in complete]
         run.usage()
         began = time.monotonic()
         for number, rows in enumerate(churn(seed)):
-            await run.change(rows)
+            await run.change_backends(rows)
             await asyncio.sleep(CHANGE_INTERVAL_S)
             if number == CHANGES // 2:
                 say("discovery becomes unavailable and available again")
-                await run.away(True)
+                await run.set_discovery_down(True)
                 await asyncio.sleep(2 * CHANGE_INTERVAL_S)
-                await run.away(False)
-        await run.until_in_force(await run.versions(), SETTLE_TIMEOUT_S)
+                await run.set_discovery_down(False)
+        await run.wait_until_versions(await run.versions(), SETTLE_TIMEOUT_S)
         await _wait_until_watching(run, size)
         say("quiet time without changes")
         await _wait_until_watching(run, size, QUIET_KEEPALIVES * size)
@@ -195,12 +195,12 @@
         for proxy in complete:
             await proxy.ask("propose", text=proxy.configuration_text(OWN + MARKED_BACKEND), who="play", why="churn")
         answers = await run.ask_all("configure", name="own", text=OWN + MARKED_BACKEND)
-        refusals = [refusal for proxy in answers for refusal in proxy["refused"]]
-        counts = await run.counts_by_view()
+        refusals = [refusal for answer in answers for refusal in answer["refused"]]
+        counts = await run.discovery_counts_by_view()
         states: Counter[str] = Counter()
         for proxy in complete:
             states.update(await proxy.state())
-        hollow_state = await run.state()
+        hollow_state = await run.proxy_state()
         processor_seconds = sum(proxy.resource_use()[0] - earlier[0] for proxy, earlier in zip(complete, before))
         usage = run.usage().get("proxies", {})
         seconds = time.monotonic() - began
@@ -217,7 +217,7 @@
         "seed": seed,
         "changes": CHANGES,
         "refused": refusals,
-        "kinds": [{**proxy._asdict(), "agrees": proxy.agrees} for proxy in comparisons],
+        "kinds": [{**comparison._asdict(), "agrees": comparison.agrees} for comparison in comparisons],
         "processor_seconds_each": {
             "whole": round(processor_seconds / size, 3),
             "hollow": round(usage.get("cores_mean", 0.0) * seconds / size, 4),
@@ -226,13 +226,13 @@
             "whole": round(sum(earlier[1] for earlier in before) / size, 1),
             "hollow": round(usage.get("memory_mb", 0.0) / size, 2),
         },
-        "verdict": "passed" if not refusals and all(proxy.agrees for proxy in comparisons) else "failed",
+        "verdict": "passed" if not refusals and all(comparison.agrees for comparison in comparisons) else "failed",
     }
 
 
 async def _wait_until_watching(run: HollowRun, size: int, empty: int = 0) -> None:
     for view in (0, 1):
-        if not await run.settled(view, size, SETTLE_TIMEOUT_S, empty):
+        if not await run.wait_until_watching(view, size, SETTLE_TIMEOUT_S, empty):
             raise RuntimeError("not all proxies watch discovery")
 
 
@@ -246,7 +246,8 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-# The comparison with control machines: the number of configuration changes and the counters of the machines.
+# The comparison with control machines: the number of configuration changes, and the compared counters of the
+# machines. Those in START_KINDS also count the start of the proxies.
 CONFIG_CHANGES = 4
 CONTROL_MESSAGE_KINDS = ("accepted", "messages in", "messages out", "snapshots", "deltas", "in force")
 START_KINDS = ("accepted", "snapshots")
@@ -283,7 +284,7 @@
     run = HollowRun(layout(size), seed, work, say, controls=2, names=[["config", "common"]])
     complete = [ServeProcess(work, index) for index in range(size if kind == "whole" else 0)]
     try:
-        await run.stand()
+        await run.start_processes()
         controls = run.controls
         assert controls is not None
         await controls.can_write()
@@ -291,12 +292,12 @@
         await controls.wait_until_settled(READY_TIMEOUT_S)
         before = await controls.counter_sums()
         text = (
-            f"{FAST_WATCH_CONFIGURATION}[distribution]\nmachines = {json.dumps(run.machines(0))}\n"
+            f"{FAST_WATCH_CONFIGURATION}[distribution]\nmachines = {json.dumps(run.control_addresses(0))}\n"
             f'key_file = {json.dumps(str(work / "key"))}\nconfig = "common"\nregion = "r0"\n'
         )
-        await asyncio.gather(*(proxy.start(run.front(0, 0), text) for proxy in complete))
+        await asyncio.gather(*(proxy.start(run.discovery_address(0, 0), text) for proxy in complete))
         if not complete:
-            await run.begin(run.plan.places, BOTH)
+            await run.start_proxies(run.plan.places, BOTH)
         await _wait_until_in_force(run, complete, version)
         # Counting starts once all proxies are connected, so the duration of their start does not matter.
         connected, began = await controls.counter_sums(), time.monotonic()
@@ -322,7 +323,7 @@
     """
     deadline = time.monotonic() + READY_TIMEOUT_S
     wanted = f"{version >> 53}.{version & (1 << 53) - 1}"
-    if not complete and not await run.until_resources({"config/common": version}, READY_TIMEOUT_S):
+    if not complete and not await run.wait_until_resources({"config/common": version}, READY_TIMEOUT_S):
         raise RuntimeError("a change was not in force at all hollow proxies in time")
     for proxy in complete:
         while ((await proxy.ask("status") or {}).get("distribution") or {}).get("version") != wanted:
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -158,7 +158,7 @@
     """The part of a hollow proxy that the orders use."""
 
     @property
-    def on(self) -> bool: ...
+    def running(self) -> bool: ...
 
     @property
     def node(self) -> MemberNode | None: ...
@@ -184,7 +184,7 @@
         return [
             (index, member, member.node)
             for index, member in self._members.items()
-            if member.on and member.node is not None and (wanted is None or index in wanted)
+            if member.running and member.node is not None and (wanted is None or index in wanted)
         ]
 
     async def handle(self, order: dict[str, Any]) -> dict[str, Any]:
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -68,8 +68,8 @@
 
     complete_relays: Worker
 
-    async def stand(self) -> None:
-        await super().stand()
+    async def start_processes(self) -> None:
+        await super().start_processes()
         self.complete_relays = await self._start_process(
             "hollow_group_links", "ways 1", str(self._seed * 1000 + 1), f"127.{self._net}.0.11"
         )
@@ -129,20 +129,20 @@
         indices = [index for index in range(self._size) if index not in self.excluded]
         return [view for view in await asyncio.gather(*map(self.view, indices)) if view is not None]
 
-    async def found(self, number: int, state: str) -> bool:
+    async def all_find(self, number: int, state: str) -> bool:
         """Whether every running member finds member `number` in this state."""
         views = await self.views()
         return len(views) == self._size - len(self.excluded) and all(
             any(row["name"] == f"w{number}" and row["found"] == state for row in view["members"]) for view in views
         )
 
-    async def all_there(self) -> bool:
+    async def all_alive(self) -> bool:
         views = await self.views()
         return len(views) == self._size and all(
             sum(row["found"] == "alive" for row in view["members"]) == self._size - 1 for view in views
         )
 
-    async def holds(self, backend: str) -> bool:
+    async def all_have_ban(self, backend: str) -> bool:
         views = await self.views()
         return all(any(key == backend and on for _, key, on, _ in view["orders"]) for view in views)
 
@@ -216,11 +216,11 @@
     async def found(description: str, number: int, state: str) -> None:
         await _wait_until(
             description,
-            lambda: complete.found(number, state),
+            lambda: complete.all_find(number, state),
             lambda: run.wait_until_found([f"m{number}"], state, 0.0, running(number)),
         )
 
-    await run.stand()
+    await run.start_processes()
     say(f"{size} complete and {size} hollow members join")
 
     start_times: dict[str, list[float]] = {"whole": [], "hollow": []}  # when each member joined
@@ -229,15 +229,15 @@
         """Starts a hollow member as soon as the complete proxy with its number is a member, so that both groups start at
         the same rate.
         """
-        await complete.proxies[number].start(run.front(0, 0), run.configuration_text(number))
+        await complete.proxies[number].start(run.discovery_address(0, 0), run.configuration_text(number))
         await _wait_until_member(complete, number)
         start_times["whole"].append(time.monotonic())
-        await run.begin([run.plan.places[number]], DISCOVERY)
+        await run.start_proxies([run.plan.places[number]], DISCOVERY)
         start_times["hollow"].append(time.monotonic())
 
     await asyncio.gather(*map(join, range(size)))
 
-    await _wait_until("all members know all others", complete.all_there, lambda: run.wait_until_all_alive(0.0))
+    await _wait_until("all members know all others", complete.all_alive, lambda: run.wait_until_all_alive(0.0))
     say("all members know all others; idle span")
     mean_starts = {kind: sum(times) / size for kind, times in start_times.items()}
     span = time.monotonic() - min(mean_starts.values()) + settles
@@ -272,7 +272,7 @@
     )
     say("a member leaves")
     complete.signal(LEAVING, signal.SIGTERM)
-    await run.group("leave", indices=[LEAVING])
+    await run.query_group("leave", indices=[LEAVING])
     complete.excluded.add(LEAVING)
     await found("every member finds the leaving member gone", LEAVING, "gone")
     say("a ban is set at one member")
@@ -280,11 +280,11 @@
     ordered_at = await run.ban(BANNING, BANNED, True)
     await _wait_until(
         "every member has the ban",
-        lambda: complete.holds(BANNED),
+        lambda: complete.all_have_ban(BANNED),
         lambda: run.wait_for_all("holds", 0.0, "holds", backend=BANNED, at=ordered_at, on=True),
     )
     await asyncio.sleep(settles)
-    views, (hollow_views, hollow_state) = await complete.views(), await run.kinds(finds=True)
+    views, (hollow_views, hollow_state) = await complete.views(), await run.views_and_state(finds=True)
     complete_total, hollow_total = await asyncio.gather(
         run.relay_traffic(run.complete_relays), run.relay_traffic(run.relays[0])
     )
--- a/pepperusher/rehearsal/hollow_group_run.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -55,8 +55,8 @@
         self.relays: list[Worker] = []  # by zone, the relay process of the links to its members
         self.addresses: dict[int, list[Any]] = {}  # by member, its relay address
 
-    async def stand(self) -> None:
-        await super().stand()
+    async def start_processes(self) -> None:
+        await super().start_processes()
         zones = range(max(self.plan.workers) + 1)
         self.relays = [
             await self._start_process(
@@ -146,12 +146,12 @@
         """The first members are the seeds; they are in different zones if there are enough zones."""
         return [place.number for place in self.plan.places[:SEEDS]]
 
-    async def begin_all(self) -> None:
-        await self.begin(self.plan.places, DISCOVERY)
+    async def start_all(self) -> None:
+        await self.start_proxies(self.plan.places, DISCOVERY)
 
     # --- queries --------------------------------------------------------------------------------
 
-    async def group(self, query: str, **order: Any) -> list[dict[str, Any]]:
+    async def query_group(self, query: str, **order: Any) -> list[dict[str, Any]]:
         """Sends a group order to every process that can answer."""
         return await self.ask_all("group", asked=query, **order)
 
@@ -159,7 +159,7 @@
         """Repeats a query until the count under `count_key` includes all queried members. Returns False on time-out."""
         deadline = time.monotonic() + timeout
         while True:
-            answers = await self.group(query, **order)
+            answers = await self.query_group(query, **order)
             if sum(answer[count_key] for answer in answers) >= sum(answer["of"] for answer in answers):
                 return True
             if time.monotonic() >= deadline:
@@ -178,7 +178,7 @@
 
     async def count_alive_views(self, by: Iterable[int] | None = None) -> Counter[str]:
         total: Counter[str] = Counter()
-        for answer in await self.group("there", size=self.size, by=None if by is None else list(by)):
+        for answer in await self.query_group("there", size=self.size, by=None if by is None else list(by)):
             total.update(answer["there"])
             total["of"] += answer["of"]
         return total
@@ -202,22 +202,22 @@
         traffic: Counter[str] = Counter()
         counts: Counter[str] = Counter()
         longest = 0
-        for answer in await self.group("traffic"):
+        for answer in await self.query_group("traffic"):
             traffic.update(answer["traffic"])
             counts.update(answer["counts"])
             longest = max(longest, answer["longest"])
         return traffic, longest, counts
 
-    async def kinds(self, finds: bool = False) -> tuple[Counter[str], Counter[str]]:
+    async def views_and_state(self, finds: bool = False) -> tuple[Counter[str], Counter[str]]:
         """Sums over the running members, by kind: their views and their membership state."""
         views: Counter[str] = Counter()
         state: Counter[str] = Counter()
-        for answer in await self.group("kinds", finds=finds):
+        for answer in await self.query_group("kinds", finds=finds):
             views.update(answer["finds"])
             state.update(answer["kept"])
         return views, state
 
     async def ban(self, number: int, backend: str, on: bool) -> int:
         """Sets or lifts a ban at one member. Returns the time of the order (us of Unix time)."""
-        answers = await self.group("order", index=number, backend=backend, on=on)
+        answers = await self.query_group("order", index=number, backend=backend, on=on)
         return max(int(answer["at"]) for answer in answers)
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -77,7 +77,7 @@
         return propagation.row()
 
     def propagation(self, observation: str, at: int, expected: set[int], version: int = 1) -> Propagation:
-        return self.run.reached_resource(self.rows, observation, version, at, expected)
+        return self.run.resource_propagation(self.rows, observation, version, at, expected)
 
     def check_only_lost(self, label: str, lost: Iterable[int]) -> None:
         """Checks that no other member was found lost."""
@@ -122,8 +122,8 @@
             "counts": {counter: count for counter, count in sorted(counts.items())},
         }
 
-    async def begin(self) -> None:
-        await self.run.stand()
+    async def start_processes(self) -> None:
+        await self.run.start_processes()
         self.run.usage()
         self._last_costs_at = time.monotonic()
 
@@ -131,7 +131,7 @@
         """Waits until no member has updates left to gossip. Returns the seconds that took, or None on time-out."""
         began = time.monotonic()
         while time.monotonic() - began < WAIT_TIMEOUT_S:
-            if not (await self.run.kinds())[1]["rumours"]:
+            if not (await self.run.views_and_state())[1]["rumours"]:
                 return round(time.monotonic() - began, 1)
             await asyncio.sleep(POLL_INTERVAL_S)
         return None
@@ -140,7 +140,7 @@
 async def join(environment: GroupScenarioEnvironment) -> dict[str, Any]:
     """All members start at once, until each finds all others alive."""
     started_at = clock()
-    await environment.run.begin_all()
+    await environment.run.start_all()
     start_duration_s = round((clock() - started_at) / 1e6, 2)
     complete = await environment.run.wait_until_all_alive(WAIT_TIMEOUT_S)
     environment.check(
@@ -220,7 +220,7 @@
     leaver = environment.size - 2
     others = environment.member_numbers({leaver})
     ordered_at = clock()
-    await environment.run.group("leave", indices=[leaver])
+    await environment.run.query_group("leave", indices=[leaver])
     await environment.run.wait_until_found([environment.member_name(leaver)], "gone", WAIT_TIMEOUT_S, others)
     await environment.read_records()
     # Like a complete proxy, it sends the notice when its drain time is over, some time after the order to stop.
@@ -467,7 +467,7 @@
         environment = GroupScenarioEnvironment(run, period, quick, say, slack)
         state_before: dict[str, int] = {}
         try:
-            await environment.begin()
+            await environment.start_processes()
             for step in steps:
                 say(f"group of {size}: {step.__name__}")
                 environment.checks = []
@@ -508,6 +508,6 @@
 
 async def _state(environment: GroupScenarioEnvironment) -> dict[str, int]:
     """Sums of the membership state of all members and of the state of their processes."""
-    _, member_state = await environment.run.kinds()
-    state = await environment.run.state()
+    _, member_state = await environment.run.views_and_state()
+    state = await environment.run.proxy_state()
     return {**member_state, **{kind: state[kind] for kind in ("running", "tasks", "descriptors", "objects")}}
--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -86,26 +86,26 @@
         self._initial_configuration = own
         # Number of regions whose control machine owns endpoint lists; with fewer control machines than regions,
         # some regions have none.
-        self.parts = min(REGIONS, controls)
-        self.controls = Controls(controls, self.parts, max(plan.workers) + 1, work) if controls else None
+        self.owner_regions = min(REGIONS, controls)
+        self.controls = Controls(controls, self.owner_regions, max(plan.workers) + 1, work) if controls else None
         self._order_locks: dict[int, asyncio.Lock] = {}  # by process
         self._subscription_override = names  # subscriptions of every proxy, instead of those of the plan
         self._cache_directory = work / "kept" if keeps else None
-        self.lacking: set[int] = set()  # numbers of the proxies whose settings lack a use case
+        self.lacking_proxies: set[int] = set()  # numbers of the proxies whose settings lack a use case
         self.discovery: Worker
-        self.zones: list[Worker] = []
+        self.zone_relays: list[Worker] = []
         self.workers: list[Worker] = []
         self._samples: list[tuple[float, dict[str, tuple[float, float]]]] = []
         self._sampling_task: asyncio.Task[None] | None = None
         self._process_names: dict[int, str] = {}  # names of the sampled processes, by process id
         self._relay_addresses: list[dict[str, Any]] = []
         self._activation_files = 0
-        self.stopped: set[int] = set()  # numbers of the suspended workers
-        self.gone: set[int] = set()  # numbers of the killed workers
+        self.suspended: set[int] = set()  # numbers of the suspended workers
+        self.killed: set[int] = set()  # numbers of the killed workers
 
     # --- start and end ------------------------------------------------------------------------------
 
-    async def stand(self) -> None:
+    async def start_processes(self) -> None:
         """Starts every process but no proxy."""
         spec = self._work / "spec.json"
         spec.write_text(
@@ -123,19 +123,19 @@
         self.discovery = await self._start_process("hollow_discovery", "discovery 0", str(spec))
         listening = (await self.discovery.said("listening", START_TIMEOUT_S))["listening"]
         count = max(self.plan.workers) + 1
-        self.zones = [
+        self.zone_relays = [
             await self._start_process("hollow_links", f"links {zone}", str(self._seed * 1000 + zone))
             for zone in range(count)
         ]
         names = {f"view {view}": address for view, address in enumerate(listening)}
-        for zone, worker in enumerate(self.zones):
+        for zone, worker in enumerate(self.zone_relays):
             await worker.said("standing", START_TIMEOUT_S)
             fronts = (await self._ask(worker, "open", names=list(names)))["fronts"]
             await self._ask(worker, "stands", at=names)
             self._relay_addresses.append(fronts)
         if self.controls is not None:
             await self._start_controls(self.controls)
-        await self.shape()
+        await self.set_normal_delays()
         self.workers = [
             await self._start_process("hollow", f"proxies {number}", str(number), str(spec))
             for number in range(len(self.plan.workers))
@@ -148,7 +148,7 @@
         """Starts the control machines. Each reaches its peers by the relay addresses of its own zone; the relays then
         learn the addresses on which the machines listen."""
         names = [f"control {number}" for number in range(controls.count)]
-        for zone, worker in enumerate(self.zones):
+        for zone, worker in enumerate(self.zone_relays):
             self._relay_addresses[zone].update((await self._ask(worker, "open", names=names))["fronts"])
         for number in range(controls.count):
             relays = self._relay_addresses[controls.zone(number)]
@@ -161,7 +161,7 @@
         worker = await self.controls.start(number)
         self._process_names[worker.pid] = f"control {number}"
         addresses = {f"control {number}": list(self.controls.addresses[number])}
-        await asyncio.gather(*(self._ask(zone, "stands", at=addresses) for zone in self.zones))
+        await asyncio.gather(*(self._ask(zone, "stands", at=addresses) for zone in self.zone_relays))
 
     async def publish_all(self) -> None:
         """Publishes the initial resources: the common configuration, one for each team, and every endpoint list."""
@@ -172,7 +172,7 @@
         rows += [("config", f"t{team}", b"# team %d\n" % team) for team in range(min(TEAMS, len(self.plan.places)))]
         rows += [
             ("endpoints", name, endpoint_list_body(endpoints))
-            for name, endpoints in lists_of(self.plan, self.parts).items()
+            for name, endpoints in lists_of(self.plan, self.owner_regions).items()
         ]
         for start in range(0, len(rows), PUBLISH_BATCH):
             await asyncio.gather(*(controls.publish(*resource) for resource in rows[start : start + PUBLISH_BATCH]))
@@ -184,9 +184,9 @@
         self._process_names[worker.pid] = name
         return worker
 
-    async def shape(self) -> None:
+    async def set_normal_delays(self) -> None:
         """Sets the links of each zone to their normal delay."""
-        for zone, worker in enumerate(self.zones):
+        for zone, worker in enumerate(self.zone_relays):
             names_by_delay: dict[float, list[str]] = {}
             for name in self._relay_addresses[zone]:
                 names_by_delay.setdefault(self._link_delay(zone, self._zone_of(name)), []).append(name)
@@ -206,11 +206,11 @@
     async def end(self) -> None:
         if self._sampling_task is not None:
             self._sampling_task.cancel()
-        for number in self.stopped:
+        for number in self.suspended:
             self.workers[number].signal(signal.SIGCONT)
         if self.controls is not None:
             await self.controls.end()
-        processes = [*self.workers, *self.zones, *([self.discovery] if hasattr(self, "discovery") else [])]
+        processes = [*self.workers, *self.zone_relays, *([self.discovery] if hasattr(self, "discovery") else [])]
         await asyncio.gather(*(worker.end() for worker in processes))
 
     async def _ask(self, worker: Worker, action: str, **order: Any) -> dict[str, Any]:
@@ -226,7 +226,7 @@
                 *(
                     self._ask(worker, action, **order)
                     for number, worker in enumerate(self.workers)
-                    if number not in self.stopped | self.gone
+                    if number not in self.suspended | self.killed
                 )
             )
         )
@@ -241,7 +241,7 @@
             "region": f"r{place.region}",
             "discovery": relays[f"view {place.view}"],
             "watch": lists != CONTROL,
-            "lacks": place.number in self.lacking,
+            "lacks": place.number in self.lacking_proxies,
         }
         if self.controls is not None and lists != DISCOVERY:
             order["upstreams"] = [
@@ -251,11 +251,11 @@
             # The client binds before it connects. One local address has 28,000 ports for all connections,
             # including recently closed ones, so each process gets its own.
             order["local"] = f"127.{10 + place.zone}.{place.worker}.1"
-            order["names"] = self._subscription_override or names_of(place, self.plan, self.parts)
+            order["names"] = self._subscription_override or names_of(place, self.plan, self.owner_regions)
             order["keep"] = None if self._cache_directory is None else str(self._cache_directory)
         return order
 
-    async def begin(self, places: Iterable[Place], lists: str = DISCOVERY, spread: float = 0.0) -> None:
+    async def start_proxies(self, places: Iterable[Place], lists: str = DISCOVERY, spread: float = 0.0) -> None:
         """Starts these proxies, with `spread` seconds between two starts in one process."""
         if self._cache_directory is not None:
             self._cache_directory.mkdir(exist_ok=True)
@@ -276,7 +276,7 @@
         answer = await self._ask(self.discovery, "versions")
         return {int(view): version for view, version in answer["versions"].items()}
 
-    async def until_in_force(self, versions: dict[int, int], within: float, spare: int = 0) -> bool:
+    async def wait_until_versions(self, versions: dict[int, int], within: float, spare: int = 0) -> bool:
         """Waits until all running proxies that can answer, except at most `spare` of them, have the versions of
         their views in force. Returns False if that takes longer than `within` seconds.
         """
@@ -284,8 +284,8 @@
             {"versions": {str(view): version for view, version in versions.items()}}, within, spare
         )
 
-    async def until_resources(self, versions: dict[str, int], within: float, spare: int = 0) -> bool:
-        """Like `until_in_force`, for the versions of resources by kind/name."""
+    async def wait_until_resources(self, versions: dict[str, int], within: float, spare: int = 0) -> bool:
+        """Like `wait_until_versions`, for the versions of resources by kind/name."""
         return await self._wait_until_in_force({"resources": versions}, within, spare)
 
     async def _wait_until_in_force(self, wanted: dict[str, Any], within: float, spare: int) -> bool:
@@ -321,12 +321,14 @@
             "oldest_s": round(max_age_us / 1e6, 1),
         }
 
-    def reached_resource(self, rows: list[Row], what: str, version: int, at: int, meant: set[int]) -> Propagation:
+    def resource_propagation(
+        self, rows: list[Row], resource: str, version: int, at: int, expected: set[int]
+    ) -> Propagation:
         return hollow_statistics.propagation_times(
-            rows, what, {place.view: version for place in self.plan.places}, at, meant
+            rows, resource, {place.view: version for place in self.plan.places}, at, expected
         )
 
-    async def change(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
+    async def change_backends(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
         """Changes backends at discovery. Returns the time of the change and the new version of each changed view."""
         answer = await self._ask(self.discovery, "change", rows=rows)
         return answer["at"], {int(view): version for view, version in answer["versions"].items()}
@@ -335,7 +337,7 @@
         """When each version came into force at the proxies that can answer, since the last call."""
         self._activation_files += 1
         workers = [
-            (number, worker) for number, worker in enumerate(self.workers) if number not in self.stopped | self.gone
+            (number, worker) for number, worker in enumerate(self.workers) if number not in self.suspended | self.killed
         ]
         answers = await asyncio.gather(
             *(
@@ -353,7 +355,7 @@
             path.unlink()
         return rows
 
-    async def state(self) -> dict[str, int]:
+    async def proxy_state(self) -> dict[str, int]:
         total: Counter[str] = Counter()
         for answer in await self.ask_all("state"):
             total.update(answer["state"])
@@ -361,7 +363,7 @@
             total["objects"] += answer["objects"]
         return dict(total)
 
-    async def counts(self) -> dict[str, Any]:
+    async def discovery_counts(self) -> dict[str, Any]:
         """The counters of discovery since the last call: sums and the highest values of one second."""
         answer = await self._ask(self.discovery, "counts")
         seconds = list(answer["seconds"].values())
@@ -377,12 +379,12 @@
             },
         }
 
-    async def counts_by_view(self) -> list[dict[str, int]]:
+    async def discovery_counts_by_view(self) -> list[dict[str, int]]:
         answer = await self._ask(self.discovery, "counts")
         views: list[dict[str, int]] = answer["views"]
         return views
 
-    async def settled(self, view: int, watches: int, within: float, empty: int = 0) -> bool:
+    async def wait_until_watching(self, view: int, watches: int, within: float, empty: int = 0) -> bool:
         """Waits until `watches` connections watch this view and `empty` keepalive lines were sent to it since the last
         count. Returns False on time-out."""
         deadline = time.monotonic() + within
@@ -393,12 +395,12 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
-    def front(self, zone: int, view: int) -> list[Any]:
+    def discovery_address(self, zone: int, view: int) -> list[Any]:
         """The relay address at which `zone` reaches discovery for this view."""
         address: list[Any] = self._relay_addresses[zone][f"view {view}"]
         return address
 
-    def machines(self, zone: int) -> list[str]:
+    def control_addresses(self, zone: int) -> list[str]:
         """The relay addresses at which `zone` reaches the control machines."""
         relays = [
             self._relay_addresses[zone][f"control {number}"]
@@ -407,18 +409,20 @@
         return [f"{host}:{port}" for host, port in relays]
 
     @staticmethod
-    def reached(rows: list[Row], versions: dict[int, int], at: int, meant: set[int] | None = None) -> Propagation:
-        return hollow_statistics.propagation_times(rows, "list", versions, at, meant)
+    def list_propagation(
+        rows: list[Row], versions: dict[int, int], at: int, expected: set[int] | None = None
+    ) -> Propagation:
+        return hollow_statistics.propagation_times(rows, "list", versions, at, expected)
 
     # --- faults -------------------------------------------------------------------------
 
-    async def away(self, on: bool) -> None:
+    async def set_discovery_down(self, on: bool) -> None:
         """Makes discovery unavailable to all watchers, or available again."""
         await self._ask(self.discovery, "absent", on=on)
 
     async def cut(self, regions: set[int], on: bool) -> None:
         """Cuts these regions off from the control plane outside of them, or heals every cut."""
-        for zone, worker in enumerate(self.zones):
+        for zone, worker in enumerate(self.zone_relays):
             if on:
                 outside = [
                     name
@@ -429,29 +433,31 @@
             else:
                 await self._ask(worker, "heal")
         if not on:
-            await self.shape()
+            await self.set_normal_delays()
 
     async def cut_control(self, number: int, way: str) -> None:
         """Cuts one control machine off from every zone in one direction: `way` is "out" for the traffic from the zones
         to the machine, "in" for the opposite direction."""
-        await asyncio.gather(*(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zones))
+        await asyncio.gather(
+            *(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zone_relays)
+        )
 
     async def heal(self) -> None:
         """Heals every cut and restores the normal delays."""
-        await asyncio.gather(*(self._ask(zone, "heal") for zone in self.zones))
-        await self.shape()
+        await asyncio.gather(*(self._ask(zone, "heal") for zone in self.zone_relays))
+        await self.set_normal_delays()
 
-    async def slow(self, numbers: Iterable[int], part: float, seconds: float) -> None:
-        """Leaves these processes of proxies their event loop for only `part` of the time, for `seconds`."""
+    async def slow_down(self, numbers: Iterable[int], loop_share: float, seconds: float) -> None:
+        """Leaves these processes of proxies their event loop for the share `loop_share` of the time, for `seconds`."""
         await asyncio.gather(
-            *(self._ask(self.workers[number], "slow", part=part, seconds=seconds) for number in numbers)
+            *(self._ask(self.workers[number], "slow", part=loop_share, seconds=seconds) for number in numbers)
         )
 
     def freeze(self, numbers: Iterable[int], on: bool) -> None:
         """Suspends or resumes processes of proxies."""
         for number in numbers:
             self.workers[number].signal(signal.SIGSTOP if on else signal.SIGCONT)
-            (self.stopped.add if on else self.stopped.discard)(number)
+            (self.suspended.add if on else self.suspended.discard)(number)
 
     # --- processor and memory -----------------------------------------------------------------------
 
--- a/pepperusher/rehearsal/hollow_scenarios.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -49,7 +49,9 @@
         zones = ZONES if size > SMALL_SIZE or controls > SMALL_ZONES else SMALL_ZONES
         self.size, self.seed, self.quick, self.say = size, seed, quick, say
         self.run = HollowRun(plan(size, seed, workers, zones), seed, work, say, controls=controls, keeps=True)
-        self.run.lacking = {place.number for place in self.run.plan.places if place.number % LACKING_INTERVAL == 0}
+        self.run.lacking_proxies = {
+            place.number for place in self.run.plan.places if place.number % LACKING_INTERVAL == 0
+        }
         self.chance = Random(seed)
         self.text = OWN
         self._number = 0
@@ -85,7 +87,7 @@
         return {
             place.number
             for place in self.run.plan.places
-            if [kind, name] in names_of(place, self.run.plan, self.run.parts)
+            if [kind, name] in names_of(place, self.run.plan, self.run.owner_regions)
         }
 
     async def check_change(
@@ -101,10 +103,10 @@
         """
         resource, version, published_at = change
         if rows is None:
-            await self.run.until_resources({resource: version}, WAIT_TIMEOUT_S)
+            await self.run.wait_until_resources({resource: version}, WAIT_TIMEOUT_S)
             rows = await self.run.activations()
         expected = self.subscribers(resource) if expected is None else expected & self.subscribers(resource)
-        propagation = self.run.reached_resource(rows, resource, version, published_at, expected)
+        propagation = self.run.resource_propagation(rows, resource, version, published_at, expected)
         self.check(
             f"{label}: in force at all {propagation.of} within {limit:g} s",
             propagation.all is not None and propagation.all <= limit,
@@ -120,9 +122,9 @@
     async def wait_until_idle(self) -> dict[str, int]:
         """Waits until the number of tasks is stable and low, and returns the state of the proxies."""
         deadline = time.monotonic() + WAIT_TIMEOUT_S
-        state = await self.run.state()
+        state = await self.run.proxy_state()
         while time.monotonic() < deadline:
-            previous, state = state, await self.run.state()
+            previous, state = state, await self.run.proxy_state()
             if state["tasks"] == previous["tasks"] <= 2 * len(self.run.workers):
                 break
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -158,20 +160,20 @@
             "memory_mb_all": self.run.memory(),
         }
 
-    async def begin(self) -> None:
+    async def start_all(self) -> None:
         """Starts every proxy at once, which is a scenario by itself."""
         self.checks, self.figures = [], {}
-        await self.run.stand()
+        await self.run.start_processes()
         await self.run.publish_all()
         await self.controls.wait_until_settled(WAIT_TIMEOUT_S)
         self.run.usage()
         started_at = clock()
         self.say(f"{self.size} proxies start at once")
-        await self.run.begin(self.run.plan.places, CONTROL)
-        complete = await self.run.until_resources(dict(self.controls.versions), START_TIMEOUT_S)
+        await self.run.start_proxies(self.run.plan.places, CONTROL)
+        complete = await self.run.wait_until_resources(dict(self.controls.versions), START_TIMEOUT_S)
         rows = await self.run.activations()
         self.figures = {
-            "common": self.run.reached_resource(
+            "common": self.run.resource_propagation(
                 rows, "config/common", self.controls.versions["config/common"], started_at, self.proxy_numbers()
             ).row(),
             **await self.costs(),
@@ -228,13 +230,13 @@
         await asyncio.sleep(POLL_INTERVAL_S)
         done += 1
     last_versions = {resource: version for resource, version, _ in changes}
-    complete = await environment.run.until_resources(last_versions, WAIT_TIMEOUT_S)
+    complete = await environment.run.wait_until_resources(last_versions, WAIT_TIMEOUT_S)
     environment.check("day: every proxy has the last version of each resource", complete, len(last_versions))
     rows = await environment.run.activations()
     propagations = []
     for published in changes:
         propagations.append(
-            environment.run.reached_resource(
+            environment.run.resource_propagation(
                 rows, published[0], published[1], published[2], environment.subscribers(published[0]) - restarted
             )
         )
@@ -293,14 +295,14 @@
     figures["one_lost"] = await environment.costs()
     environment.say("all control machines are killed and started")
     await asyncio.gather(*(environment.controls.kill(number) for number in range(environment.controls.count)))
-    running = (await environment.run.state())["running"]
+    running = (await environment.run.proxy_state())["running"]
     environment.check("all control machines down: all proxies keep running", running == environment.size, running)
     began = clock()
     await asyncio.gather(*(environment.run.start_control(number) for number in range(environment.controls.count)))
     await environment.controls.can_write()
     figures["writes_again_s"] = round((clock() - began) / 1e6, 2)
     published = await environment.publish()
-    await environment.run.until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
+    await environment.run.wait_until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
     rows = await environment.run.activations()
     figures["from_the_start_to_in_force"] = await environment.check_change(
         (published[0], published[1], began), "all control machines restarted", None, rows, 2 * IN_FORCE_LIMIT_S
@@ -329,14 +331,14 @@
 
 
 async def _run_partition(environment: ScenarioEnvironment, span: float, rounds: int) -> dict[str, Any]:
-    cut_region = environment.run.parts - 1
+    cut_region = environment.run.owner_regions - 1
     inside = {place.number for place in environment.run.plan.places if place.region == cut_region}
     owned = next(
         service
         for service in range(len(environment.run.plan.services))
-        if service % environment.run.parts == cut_region
+        if service % environment.run.owner_regions == cut_region
     )
-    name = list_of(owned, environment.run.parts)
+    name = list_of(owned, environment.run.owner_regions)
     endpoints = list(environment.run.plan.services[owned])
     await environment.run.cut({cut_region}, True)
     began = time.monotonic()
@@ -355,8 +357,8 @@
         rows: list[Row] = []
         while True:
             rows = merge_records(rows, await environment.run.activations())
-            outside_has = environment.run.reached_resource(rows, *outside_change, environment.proxy_numbers(inside))
-            inside_has = environment.run.reached_resource(
+            outside_has = environment.run.resource_propagation(rows, *outside_change, environment.proxy_numbers(inside))
+            inside_has = environment.run.resource_propagation(
                 rows, *inside_change, environment.subscribers(inside_change[0]) & inside
             )
             span_elapsed = time.monotonic() - began >= span * (number + 1) / rounds
@@ -365,7 +367,7 @@
                 break
             await asyncio.sleep(POLL_INTERVAL_S * 5)
         propagations.append((outside_has, inside_has))
-        leak_count += environment.run.reached_resource(rows, *outside_change, inside).had
+        leak_count += environment.run.resource_propagation(rows, *outside_change, inside).had
     slowest = [
         max(results, key=lambda result: WAIT_TIMEOUT_S if result.all is None else result.all)
         for results in zip(*propagations)
@@ -380,7 +382,7 @@
     during = await environment.costs()
     healed_at = clock()
     await environment.run.cut({cut_region}, False)
-    complete = await environment.run.until_resources(
+    complete = await environment.run.wait_until_resources(
         {outside_change[0]: outside_change[1], inside_change[0]: inside_change[1]}, WAIT_TIMEOUT_S
     )
     environment.check("region healed: all have both", complete, None)
@@ -396,7 +398,7 @@
         ("configuration inside", outside_change, inside),
         ("list outside", inside_change, environment.subscribers(inside_change[0]) - inside),
     ):
-        propagation = environment.run.reached_resource(rows, published[0], published[1], healed_at, expected)
+        propagation = environment.run.resource_propagation(rows, published[0], published[1], healed_at, expected)
         environment.check(
             f"region healed: {label} within {IN_FORCE_LIMIT_S:g} s of the healing",
             propagation.all is not None and propagation.all <= IN_FORCE_LIMIT_S,
@@ -417,7 +419,7 @@
 
 async def release(environment: ScenarioEnvironment) -> dict[str, Any]:
     """Every backend of the largest service is replaced in steps through its endpoint list."""
-    service, name = 0, list_of(0, environment.run.parts)
+    service, name = 0, list_of(0, environment.run.owner_regions)
     endpoints = {endpoint["id"]: endpoint for endpoint in environment.run.plan.services[service]}
     old = list(endpoints)
     step = max(1, len(old) // (6 if environment.quick else 24))
@@ -472,7 +474,7 @@
     )
     environment.run.freeze(frozen_workers, False)
     resumed_at = clock()
-    await environment.run.until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
+    await environment.run.wait_until_resources({published[0]: published[1]}, WAIT_TIMEOUT_S)
     figures["thawed"] = await environment.check_change(
         (published[0], published[1], resumed_at),
         "suspended proxies after they resume",
@@ -499,7 +501,7 @@
     )
     environment.controls.limit_disk(victim, False)
     slow_workers = range(0, len(environment.run.workers), 10)
-    await environment.run.slow(slow_workers, SLOW_LOOP_SHARE, SLOW_DURATION_S)
+    await environment.run.slow_down(slow_workers, SLOW_LOOP_SHARE, SLOW_DURATION_S)
     figures["a_tenth_slow"] = await environment.check_change(await environment.publish(), "a tenth slow: all proxies")
     figures.update(await environment.costs())
     return figures
@@ -572,7 +574,7 @@
     ):
         await asyncio.sleep(POLL_INTERVAL_S)
     rows = await environment.run.activations()
-    propagation = environment.run.reached_resource(rows, resource, version, at, environment.proxy_numbers())
+    propagation = environment.run.resource_propagation(rows, resource, version, at, environment.proxy_numbers())
     environment.check("refused by a fifth: the rollout halts", bool(rollout.halted), rollout.halted)
     environment.check(
         "refused by a fifth: less than half have it", propagation.had < environment.size / 2, propagation.had
@@ -582,7 +584,7 @@
         bool(rollout.refused) and all("book" in reason for reason in rollout.refused.values()),
         dict(list(rollout.refused.items())[:2]),
     )
-    lacking = {f"p{number}" for number in environment.run.lacking}
+    lacking = {f"p{number}" for number in environment.run.lacking_proxies}
     environment.check(
         "refused by a fifth: no other proxy refused", set(rollout.refused) <= lacking, len(rollout.refused)
     )
@@ -617,7 +619,7 @@
             await environment.run.start_control(control)
         await environment.run.ask_all("again", indices=lost)
         last_version = {"config/common": environment.controls.versions["config/common"]}
-        await environment.run.until_resources(last_version, WAIT_TIMEOUT_S)
+        await environment.run.wait_until_resources(last_version, WAIT_TIMEOUT_S)
         figures[f"{label}_back"] = await environment.check_change(
             ("config/common", last_version["config/common"], restarted_at),
             f"{label} restored",
@@ -672,7 +674,7 @@
     environment = ScenarioEnvironment(size, controls, seed, quick, work, say)
     try:
         began = time.monotonic()
-        await environment.begin()
+        await environment.start_all()
         results.append(_result("start", environment, environment.figures, time.monotonic() - began))
         each(results[-1])
         for name in names:
@@ -704,7 +706,7 @@
     results: list[dict[str, Any]] = []
 
     async def costs(seconds: float) -> dict[str, Any]:
-        usage, counts = run.usage(), await run.counts()
+        usage, counts = run.usage(), await run.discovery_counts()
         return {
             "discovery": counts,
             "discovery_cores": usage.get("discovery"),
@@ -718,13 +720,13 @@
         each(result)
 
     try:
-        await run.stand()
+        await run.start_processes()
         run.usage()
         at, began = clock(), time.monotonic()
-        await run.begin(run.plan.places, DISCOVERY)
+        await run.start_proxies(run.plan.places, DISCOVERY)
         versions = await run.versions()
-        complete = await run.until_in_force(versions, START_TIMEOUT_S)
-        propagation = run.reached(await run.activations(), versions, at)
+        complete = await run.wait_until_versions(versions, START_TIMEOUT_S)
+        propagation = run.list_propagation(await run.activations(), versions, at)
         add_result(
             {
                 "scene": "before: start",
@@ -734,9 +736,9 @@
             }
         )
         began = time.monotonic()
-        at, versions = await run.change([{**run.plan.services[0][1], "state": "draining"}])
-        complete = await run.until_in_force(versions, WAIT_TIMEOUT_S)
-        propagation = run.reached(await run.activations(), versions, at)
+        at, versions = await run.change_backends([{**run.plan.services[0][1], "state": "draining"}])
+        complete = await run.wait_until_versions(versions, WAIT_TIMEOUT_S)
+        propagation = run.list_propagation(await run.activations(), versions, at)
         add_result(
             {
                 "scene": "before: one change",
@@ -749,9 +751,9 @@
         views = [number for number, services in enumerate(run.plan.views) if 0 in services]
         for number, endpoint in enumerate(run.plan.services[0]):
             replacement = row(0, number, int(endpoint["zone"][1:]), "ready", 1)
-            at, versions = await run.change([{**endpoint, "state": "gone"}, {**replacement, "new_in": views}])
-        complete = await run.until_in_force(versions, WAIT_TIMEOUT_S)
-        propagation = run.reached(await run.activations(), versions, at)
+            at, versions = await run.change_backends([{**endpoint, "state": "gone"}, {**replacement, "new_in": views}])
+        complete = await run.wait_until_versions(versions, WAIT_TIMEOUT_S)
+        propagation = run.list_propagation(await run.activations(), versions, at)
         add_result(
             {
                 "scene": "before: release",
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -30,7 +30,7 @@
     rows: Iterable[Row], resource: str, versions: Mapping[int, int], at: int, expected: set[int] | None = None
 ) -> Propagation:
     """Propagation times of a change made at `at` (us on the monotonic clock). A proxy has the change from its first
-    record after `at` with at least the version that `versions` gives for its view. `meant` limits the proxies.
+    record after `at` with at least the version that `versions` gives for its view. `expected` limits the proxies.
     """
     times: list[float] = []
     expected_count = 0
