--- a/pepperusher/rehearsal/group_model.py
+++ b/pepperusher/rehearsal/group_model.py
@@ -74,7 +74,7 @@
         self.turn = TIME_SLICE_PERIOD
         self._heap: list[tuple[int, int, str, Any]] = []
         self._sequence = count()
-        self._names_by_address: dict[tuple[str, int], str] = {}
+        self._at: dict[tuple[str, int], str] = {}  # member names by address
         self._ports = count(1)
 
     def address(self, name: str) -> tuple[str, int]:
@@ -114,7 +114,7 @@
         settings = SwimSettings(self.period, self.within, tuple(other_addresses[:seeds]), told, 60 * SECOND)
         member = ModelMember(Swim(me, settings, self.wire, Random(self.chance.getrandbits(32)), self.now))
         self.ones[name] = member
-        self._names_by_address[address] = name
+        self._at[address] = name
         self._push(self.now, "wake", (name, member))
         return member
 
@@ -130,8 +130,8 @@
         self.ones[name].duty = duty
         self.ones[name].turn_of = self.chance.randrange(self.turn)
 
-    def _push(self, at: int, kind: str, arguments: Any) -> None:
-        heappush(self._heap, (at, next(self._sequence), kind, arguments))
+    def _push(self, due_at: int, kind: str, arguments: Any) -> None:
+        heappush(self._heap, (due_at, next(self._sequence), kind, arguments))
 
     def _next_run_time(self, member: ModelMember) -> int:
         """The time at which the member next gets the processor."""
@@ -203,7 +203,7 @@
             swim.wants_roll = None
 
     def datagram(self, name: str, address: tuple[str, int], data: bytes) -> None:
-        receiver = self._names_by_address.get(address)
+        receiver = self._at.get(address)
         if receiver is None or self.cut(name, receiver):
             return
         link = self.manners.get((name, receiver), self.manner)
@@ -216,7 +216,7 @@
                 )
 
     def _stream(self, name: str, member: ModelMember, address: tuple[str, int]) -> None:
-        receiver = self._names_by_address.get(address)
+        receiver = self._at.get(address)
         if receiver is None or self.cut(name, receiver) or self.cut(receiver, name) or not self.ones[receiver].up:
             return
         for part in self.ones[receiver].swim.whole():
--- a/pepperusher/rehearsal/hollow.py
+++ b/pepperusher/rehearsal/hollow.py
@@ -158,8 +158,8 @@
         """Sets up the subscription at the control machines; called before `start_proxy`."""
         cache_directory = place.get("keep")
         self.client = Client(
-            [tuple(one) for one in place["upstreams"]],
-            [tuple(one) for one in place["names"]],
+            [tuple(item) for item in place["upstreams"]],
+            [tuple(item) for item in place["names"]],
             self.take_resource,
             key=key,
             name=place["name"],
--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -114,9 +114,9 @@
         self._host.reapply_filters(self, lines)
         self.spread(clock.now())
         self._wake()
-        at = self._orders.bans[backend].at
-        self._record_observation(f"order {backend}", at)
-        return at
+        ordered_at = self._orders.bans[backend].at
+        self._record_observation(f"order {backend}", ordered_at)
+        return ordered_at
 
     def cut_off(self) -> None:
         self._close()
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -91,7 +91,7 @@
     def configuration_text(self, number: int) -> str:
         """The configuration text of a complete proxy."""
         host, port = self.complete_addresses[str(number)]
-        seeds = [":".join(map(str, self.complete_addresses[str(one)])) for one in self.seeds()]
+        seeds = [":".join(map(str, self.complete_addresses[str(seed)])) for seed in self.seeds()]
         return (
             f'{OWN}\n[group]\nlisten = "{self.complete_host(number)}:{PORT}"\nadvertise = "{host}:{port}"\n'
             f'seeds = {json.dumps(seeds)}\nkey = "{KEY}"\n'
--- a/pepperusher/rehearsal/hollow_group_run.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -82,8 +82,8 @@
             }
             names = list(listen_addresses)
             for start in range(0, len(names), RELAYS_PER_ORDER):
-                batch = {name: listen_addresses[name] for name in names[start : start + RELAYS_PER_ORDER]}
-                relays = (await self._ask(worker, "open", at=batch, side=zone_side(zone)))["fronts"]
+                address_batch = {name: listen_addresses[name] for name in names[start : start + RELAYS_PER_ORDER]}
+                relays = (await self._ask(worker, "open", at=address_batch, side=zone_side(zone)))["fronts"]
                 self.addresses.update({int(name): address for name, address in relays.items()})
         await self.shape_relays()
 
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -76,8 +76,8 @@
         )
         return propagation.row()
 
-    def propagation(self, observation: str, at: int, expected: set[int], version: int = 1) -> Propagation:
-        return self.run.resource_propagation(self.rows, observation, version, at, expected)
+    def propagation(self, observation: str, event_at: int, expected: set[int], version: int = 1) -> Propagation:
+        return self.run.resource_propagation(self.rows, observation, version, event_at, expected)
 
     def check_only_lost(self, label: str, lost: Iterable[int]) -> None:
         """Checks that no other member was found lost."""
@@ -434,14 +434,14 @@
     quick: bool,
     work: Path,
     say: Callable[[str], None],
-    each: Callable[[dict[str, Any]], None] = lambda told: None,
+    on_result: Callable[[dict[str, Any]], None] = lambda result: None,
     period: int = PERIOD,
     within: int = ANSWER_TIMEOUT,
     steps: Sequence[Step] = STEPS,
     slack: float = 1.0,
 ) -> list[dict[str, Any]]:
     """Runs the steps one after another on the same processes, then checks that no state has grown since the idle step.
-    `each` receives every result as soon as its step ends. `slack` multiplies the time limits alone, for a machine
+    `on_result` receives every result as soon as its step ends. `slack` multiplies the time limits alone, for a machine
     with other load.
     """
     zones = next((zone_count for largest, zone_count in ZONE_COUNTS if size <= largest), ZONES)
@@ -450,17 +450,17 @@
     results: list[dict[str, Any]] = []
 
     def add_result(name: str, began: float, figures: dict[str, Any]) -> None:
-        holds = all(one["holds"] for one in environment.checks)
+        passed = all(check["holds"] for check in environment.checks)
         results.append(
             {
                 "scene": f"group: {name}",
-                "verdict": "passed" if holds else "failed",
+                "verdict": "passed" if passed else "failed",
                 "seconds": round(time.monotonic() - began, 1),
                 "checks": environment.checks,
                 "figures": figures,
             }
         )
-        each(results[-1])
+        on_result(results[-1])
 
     with reserve_network() as net:
         run = HollowGroupRun(layout, seed, work, say, net, period, within)
--- a/pepperusher/rehearsal/hollow_group_statistics.py
+++ b/pepperusher/rehearsal/hollow_group_statistics.py
@@ -28,17 +28,19 @@
     return PROPAGATION_PERIODS * period / 1e6
 
 
-def last_occurrence_times(rows: Iterable[Row], wanted: str, at: int, expected: set[int]) -> Propagation:
-    """Seconds from `at` (us on the monotonic clock) to the last record of an observation, as percentiles over the
-    members in `expected`. A member with no record since `at` counts as 0 s: its state did not change.
+def last_occurrence_times(rows: Iterable[Row], wanted: str, event_at: int, expected: set[int]) -> Propagation:
+    """Seconds from `event_at` (us on the monotonic clock) to the last record of an observation, as percentiles over the
+    members in `expected`. A member with no record since `event_at` counts as 0 s: its state did not change.
     """
     times: list[float] = []
     for index, _, records in rows:
         if index in expected:
             occurrences = [
-                recorded_at for observation, _, recorded_at in records if observation == wanted and recorded_at >= at
+                recorded_at
+                for observation, _, recorded_at in records
+                if observation == wanted and recorded_at >= event_at
             ]
-            times.append((occurrences[-1] - at) / 1e6 if occurrences else 0.0)
+            times.append((occurrences[-1] - event_at) / 1e6 if occurrences else 0.0)
     times.sort()
 
     def percentile(share: float) -> float | None:
--- a/pepperusher/rehearsal/hollow_plan.py
+++ b/pepperusher/rehearsal/hollow_plan.py
@@ -25,7 +25,7 @@
     "group-size": 1000,
     "ordinal": 0,
     "stage": 0,
-    "zones": [f"z{one}" for one in range(ZONES)],
+    "zones": [f"z{zone}" for zone in range(ZONES)],
     "tiers": ["only"],
     "policy-limits": {
         "cancel": True,
--- a/pepperusher/rehearsal/hollow_report.py
+++ b/pepperusher/rehearsal/hollow_report.py
@@ -51,8 +51,8 @@
         sections.append(table(("what must hold", "", "seen"), rows))
     propagations = list(spreads(result.get("figures") or {}))
     if propagations:
-        rows_ = [(check.name, *check.times, f"{check.had} of {check.of}") for check in propagations]
-        sections.append(table(("time to reach", "half, s", "99%, s", "all, s", "had it"), rows_))
+        propagation_rows = [(check.name, *check.times, f"{check.had} of {check.of}") for check in propagations]
+        sections.append(table(("time to reach", "half, s", "99%, s", "all, s", "had it"), propagation_rows))
         labels = [part.removesuffix("_s") for part in PROPAGATION_KEYS]
         sections.append(bars("Time to reach", "s", labels, [(check.name, check.times) for check in propagations]))
     sections.append(f"<pre>{escape(json.dumps(result.get('figures'), indent=1))}</pre>")
--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -322,10 +322,10 @@
         }
 
     def resource_propagation(
-        self, rows: list[Row], resource: str, version: int, at: int, expected: set[int]
+        self, rows: list[Row], resource: str, version: int, changed_at: int, expected: set[int]
     ) -> Propagation:
         return hollow_statistics.propagation_times(
-            rows, resource, {place.view: version for place in self.plan.places}, at, expected
+            rows, resource, {place.view: version for place in self.plan.places}, changed_at, expected
         )
 
     async def change_backends(self, rows: list[dict[str, Any]]) -> tuple[int, dict[int, int]]:
@@ -410,9 +410,9 @@
 
     @staticmethod
     def list_propagation(
-        rows: list[Row], versions: dict[int, int], at: int, expected: set[int] | None = None
+        rows: list[Row], versions: dict[int, int], changed_at: int, expected: set[int] | None = None
     ) -> Propagation:
-        return hollow_statistics.propagation_times(rows, "list", versions, at, expected)
+        return hollow_statistics.propagation_times(rows, "list", versions, changed_at, expected)
 
     # --- faults -------------------------------------------------------------------------
 
@@ -435,11 +435,11 @@
         if not on:
             await self.set_normal_delays()
 
-    async def cut_control(self, number: int, way: str) -> None:
-        """Cuts one control machine off from every zone in one direction: `way` is "out" for the traffic from the zones
+    async def cut_control(self, number: int, direction: str) -> None:
+        """Cuts one control machine off from every zone in one direction: `direction` is "out" for the traffic from the zones
         to the machine, "in" for the opposite direction."""
         await asyncio.gather(
-            *(self._ask(zone, "cut", names=[f"control {number}"], way=way) for zone in self.zone_relays)
+            *(self._ask(zone, "cut", names=[f"control {number}"], way=direction) for zone in self.zone_relays)
         )
 
     async def heal(self) -> None:
--- a/pepperusher/rehearsal/hollow_scenarios.py
+++ b/pepperusher/rehearsal/hollow_scenarios.py
@@ -290,8 +290,10 @@
     # The next step requires that every machine has the change on disk. A machine that is killed again before that
     # has no base version for the resources of its proxies; `Plays.test_all_killed_as_one_of_them_is_behind` covers
     # that case.
-    kept = await environment.controls.wait_until_on_disk("config/common", IN_FORCE_LIMIT_S)
-    environment.check(f"control machine restarted: change on every disk within {IN_FORCE_LIMIT_S:g} s", kept, kept)
+    on_disk = await environment.controls.wait_until_on_disk("config/common", IN_FORCE_LIMIT_S)
+    environment.check(
+        f"control machine restarted: change on every disk within {IN_FORCE_LIMIT_S:g} s", on_disk, on_disk
+    )
     figures["one_lost"] = await environment.costs()
     environment.say("all control machines are killed and started")
     await asyncio.gather(*(environment.controls.kill(number) for number in range(environment.controls.count)))
@@ -347,11 +349,11 @@
     for number in range(rounds):
         outside_change = await environment.publish()
         endpoints = [row(owned, 7000 + number, cut_region), *endpoints]
-        at = clock()
+        published_at = clock()
         inside_change = (
             f"endpoints/{name}",
             await environment.controls.publish("endpoints", name, endpoint_list_body(endpoints)),
-            at,
+            published_at,
         )
         deadline = time.monotonic() + WAIT_TIMEOUT_S
         rows: list[Row] = []
@@ -430,9 +432,9 @@
             removed = endpoints.pop(id)
             replacement = row(service, number, int(removed["zone"][1:]), "ready", 1)
             endpoints[replacement["id"]] = replacement
-        at = clock()
+        published_at = clock()
         version = await environment.controls.publish("endpoints", name, endpoint_list_body(list(endpoints.values())))
-        changes.append((f"endpoints/{name}", version, at))
+        changes.append((f"endpoints/{name}", version, published_at))
         await asyncio.sleep(POLL_INTERVAL_S * 5)
     propagation = await environment.check_change(changes[-1], "release: the last step")
     costs = await environment.costs()
@@ -561,20 +563,22 @@
 
 async def refused(environment: ScenarioEnvironment) -> dict[str, Any]:
     """The rollout of a change that a fifth of the proxies refuse halts; the next change succeeds."""
-    resource, version, at = await environment.publish(extra_text=REFUSED_ROUTE)
+    resource, version, published_at = await environment.publish(extra_text=REFUSED_ROUTE)
     deadline = time.monotonic() + WAIT_TIMEOUT_S
     rollout = await environment.controls.rollout("config", "common")
     while not rollout.halted and time.monotonic() < deadline:
         await asyncio.sleep(POLL_INTERVAL_S)
         rollout = await environment.controls.rollout("config", "common")
-    halted_after_s = round((clock() - at) / 1e6, 2)
+    halted_after_s = round((clock() - published_at) / 1e6, 2)
     # The rollout has halted everywhere once every control machine reports it.
     while time.monotonic() < deadline and not all(
         counters.get("halted") == 1 for counters in await environment.controls.counters()
     ):
         await asyncio.sleep(POLL_INTERVAL_S)
     rows = await environment.run.activations()
-    propagation = environment.run.resource_propagation(rows, resource, version, at, environment.proxy_numbers())
+    propagation = environment.run.resource_propagation(
+        rows, resource, version, published_at, environment.proxy_numbers()
+    )
     environment.check("refused by a fifth: the rollout halts", bool(rollout.halted), rollout.halted)
     environment.check(
         "refused by a fifth: less than half have it", propagation.had < environment.size / 2, propagation.had
@@ -665,9 +669,9 @@
     quick: bool,
     work: Path,
     say: Callable[[str], None],
-    each: Callable[[dict[str, Any]], None] = lambda told: None,
+    on_result: Callable[[dict[str, Any]], None] = lambda result: None,
 ) -> list[dict[str, Any]]:
-    """Starts every proxy, then runs these scenarios one after another on the same processes. `each` receives every
+    """Starts every proxy, then runs these scenarios one after another on the same processes. `on_result` receives every
     result as soon as its scenario ends.
     """
     results: list[dict[str, Any]] = []
@@ -676,7 +680,7 @@
         began = time.monotonic()
         await environment.start_all()
         results.append(_result("start", environment, environment.figures, time.monotonic() - began))
-        each(results[-1])
+        on_result(results[-1])
         for name in names:
             say(f"scene {name}")
             environment.checks = []
@@ -684,7 +688,7 @@
             await environment.costs()
             figures = await SCENES[name](environment)
             results.append(_result(name, environment, figures, time.monotonic() - began))
-            each(results[-1])
+            on_result(results[-1])
     finally:
         await environment.run.end()
     return results
@@ -695,7 +699,7 @@
     seed: int,
     work: Path,
     say: Callable[[str], None],
-    each: Callable[[dict[str, Any]], None] = lambda propagation: None,
+    on_result: Callable[[dict[str, Any]], None] = lambda propagation: None,
 ) -> list[dict[str, Any]]:
     """Measures the design without control machines: every proxy watches one discovery process. The steps are the
     start of all proxies, one change, and the replacement of the largest service. They have no limits to check:
@@ -717,16 +721,16 @@
 
     def add_result(result: dict[str, Any]) -> None:
         results.append(result)
-        each(result)
+        on_result(result)
 
     try:
         await run.start_processes()
         run.usage()
-        at, began = clock(), time.monotonic()
+        changed_at, began = clock(), time.monotonic()
         await run.start_proxies(run.plan.places, DISCOVERY)
         versions = await run.versions()
         complete = await run.wait_until_versions(versions, START_TIMEOUT_S)
-        propagation = run.list_propagation(await run.activations(), versions, at)
+        propagation = run.list_propagation(await run.activations(), versions, changed_at)
         add_result(
             {
                 "scene": "before: start",
@@ -736,9 +740,9 @@
             }
         )
         began = time.monotonic()
-        at, versions = await run.change_backends([{**run.plan.services[0][1], "state": "draining"}])
+        changed_at, versions = await run.change_backends([{**run.plan.services[0][1], "state": "draining"}])
         complete = await run.wait_until_versions(versions, WAIT_TIMEOUT_S)
-        propagation = run.list_propagation(await run.activations(), versions, at)
+        propagation = run.list_propagation(await run.activations(), versions, changed_at)
         add_result(
             {
                 "scene": "before: one change",
@@ -751,9 +755,11 @@
         views = [number for number, services in enumerate(run.plan.views) if 0 in services]
         for number, endpoint in enumerate(run.plan.services[0]):
             replacement = row(0, number, int(endpoint["zone"][1:]), "ready", 1)
-            at, versions = await run.change_backends([{**endpoint, "state": "gone"}, {**replacement, "new_in": views}])
+            changed_at, versions = await run.change_backends(
+                [{**endpoint, "state": "gone"}, {**replacement, "new_in": views}]
+            )
         complete = await run.wait_until_versions(versions, WAIT_TIMEOUT_S)
-        propagation = run.list_propagation(await run.activations(), versions, at)
+        propagation = run.list_propagation(await run.activations(), versions, changed_at)
         add_result(
             {
                 "scene": "before: release",
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -27,10 +27,10 @@
 
 
 def propagation_times(
-    rows: Iterable[Row], resource: str, versions: Mapping[int, int], at: int, expected: set[int] | None = None
+    rows: Iterable[Row], resource: str, versions: Mapping[int, int], changed_at: int, expected: set[int] | None = None
 ) -> Propagation:
-    """Propagation times of a change made at `at` (us on the monotonic clock). A proxy has the change from its first
-    record after `at` with at least the version that `versions` gives for its view. `expected` limits the proxies.
+    """Propagation times of a change made at `changed_at` (us on the monotonic clock). A proxy has the change from its first
+    record after `changed_at` with at least the version that `versions` gives for its view. `expected` limits the proxies.
     """
     times: list[float] = []
     expected_count = 0
@@ -43,12 +43,12 @@
             (
                 activated_at_us
                 for record_resource, version, activated_at_us in records
-                if record_resource == resource and version >= wanted and activated_at_us >= at
+                if record_resource == resource and version >= wanted and activated_at_us >= changed_at
             ),
             None,
         )
         if activated_at is not None:
-            times.append((activated_at - at) / 1e6)
+            times.append((activated_at - changed_at) / 1e6)
     times.sort()
 
     def percentile(share: float) -> float | None:
