--- a/pepperusher/rehearsal/group_model.py
+++ b/pepperusher/rehearsal/group_model.py
@@ -144,8 +144,8 @@
         return self.now
 
     def run(self, span: int, until: Callable[[], bool] | None = None, every: int = 20_000) -> bool:
-        """Runs for `span` us, or until the condition `until` holds, which is checked every `every` us. Returns whether it
-        held.
+        """Runs for `span` us, or until the condition `until` holds, which is checked every `every` us. Returns
+        whether it held.
         """
         end, next_check = self.now + span, self.now
         while self._heap and self._heap[0][0] <= end:
--- a/pepperusher/rehearsal/hollow_control.py
+++ b/pepperusher/rehearsal/hollow_control.py
@@ -93,8 +93,8 @@
         self.workers[number].signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def limit_disk(self, number: int, on: bool) -> None:
-        """Sets the file size limit of the process to zero, so that writes fail as on a full disk, though with EFBIG instead
-        of ENOSPC.
+        """Sets the file size limit of the process to zero, so that writes fail as on a full disk, though with
+        EFBIG instead of ENOSPC.
         """
         limit = 0 if on else resource.RLIM_INFINITY
         resource.prlimit(self.workers[number].pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
@@ -116,7 +116,7 @@
     # --- operator calls --------------------------------------------------------------------------
 
     async def publish(self, kind: str, name: str, body: bytes) -> int:
-        """Publishes a resource. Returns its version as one number. Raises operator_client.NoAnswerError if it is refused."""
+        """Publishes a resource. Returns its version as one number. Raises operator_client.NoAnswerError if refused."""
         writer = ORIGIN if kind == "config" else int(name.partition("/")[0].removeprefix("r"))
         version = await operator_client.publish(self.addresses[writer], KEY.encode(), kind, name, body)
         number = self.versions[f"{kind}/{name}"] = number_of(*version)
@@ -148,7 +148,7 @@
                 await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_on_disk(self, resource: str, within: float) -> bool:
-        """Waits until every machine has the newest published version of a resource on disk. Returns False on time-out."""
+        """Waits until every machine has the newest version of a resource on disk. Returns False on time-out."""
         deadline = time.monotonic() + within
         while not all(
             self._version_on_disk(number, resource) >= self.versions[resource] for number in range(self.count)
@@ -159,7 +159,7 @@
         return True
 
     def _version_on_disk(self, number: int, resource: str) -> int:
-        """The version on the disk of one machine, or -1. Files are replaced atomically, so the process may be running."""
+        """The version on the disk of one machine, or -1. Files are replaced atomically, so it may be running."""
         records, _ = version_records.read(Disk(self.folder(number)))
         versions = [record.version for record, _, _ in records if f"{record.kind}/{record.name}" == resource]
         return number_of(*versions[0]) if versions else -1
--- a/pepperusher/rehearsal/hollow_group_fidelity.py
+++ b/pepperusher/rehearsal/hollow_group_fidelity.py
@@ -226,8 +226,8 @@
     start_times: dict[str, list[float]] = {"whole": [], "hollow": []}  # when each member joined
 
     async def join(number: int) -> None:
-        """Starts a hollow member as soon as the complete proxy with its number is a member, so that both groups start at
-        the same rate.
+        """Starts a hollow member as soon as the complete proxy with its number is a member, so that both groups
+        start at the same rate.
         """
         await complete.proxies[number].start(run.discovery_address(0, 0), run.configuration_text(number))
         await _wait_until_member(complete, number)
@@ -243,8 +243,8 @@
     span = time.monotonic() - min(mean_starts.values()) + settles
 
     async def count_spans(kind: str, relays: Worker) -> tuple[Counter[str], Counter[str]]:
-        """The traffic of the join span and of the idle span after it. The join span begins at the mean start time of the
-        group's members, since the complete proxies start first and would otherwise be counted for longer.
+        """The traffic of the join span and of the idle span after it. The join span begins at the mean start time of
+        the group's members, since the complete proxies start first and would otherwise be counted for longer.
         """
         await asyncio.sleep(mean_starts[kind] + span - time.monotonic())
         join_traffic = await run.relay_traffic(relays)
--- a/pepperusher/rehearsal/hollow_group_run.py
+++ b/pepperusher/rehearsal/hollow_group_run.py
@@ -88,8 +88,8 @@
         await self.shape_relays()
 
     async def shape_relays(self, lost: float = 0.0) -> None:
-        """Sets the links between members to their normal delay, with a share `lost` of the datagrams dropped, also within
-        a zone.
+        """Sets the links between members to their normal delay, with a share `lost` of the datagrams dropped,
+        also within a zone.
         """
         for zone, worker in enumerate(self.relays):
             sides_by_delay: dict[float, list[str]] = {}
--- a/pepperusher/rehearsal/hollow_group_scenarios.py
+++ b/pepperusher/rehearsal/hollow_group_scenarios.py
@@ -216,7 +216,7 @@
 
 
 async def left(environment: GroupScenarioEnvironment) -> dict[str, Any]:
-    """A member leaves with a notice: its share of the limits goes to the others. It restarts and takes a share again."""
+    """A member leaves with a notice: its share of the limits goes to the others. It then restarts and rejoins."""
     leaver = environment.size - 2
     others = environment.member_numbers({leaver})
     ordered_at = clock()
--- a/pepperusher/rehearsal/hollow_links.py
+++ b/pepperusher/rehearsal/hollow_links.py
@@ -47,8 +47,8 @@
         return {}
 
     async def cut(self, order: dict[str, Any]) -> dict[str, Any]:
-        """Cuts the links to the named destinations: in both directions, or only the traffic into the zone (`in`) or out of
-        it (`out`).
+        """Cuts the links to the named destinations: in both directions, or only the traffic into the zone (`in`) or
+        out of it (`out`).
         """
         if order.get("way", "both") in ("both", "out"):
             self._links.cut([CLIENTS], order["names"])
--- a/pepperusher/rehearsal/hollow_run.py
+++ b/pepperusher/rehearsal/hollow_run.py
@@ -436,8 +436,8 @@
             await self.set_normal_delays()
 
     async def cut_control(self, number: int, direction: str) -> None:
-        """Cuts one control machine off from every zone in one direction: `direction` is "out" for the traffic from the zones
-        to the machine, "in" for the opposite direction."""
+        """Cuts one control machine off from every zone in one direction: `direction` is "out" for the traffic from the
+        zones to the machine, "in" for the opposite direction."""
         await asyncio.gather(
             *(self._ask(zone, "cut", names=[f"control {number}"], way=direction) for zone in self.zone_relays)
         )
--- a/pepperusher/rehearsal/hollow_statistics.py
+++ b/pepperusher/rehearsal/hollow_statistics.py
@@ -29,8 +29,9 @@
 def propagation_times(
     rows: Iterable[Row], resource: str, versions: Mapping[int, int], changed_at: int, expected: set[int] | None = None
 ) -> Propagation:
-    """Propagation times of a change made at `changed_at` (us on the monotonic clock). A proxy has the change from its first
-    record after `changed_at` with at least the version that `versions` gives for its view. `expected` limits the proxies.
+    """Propagation times of a change made at `changed_at` (us on the monotonic clock). A proxy has the change from its
+    first record after `changed_at` with at least the version that `versions` gives for its view. `expected` limits
+    the proxies.
     """
     times: list[float] = []
     expected_count = 0
--- a/pepperusher/rehearsal/raft_model.py
+++ b/pepperusher/rehearsal/raft_model.py
@@ -65,7 +65,8 @@
         base = Base(10, 0, NAMES)
         self.disks = {name: Disk(PersistentState(0, ""), base, ()) for name in NAMES}
         self.voters = {name: start_voter(make, name, self.disks[name]) for name in NAMES}
-        # A dict keeps the order of sending. The order of a set differs between runs, so a seed would not reproduce a walk.
+        # A dict keeps the order of sending. The order of a set differs between runs, so a seed would not reproduce
+        # a walk.
         self.sent: dict[tuple[str, Message], None] = {}
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, Entry] = {}
@@ -176,7 +177,7 @@
     crash: bool,
     lag: bool = False,
 ) -> World:
-    """The state after a step. With `lag` the writes of the step stay pending, and so do the messages that wait for them."""
+    """The state after a step. With `lag` its writes stay pending, and so do the messages that wait for them."""
     result = world.copy(name)
     for count, increment in counts.items():
         setattr(result, count, getattr(result, count) + increment)
