--- a/pepperusher/rehearsal/hollow_group.py
+++ b/pepperusher/rehearsal/hollow_group.py
@@ -239,7 +239,8 @@
             if swim is None:
                 continue
             counts["finds all"] += len(swim.members) + 1 >= order["size"] and not any(
-                member.health != ALIVE or member.record.phase == LEFT or member.record.is_duplicate for member in swim.members
+                member.health != ALIVE or member.record.phase == LEFT or member.record.is_duplicate
+                for member in swim.members
             )
             counts["lost"] += sum(member.health == LOST and member.record.phase != LEFT for member in swim.members)
             # The reach that the member announced last. Changes since then are in its recorded observations.
