--- a/tests/test_rehearsal_play.py
+++ b/tests/test_rehearsal_play.py
@@ -131,7 +131,7 @@
     def test_an_effect_twice(self) -> None:
         entries = self.broken("twice", rule_checker.TWICE)
         self.assertTrue(any("single-use" in entry.what for entry in entries))
-        self.assertTrue(any("whose group alone" in entry.what for entry in entries))
+        self.assertTrue(any("only its group recognises repeats" in entry.what for entry in entries))
 
     def test_two_attempts_at_once(self) -> None:
         entries = self.broken(
