--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -38,7 +38,7 @@
         self._start = start
         chance, spread = Random(f"{plan.script.seed}:discovery"), plan.script.discovery.spread
         # How much later than others each is told; it stays the same, so that no word overtakes another.
-        self._later = {gate.number: int(chance.random() * spread) for gate in plan.gates}
+        self._later = {gate.number: int(chance.random() * spread) for gate in plan.proxies}
         self.moves = [one.at for one in line.strikes if one.what == "discovery-moved"]
         self._servers: list[asyncio.Server] = []
         self._serving: set[asyncio.Task[None]] = set()  # emptied as connections end
--- a/pepperusher/rehearsal/effective_changes.py
+++ b/pepperusher/rehearsal/effective_changes.py
@@ -47,7 +47,7 @@
     for reconfiguration in sorted(reconfigurations, key=lambda reconfiguration: reconfiguration.at):
         signals_by_proxy[reconfiguration.proxy].append(reconfiguration.at)
     notifications = []
-    for proxy in plan.gates:
+    for proxy in plan.proxies:
         starts = [run.started for run in runs if run.proxy == proxy.number]
         for change in unready_changes:
             if plan.places[change.place].tier != proxy.tier:
--- a/pepperusher/rehearsal/fault_schedule.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -65,7 +65,7 @@
         level = tiers.index(fault.tier) if fault.tier else 0
         left: list[Place] | list[Gate] = [
             gate
-            for gate in plan.gates
+            for gate in plan.proxies
             if (gate.tier == level or fault.names)
             and fault.zone in (None, gate.zone)
             and (not fault.names or gate.name in fault.names)
--- a/pepperusher/rehearsal/fleet_plan.py
+++ b/pepperusher/rehearsal/fleet_plan.py
@@ -68,14 +68,14 @@
 
 
 class FleetPlan:
-    """`places` and `gates` in the script's order. `net` is the second number of all addresses,
+    """`places` and `proxies` in the script's order. `net` is the second number of all addresses,
     127.net.x.y."""
 
     def __init__(self, script: Script, net: int) -> None:
         self.script = script
         self.net = net
         self.places: list[Place] = []
-        self.gates: list[Gate] = []
+        self.proxies: list[Gate] = []
         self.by_name: dict[str, Place] = {}
         for level, tier in enumerate(script.tiers):
             at = 0
@@ -101,7 +101,7 @@
             else:
                 callers = [place for place in self.places if place.tier == level - 1]
             for ordinal, of in enumerate(callers):
-                number = len(self.gates)
+                number = len(self.proxies)
                 zone = of.zone if of else tier.zones[ordinal % len(tier.zones)]
                 name = f"p-{of.name}" if of else f"p{ordinal + 1}"
                 gate = Gate(
@@ -115,7 +115,7 @@
                     (_host(net, 2, number), DISCOVERY_PORT),
                     of,
                 )
-                self.gates.append(gate)
+                self.proxies.append(gate)
                 if of is not None:
                     of.proxy = gate
 
@@ -127,4 +127,4 @@
     @property
     def front(self) -> list[Gate]:
         """Where clients come in; where the script has no proxies, nobody."""
-        return [gate for gate in self.gates if gate.tier == 0]
+        return [gate for gate in self.proxies if gate.tier == 0]
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -79,9 +79,9 @@
         if script.proxies.group is not None:
             own = script.proxies.own
             base = (Path(script.folder) / own).read_text() if own else ""
-            self.grouping = GroupRun(script, self.plan.gates, net, work, base)
+            self.grouping = GroupRun(script, self.plan.proxies, net, work, base)
         self._build = build
-        self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
+        self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.proxies]
         # Second processes under a name that is taken; what they wrote is no record of the fleet's.
         self._aside = Writer(work / "twins.aside")
         self._twins: list[Runner] = []
@@ -177,7 +177,7 @@
         for turn, done in enumerate(await asyncio.gather(*map(one, self._runners), return_exceptions=True)):
             if isinstance(done, BaseException):
                 raise RehearsalError(str(done)) from None
-            gate = self.plan.gates[turn]
+            gate = self.plan.proxies[turn]
             if gate.tier == 0:
                 self._admitted.add(gate.number)
         self._admit()
@@ -331,8 +331,8 @@
     async def twin(self, number: int, until: int) -> None:
         """A second process under the name of a proxy, at another address, for a while."""
         assert self.grouping is not None
-        await self.grouping.open_twin(self.plan.gates[number])
-        made = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._aside)
+        await self.grouping.open_twin(self.plan.proxies[number])
+        made = self._runner(duplicate_gate(self.plan.proxies[number], self.plan.net), True, self._aside)
         self._twins.append(made)
         await self._again(made)
         await self._until(until)
@@ -455,7 +455,7 @@
         except (RuntimeError, OSError) as error:
             raise RehearsalError(str(error)) from None
         book = rule_checker.check(script, kept)
-        names = [gate.name for gate in director.plan.gates]
+        names = [gate.name for gate in director.plan.proxies]
         return Result(
             VERSION,
             script.title,
--- a/pepperusher/rehearsal/standalone.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -111,7 +111,7 @@
         await director.stand(load=False)
         for place in director.plan.places:
             say(f"backend {place.name:<20} {place.address[0]}:{place.address[1]}  zone {place.zone}, cell {place.cell}")
-        for gate in director.plan.gates:
+        for gate in director.plan.proxies:
             say(
                 f"proxy   {gate.name:<20} {gate.address[0]}:{gate.address[1]}  tier {script.tiers[gate.tier].name},"
                 f" discovery {gate.discovery[0]}:{gate.discovery[1]}"
--- a/tests/group_scene.py
+++ b/tests/group_scene.py
@@ -47,7 +47,7 @@
         self.director = RunController(script, net, self.work)
         stack.push_async_callback(self.director.end)
         await self.director.stand()
-        self.names = [gate.name for gate in self.director.plan.gates]
+        self.names = [gate.name for gate in self.director.plan.proxies]
         await self.wait_until(
             lambda views: all(
                 len(view["members"]) == size and view["reach"]["word"] == "majority" for view in views.values()
@@ -123,7 +123,7 @@
         records = self.director.records()
         report = rule_checker.check(self.script, records)
         self.assertEqual([], report.entries)
-        for gate in self.director.plan.gates:
+        for gate in self.director.plan.proxies:
             done_count = sum(
                 attempt.how == "done" for attempt in records.client_attempts if attempt.proxy == gate.number
             )
