--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -45,7 +45,7 @@
         self._begun = False
 
     async def listen(self) -> None:
-        for gate in self._plan.gates:
+        for gate in self._plan.proxies:
             for turn in range(len(self.moves) + 1):
 
                 async def serve(
