--- a/pepperusher/rehearsal/discovery_server.py
+++ b/pepperusher/rehearsal/discovery_server.py
@@ -37,7 +37,7 @@
         self._start = start
         chance, spread = Random(f"{plan.script.seed}:discovery"), plan.script.discovery.spread
         # Each proxy receives changes with an extra delay of its own, constant so that the changes stay in order.
-        self._extra_delay = {gate.number: int(chance.random() * spread) for gate in plan.gates}
+        self._extra_delay = {gate.number: int(chance.random() * spread) for gate in plan.proxies}
         self.moves = [strike.at for strike in line.strikes if strike.what == "discovery-moved"]
         self._servers: list[asyncio.Server] = []
         self._connection_tasks: set[asyncio.Task[None]] = set()  # an entry is removed when its connection ends
@@ -45,7 +45,7 @@
 
     async def listen(self) -> None:
         """Opens the listeners of all proxies, one for each address that discovery has during the run."""
-        for gate in self._plan.gates:
+        for gate in self._plan.proxies:
             for address_index in range(len(self.moves) + 1):
 
                 async def serve(
--- a/pepperusher/rehearsal/fault_schedule.py
+++ b/pepperusher/rehearsal/fault_schedule.py
@@ -69,7 +69,7 @@
         tier_index = tiers.index(fault.tier) if fault.tier else 0
         candidates: list[Place] | list[Gate] = [
             gate
-            for gate in plan.gates
+            for gate in plan.proxies
             if (gate.tier == tier_index or fault.names)
             and fault.zone in (None, gate.zone)
             and (not fault.names or gate.name in fault.names)
--- a/pepperusher/rehearsal/fleet_plan.py
+++ b/pepperusher/rehearsal/fleet_plan.py
@@ -70,13 +70,13 @@
 
 
 class FleetPlan:
-    """All backend places and proxy gates, in the order of the script. All addresses are of the form 127.net.x.y."""
+    """All backend places and proxies, in the order of the script. All addresses are of the form 127.net.x.y."""
 
     def __init__(self, script: Script, net: int) -> None:
         self.script = script
         self.net = net
         self.places: list[Place] = []
-        self.gates: list[Gate] = []
+        self.proxies: list[Gate] = []
         self.by_name: dict[str, Place] = {}
         for tier_index, tier in enumerate(script.tiers):
             index = 0
@@ -102,7 +102,7 @@
             else:
                 callers = [place for place in self.places if place.tier == tier_index - 1]
             for ordinal, of in enumerate(callers):
-                number = len(self.gates)
+                number = len(self.proxies)
                 zone = of.zone if of else tier.zones[ordinal % len(tier.zones)]
                 name = f"p-{of.name}" if of else f"p{ordinal + 1}"
                 gate = Gate(
@@ -116,7 +116,7 @@
                     (_host(net, 2, number), DISCOVERY_PORT),
                     of,
                 )
-                self.gates.append(gate)
+                self.proxies.append(gate)
                 if of is not None:
                     of.proxy = gate
 
@@ -128,4 +128,4 @@
     @property
     def front(self) -> list[Gate]:
         """The proxies that receive the clients' tickets; empty if the script has no proxies."""
-        return [gate for gate in self.gates if gate.tier == 0]
+        return [gate for gate in self.proxies if gate.tier == 0]
--- a/pepperusher/rehearsal/run_controller.py
+++ b/pepperusher/rehearsal/run_controller.py
@@ -83,9 +83,9 @@
         if script.proxies.group is not None:
             own = script.proxies.own
             base = (Path(script.folder) / own).read_text() if own else ""
-            self.grouping = GroupRun(script, self.plan.gates, net, work, base)
+            self.grouping = GroupRun(script, self.plan.proxies, net, work, base)
         self._build = build
-        self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.gates]
+        self._runners = [self._runner(gate, False, self._writer) for gate in self.plan.proxies]
         # Duplicate processes run under the name of another proxy; their records are kept apart from the run's.
         self._duplicate_writer = Writer(work / "twins.aside")
         self._twins: list[Runner] = []
@@ -183,7 +183,7 @@
         ):
             if isinstance(outcome, BaseException):
                 raise RehearsalError(str(outcome)) from None
-            gate = self.plan.gates[number]
+            gate = self.plan.proxies[number]
             if gate.tier == 0:
                 self._admitted.add(gate.number)
         self._admit()
@@ -340,8 +340,8 @@
     async def twin(self, number: int, until: int) -> None:
         """Runs a second process under the name of a proxy, at another address, until `until`."""
         assert self.grouping is not None
-        await self.grouping.open_duplicate(self.plan.gates[number])
-        duplicate = self._runner(duplicate_gate(self.plan.gates[number], self.plan.net), True, self._duplicate_writer)
+        await self.grouping.open_duplicate(self.plan.proxies[number])
+        duplicate = self._runner(duplicate_gate(self.plan.proxies[number], self.plan.net), True, self._duplicate_writer)
         self._twins.append(duplicate)
         await self._start_again(duplicate)
         await self._until(until)
@@ -466,7 +466,7 @@
         except (RuntimeError, OSError) as error:
             raise RehearsalError(str(error)) from None
         findings = rule_checker.check(script, all_records)
-        gate_names = [gate.name for gate in controller.plan.gates]
+        gate_names = [gate.name for gate in controller.plan.proxies]
         return Result(
             VERSION,
             script.title,
--- a/pepperusher/rehearsal/standalone.py
+++ b/pepperusher/rehearsal/standalone.py
@@ -115,7 +115,7 @@
         await controller.stand(load=False)
         for place in controller.plan.places:
             say(f"backend {place.name:<20} {place.address[0]}:{place.address[1]}  zone {place.zone}, cell {place.cell}")
-        for gate in controller.plan.gates:
+        for gate in controller.plan.proxies:
             say(
                 f"proxy   {gate.name:<20} {gate.address[0]}:{gate.address[1]}  tier {script.tiers[gate.tier].name},"
                 f" discovery {gate.discovery[0]}:{gate.discovery[1]}"
