--- a/tests/test_retuned.py
+++ b/tests/test_retuned.py
@@ -167,7 +167,7 @@
         good = json.loads(self.given)
         # A ticket is open under a use case that the new settings remove; it ends as it was accepted.
         for backend in self.fake_backends.values():
-            backend.behaviors = ["slow"]
+            backend.behaviors = ["held"]
         under_way = asyncio.create_task(self.send_request("book open", self.request("book", 1)))
         await self.wait_until(lambda: self.lines[-1].startswith("    "))
         good["settings"]["use-cases"] = [
@@ -176,6 +176,9 @@
         ]
         good["settings"]["policy-limits"]["most-transmissions"] = 1
         await self.reload(json.dumps(good))
+        self.assertFalse(under_way.done())
+        for backend in self.fake_backends.values():
+            backend.release.set()
         await under_way
         for backend in self.fake_backends.values():
             backend.behaviors = []
