--- a/pepperusher/rehearsal/discovery_clients.py
+++ b/pepperusher/rehearsal/discovery_clients.py
@@ -71,16 +71,16 @@
 
 class Figures(NamedTuple):
     """The result of one scenario. `lags` are the delays of notifications, or the times until ready (s). `calls` are the
-    requests to discovery, `worst_second` the most in one second, `refused` those answered 503, and `wasted` those
+    requests to discovery, `worst_second` the most in one second, `refused` those answered 503, and `in_vain` those
     processed after their client had left."""
 
     scene: str
     lags: list[float]
-    not_notified: int  # clients not notified, or not ready, within the scenario
+    unheard: int  # clients not notified, or not ready, within the scenario
     calls: int
     worst_second: int
     refused: int
-    wasted: int
+    in_vain: int
 
     def row(self) -> str:
         """The result as a row of the Markdown table that HEAD begins."""
@@ -88,8 +88,8 @@
         quantiles = (0.5, 0.9, 0.99, 1.0)
         values = [lags[min(len(lags) - 1, int(part * len(lags)))] if lags else float("nan") for part in quantiles]
         return (
-            f"| {self.scene} | {len(lags)} | {' | '.join(f'{value:.2f}' for value in values)} | {self.not_notified}"
-            f" | {self.calls} | {self.worst_second} | {self.refused} | {self.wasted} |"
+            f"| {self.scene} | {len(lags)} | {' | '.join(f'{value:.2f}' for value in values)} | {self.unheard}"
+            f" | {self.calls} | {self.worst_second} | {self.refused} | {self.in_vain} |"
         )
 
 
@@ -196,13 +196,13 @@
         await asyncio.sleep(0.1)
 
 
-def _make_figures(scene: str, discovery_server: QueuedDiscovery, lags: list[float], not_notified: int) -> Figures:
+def _make_figures(scene: str, discovery_server: QueuedDiscovery, lags: list[float], unheard: int) -> Figures:
     first = min(discovery_server.calls, default=0.0)
     seconds = Counter(int(at - first) for at in discovery_server.calls)
     return Figures(
         scene,
         lags,
-        not_notified,
+        unheard,
         len(discovery_server.calls),
         max(seconds.values(), default=0),
         discovery_server.refused,
@@ -230,7 +230,7 @@
     rng = Random(seed)
     discovery_server = QueuedDiscovery(BACKENDS, seconds_per_request, queue)
     delays: list[float] = []
-    not_notified = 0
+    unheard = 0
     loop = asyncio.get_running_loop()
     async with _running_clients(client_count, discovery_server, seed, ask_within) as clients:
         for client in clients:
@@ -254,8 +254,8 @@
             delays += [
                 client.notified_at[version] - reachable_at for client in clients if version in client.notified_at
             ]
-            not_notified += sum(version not in client.notified_at for client in clients)
-        return _make_figures(scene, discovery_server, delays, not_notified)
+            unheard += sum(version not in client.notified_at for client in clients)
+        return _make_figures(scene, discovery_server, delays, unheard)
 
 
 class ServeProcess:
--- a/tests/test_told_in_time.py
+++ b/tests/test_told_in_time.py
@@ -27,14 +27,14 @@
         all_figures = run(run_all_scenes())
         for figures in all_figures:
             with self.subTest(figures.scene):
-                self.assertEqual((0, 8), (figures.not_notified, len(figures.lags)))
+                self.assertEqual((0, 8), (figures.unheard, len(figures.lags)))
                 self.assertLess(max(figures.lags), MAX_LAG)
 
     def test_a_crowd_hears_in_time_of_a_discovery_that_turns_most_of_it_away(self) -> None:
         """A hundred proxies meet a discovery that takes 10 ms per request and queues twenty. Each receives the change in
         under 6 s, and after its first three requests none sends more than one in 1.25 s."""
         figures = run(notification_delays("refusing", 100, 0.01, 20, 1, 3, 40.0, (6.0, 6.0), 20.0))
-        self.assertEqual(0, figures.not_notified)
+        self.assertEqual(0, figures.unheard)
         self.assertLess(max(figures.lags), 6.0)
         self.assertLess(figures.calls / 100, 3 + (6.0 + max(figures.lags)) / 1.25 + 1)
 
@@ -42,7 +42,7 @@
         """Forty proxies that start at once need 8 s of a slow discovery. Guards against proxies that give up after 3.5 s
         and queue again at the end, behind abandoned requests that discovery still processes."""
         figures = run(startup_times("start-slow", 40, 0, 0.2, 1000, 3))
-        self.assertEqual((0, 40), (figures.not_notified, len(figures.lags)))
+        self.assertEqual((0, 40), (figures.unheard, len(figures.lags)))
         self.assertLess(max(figures.lags), 11.0)
 
     def test_a_queue_longer_than_anybody_may_wait_is_worked_off(self) -> None:
@@ -53,7 +53,7 @@
         refused requests, and one proxy in ten received the change over 10 s late. Nine in ten have to receive it within
         6 s, and the others soon after."""
         figures = run(notification_delays("keeping", 60, 0.095, 1000, 1, 3, 10.0, (8.0, 8.1), 25.0))
-        self.assertEqual((0, 60), (figures.not_notified, len(figures.lags)))
+        self.assertEqual((0, 60), (figures.unheard, len(figures.lags)))
         self.assertLess(sorted(figures.lags)[53], 6.0)
-        self.assertLess(figures.wasted, 10)
+        self.assertLess(figures.in_vain, 10)
         self.assertLess(max(figures.lags), 11.0)
