--- a/pepperusher/rehearsal/hollow_control.py
+++ b/pepperusher/rehearsal/hollow_control.py
@@ -100,7 +100,15 @@
         resource.prlimit(self.workers[number].pid, resource.RLIMIT_FSIZE, (limit, resource.RLIM_INFINITY))
 
     def copy_disk(self, number: int) -> None:
-        shutil.copytree(self.folder(number), self._work / f"old-{number}", dirs_exist_ok=True)
+        """Copies the state of a running machine, without files that are still being written: a rename may remove them
+        before they are copied.
+        """
+        shutil.copytree(
+            self.folder(number),
+            self._work / f"old-{number}",
+            dirs_exist_ok=True,
+            ignore=shutil.ignore_patterns("*.new"),
+        )
 
     def restore_disk(self, number: int) -> None:
         """Restores the copy of `copy_disk`, as from a backup; the process must not be running."""
